--- a/balance/balance.go
+++ b/balance/balance.go
@@ -13,6 +13,7 @@
 	ID       string
 	Address  string
 	Zone     string
+	Version  string // of its software
 	Capacity int
 	Draining bool
 	Cold     bool
@@ -23,7 +24,11 @@
 type Endpoint struct {
 	Spec
 	// Idle is how many idle connections this node has to the endpoint.
-	Idle     int
+	Idle int
+	// Arm is where its version stands; Front tells that it takes part of a trial.
+	Arm      Arm
+	Front    bool
+	hash     uint64
 	tier     int     // 0 in this zone, 1 in this region, 2 elsewhere
 	far      float64 // what its distance adds to its cost
 	crowd    float64 // what the load of its zone adds
@@ -51,7 +56,10 @@
 func (e *Endpoint) Gone() bool { return e.gone || e.Draining }
 
 // shut tells whether nothing may be sent to the endpoint.
-func (e *Endpoint) shut() bool { return e.Draining || e.off }
+func (e *Endpoint) shut() bool { return e.Draining || e.off || e.Arm == Barred }
+
+// Fresh tells whether the endpoint is slow from its start.
+func (e *Endpoint) Fresh(now time.Duration) bool { return now < e.cold || e.Cold || e.back }
 
 // Ejected tells whether the endpoint is kept from ordinary choice.
 func (e *Endpoint) Ejected(now time.Duration) bool { return e.fails > 0 && now < e.until }
@@ -81,6 +89,8 @@
 	tiers       [3]tier         // of the pick under way
 	judged      time.Duration   // until then the verdicts of all nodes hold
 	lean        float64         // towards the faster endpoints, 0 to 1
+	versions    Versions
+	unfronted   bool // which endpoints are Front is to be found anew
 }
 
 // Zone is how a zone is used. The zero value is ordinary use.
@@ -162,11 +172,18 @@
 
 // Slots is how many requests the endpoints that may be chosen work on at once,
 // and how many this node has there. Requests stuck at an endpoint that was
-// ejected say nothing about how full the others are.
+// ejected say nothing about how full the others are. While two versions are sent
+// to, the slots are those of the one that carries most.
 func (p *Pool) Slots(now time.Duration) (slots, inflight int) {
+	main := Base
+	if p.versions.Share > 0.5 {
+		main = Target
+	}
 	for _, e := range p.all {
 		if !e.shut() && !e.Ejected(now) {
-			slots += e.Capacity
+			if e.Arm == main {
+				slots += e.Capacity
+			}
 			inflight += e.inflight
 		}
 	}
@@ -180,11 +197,13 @@
 	}
 	e := p.byID[s.ID]
 	if e == nil {
-		e = &Endpoint{slow: 1}
+		e = &Endpoint{slow: 1, hash: hashOf(s.ID)}
 		p.byID[s.ID] = e
 		p.all = append(p.all, e)
 	}
-	e.Spec = s
+	if e.Spec != s {
+		e.Spec, e.Arm, p.unfronted = s, p.versions.arm(s.Version), true
+	}
 	e.far, e.tier = 0, 0
 	if s.Zone != p.cfg.Zone {
 		e.far, e.tier = p.cfg.Bias, 1
@@ -205,7 +224,7 @@
 	if e == nil {
 		return nil
 	}
-	e.gone = true
+	e.gone, p.unfronted = true, true
 	delete(p.byID, id)
 	for i, x := range p.all {
 		if x == e {
@@ -225,7 +244,7 @@
 
 // pace is how long an endpoint takes over what is usual.
 func (p *Pool) pace(now time.Duration, e *Endpoint) float64 {
-	if now < e.cold || e.Cold || e.back {
+	if e.Fresh(now) {
 		return 2 * e.slow
 	}
 	return e.slow
@@ -268,6 +287,7 @@
 // drawn by their pace and capacity, and the cheapest of these is taken.
 func (p *Pool) Pick(now time.Duration, rnd func() float64, skip func(*Endpoint) bool) *Endpoint {
 	var best, back *Endpoint
+	p.front()
 	for i := range p.tiers {
 		p.tiers[i].of, p.tiers[i].weight = p.tiers[i].of[:0], p.tiers[i].weight[:0]
 	}
--- a/cmd/gauge/main.go
+++ b/cmd/gauge/main.go
@@ -44,6 +44,9 @@
   gauge evac list                 show the zones that are not in ordinary use
   gauge evac begin ZONE           let nothing more go to a zone's endpoints
   gauge evac finish ZONE          take a zone back
+  gauge rollout begin SERVICE VERSION TERM
+                                  move a service to a version within a time (12s)
+  gauge rollout read SERVICE      show how the newest roll-out stands
   gauge status                    show members, leader, revisions, proxies and zones
   gauge version
 
@@ -128,6 +131,7 @@
 		"settings check": t.settingsCheck, "config check": t.configCheck, "config read": t.configRead,
 		"config replace": t.configReplace, "status": t.status,
 		"evac list": t.evacList, "evac begin": t.evacOrder, "evac finish": t.evacOrder,
+		"rollout begin": t.rolloutBegin, "rollout read": t.rolloutRead,
 	}
 	do := commands[args[0]]
 	t.command = args[0]
@@ -295,7 +299,7 @@
 			case status == 200:
 				return body, nil
 			case status == 404:
-				return nil, fail(exitFailed, "%s: there is no configuration yet", n)
+				return nil, fail(exitFailed, "%s has none: %s", n, body)
 			default:
 				last = fmt.Errorf("%s answered %d: %s", n, status, body)
 			}
@@ -380,6 +384,51 @@
 	return t.print("acknowledged by "+n+": "+t.command+" "+t.args[0], map[string]any{"acknowledged": true, "node": n, "zone": t.args[0]})
 }
 
+func (t *tool) rolloutBegin(io.Reader) error {
+	if len(t.args) != 3 {
+		return fail(exitUsage, "rollout begin takes a service, a version and a time")
+	}
+	term, err := time.ParseDuration(t.args[2])
+	if err != nil || term <= 0 {
+		return fail(exitUsage, "%q is no time above 0, such as 12s", t.args[2])
+	}
+	body, err := json.Marshal(map[string]any{"backend_service": t.args[0], "target_version": t.args[1], "deadline_s": term.Seconds()})
+	if err != nil {
+		return err
+	}
+	n, err := t.order("rollouts.begin", body)
+	if err != nil {
+		return err
+	}
+	return t.print(fmt.Sprintf("acknowledged by %s: %s moves to %s", n, t.args[0], t.args[1]),
+		map[string]any{"acknowledged": true, "node": n, "backend_service": t.args[0], "target_version": t.args[1]})
+}
+
+func (t *tool) rolloutRead(io.Reader) error {
+	if len(t.args) != 1 {
+		return fail(exitUsage, "rollout read takes one service")
+	}
+	body, err := t.read("rollouts.read&of=" + url.QueryEscape(t.args[0]))
+	if err != nil {
+		return err
+	}
+	var a struct {
+		State  string  `json:"state"`
+		Target string  `json:"target_version"`
+		Base   string  `json:"base_version"`
+		Share  float64 `json:"share"`
+		Why    string  `json:"why,omitempty"`
+	}
+	if err := json.Unmarshal(body, &a); err != nil {
+		return fail(exitFailed, "the answer cannot be read: %v", err)
+	}
+	text := fmt.Sprintf("%s: %s to %s, in use %s, share of the new one %g", t.args[0], a.State, a.Target, a.Base, a.Share)
+	if a.Why != "" {
+		text += "\n" + a.Why
+	}
+	return t.print(text, a)
+}
+
 func (t *tool) configReplace(in io.Reader) error {
 	text, c, err := t.readConfig(in)
 	if err != nil {
--- a/internal/caliper/caliper.go
+++ b/internal/caliper/caliper.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"net"
 	"os"
+	"slices"
 	"strconv"
 	"time"
 
@@ -65,6 +66,9 @@
 	ColdSlack        float64 `toml:"cold_slack"`
 	Evacuation       Seconds `toml:"evacuation_s"`
 	TTLMax           Seconds `toml:"ttl_max_s"`
+	ExposureRatio    float64 `toml:"exposure_ratio"`
+	ExposureSlack    float64 `toml:"exposure_slack"`
+	Rollback         Seconds `toml:"rollback_s"`
 }
 
 // Settings is what a process is told at its start.
@@ -96,6 +100,8 @@
 		Regions  int `toml:"regions"`
 	} `toml:"fault_tolerance"`
 	Bounds Bounds `toml:"bounds"`
+	// Guarantees names the parts of the rules that are in force.
+	Guarantees []string `toml:"guarantees"`
 }
 
 // Path gives the settings file's path: the flag's if set, else the
@@ -182,6 +188,20 @@
 // go.
 const EntryDirectory = "directory"
 
+// guaranteeRollout is the part of the rules under which versions of a service are
+// told apart.
+const guaranteeRollout = "rollout"
+
+// RollsOut tells whether versions of a service are told apart here: requests go to
+// the one in use, and to another only by an order.
+func (s *Settings) RollsOut() bool { return slices.Contains(s.Guarantees, guaranteeRollout) }
+
+// TrialLease is for how long a proxy sends to a version under trial without
+// hearing from a control-plane node that is in touch.
+func (s *Settings) TrialLease() time.Duration {
+	return max(s.Soonest()/2, s.Bounds.Rollback.D()/5)
+}
+
 // GrantLasts is how long a share of a cold endpoint holds, at its holder from
 // the report that it answers, at the granter from when it was given.
 func (s *Settings) GrantLasts() time.Duration { return s.Bounds.Contact.D() * 2 / 3 }
--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -19,6 +19,7 @@
 
 	"lichentray/balance"
 	"lichentray/clamp"
+	"lichentray/feeler"
 	"lichentray/internal/notch"
 	"lichentray/rack"
 )
@@ -148,6 +149,20 @@
 	Loads map[string]balance.Load
 	Seen  map[string]balance.Seen // by endpoint, since the last report
 	Self  *rack.Proxy             // its entry in the registry, where proxies are members
+	// Trials are the roll-outs under way, by service.
+	Trials map[string]Trial
+}
+
+// Trial is what one proxy, or one control-plane node for all its proxies, tells of
+// a roll-out. A proxy tells what it saw since its last report, a node all that it
+// was told since its own start.
+type Trial struct {
+	Order    uint64
+	Evidence feeler.Evidence
+	// Stage is the least stage that any of the proxies has taken, AtBase how many
+	// requests are at endpoints of the old version.
+	Stage  int
+	AtBase int
 }
 
 // Round is what the leader granted one proxy, in answer to the report Seq.
@@ -192,6 +207,9 @@
 	Loads  map[string]balance.Load
 	Seen   map[string]balance.Seen // to the leader
 	Rounds map[string]Round        // by proxy
+	// Trials are told to the leader, under the life of the node that tells.
+	Trials map[string]Trial
+	Life   uint64
 	// Verdicts are the leader's on all endpoints.
 	Verdicts []balance.Verdict
 }
--- a/internal/hatch/hatch.go
+++ b/internal/hatch/hatch.go
@@ -12,6 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
 	"lichentray/latch"
@@ -29,6 +30,8 @@
 	Watch(group string, after uint64, wait time.Duration) ([]latch.Event, uint64, error)
 	Evacuate(zone string, begin bool) error
 	Evacuations() (map[string]string, error)
+	BeginRollout(service, target string, deadline time.Duration) error
+	Rollout(service string) (feeler.Rollout, error)
 	Status() any
 }
 
@@ -161,6 +164,8 @@
 	"evacuations.begin":     (*API).evacuate,
 	"evacuations.finish":    (*API).takeBack,
 	"evacuations.read":      (*API).evacuations,
+	"rollouts.begin":        (*API).rolloutBegin,
+	"rollouts.read":         (*API).rolloutRead,
 }
 
 func decode(body []byte, to any) error {
@@ -182,6 +187,7 @@
 		Address string `json:"address"`
 		Info    struct {
 			Service  string  `json:"backend_service"`
+			Version  string  `json:"config_version"`
 			Zone     string  `json:"zone"`
 			Capacity float64 `json:"capacity"`
 		} `json:"info"`
@@ -201,7 +207,7 @@
 		return nil, notch.New(notch.BadRequest, "address, info.backend_service or status.state is missing or wrong")
 	}
 	return nil, a.node.Beat(rack.Endpoint{
-		ID: of, Service: b.Info.Service, Address: b.Address, Zone: b.Info.Zone, Capacity: int(b.Info.Capacity),
+		ID: of, Service: b.Info.Service, Version: b.Info.Version, Address: b.Address, Zone: b.Info.Zone, Capacity: int(b.Info.Capacity),
 		Draining: b.Status.State == "draining", Sequence: uint64(max(0, b.Status.Sequence)), ColdS: b.Status.ColdS,
 	})
 }
@@ -247,6 +253,44 @@
 	return map[string]any{"zones": zones}, nil
 }
 
+// longestRollout bounds the time that an order may give.
+const longestRollout = 7 * 24 * time.Hour
+
+func (a *API) rolloutBegin(_ string, body []byte) (any, error) {
+	var b struct {
+		Service  string   `json:"backend_service"`
+		Target   string   `json:"target_version"`
+		Deadline *float64 `json:"deadline_s"`
+	}
+	if err := decode(body, &b); err != nil {
+		return nil, err
+	}
+	switch {
+	case b.Service == "":
+		return nil, notch.New(notch.BadRequest, "backend_service: missing")
+	case b.Target == "":
+		return nil, notch.New(notch.BadRequest, "target_version: missing")
+	case b.Deadline == nil || *b.Deadline <= 0 || *b.Deadline > longestRollout.Seconds():
+		return nil, notch.New(notch.BadRequest, "deadline_s: missing, not above 0 or above %g", longestRollout.Seconds())
+	}
+	return nil, a.node.BeginRollout(b.Service, b.Target, time.Duration(*b.Deadline*float64(time.Second)))
+}
+
+func (a *API) rolloutRead(of string, _ []byte) (any, error) {
+	if err := needName(of); err != nil {
+		return nil, err
+	}
+	r, err := a.node.Rollout(of)
+	if err != nil {
+		return nil, err
+	}
+	answer := map[string]any{"state": r.State, "target_version": r.Target, "base_version": r.Base, "share": r.Share()}
+	if r.Why != "" {
+		answer["why"] = r.Why
+	}
+	return answer, nil
+}
+
 type lockBody struct {
 	Holder string  `json:"holder"`
 	Fence  uint64  `json:"fence"`
--- a/internal/hatch/hatch_test.go
+++ b/internal/hatch/hatch_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
 	"lichentray/latch"
@@ -34,6 +35,13 @@
 func (n *node) Cell(name string) (latch.Cell, error) {
 	return latch.Cell{Value: "v", Revision: 4}, n.err
 }
+func (n *node) BeginRollout(service, target string, d time.Duration) error {
+	n.got = service + " " + target + " " + d.String()
+	return n.err
+}
+func (n *node) Rollout(service string) (feeler.Rollout, error) {
+	return feeler.Rollout{Base: "v1", Target: "v2", State: feeler.RolledBack, Why: service}, n.err
+}
 func (n *node) Status() any { return "fine" }
 func (n *node) Do(c rack.Command) (rack.Result, error) {
 	n.got = *c.Latch
@@ -80,6 +88,15 @@
 		{"evacuate nothing", "POST", "/api/rpc?call=evacuations.begin", "", fence, nil, 400, "of"},
 		{"take back", "POST", "/api/rpc?call=evacuations.finish&of=z", "", fence, notch.New(notch.BadRequest, "zone"), 400, "zone"},
 		{"evacuations", "POST", "/api/rpc?call=evacuations.read", "", fence, nil, 200, `{"zones":{"z":"evacuated"}}`},
+		{"roll-out", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, fence, nil, 200, "{}"},
+		{"roll-out of no service", "POST", "/api/rpc?call=rollouts.begin", `{"target_version":"v2","deadline_s":12}`, fence, nil, 400, "backend_service"},
+		{"roll-out to no version", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"","deadline_s":12}`, fence, nil, 400, "target_version"},
+		{"roll-out without a term", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2"}`, fence, nil, 400, "deadline_s"},
+		{"roll-out with a term of 0", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":0}`, fence, nil, 400, "deadline_s"},
+		{"roll-out with a term that is no number", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":"12"}`, fence, nil, 400, "deadline_s"},
+		{"roll-out against another", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, fence, notch.New(notch.Conflict, ""), 409, "conflict"},
+		{"roll-out read", "POST", "/api/rpc?call=rollouts.read&of=s", "", fence, nil, 200, `"state":"rolled_back","target_version":"v2"`},
+		{"no roll-out read", "POST", "/api/rpc?call=rollouts.read&of=s", "", fence, notch.New(notch.NoKey, ""), 404, "no_key"},
 		{"no such call", "POST", "/api/rpc?call=locks.steal&of=l", "", fence, nil, 404, "no_route"},
 		{"wrong method", "GET", "/api/rpc?call=locks.begin&of=l", "", fence, nil, 400, "POST"},
 		{"metrics", "GET", "/metrics", "", fence, nil, 200, "lichentray_"},
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -9,6 +9,7 @@
 
 	"lichentray/balance"
 	"lichentray/clamp"
+	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/jig"
@@ -37,6 +38,7 @@
 	l.findCrashed(now)
 	l.dropProxies(now)
 	l.endReturns(now)
+	l.guideRollouts(now)
 	l.trim(now)
 }
 
@@ -106,6 +108,7 @@
 func (l *Lathe) countProxies(now time.Duration) {
 	loads := map[string]balance.Load{}
 	here := map[string]uint64{}
+	trials := map[string]dowel.Trial{}
 	l.mu.Lock()
 	for s := range l.sessions {
 		if now-s.at > l.timing.Dead {
@@ -113,17 +116,31 @@
 		}
 		here[s.node] = max(here[s.node], s.seq)
 		addLoads(loads, s.loads)
+		gauge(trials, s.trials)
+	}
+	for service, t := range l.tryOuts {
+		if r := l.rollouts[rack.RolloutPrefix+service]; r != nil && (r.Order > t.Order || r.Order == t.Order && r.State != feeler.InProgress) {
+			delete(l.tryOuts, service)
+			continue
+		}
+		t.Stage, t.AtBase = trials[service].Stage, trials[service].AtBase
+		if g, told := trials[service]; !told || g.Order != t.Order {
+			t.Stage, t.AtBase = 0, 0
+		}
+		t.Evidence = t.Evidence.Clone()
+		trials[service] = t
 	}
 	seen := l.seen
 	l.seen = map[string]balance.Seen{}
 	l.mu.Unlock()
 	if l.node.Role() != clamp.Leader {
-		l.links.tell(l.links.addr(l.node.Leader()), &dowel.Frame{Proxies: &dowel.ProxyCount{Here: here, Loads: loads, Seen: seen}})
+		l.links.tell(l.links.addr(l.node.Leader()), &dowel.Frame{Proxies: &dowel.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
 		return
 	}
 	for name := range here {
 		l.proxies[name] = now
 	}
+	l.takeTrials(l.life, trials)
 	for id, c := range l.counts {
 		if now-c.at > l.timing.Dead {
 			delete(l.counts, id)
@@ -133,7 +150,10 @@
 			here[name] = max(here[name], seq)
 		}
 		addLoads(loads, c.loads)
+		l.takeTrials(c.life, c.trials)
+		gauge(trials, c.trials)
 	}
+	l.trials = trials
 	rounds := l.share(now, here)
 	l.judge.See(seen)
 	verdicts := l.judge.Verdicts(now, l.byService())
@@ -410,10 +430,12 @@
 		// bounds the service's cold endpoints, so all are marked.
 		e.Cold = e.ColdS > 0 && l.set.Bounds.ColdOvershoot > 0
 		if !known {
-			return &rack.Txn{
+			txn := &rack.Txn{
 				If:   []rack.Condition{{Key: e.Key()}, {Key: gone}},
 				Then: []rack.Write{{Key: e.Key(), Value: e.Encode()}},
-			}, nil
+			}
+			l.nameBase(txn, e)
+			return txn, nil
 		}
 		old, err := rack.DecodeEndpoint(o)
 		if err != nil {
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -40,6 +40,7 @@
 	Missed    time.Duration // an endpoint's beats before it is probed
 	Lease     time.Duration // of a proxy's entry
 	TTL       time.Duration // of an answer of the directory
+	Pause     time.Duration // until the first answers of a roll-out's stage are judged
 }
 
 // TimingOf derives the figures.
@@ -57,6 +58,7 @@
 		Missed:    s.HeartbeatEvery.D()*2 + contact/6,
 		Lease:     contact / 4,
 		TTL:       s.Bounds.TTLMax.D() / 4,
+		Pause:     s.Soonest() / 2,
 	}
 }
 
@@ -77,6 +79,7 @@
 	log    *slog.Logger
 	board  *dial.Board
 	start  time.Time
+	life   uint64 // drawn at each start
 	self   clamp.Member
 	chest  *chest.Chest
 
@@ -106,6 +109,8 @@
 	proxies   map[string]time.Duration // when the leader last heard of each
 	returning map[string]mark          // since when a zone is being taken back
 	granter   *balance.Granter
+	guides    map[string]*guide      // of the roll-outs under way, at the leader
+	trials    map[string]dowel.Trial // where all proxies together stand
 	judge     *balance.Judge
 
 	// Shared behind a short lock.
@@ -128,6 +133,8 @@
 	// What is kept decoded of the registry, by key; the actor alone writes it.
 	places    map[string]balance.Place
 	endpoints map[string]rack.Endpoint
+	rollouts  map[string]*rollout
+	tryOuts   tryOuts
 	// changedAt is the revision of the newest change of a watched object.
 	changedAt uint64
 	// Each zone's evacuation as last applied, and when its newest orders were.
@@ -150,7 +157,10 @@
 type proxyCount struct {
 	here  map[string]uint64
 	loads map[string]balance.Load
-	at    time.Duration
+	// trials by service, life the one of the node that told them.
+	trials map[string]dowel.Trial
+	life   uint64
+	at     time.Duration
 }
 
 type mark struct {
@@ -190,6 +200,7 @@
 		pending: map[uint64]waiter{}, reads: map[uint64]chan outcome{},
 		alive: map[string]time.Duration{}, probing: map[string]bool{}, counts: map[uint64]proxyCount{},
 		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]balance.Place{}, endpoints: map[string]rack.Endpoint{},
+		rollouts: map[string]*rollout{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
 		seen:  map[string]balance.Seen{},
 		store: rack.New(), locks: map[string]lockTimer{},
 		wake: map[chan struct{}]struct{}{}, groups: map[string]map[chan struct{}]struct{}{},
@@ -367,6 +378,7 @@
 			l.nElections.Inc()
 			l.alive, l.counts = map[string]time.Duration{}, map[uint64]proxyCount{}
 			l.proxies, l.returning = map[string]time.Duration{}, map[string]mark{}
+			l.guides = map[string]*guide{}
 			l.judge = balance.NewJudge(l.timing.Dead / 2)
 			l.granter = balance.NewGranter(now, l.set.GrantLasts())
 			l.log.Info("leading", "term", n.Term())
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -380,7 +380,7 @@
 			} else {
 				l.post(func() {
 					now := l.now()
-					l.counts[h.ID] = proxyCount{p.Here, p.Loads, now}
+					l.counts[h.ID] = proxyCount{here: p.Here, loads: p.Loads, trials: p.Trials, life: p.Life, at: now}
 					l.mu.Lock()
 					addSeen(l.seen, p.Seen)
 					l.mu.Unlock()
--- /dev/null
+++ b/internal/lathe/rollout.go
@@ -0,0 +1,244 @@
+package lathe
+
+import (
+	"errors"
+	"strings"
+	"time"
+
+	"lichentray/feeler"
+	"lichentray/internal/dowel"
+	"lichentray/internal/notch"
+	"lichentray/rack"
+)
+
+// rollout is a service's versions as last applied, and since when they stand so by
+// this node's steady clock.
+type rollout struct {
+	feeler.Rollout
+	revision uint64
+	at       time.Duration
+}
+
+// spent is how much of the order's time has passed.
+func (r *rollout) spent(now time.Duration) time.Duration {
+	return now - r.at + time.Duration(r.SpentS*float64(time.Second))
+}
+
+// tryOuts is what a node was told of each roll-out since its start, by service.
+type tryOuts map[string]dowel.Trial
+
+// add takes what one proxy saw since its last report. The caller has the node's
+// lock.
+func (t tryOuts) add(told map[string]dowel.Trial) {
+	for service, n := range told {
+		x := t[service]
+		if n.Order < x.Order {
+			continue
+		}
+		if n.Order > x.Order {
+			x = dowel.Trial{Order: n.Order, Evidence: feeler.Evidence{}}
+		}
+		x.Evidence.Add(n.Evidence)
+		t[service] = x
+	}
+}
+
+// gauge sums where proxies stand: the least stage taken and all requests at the
+// base.
+func gauge(to, from map[string]dowel.Trial) {
+	for service, n := range from {
+		x, there := to[service]
+		switch {
+		case !there || n.Order > x.Order:
+			to[service] = dowel.Trial{Order: n.Order, Stage: n.Stage, AtBase: n.AtBase, Evidence: x.Evidence}
+		case n.Order == x.Order:
+			x.Stage, x.AtBase = min(x.Stage, n.Stage), x.AtBase+n.AtBase
+			to[service] = x
+		}
+	}
+}
+
+// guide is what the leader keeps of a roll-out under way.
+type guide struct {
+	order   uint64
+	judge   *feeler.Judge
+	by      map[uint64]feeler.Evidence // by the life of the node that told it
+	stage   int
+	answers int // of the target when the stage was entered
+	asked   uint64
+	askedAt time.Duration
+}
+
+// takeTrials takes what a node was told since its start. What a node told that has
+// ended since stays.
+func (l *Lathe) takeTrials(life uint64, told map[string]dowel.Trial) {
+	for service, t := range told {
+		g := l.guides[service]
+		if g == nil || g.order < t.Order {
+			g = &guide{order: t.Order, judge: feeler.NewJudge(l.set.Bounds.Contact.D()), by: map[uint64]feeler.Evidence{}, stage: -1}
+			l.guides[service] = g
+		}
+		if g.order == t.Order {
+			g.by[life] = t.Evidence
+		}
+	}
+}
+
+// guideRollouts takes each roll-out one step further if the evidence says so. Each
+// step is written under the condition that the state read still stands, so that
+// of two leaders, or two steps, one holds.
+func (l *Lathe) guideRollouts(now time.Duration) {
+	if !l.node.InTouch(l.timing.Election) || now-l.leadSince < l.timing.Silence {
+		return
+	}
+	for key, r := range l.rollouts {
+		service := strings.TrimPrefix(key, rack.RolloutPrefix)
+		if _, trial := r.Trial(); !trial {
+			continue
+		}
+		g := l.guides[service]
+		if g == nil || g.order != r.Order {
+			l.takeTrials(l.life, map[string]dowel.Trial{service: {Order: r.Order}})
+			if g = l.guides[service]; g.order != r.Order {
+				continue // proxies know of an order that this node has still to apply
+			}
+		}
+		sum := feeler.Evidence{}
+		for _, e := range g.by {
+			sum.Add(e)
+		}
+		answers := sum.Answers()
+		if g.stage != r.Stage {
+			g.stage, g.answers = r.Stage, answers
+		}
+		f := feeler.Facts{
+			Spent: r.spent(now), InStage: now - r.at, Pause: l.timing.Pause, Commit: l.timing.Answer,
+			Answers: answers, StageAnswers: answers - g.answers,
+		}
+		endpoints := 0
+		for _, e := range l.endpoints {
+			if e.Service != service || e.Draining {
+				continue
+			}
+			switch e.Version {
+			case r.Base:
+				f.BaseSlots += e.Capacity
+			case r.Target:
+				f.TargetSlots += e.Capacity
+				endpoints++
+			}
+		}
+		f.Verdict = g.judge.See(now, sum, endpoints)
+		t, told := l.trials[service]
+		f.Moved = told && t.Order == r.Order && t.Stage == r.Stage && t.AtBase == 0
+		next, changed := r.Next(f)
+		if !changed || g.asked == r.revision && now-g.askedAt < l.timing.Election {
+			continue
+		}
+		g.asked, g.askedAt = r.revision, now
+		l.node.Propose(rack.EncodeCommand(rack.Command{Txn: &rack.Txn{
+			If:   []rack.Condition{{Key: key, ModRevision: r.revision}},
+			Then: []rack.Write{{Key: key, Value: next.Encode()}},
+		}}))
+	}
+	for service := range l.guides {
+		if r := l.rollouts[rack.RolloutPrefix+service]; r == nil || r.State != feeler.InProgress {
+			delete(l.guides, service)
+		}
+	}
+}
+
+// noteRollout takes a change of a service's versions. The caller has the node's
+// lock.
+func (l *Lathe) noteRollout(e rack.Event) {
+	was := l.rollouts[e.Object.Key]
+	if e.Type == rack.Deleted {
+		delete(l.rollouts, e.Object.Key)
+		return
+	}
+	r, err := feeler.Decode(e.Object.Value)
+	if err != nil {
+		l.log.Error("roll-out cannot be read", "key", e.Object.Key, "error", err)
+		return
+	}
+	l.rollouts[e.Object.Key] = &rollout{Rollout: r, revision: e.Object.ModRevision, at: l.now()}
+	if r.State != "" && (was == nil || was.Rollout != r) {
+		l.log.Info("roll-out", "service", e.Object.Key[len(rack.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.SpentS, "why", r.Why)
+	}
+	if r.State != feeler.InProgress {
+		delete(l.tryOuts, e.Object.Key[len(rack.RolloutPrefix):])
+	}
+}
+
+// nameBase lets the first endpoint of a service tell which version is in use. The
+// caller has the node's lock.
+func (l *Lathe) nameBase(txn *rack.Txn, e rack.Endpoint) {
+	if !l.set.RollsOut() {
+		return
+	}
+	key := rack.RolloutPrefix + e.Service
+	if _, known := l.store.Get(key); known {
+		return
+	}
+	txn.If = append(txn.If, rack.Condition{Key: key})
+	// Before the endpoint, so that no proxy holds it without.
+	txn.Then = append([]rack.Write{{Key: key, Value: feeler.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
+}
+
+var errNoRollouts = notch.New(notch.NoRoute, "this deployment does not tell versions apart")
+
+// BeginRollout takes an order to move a service's traffic to a version.
+func (l *Lathe) BeginRollout(service, target string, deadline time.Duration) error {
+	if !l.set.RollsOut() {
+		return errNoRollouts
+	}
+	if err := l.ReadPoint(); err != nil {
+		return err
+	}
+	key := rack.RolloutPrefix + service
+	wrote, err := l.transact(func() (*rack.Txn, error) {
+		o, _ := l.store.Get(key)
+		var was feeler.Rollout
+		if o.ModRevision > 0 {
+			var err error
+			if was, err = feeler.Decode(o.Value); err != nil {
+				return nil, notch.New(notch.Internal, "%v", err)
+			}
+		} else if _, known := l.cluster(service); !known {
+			return nil, notch.New(notch.BadRequest, "backend_service: %q is not known", service)
+		}
+		next, err := was.Begin(target, deadline)
+		var refused feeler.Refusal
+		if errors.As(err, &refused) {
+			return nil, notch.New(notch.Conflict, "%s", refused)
+		}
+		if next == was {
+			return nil, nil
+		}
+		return &rack.Txn{
+			If:   []rack.Condition{{Key: key, ModRevision: o.ModRevision}},
+			Then: []rack.Write{{Key: key, Value: next.Encode()}},
+		}, nil
+	})
+	if wrote {
+		l.log.Info("roll-out order acknowledged", "service", service, "target", target, "deadline", deadline.String())
+	}
+	return err
+}
+
+// Rollout reads how the newest order of a service stands.
+func (l *Lathe) Rollout(service string) (feeler.Rollout, error) {
+	if !l.set.RollsOut() {
+		return feeler.Rollout{}, errNoRollouts
+	}
+	if err := l.ReadPoint(); err != nil {
+		return feeler.Rollout{}, err
+	}
+	l.mu.RLock()
+	defer l.mu.RUnlock()
+	r := l.rollouts[rack.RolloutPrefix+service]
+	if r == nil || r.State == "" {
+		return feeler.Rollout{}, notch.New(notch.NoKey, "no roll-out of %q", service)
+	}
+	return r.Rollout, nil
+}
--- /dev/null
+++ b/internal/lathe/rollout_test.go
@@ -0,0 +1,152 @@
+package lathe
+
+import (
+	"context"
+	"fmt"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"lichentray/feeler"
+	"lichentray/internal/caliper"
+	"lichentray/internal/dowel"
+	"lichentray/internal/notch"
+	"lichentray/rack"
+	"lichentray/spool"
+)
+
+// proxy follows some node of a group and reports what a version under trial does
+// there: nothing but failures if bad.
+func proxy(ctx context.Context, nodes []string, bad *atomic.Bool) {
+	m := spool.NewMirror()
+	for i := 0; ctx.Err() == nil; i++ {
+		c, err := dowel.Dial(ctx, nodes[i%len(nodes)], time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
+		if err != nil {
+			time.Sleep(20 * time.Millisecond)
+			continue
+		}
+		stop := context.AfterFunc(ctx, c.Close)
+		err = c.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision()}})
+		for seq := uint64(1); err == nil; seq++ {
+			var f *dowel.Frame
+			if f, err = c.Receive(2 * time.Second); err != nil {
+				break
+			}
+			if a := f.Answer; a != nil && !a.Failed && !a.Gone && !m.Listed() {
+				err = m.Reset(a.Revision, a.Objects)
+			}
+			events, _ := f.TakeEvents()
+			for _, e := range events {
+				if _, err := m.Apply(e); err != nil {
+					m.Forget()
+				}
+			}
+			report := &dowel.Report{Seq: seq}
+			if o, ok := m.Objects()[rack.RolloutPrefix+"s"]; ok {
+				if r, _ := feeler.Decode(o.Value); r.State == feeler.InProgress {
+					e := feeler.Evidence{}
+					for id := range 6 {
+						n := feeler.Count{Answers: 3}
+						if bad.Load() {
+							n.Failed = 3
+						}
+						e.Add(feeler.Evidence{"r": feeler.OfTarget(fmt.Sprint("new-", id), n)})
+						e.Add(feeler.Evidence{"r": feeler.OfBase(feeler.Count{Answers: 30})})
+					}
+					report.Trials = map[string]dowel.Trial{"s": {Order: r.Order, Stage: r.Stage, Evidence: e}}
+				}
+			}
+			if err == nil {
+				err = c.Send(&dowel.Frame{Ack: 1, Report: report})
+			}
+		}
+		stop()
+		c.Close()
+	}
+}
+
+// TestRollout drives three nodes through orders that are bad input, one that ends in
+// success although its leader is lost on the way, one that is rolled back, and the
+// loss of all processes after that.
+func TestRollout(t *testing.T) {
+	g := newGroup(t, 3, func(s *caliper.Settings) {
+		s.Guarantees = []string{"rollout"}
+		s.Bounds.ConfigApply, s.Bounds.Drain = 1, 1
+	})
+	l := g.nodes
+	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(fmt.Sprintf(text, 5))) == nil })
+	if _, err := l[0].Rollout("s"); notch.Of(err) != notch.NoKey {
+		t.Errorf("reading before any order: %v", err)
+	}
+	if err := l[0].BeginRollout("other", "v2", time.Minute); notch.Of(err) != notch.BadRequest {
+		t.Errorf("a service that is not known: %v", err)
+	}
+	if err := l[0].BeginRollout("s", "v2", time.Minute); notch.Of(err) != notch.Conflict {
+		t.Errorf("a service without an endpoint: %v", err)
+	}
+	for id := range 6 {
+		for v, kind := range []string{"old", "new"} {
+			e := rack.Endpoint{ID: fmt.Sprint(kind, "-", id), Service: "s", Version: fmt.Sprint("v", v+1), Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
+			until(t, "a beat is taken", func() bool { return l[id%3].Beat(e) == nil })
+		}
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	var bad atomic.Bool
+	var nodes []string
+	for _, x := range l {
+		nodes = append(nodes, x.self.Addr)
+	}
+	go proxy(ctx, nodes, &bad)
+	read := func(at *Lathe) (r feeler.Rollout) {
+		until(t, "the roll-out is read", func() bool {
+			var err error
+			r, err = at.Rollout("s")
+			return err == nil
+		})
+		return r
+	}
+	begin := func(at *Lathe, target string, d time.Duration) {
+		until(t, "the order is acknowledged", func() bool { return at.BeginRollout("s", target, d) == nil })
+	}
+	begin(l[1], "v2", 14*time.Second)
+	begin(l[2], "v2", 14*time.Second) // once more, to another node
+	if err := l[0].BeginRollout("s", "v3", time.Minute); notch.Of(err) != notch.Conflict {
+		t.Errorf("another version while one is under way: %v", err)
+	}
+	if r := read(l[0]); r.State != feeler.InProgress || r.Base != "v1" || r.Order != 1 {
+		t.Errorf("begun: %+v", r)
+	}
+	// The leader is lost and comes back; whoever follows goes on.
+	lost := 0
+	until(t, "a leader", func() bool {
+		for i := range l {
+			if g.leader() == l[i] {
+				lost = i
+				return true
+			}
+		}
+		return false
+	})
+	l[lost].Close()
+	g.start(lost, false)
+	until(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != feeler.InProgress })
+	if r := read(l[lost]); r.State != feeler.Succeeded || r.Base != "v2" || r.Order != 1 {
+		t.Fatalf("ended: %+v", r)
+	}
+	bad.Store(true)
+	begin(l[0], "v3", time.Minute)
+	until(t, "the bad version is rolled back", func() bool { return read(l[1]).State != feeler.InProgress })
+	for i := range l {
+		l[i].Close()
+	}
+	for i := range l {
+		g.start(i, false)
+	}
+	if r := read(l[2]); r.State != feeler.RolledBack || r.Base != "v2" || r.Target != "v3" || r.Order != 2 || r.Why == "" {
+		t.Errorf("after the restart: %+v", r)
+	}
+	if err := l[0].BeginRollout("s", "v3", time.Minute); notch.Of(err) != notch.Conflict {
+		t.Errorf("the order again after its roll-back: %v", err)
+	}
+}
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -20,9 +20,10 @@
 	node  string
 	acked atomic.Uint64
 	// Under the node's lock.
-	loads map[string]balance.Load
-	seq   uint64
-	at    time.Duration // of the newest report
+	loads  map[string]balance.Load
+	trials map[string]dowel.Trial // without their evidence
+	seq    uint64
+	at     time.Duration // of the newest report
 	// At most one write of its entry is on its way.
 	writing atomic.Bool
 }
@@ -57,7 +58,9 @@
 			l.mu.Lock()
 			if s.at = l.now(); r.Seq > 0 {
 				s.loads, s.seq = r.Loads, r.Seq
+				s.trials = r.Trials
 			}
+			l.tryOuts.add(r.Trials)
 			addSeen(l.seen, r.Seen)
 			l.mu.Unlock()
 			if r.Self != nil && s.writing.CompareAndSwap(false, true) {
@@ -206,7 +209,7 @@
 }
 
 // watched are the kinds of object that proxies hold a copy of.
-var watched = [...]string{rack.EndpointPrefix, rack.EvacPrefix, rack.ConfigKey}
+var watched = [...]string{rack.EndpointPrefix, rack.EvacPrefix, rack.RolloutPrefix, rack.ConfigKey}
 
 func isWatched(key string) bool {
 	for _, prefix := range watched {
--- a/internal/lathe/world.go
+++ b/internal/lathe/world.go
@@ -65,6 +65,8 @@
 		l.noteProxy(e)
 	case strings.HasPrefix(key, rack.EvacPrefix):
 		l.noteOrder(e)
+	case strings.HasPrefix(key, rack.RolloutPrefix):
+		l.noteRollout(e)
 	case strings.HasPrefix(key, rack.EndpointPrefix):
 		delete(l.endpoints, key)
 		if e.Type == rack.Deleted {
@@ -83,7 +85,8 @@
 func (l *Lathe) noteAll() {
 	clear(l.places)
 	clear(l.endpoints)
-	for _, prefix := range [...]string{rack.ProxyPrefix, rack.EvacPrefix, rack.EndpointPrefix} {
+	clear(l.rollouts)
+	for _, prefix := range [...]string{rack.ProxyPrefix, rack.EvacPrefix, rack.RolloutPrefix, rack.EndpointPrefix} {
 		for _, o := range l.store.List(prefix) {
 			l.note(rack.Event{Type: rack.Added, Object: o})
 		}
--- a/internal/notch/notch.go
+++ b/internal/notch/notch.go
@@ -21,6 +21,7 @@
 	NoKey
 	HeaderTimeout
 	Held
+	Conflict
 	Expired
 	Mismatch
 	BodyTooLarge
@@ -47,6 +48,7 @@
 	NoKey:          {"no_key", 404, "no such key"},
 	HeaderTimeout:  {"header_timeout", 408, "header took too long"},
 	Held:           {"held", 409, "lock is held by another"},
+	Conflict:       {"conflict", 409, "stands against what was decided"},
 	Expired:        {"expired", 410, "revision is older than the history"},
 	Mismatch:       {"mismatch", 412, "key has another revision"},
 	BodyTooLarge:   {"body_too_large", 413, "body is too large"},
--- a/internal/plane/follow.go
+++ b/internal/plane/follow.go
@@ -127,6 +127,7 @@
 		}
 		if b := f.Bookmark; b != nil {
 			p.mirror.Bookmark(b.Revision)
+			p.heard.Store(int64(p.now()))
 			p.line.Learn(b.Control)
 			if b.Control != nil {
 				p.setProxies(b.Proxies)
--- a/internal/plane/forward.go
+++ b/internal/plane/forward.go
@@ -449,7 +449,11 @@
 func (p *Plane) forward(q *request) {
 	svc := q.svc
 	rank := svc.arrive(string(q.ctx.RemoteIP()), q.route.Priority)
+	arm := svc.arm(p, q.route.Index)
 	skip := func(e *balance.Endpoint) bool {
+		if !svc.takes(e, arm) {
+			return true
+		}
 		if q.homes != 0 && (e.Region < 0 || q.homes>>min(e.Region, 62)&1 == 0) {
 			return true
 		}
@@ -470,10 +474,12 @@
 			break
 		}
 		wait := min(q.route.Aim/6, left/4)
-		e, sh := svc.acquire(p, rank, wait, skip)
+		e, sh := svc.acquireArm(p, rank, wait, skip, &arm)
 		if e == nil {
 			break
 		}
+		to := arm
+		watch := svc.watch(p, q, e, to)
 		if q.arrived {
 			svc.mu.Lock()
 			ok := svc.budget.Spend()
@@ -481,6 +487,7 @@
 			if !ok {
 				p.n.budgetOut.Inc()
 				svc.release(p, e, true, 0)
+				watch.end()
 				break
 			}
 			p.n.retries.Inc()
@@ -491,6 +498,7 @@
 		q.tried = append(q.tried, e)
 		q.arrived = q.arrived || o.sent
 		if o.err != nil {
+			watch.broke(o, time.Until(q.until) > 0)
 			if errors.Is(o.err, errDeadline) {
 				svc.release(p, e, true, 0)
 				kind, why = notch.Deadline, "deadline reached"
@@ -507,6 +515,7 @@
 				p.n.badAnswers.Inc()
 			}
 			kind, why = notch.BadGateway, o.err.Error()
+			arm = svc.elsewhere(arm, o.sent)
 			if !o.sent {
 				dials++
 				continue // never established: not run
@@ -529,6 +538,8 @@
 				o.u.raw.Close()
 			}
 			svc.turnedAway(p, e, a.status)
+			watch.end()
+			arm = svc.elsewhere(arm, true)
 			kind, why = notch.Unavailable, "endpoints turned the request away"
 			if q.fed {
 				break
@@ -537,8 +548,9 @@
 		}
 		ok := a.status < 500
 		ratio := 0.0
+		watch.answered(took, ok)
 		if ok {
-			ratio = q.stats.learn(took.Seconds())
+			ratio = q.stats.learn(took.Seconds(), to == balance.Base)
 		} else {
 			svc.mu.Lock()
 			svc.pool.Bad(e)
@@ -548,6 +560,7 @@
 			svc.release(p, e, true, 0)
 			q.ran = true
 			kind, why = notch.BadGateway, "endpoint failed"
+			arm = svc.elsewhere(arm, true)
 			continue
 		}
 		p.pass(q, svc, e, sh, o, ratio)
@@ -583,18 +596,29 @@
 	s.release(p, e, true, 0)
 }
 
-// learn takes the time of an answer and gives it over what is usual.
-func (s *routeStats) learn(took float64) float64 {
+// learn takes the time of an answer and gives it over what is usual. What a
+// version under trial takes is not usual.
+func (s *routeStats) learn(took float64, usual bool) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.usual == 0 {
 		s.usual = took
 	}
 	ratio := took / max(s.usual, 1e-4)
+	if !usual {
+		return ratio
+	}
 	s.usual += 0.02 * (min(took, 4*s.usual) - s.usual)
 	return ratio
 }
 
+// ordinary is what an answer usually takes; 0 while that is not known.
+func (s *routeStats) ordinary() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Duration(s.usual * float64(time.Second))
+}
+
 func (s *routeStats) count(k notch.Kind) {
 	switch k {
 	case notch.Unavailable:
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"lichentray/balance"
+	"lichentray/feeler"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
@@ -33,6 +34,7 @@
 	EjectBase  time.Duration
 	EjectMost  time.Duration
 	IdleUnsaid time.Duration // an idle connection whose endpoint names no time
+	Lease      time.Duration // of a roll-out's share, without news
 	Grant      time.Duration // a share of a cold endpoint, from the report on
 }
 
@@ -48,6 +50,7 @@
 		EjectBase:  contact / 6,
 		EjectMost:  contact,
 		IdleUnsaid: contact,
+		Lease:      s.TrialLease(),
 		Grant:      s.GrantLasts(),
 	}
 }
@@ -65,7 +68,8 @@
 	viewed   chan struct{} // closed once there is a first view
 	stopping atomic.Bool
 	proxies  atomic.Int64
-	sharing  atomic.Bool // this machine's link, with a relay
+	heard    atomic.Int64 // when a control-plane node in touch was last heard
+	sharing  atomic.Bool  // this machine's link, with a relay
 
 	// Owned by the follower goroutine.
 	mirror   *spool.Mirror
@@ -118,6 +122,7 @@
 	// stand behind those who do not.
 	recent map[string]int
 	share  *balance.Admission
+	trial  trial
 	// Connections that have rested for longer than restMost are not used until
 	// restUntil: endpoints have been seen to forget such.
 	restMost  time.Duration
@@ -292,6 +297,11 @@
 			p.setZone(zone, balance.Used)
 		}
 	}
+	for name, s := range p.services {
+		if s.trial.Base != "" && !have[rack.RolloutPrefix+name] {
+			p.setRollout(s, feeler.Rollout{})
+		}
+	}
 	// Last, so that no request meets routes without endpoints.
 	if o, ok := p.mirror.Objects()[rack.ConfigKey]; ok {
 		p.takeConfig(o)
@@ -337,6 +347,10 @@
 		p.setZone(zone, z)
 		return
 	}
+	if name, ok := strings.CutPrefix(o.Key, rack.RolloutPrefix); ok {
+		p.takeRollout(name, o)
+		return
+	}
 	e, err := rack.DecodeEndpoint(o)
 	if err != nil {
 		p.log.Error("endpoint cannot be read", "key", o.Key, "error", err)
@@ -348,7 +362,7 @@
 	}
 	s := p.service(e.Service)
 	s.mu.Lock()
-	ep := s.pool.Set(p.now(), balance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Capacity: e.Capacity, Draining: e.Draining, Cold: e.Cold, Region: p.regionOf(e.Zone)}, cold)
+	ep := s.pool.Set(p.now(), balance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, Cold: e.Cold, Region: p.regionOf(e.Zone)}, cold)
 	sh := s.shelves[ep]
 	if sh == nil {
 		sh = new(shelf)
@@ -615,7 +629,7 @@
 			delete(p.sentAt, seq)
 		}
 	}
-	return &dowel.Report{Seq: p.seq, Loads: out, Seen: seen, Self: p.self()}
+	return &dowel.Report{Seq: p.seq, Loads: out, Seen: seen, Self: p.self(), Trials: p.trials()}
 }
 
 // self is this node's entry in the registry, where clients find proxies there.
--- /dev/null
+++ b/internal/plane/trial.go
@@ -0,0 +1,216 @@
+package plane
+
+import (
+	"math/rand"
+	"sync/atomic"
+	"time"
+
+	"lichentray/balance"
+	"lichentray/feeler"
+	"lichentray/internal/dowel"
+	"lichentray/rack"
+)
+
+// trial is a service's versions as the registry has them, and what this node saw
+// of them since its last report.
+type trial struct {
+	feeler.Rollout
+	seen   feeler.Evidence
+	strata feeler.Strata // of the requests lately
+}
+
+// takeRollout takes a service's versions.
+func (p *Plane) takeRollout(name string, o rack.Object) {
+	r, err := feeler.Decode(o.Value)
+	if err != nil {
+		p.log.Error("roll-out cannot be read, the versions sent to stay", "key", o.Key, "error", err)
+		return
+	}
+	p.setRollout(p.service(name), r)
+}
+
+func (p *Plane) setRollout(s *service, r feeler.Rollout) {
+	s.mu.Lock()
+	was := s.trial.Rollout
+	s.trial.Rollout = r
+	if was.Order != r.Order || r.State != feeler.InProgress {
+		s.trial.seen = nil
+	}
+	s.pool.SetVersions(balance.Versions{Told: r.Base != "" || r.Order > 0, Base: r.Base, Target: r.Target, Share: r.Share()})
+	s.wakeFirst()
+	s.mu.Unlock()
+	if r.State != was.State && r.State != "" {
+		p.log.Info("roll-out", "service", s.name, "target", r.Target, "state", string(r.State))
+	}
+}
+
+// trials reports the roll-outs under way.
+func (p *Plane) trials() map[string]dowel.Trial {
+	var out map[string]dowel.Trial
+	for name, s := range p.services {
+		s.mu.Lock()
+		if s.trial.State == feeler.InProgress {
+			if out == nil {
+				out = map[string]dowel.Trial{}
+			}
+			out[name] = dowel.Trial{Order: s.trial.Order, Evidence: s.trial.seen, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
+			s.trial.seen = nil
+			s.trial.strata.Fade()
+		}
+		s.mu.Unlock()
+	}
+	return out
+}
+
+// arm draws which version a request goes to. A node that has not heard for a while
+// of how the roll-out stands sends to the version in use.
+func (s *service) arm(p *Plane, route int) balance.Arm {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	share := s.pool.Versions().Share
+	if share <= 0 {
+		return balance.Base
+	}
+	s.trial.strata.Arrive(route)
+	share = s.trial.strata.Share(share, route)
+	if share < 1 && rand.Float64() >= share || p.now()-time.Duration(p.heard.Load()) > p.timing.Lease {
+		return balance.Base
+	}
+	return balance.Target
+}
+
+// elsewhere is where a request goes that an endpoint failed: from the version under
+// trial to the one in use. sent tells that the endpoint may have got it; where it
+// was not even reached and all should have moved, the version in use has been
+// stopped and this node has not heard of it.
+func (s *service) elsewhere(arm balance.Arm, sent bool) balance.Arm {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if arm == balance.Base && !sent && s.trial.Final() {
+		return balance.Target
+	}
+	return balance.Base
+}
+
+// acquireArm picks an endpoint of the version drawn. Nobody waits for the one under
+// trial while the other can be had.
+func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*balance.Endpoint) bool, arm *balance.Arm) (*balance.Endpoint, *shelf) {
+	if *arm == balance.Target {
+		s.mu.Lock()
+		final, over := s.trial.Final(), s.trial.State != feeler.InProgress
+		s.mu.Unlock()
+		if !final && !over {
+			if e, sh := s.acquire(p, r, 0, skip); e != nil {
+				return e, sh
+			}
+		}
+		if !final {
+			*arm = balance.Base
+		}
+	}
+	e, sh := s.acquire(p, r, wait, skip)
+	if e != nil && *arm == balance.Target {
+		s.mu.Lock()
+		*arm = e.Arm // a roll-out may have ended meanwhile
+		s.mu.Unlock()
+	}
+	return e, sh
+}
+
+// takes tells whether an endpoint takes a request that goes to a version. The
+// caller has the service's lock.
+func (s *service) takes(e *balance.Endpoint, arm balance.Arm) bool {
+	if arm == balance.Target && s.trial.State == feeler.InProgress {
+		return e.Arm == balance.Target && e.Front
+	}
+	return e.Arm == balance.Base
+}
+
+// watch notes how one attempt ends while a roll-out is under way. Nil notes
+// nothing.
+type watch struct {
+	s     *service
+	arm   balance.Arm
+	order uint64
+	route string
+	// endpoint is where the attempt was made.
+	endpoint string
+	usual    time.Duration // 0: the attempt's time says nothing
+	// late is set once the attempt has been noted as slow before its end.
+	late  atomic.Bool
+	timer *time.Timer
+}
+
+// watch begins to watch an attempt. One at the version under trial counts as slow
+// when it is, not when it ends.
+func (s *service) watch(p *Plane, q *request, e *balance.Endpoint, arm balance.Arm) *watch {
+	s.mu.Lock()
+	trial, fresh := s.trial.Rollout, e.Fresh(p.now())
+	s.mu.Unlock()
+	if trial.State != feeler.InProgress {
+		return nil
+	}
+	w := &watch{s: s, arm: arm, order: trial.Order, route: q.route.Name, endpoint: e.ID}
+	if !fresh {
+		w.usual = q.stats.ordinary()
+	}
+	if w.usual > 0 && arm == balance.Target {
+		w.timer = time.AfterFunc(feeler.Slow*w.usual, func() {
+			if w.late.CompareAndSwap(false, true) {
+				w.note(feeler.Count{Timed: 1, Slow: 1})
+			}
+		})
+	}
+	return w
+}
+
+// end stops watching: the attempt says nothing of the version.
+func (w *watch) end() {
+	if w != nil && w.timer != nil {
+		w.timer.Stop()
+	}
+}
+
+// broke notes an attempt that ended without an answer, unless it never reached the
+// endpoint, or met a connection that had been forgotten there, or ran out of time.
+func (w *watch) broke(o outcome, inTime bool) {
+	w.end()
+	if w != nil && o.sent && !o.stale && inTime {
+		w.note(feeler.Count{Broken: 1})
+	}
+}
+
+// answered notes an answer.
+func (w *watch) answered(took time.Duration, ok bool) {
+	w.end()
+	if w == nil {
+		return
+	}
+	c := feeler.Count{Answers: 1}
+	if !ok {
+		c.Failed = 1
+	} else if w.usual > 0 && !w.late.Swap(true) {
+		c.Timed = 1
+		if took > feeler.Slow*w.usual {
+			c.Slow = 1
+		}
+	}
+	w.note(c)
+}
+
+func (w *watch) note(c feeler.Count) {
+	w.s.mu.Lock()
+	defer w.s.mu.Unlock()
+	t := &w.s.trial
+	if t.Order != w.order || t.State != feeler.InProgress {
+		return
+	}
+	if t.seen == nil {
+		t.seen = feeler.Evidence{}
+	}
+	a := feeler.OfBase(c)
+	if w.arm == balance.Target {
+		a = feeler.OfTarget(w.endpoint, c)
+	}
+	t.seen.Add(feeler.Evidence{w.route: a})
+}
--- /dev/null
+++ b/internal/plane/trial_test.go
@@ -0,0 +1,142 @@
+package plane
+
+import (
+	"fmt"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"lichentray/balance"
+	"lichentray/feeler"
+	"lichentray/rack"
+)
+
+func (p *Plane) order(r feeler.Rollout) {
+	p.takeObject(rack.Object{Key: rack.RolloutPrefix + "s", Value: r.Encode()}, true)
+}
+
+func (p *Plane) version(id, version string, e *endpoint) {
+	x := rack.Endpoint{ID: id, Service: "s", Version: version, Address: e.ln.Addr().String(), Zone: "a", Capacity: 40}
+	p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, true)
+}
+
+// TestVersionsSentTo: what a proxy sends where in each state of a roll-out, by the
+// rule written out: without an order, after a roll-back, and without news, the
+// version in use alone; in the canary a small part; all at the end; and a request
+// that failed at the target goes on to the version in use if it may run again.
+func TestVersionsSentTo(t *testing.T) {
+	failing := "HTTP/1.1 500 Broken\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: 0\r\n\r\n"
+	old := newEndpoint(t, func(int, string) string { return ok("old") })
+	var mended atomic.Bool
+	fresh := newEndpoint(t, func(int, string) string {
+		if mended.Load() {
+			return ok("new")
+		}
+		return failing
+	})
+	p, f := newFront(t)
+	addr := f.ln.Addr().String()
+	p.version("i-old", "v1", old)
+	p.version("i-new", "v2", fresh)
+	heard := func(on bool) {
+		p.heard.Store(int64(p.now()))
+		if !on {
+			p.heard.Store(-int64(p.timing.Lease) * 2)
+		}
+	}
+	trial := func(stage int) feeler.Rollout {
+		return feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: feeler.InProgress, Stage: stage, DeadlineS: 15}
+	}
+	const n = 300
+	for _, c := range []struct {
+		what     string
+		r        feeler.Rollout
+		heard    bool
+		least    int // requests at the target
+		most     int
+		failures bool // of requests that may run once
+	}{
+		{"no order", feeler.Rollout{Base: "v1"}, true, 0, 0, false},
+		{"canary", trial(0), true, 1, n / 5, true},
+		{"canary without news", trial(0), false, 0, 0, false},
+		{"all", trial(3), true, n, n, true},
+		{"all, without news", trial(3), false, 0, 0, false},
+		{"rolled back", feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: feeler.RolledBack, Stage: 3}, true, 0, 0, false},
+	} {
+		p.order(c.r)
+		for _, path := range []string{"/safe/a", "/once/a"} {
+			before, failed := len(fresh.requests()), 0
+			for range n {
+				heard(c.heard)
+				for range 5 { // a budget in hand
+					p.services["s"].budget.Request()
+				}
+				request := get(path)
+				if path == "/once/a" {
+					request = post(path)
+				}
+				switch s := status(send(t, addr, request, 1)); {
+				case s == 500 && path == "/once/a":
+					failed++
+				case s != 200:
+					t.Fatalf("%s: %s got %d", c.what, path, s)
+				}
+			}
+			got := len(fresh.requests()) - before
+			if got < c.least || got > c.most || (path == "/once/a" && (failed > 0) != c.failures) {
+				t.Errorf("%s: %s sent %d of %d to the target, %d failed", c.what, path, got, n, failed)
+			}
+		}
+		if c.r.State == feeler.InProgress {
+			told := p.trials()["s"]
+			sum := feeler.Count{}
+			for _, a := range told.Evidence {
+				sum = sum.Add(a.Target)
+			}
+			if told.Order != 1 || sum.Failed != sum.Answers || (sum.Failed > 0) != (c.least > 0) {
+				t.Errorf("%s: reported %+v", c.what, told)
+			}
+		}
+	}
+	// All have moved, the old endpoints are stopped, and this node has not heard.
+	mended.Store(true)
+	p.order(trial(3))
+	heard(false)
+	old.ln.Close()
+	p.services["s"].shelves[p.services["s"].pool.Endpoints()[0]].drop()
+	if s := status(send(t, addr, post("/once/a"), 1)); s != 200 {
+		t.Errorf("after the old endpoints were stopped unheard: %d", s)
+	}
+}
+
+// TestCanaryIsConcentrated: every node picks the same few endpoints for a small
+// share, several at least, and all of them at the end.
+func TestCanaryIsConcentrated(t *testing.T) {
+	for _, c := range []struct{ endpoints, stage, front int }{{300, 0, 5}, {300, 1, 20}, {300, 3, 300}, {5, 0, 4}, {2, 0, 2}} {
+		var first string
+		for range 2 {
+			p, _ := newFront(t)
+			e := newEndpoint(t, func(int, string) string { return ok("x") })
+			for i := range c.endpoints {
+				p.version(fmt.Sprint("i-", i), "v2", e)
+			}
+			p.order(feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: feeler.InProgress, Stage: c.stage})
+			pool := p.services["s"].pool
+			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
+			var front []string
+			for _, e := range pool.Endpoints() {
+				if e.Arm != balance.Target {
+					t.Fatalf("%s is not under trial", e.ID)
+				}
+				if e.Front {
+					front = append(front, e.ID)
+				}
+			}
+			if got := strings.Join(front, " "); len(front) != c.front || first != "" && got != first {
+				t.Errorf("%+v: %d of them in front: %s", c, len(front), got)
+			} else {
+				first = got
+			}
+		}
+	}
+}
--- a/rack/rack.go
+++ b/rack/rack.go
@@ -214,6 +214,7 @@
 	DepartedPrefix = "departed/"
 	ProxyPrefix    = "proxies/"
 	EvacPrefix     = "evacuations/"
+	RolloutPrefix  = "rollouts/"
 	ConfigKey      = "configuration/current"
 )
 
@@ -235,6 +236,7 @@
 type Endpoint struct {
 	ID       string  `json:"id"`
 	Service  string  `json:"service"`
+	Version  string  `json:"version,omitempty"` // of its software
 	Address  string  `json:"address"`
 	Zone     string  `json:"zone"`
 	Capacity int     `json:"capacity"`
