--- /dev/null
+++ b/latch/bench_test.go
@@ -0,0 +1,33 @@
+package latch
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+)
+
+// BenchmarkFeed puts into ten groups with a history of 20,000 puts and tells what
+// one entry of it takes.
+func BenchmarkFeed(b *testing.B) {
+	const held = 20000
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	t := NewTable()
+	put := func(at int) {
+		t.Apply(uint64(at), Command{Op: Put, Name: fmt.Sprintf("g%d.%d", at%10, at%50), Value: fmt.Sprintf("%016x", at)})
+	}
+	for at := 1; at <= held; at++ {
+		put(at)
+	}
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	b.ResetTimer()
+	for i := range b.N {
+		put(held + 1 + i)
+		if i%1000 == 999 {
+			t.Apply(uint64(held+1+i), Command{Op: Trim, Before: uint64(i)})
+		}
+	}
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/held, "bytes/entry")
+}
--- a/latch/latch_test.go
+++ b/latch/latch_test.go
@@ -170,3 +170,30 @@
 	fmt.Println(a.Fence, b.Code == Held, c.Fence)
 	// Output: 1 true 3
 }
+
+// Example_election: an election is a lock whose holders watch. Whoever gets the lock
+// leads and puts its name, with its fence, into a key; the others watch the key's
+// group and know who leads, and from when on an earlier leader's word is void.
+func Example_election() {
+	t := NewTable()
+	lead := func(at uint64, who string, spent Result) Result {
+		r := t.Apply(at, Command{Op: Begin, Name: "halls", Holder: who, HoldMS: 3000, SpentFence: spent.Fence, SpentGrant: spent.Grant})
+		if r.Code == OK {
+			t.Apply(at+1, Command{Op: Put, Name: "halls.leader", Value: fmt.Sprintf("%s under %d", who, r.Fence)})
+		}
+		return r
+	}
+	semarang := lead(1, "Semarang", Result{})
+	lead(3, "Solo", Result{}) // it is held: Solo watches
+	lead(5, "Solo", semarang) // Semarang's time has run out
+	events, _, _ := t.Since("halls.", 0)
+	for _, e := range events {
+		fmt.Println(e.Revision, e.Value)
+	}
+	// Semarang wakes up and renews: too late.
+	fmt.Println(t.Apply(7, Command{Op: Renew, Name: "halls", Holder: "Semarang", Fence: semarang.Fence, HoldMS: 3000}).Code == Lost)
+	// Output:
+	// 1 Semarang under 1
+	// 2 Solo under 5
+	// true
+}
--- /dev/null
+++ b/rack/feed_test.go
@@ -0,0 +1,198 @@
+package rack_test
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"lichentray/clamp"
+	"lichentray/latch"
+	"lichentray/rack"
+	"lichentray/trestle"
+)
+
+// TestFeedReplaysAlike: five nodes with freezes, cuts one way and both, crashes,
+// hanging disks, a lost disk whose machine joins anew, and snapshots; watchers that
+// move from node to node. A plain list of the puts that took effect stands beside.
+// No watcher meets a gap, a double or another value, none is told that a revision is
+// gone that it had within the retention, and in the end every node, also the one
+// that joined from a snapshot, replays the same from every revision it holds.
+func TestFeedReplaysAlike(t *testing.T) {
+	for seed := int64(1); seed <= 8; seed++ {
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { replays(t, seed) })
+	}
+}
+
+func replays(t *testing.T, seed int64) {
+	const retention = 2 * time.Second
+	var c *trestle.Cluster
+	c = trestle.New(seed, 5, func() trestle.Machine {
+		return &registry{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+			if c == nil {
+				return 0
+			}
+			return c.Now
+		}}
+	})
+	c.Run(time.Second)
+	table := func(id uint64) *latch.Table { return c.Nodes[id].Machine.(*registry).s.Latches() }
+	propose := func(l *latch.Command, done func(latch.Result)) {
+		if n := c.Leader(); n != nil {
+			c.Propose(n.ID, rack.EncodeCommand(rack.Command{Latch: l}), func(res any, ok bool) {
+				if r, is := res.(rack.Result); ok && is {
+					done(r.Latch)
+				}
+			})
+		}
+	}
+	type watcher struct {
+		group string
+		after uint64
+		at    time.Duration // when it got there
+	}
+	watchers := make([]watcher, 6)
+	for i := range watchers {
+		watchers[i] = watcher{group: fmt.Sprintf("g%d.", i%2), at: c.Now}
+	}
+	ever := map[string]map[uint64]latch.Event{"g0.": {}, "g1.": {}}
+	note := func(group string, e latch.Event) {
+		if was, there := ever[group][e.Revision]; there && was != e {
+			t.Errorf("revision %d of %s was %+v and is %+v", e.Revision, group, was, e)
+		}
+		ever[group][e.Revision] = e
+	}
+	type mark struct {
+		at       time.Duration
+		revision uint64
+	}
+	var marks []mark
+	seen, gone, lost := 0, 0, uint64(0)
+	next := uint64(6)
+	for round := range 220 {
+		ids := c.IDs()
+		id := ids[c.Rand.Intn(len(ids))]
+		switch c.Rand.Intn(12) {
+		case 0:
+			for _, o := range ids {
+				c.Cut(id, o, true)
+				c.Cut(o, id, c.Rand.Intn(2) == 0)
+			}
+		case 1, 2, 3:
+			c.Heal()
+		case 4:
+			c.Crash(id)
+			c.Restart(id)
+		case 5:
+			c.Freeze(id, true)
+		case 6:
+			c.HangDisk(id, 300*time.Millisecond)
+		case 7:
+			// One machine comes back with an empty disk, as another member.
+			if l := c.Leader(); l != nil && lost == 0 && l.ID != id && l.Raft.Members().Voter(id) {
+				lost = id
+				c.Crash(id)
+				c.Remove(id)
+				c.Add(next)
+				next++
+			}
+		}
+		if l := c.Leader(); l != nil && lost != 0 && !l.Raft.Changing() {
+			ms, id := l.Raft.Members(), next-1
+			m := clamp.Member{ID: id, Addr: fmt.Sprint("node-", id)}
+			switch {
+			case ms.Has(lost):
+				_ = l.Raft.ProposeMembers(ms.Without(lost)) // tried again next round
+			case !ms.Has(id):
+				_ = l.Raft.ProposeMembers(ms.WithLearner(m))
+			case !ms.Voter(id) && l.Raft.Match(id)+100 > l.Raft.Last():
+				_ = l.Raft.ProposeMembers(ms.WithVoter(m))
+			case ms.Voter(id):
+				lost = 0
+			}
+		}
+		for k := range 4 {
+			name := fmt.Sprintf("g%d.%d", c.Rand.Intn(2), c.Rand.Intn(3))
+			e := latch.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
+			propose(&latch.Command{Op: latch.Put, Name: e.Name, Value: e.Value}, func(r latch.Result) {
+				if was, there := ever[latch.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
+					t.Errorf("revision %d was given to %+v and %+v", r.Revision, was, e)
+				}
+			})
+			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
+		}
+		if l := c.Leader(); l != nil {
+			marks = append(marks, mark{c.Now, l.Machine.(*registry).s.Revision()})
+			for len(marks) > 0 && c.Now-marks[0].at > retention*3/2 {
+				propose(&latch.Command{Op: latch.Trim, Before: marks[0].revision}, func(latch.Result) {})
+				marks = marks[1:]
+			}
+		}
+		for i := range watchers {
+			if c.Rand.Intn(2) == 0 {
+				continue // away, or slow
+			}
+			id, w, was := ids[c.Rand.Intn(len(ids))], &watchers[i], watchers[i]
+			l := c.Leader()
+			if l == nil || !c.Up(id) {
+				continue
+			}
+			store, lead := c.Nodes[id].Machine.(*registry).s, l.Machine.(*registry).s
+			tab := store.Latches()
+			c.Read(l.ID, func(ok bool) { // a read point, which any node that has reached it serves
+				if !ok || *w != was || store.Revision() < lead.Revision() {
+					return
+				}
+				events, rev, kept := tab.Since(w.group, w.after)
+				if !kept {
+					if c.Now-w.at < retention {
+						t.Errorf("node %d: revision %d, had %v ago, is gone", id, w.after, c.Now-w.at)
+					}
+					gone++
+					*w = watcher{w.group, rev, c.Now}
+					return
+				}
+				for _, e := range events {
+					if e.Revision != w.after+1 {
+						t.Errorf("node %d: after %d comes %d", id, w.after, e.Revision)
+					}
+					w.after = e.Revision
+					note(w.group, e)
+					seen++
+				}
+				if w.after != rev {
+					t.Errorf("node %d: replayed to %d of %d", id, w.after, rev)
+				}
+				w.at = c.Now
+			})
+		}
+		if c.Broken != "" {
+			t.Fatal(c.Broken)
+		}
+	}
+	c.Heal()
+	for _, id := range c.IDs() {
+		c.Freeze(id, false)
+	}
+	propose(&latch.Command{Op: latch.Put, Name: "g0.0", Value: "last"}, func(latch.Result) {})
+	c.Run(3 * time.Second)
+	var first *latch.Table
+	for _, id := range c.IDs() {
+		tab := table(id)
+		if first == nil {
+			first = tab
+		}
+		for group := range ever {
+			for after := uint64(0); after <= first.Revision(group); after++ {
+				a, ra, ka := first.Since(group, after)
+				b, rb, kb := tab.Since(group, after)
+				if ra != rb || ka != kb || !reflect.DeepEqual(a, b) {
+					t.Fatalf("node %d replays %s after %d as %v at %d (%v), the first as %v at %d (%v)", id, group, after, b, rb, kb, a, ra, ka)
+				}
+			}
+		}
+	}
+	if seen < 100 {
+		t.Errorf("watchers saw %d events, %d times gone", seen, gone)
+	}
+}
