--- a/balance/balance.go
+++ b/balance/balance.go
@@ -376,16 +376,20 @@
 	return n
 }
 
+// Broke notes that an answer that was counted as well broke off later.
+func (p *Pool) Broke(now time.Duration, e *Endpoint) {
+	e.seen.Bad++
+	e.fails++
+	e.until = now + min(p.cfg.EjectBase<<min(e.fails-1, 6), p.cfg.EjectMost)
+}
+
 // Done takes a request's outcome: took is its time over what its route
 // usually takes, or 0 if that says nothing.
 func (p *Pool) Done(now time.Duration, e *Endpoint, ok bool, took float64) {
 	e.inflight--
 	e.trial = false
 	if !ok {
-		e.seen.Bad++
-		e.fails++
-		wait := p.cfg.EjectBase << min(e.fails-1, 6)
-		e.until = now + min(wait, p.cfg.EjectMost)
+		p.Broke(now, e)
 		return
 	}
 	e.fails = 0
--- a/internal/dowel/size_test.go
+++ b/internal/dowel/size_test.go
@@ -121,3 +121,26 @@
 		}
 	}
 }
+
+// BenchmarkServices is what a bookmark and a report take by the number of services.
+func BenchmarkServices(b *testing.B) {
+	for _, n := range []int{2, 150, 1500} {
+		loads := map[string]balance.Load{}
+		for i := range n {
+			loads[fmt.Sprint("service-", i)] = balance.Load{Rate: 600 + float64(i)/7, Inflight: 200 + float64(i)/3}
+		}
+		for what, f := range map[string]*Frame{"bookmark": {Bookmark: &Bookmark{Revision: 1, Loads: loads}}, "report": {Report: &Report{Seq: 1, Loads: loads}}} {
+			b.Run(fmt.Sprint(what, " of ", n), func(b *testing.B) {
+				s := &sink{}
+				c := NewConn(s, time.Second)
+				for b.Loop() {
+					s.n = 0
+					if err := c.Send(f); err != nil {
+						b.Fatal(err)
+					}
+				}
+				b.ReportMetric(float64(s.n), "bytes")
+			})
+		}
+	}
+}
--- a/internal/plane/forward.go
+++ b/internal/plane/forward.go
@@ -22,9 +22,10 @@
 var answers = [6]string{"2xx", "4xx", "5xx", "unavailable", "bad_gateway", "deadline"}
 
 const (
-	// wholeBody is how much of an answer is held until it is whole; longer ones
-	// are passed on as they come.
-	wholeBody = 1 << 20
+	// wholeBody is how much of an answer is held until it is whole, so that it can
+	// be fetched anew where it breaks off. Longer ones are passed on as they come: on
+	// a narrow link the way in takes as long as the way out.
+	wholeBody = 32 << 10
 	// prefetch is how much of a request's body is read before it is handled.
 	prefetch = 256 << 10
 )
@@ -654,7 +655,8 @@
 		resp.Header.SetContentLength(int(a.length))
 	}
 	if a.rest != nil {
-		resp.SetBodyStream(&tail{p: p, q: q, svc: svc, e: e, sh: sh, u: o.u, a: a, ratio: ratio}, int(a.length))
+		svc.release(p, e, true, ratio) // its work is done, the rest is the links'
+		resp.SetBodyStream(&tail{p: p, q: q, svc: svc, e: e, sh: sh, u: o.u, a: a}, int(a.length))
 		return
 	}
 	svc.release(p, e, true, ratio)
@@ -666,37 +668,45 @@
 	resp.SetBodyRaw(a.body)
 }
 
-// tail passes on the rest of a long answer as it comes.
+// tail passes on the rest of a long answer as it comes, in pieces that the link has
+// room for.
 type tail struct {
-	p     *Plane
-	q     *request
-	svc   *service
-	e     *balance.Endpoint
-	sh    *shelf
-	u     *upstream
-	a     *answer
-	ratio float64
-	got   int64
+	p   *Plane
+	q   *request
+	svc *service
+	e   *balance.Endpoint
+	sh  *shelf
+	u   *upstream
+	a   *answer
+	got int64
+	// broke tells that the endpoint, not the client, ended it.
+	broke bool
 }
 
 func (t *tail) Read(b []byte) (int, error) {
-	n, err := t.a.rest.Read(b)
+	n, err := t.a.rest.Read(b[:min(len(b), pacedPiece)])
 	t.got += int64(n)
 	if errors.Is(err, io.EOF) && t.got < t.a.length {
 		err = io.ErrUnexpectedEOF // the client must not take a part for the whole
 	}
+	t.broke = err != nil && !errors.Is(err, io.EOF) && time.Until(t.q.until) > 0
+	t.p.pacer.wait(n, t.a.length-t.got, t.q.until)
 	return n, err
 }
 
 // Close ends the exchange, whole or not.
 func (t *tail) Close() error {
-	whole := t.got == t.a.length
-	if whole {
+	if t.got == t.a.length {
 		t.p.shelve(t.sh, t.u, t.a)
-	} else {
-		t.u.raw.Close()
+		return nil
+	}
+	t.u.raw.Close()
+	if !t.broke {
+		return nil
 	}
-	t.svc.release(t.p, t.e, whole, 0)
+	t.svc.mu.Lock()
+	t.svc.pool.Broke(t.p.now(), t.e)
+	t.svc.mu.Unlock()
 	return nil
 }
 
--- a/internal/plane/pace.go
+++ b/internal/plane/pace.go
@@ -45,6 +45,19 @@
 	return wait
 }
 
+// wait counts n bytes of a long answer and waits until the link has room for them,
+// unless there is no time for that with what is left of it.
+func (p *pacer) wait(n int, left int64, until time.Time) {
+	now := time.Now()
+	wait := p.take(now, n)
+	if wait <= 0 {
+		return
+	}
+	if rest := time.Duration(float64(left) / p.rate * float64(time.Second)); now.Add(wait + 2*rest).Before(until) {
+		time.Sleep(wait)
+	}
+}
+
 // paced reads a body in pieces, each when the link has room. It ends waiting
 // when there is no time for it.
 type paced struct {
@@ -59,10 +72,6 @@
 	}
 	n := copy(b[:min(len(b), pacedPiece)], r.body)
 	r.body = r.body[n:]
-	now := time.Now()
-	wait := r.p.take(now, n)
-	if rest := time.Duration(float64(len(r.body)) / r.p.rate * float64(time.Second)); wait > 0 && now.Add(wait+2*rest).Before(r.until) {
-		time.Sleep(wait)
-	}
+	r.p.wait(n, int64(len(r.body)), r.until)
 	return n, nil
 }
--- a/internal/plane/plane_test.go
+++ b/internal/plane/plane_test.go
@@ -636,3 +636,63 @@
 		}
 	}
 }
+
+// TestLongAnswers: a long answer goes out while it comes in; where the endpoint
+// breaks it off the client gets a part that does not look whole, and the endpoint is
+// kept out for a while; where the client leaves, the endpoint is not blamed.
+func TestLongAnswers(t *testing.T) {
+	body := strings.Repeat("0123456789abcdef", 40<<10)
+	whole := ok(body)
+	e := newEndpoint(t, func(n int, _ string) string {
+		if n == 2 {
+			return whole[:len(whole)/2] + "BREAK"
+		}
+		return whole
+	})
+	p, addr := front(t, e)
+	ejected := func() bool {
+		s := p.services["s"]
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.pool.Endpoints()[0].Ejected(p.now())
+	}
+	ask := func(most int) (n int, err error) {
+		c, err := net.Dial("tcp4", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		if _, err := io.WriteString(c, get("/safe/a")); err != nil {
+			t.Fatal(err)
+		}
+		r, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := io.ReadAll(io.LimitReader(r.Body, int64(most)))
+		if !strings.HasPrefix(body, string(got)) {
+			t.Error("the answer was changed")
+		}
+		return len(got), err
+	}
+	if n, err := ask(len(body)); n != len(body) || err != nil {
+		t.Errorf("whole: %d bytes, %v", n, err)
+	}
+	if n, err := ask(len(body)); n >= len(body) || err == nil {
+		t.Errorf("broken off: %d bytes, %v", n, err)
+	}
+	for end := time.Now().Add(10 * time.Second); !ejected(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("an endpoint that broke an answer off was not kept out")
+		}
+	}
+	for ejected() { // until its time is up
+		time.Sleep(time.Millisecond)
+	}
+	if n, err := ask(1000); n != 1000 || err != nil {
+		t.Errorf("left: %d bytes, %v", n, err)
+	}
+	if n, err := ask(len(body)); n != len(body) || err != nil || ejected() {
+		t.Errorf("after a client has left: %d bytes, %v, ejected %v", n, err, ejected())
+	}
+}
--- /dev/null
+++ b/rack/bench_test.go
@@ -0,0 +1,60 @@
+package rack_test
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"lichentray/rack"
+)
+
+func endpoint(i int) rack.Endpoint {
+	return rack.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s-", i%1500), Version: "v1", Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: fmt.Sprint("zone-", i%12), Capacity: 4, Sequence: 1}
+}
+
+func create(s *rack.Store, i int) {
+	e := endpoint(i)
+	s.Apply(rack.Command{Txn: &rack.Txn{If: []rack.Condition{{Key: e.Key()}}, Then: []rack.Write{{Key: e.Key(), Value: e.Encode()}}}})
+}
+
+// BenchmarkEndpoints is what the registry holds and does for each endpoint: one
+// conditional create, the memory, and the snapshot.
+func BenchmarkEndpoints(b *testing.B) {
+	for _, n := range []int{11000, 44000} {
+		s := rack.New()
+		var before, after runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		for i := range n {
+			create(s, i)
+		}
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		b.Run(fmt.Sprint("create among ", n), func(b *testing.B) {
+			i := 0
+			for b.Loop() {
+				create(s, n+i%1000)
+				e := endpoint(n + i%1000)
+				s.Apply(rack.Command{Txn: &rack.Txn{Then: []rack.Write{{Key: e.Key(), Delete: true}}}})
+				i++
+			}
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-bytes/endpoint")
+		})
+		b.Run(fmt.Sprint("snapshot of ", n), func(b *testing.B) {
+			size := 0
+			for b.Loop() {
+				data, err := s.Snapshot()
+				if err != nil {
+					b.Fatal(err)
+				}
+				size = len(data)
+			}
+			b.ReportMetric(float64(size)/float64(n), "bytes/endpoint")
+		})
+		b.Run(fmt.Sprint("list of ", n), func(b *testing.B) {
+			for b.Loop() {
+				s.List(rack.EndpointPrefix)
+			}
+		})
+	}
+}
