--- /dev/null
+++ b/internal/plane/follow_test.go
@@ -0,0 +1,142 @@
+package plane
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"lichentray/internal/dial"
+	"lichentray/internal/dowel"
+	"lichentray/internal/vicetest"
+	"lichentray/rack"
+)
+
+// control is a stand-in control-plane node: it answers lists and watches and sends
+// what it is told to.
+type control struct {
+	ln     net.Listener
+	opened atomic.Int64
+	say    chan *dowel.Frame
+	answer func(*dowel.Ask) *dowel.Answer
+}
+
+func newControl(t *testing.T, addr string, answer func(*dowel.Ask) *dowel.Answer) *control {
+	ln, err := net.Listen("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &control{ln: ln, say: make(chan *dowel.Frame), answer: answer}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			raw, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go c.serve(raw)
+		}
+	}()
+	return c
+}
+
+func (c *control) serve(raw net.Conn) {
+	conn, _, err := dowel.Accept(raw, 5*time.Second)
+	if err != nil {
+		raw.Close()
+		return
+	}
+	defer conn.Close()
+	gone, open := make(chan struct{}), make(chan struct{}, 1)
+	go func() {
+		defer close(gone)
+		for {
+			f, err := conn.Receive(0)
+			if err != nil {
+				return
+			}
+			if f.Ask != nil {
+				a := c.answer(f.Ask)
+				if a == nil {
+					continue // it hears and does not answer
+				}
+				if !a.Failed {
+					c.opened.Add(1)
+				}
+				if conn.Send(&dowel.Frame{Answer: a}) != nil {
+					return
+				}
+				open <- struct{}{}
+			}
+		}
+	}()
+	var say chan *dowel.Frame // only once a stream is open
+	for {
+		select {
+		case <-open:
+			say = c.say
+		case f := <-say:
+			if conn.Send(f) != nil {
+				return
+			}
+		case <-gone:
+			return
+		}
+	}
+}
+
+// TestQuietStreamIsKept: a stream that falls quiet is followed on if it speaks
+// before another is open, with nothing lost; and left for another that opens.
+func TestQuietStreamIsKept(t *testing.T) {
+	port := vicetest.FreePort(t, "127.0.0.21", "127.0.0.22")
+	set := vicetest.Settings(t, "127.0.0.23", "", 1, port, []string{"127.0.0.21", "127.0.0.22"}, false)
+	set.Bounds.Drain, set.Bounds.ConfigApply = 1, 1
+	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
+	list := func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: max(1, a.Least)} }
+	var deaf atomic.Bool
+	deaf.Store(true)
+	asked := make(chan struct{}, 100)
+	first := newControl(t, address("127.0.0.21"), func(a *dowel.Ask) *dowel.Answer {
+		if a.Watch {
+			return nil
+		}
+		return list(a)
+	})
+	second := newControl(t, address("127.0.0.22"), func(a *dowel.Ask) *dowel.Answer {
+		if a.Watch { // only a stream that is sought anew asks to go on
+			asked <- struct{}{}
+		}
+		if deaf.Load() {
+			return nil
+		}
+		return list(a)
+	})
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); p.Follow(ctx) }()
+	defer func() { stop(); <-done }()
+	until := func(what string, ok func() bool) {
+		t.Helper()
+		for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatal("never came: " + what)
+			}
+		}
+	}
+	until("a list", func() bool { return p.n.lists.Value() == 1 })
+	<-asked // the first has been quiet: the second is asked, and does not answer
+	e := rack.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "a"}
+	first.say <- &dowel.Frame{Events: []rack.Event{{Type: rack.Added, Object: rack.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &dowel.Bookmark{Revision: 2}}
+	until("what the quiet stream said", func() bool { return p.n.revision.Value() == 2 })
+	if p.n.streamLost.Value() != 0 || first.opened.Load() != 1 {
+		t.Errorf("the stream was broken off: %d lost, opened %d times", p.n.streamLost.Value(), first.opened.Load())
+	}
+	deaf.Store(false)
+	until("the other node is followed", func() bool { return second.opened.Load() > 0 && p.n.watches.Value() > 0 })
+	second.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: 7}}
+	until("what the other node said", func() bool { return p.n.revision.Value() == 7 })
+}
