--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -341,7 +341,7 @@
 }
 
 func (h *herd) run(ctx context.Context, workers int) {
-	each := *beat / time.Duration(max(1, *endpoints/workers))
+	each := time.Duration(float64(*beat) * float64(workers) / float64(*endpoints))
 	for w := range workers {
 		go func() {
 			c := fasthttp.Client{MaxConnsPerHost: 4}
--- a/internal/plane/plane_test.go
+++ b/internal/plane/plane_test.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -643,7 +644,11 @@
 func TestLongAnswers(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 40<<10)
 	whole := ok(body)
+	var chunked atomic.Bool
 	e := newEndpoint(t, func(n int, _ string) string {
+		if chunked.Load() {
+			return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
+		}
 		if n == 2 {
 			return whole[:len(whole)/2] + "BREAK"
 		}
@@ -689,6 +694,11 @@
 	for ejected() { // until its time is up
 		time.Sleep(time.Millisecond)
 	}
+	chunked.Store(true)
+	if n, err := ask(len(body)); n != len(body) || err != nil {
+		t.Errorf("in chunks: %d bytes, %v", n, err)
+	}
+	chunked.Store(false)
 	if n, err := ask(1000); n != 1000 || err != nil {
 		t.Errorf("left: %d bytes, %v", n, err)
 	}
--- a/internal/plane/upstream.go
+++ b/internal/plane/upstream.go
@@ -199,6 +199,9 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
+// mostChunked bounds an answer in chunks, which is held until it is whole.
+const mostChunked = 1 << 20
+
 // readAnswer reads an answer up to the body, and bodies of a known length up
 // to whole bytes.
 func readAnswer(br *bufio.Reader, head bool, whole int) (*answer, error) {
@@ -267,7 +270,7 @@
 		case head || a.status == 204 || a.status == 304:
 			return a, nil
 		case chunked:
-			a.body, err = readChunked(br, whole)
+			a.body, err = readChunked(br, mostChunked)
 			return a, err
 		case a.length < 0:
 			// The end of the connection cannot tell a whole body from a part.
