--- a/tally/tally.go
+++ b/tally/tally.go
@@ -144,6 +144,16 @@
 	At uint64 `json:"-"`
 }
 
+// unheardMS is after how long a life that has not closed, and that others have been
+// heard of since, counts as ended unseen. Idle lives are heard three times in it.
+const unheardMS = 15000
+
+// end marks a life that ended unseen, at the latest when told.
+func (l *Life) end(ms int64) {
+	l.Gap = true
+	l.MayMiss = int64(l.Out) + int64(l.PerS*float64(max(0, ms-l.LastMS))/1000+0.999)
+}
+
 // Try is a record within its entry.
 type Try struct {
 	Node string `json:"node"`
@@ -227,8 +237,7 @@
 		// A new life of the node: one that has not closed has ended unseen.
 		for _, old := range b.Lives {
 			if old.Node == batch.Node && !old.Closed && !old.Gap {
-				old.Gap = true
-				old.MayMiss = int64(old.Out) + int64(old.PerS*float64(max(0, batch.AtMS-old.LastMS))/1000+0.999)
+				old.end(batch.AtMS)
 			}
 		}
 		l = &Life{Node: batch.Node}
@@ -364,9 +373,17 @@
 	if f.Most > 0 && len(a.Failures) > f.Most {
 		a.Failures = a.Failures[len(a.Failures)-f.Most:]
 	}
+	newest := int64(0)
+	for _, l := range b.Lives {
+		newest = max(newest, l.LastMS)
+	}
 	for id, l := range b.Lives {
-		if l.Gap || l.Dropped > 0 {
-			a.Gaps[id] = *l
+		x := *l
+		if !x.Closed && !x.Gap && newest-x.LastMS > unheardMS {
+			x.end(newest)
+		}
+		if x.Gap || x.Dropped > 0 {
+			a.Gaps[id] = x
 		}
 	}
 	for tenant, n := range b.Dropped {
