--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -48,7 +48,8 @@
 		return err
 	}
 	defer ln.Close()
-	// A proxy on this machine looks here whether it shares the link with a relay.
+	// A proxy on this machine looks here whether it shares the link with a relay, and
+	// whoever has only relays for seeds is told where the core is.
 	own, err := net.Listen("tcp4", set.InternalAddr(set.IP))
 	if err != nil {
 		return err
@@ -60,7 +61,7 @@
 			if err != nil {
 				return
 			}
-			c.Close()
+			go r.point(c, set.Soonest()*3/10)
 		}
 	}()
 	ctx, stop := context.WithCancel(context.Background())
@@ -105,6 +106,22 @@
 	}
 }
 
+// point tells a process that takes this relay for a core node where the core is.
+func (r *relay) point(raw net.Conn, silence time.Duration) {
+	defer raw.Close()
+	conn, _, err := dowel.Accept(raw, silence)
+	if err != nil {
+		return
+	}
+	known := r.line.Known()
+	if len(known) == 0 || conn.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: known}}) != nil {
+		return
+	}
+	for err == nil { // to close with unread bytes would take back what was said
+		_, err = conn.Receive(silence)
+	}
+}
+
 func (r *relay) hold(ctx context.Context, addr string, silence time.Duration, set *caliper.Settings, log *slog.Logger) (held bool) {
 	conn, err := dowel.Dial(ctx, addr, silence/2, dowel.Hello{Role: dowel.Relay, Node: set.NodeName})
 	if err != nil {
--- a/cmd/vise/relay_test.go
+++ b/cmd/vise/relay_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -92,6 +93,18 @@
 	if code, _ := call("break"); code != 504 {
 		t.Errorf("a call without an answer: %d", code)
 	}
+	// Whoever takes the relay for a core node is told where the core is.
+	c, err := dowel.Dial(context.Background(), fmt.Sprintf("%s:%d", ips[1], internal), 5*time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if err := c.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, List: true}}); err != nil {
+		t.Fatal(err)
+	}
+	if f, err := c.Receive(5 * time.Second); err != nil || f.Bookmark == nil || len(f.Bookmark.Control) != 1 || f.Bookmark.Control[0].Addr != fmt.Sprintf("%s:%d", ips[0], internal) {
+		t.Errorf("the relay points to %+v, %v", f, err)
+	}
 	close(sig.Stop)
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -196,6 +196,11 @@
 	for _, s := range l.seeds() {
 		addrs = append(addrs, l.set.InternalAddr(s))
 	}
+	l.mu.RLock()
+	for _, n := range l.pointed {
+		addrs = append(addrs, n.Addr)
+	}
+	l.mu.RUnlock()
 	self := l.self
 	for _, a := range addrs {
 		if asked[a] {
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -121,7 +121,8 @@
 	view     view
 	wake     map[chan struct{}]struct{}
 	groups   map[string]map[chan struct{}]struct{}
-	watchers int // waiting, over all groups
+	watchers int                 // waiting, over all groups
+	pointed  []dowel.ControlNode // where a relay said that the core is
 	applied  map[chan struct{}]uint64
 	index    uint64
 	sessions map[*session]struct{}
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -640,3 +640,48 @@
 		t.Errorf("a cut below the batch was lost: %+v", j.entries)
 	}
 }
+
+// TestJoinThroughARelay: a node whose only seed is a relay is told where the core is
+// and joins it.
+func TestJoinThroughARelay(t *testing.T) {
+	g := newGroup(t, 3, nil)
+	until(t, "a leader", func() bool { return g.leader() != nil })
+	const relay, joins = "127.0.0.28", "127.0.0.29"
+	ln, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", relay, g.internal))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	go func() {
+		for {
+			raw, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer raw.Close()
+				c, _, err := dowel.Accept(raw, 5*time.Second)
+				if err == nil {
+					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: g.nodes[0].self.Addr}, {Addr: g.nodes[1].self.Addr}}}})
+				}
+				for err == nil {
+					_, err = c.Receive(5 * time.Second)
+				}
+			}()
+		}
+	}()
+	set := vicetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
+	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	until(t, "the node is a member", func() bool {
+		for _, m := range l.Status().Members {
+			if m.ID == hexID(l.self.ID) {
+				return true
+			}
+		}
+		return false
+	})
+}
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -264,6 +264,11 @@
 				if err != nil {
 					return
 				}
+				if b := f.Bookmark; b != nil && len(b.Control) > 0 {
+					l.mu.Lock()
+					l.pointed = b.Control
+					l.mu.Unlock()
+				}
 				if f.Answer != nil {
 					k.mu.Lock()
 					ch := k.asks[f.Answer.ID]
--- a/internal/plane/follow.go
+++ b/internal/plane/follow.go
@@ -150,6 +150,8 @@
 
 var errNearer = errors.New("plane: a nearer control-plane node is known")
 
+var errPointed = errors.New("plane: a relay told where the core is")
+
 var errQuiet = errors.New("plane: quiet, and another control-plane node answered")
 
 var errRefused = errors.New("plane: refused by the control-plane node")
@@ -184,7 +186,7 @@
 			}
 			return nil, nil
 		}
-		nearer := false
+		again := false // more candidates are known now
 		for _, addr := range p.line.Candidates(avoid) {
 			if out < openMost {
 				out++
@@ -203,12 +205,14 @@
 			if s != nil {
 				return s
 			}
-			if nearer = errors.Is(err, errNearer); nearer || ctx.Err() != nil {
+			if errors.Is(err, errNearer) {
+				want.Zone = ""
+			}
+			if again = errors.Is(err, errNearer) || errors.Is(err, errPointed); again || ctx.Err() != nil {
 				break
 			}
 		}
-		if nearer {
-			want.Zone = ""
+		if again {
 			continue
 		}
 		avoid = ""
@@ -252,6 +256,9 @@
 		}
 		a := f.Answer
 		switch {
+		case a == nil && f.Bookmark != nil && len(f.Bookmark.Control) > 0:
+			p.line.Learn(f.Bookmark.Control)
+			err = errPointed
 		case a == nil || a.Failed:
 			err = errRefused
 		case a.Nearer != nil:
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -140,3 +140,45 @@
 	second.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: 7}}
 	until("what the other node said", func() bool { return p.n.revision.Value() == 7 })
 }
+
+// TestSeedsAreRelays: a proxy whose seeds are all relays is told where the core is
+// and follows it.
+func TestSeedsAreRelays(t *testing.T) {
+	port := vicetest.FreePort(t, "127.0.0.24", "127.0.0.25")
+	set := vicetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
+	core := set.InternalAddr("127.0.0.25:1")
+	newControl(t, core, func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: 1} })
+	ln, err := net.Listen("tcp4", set.InternalAddr("127.0.0.24:1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	go func() {
+		for {
+			raw, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer raw.Close()
+				c, _, err := dowel.Accept(raw, 5*time.Second)
+				if err == nil {
+					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: core}}}})
+				}
+				for err == nil {
+					_, err = c.Receive(5 * time.Second)
+				}
+			}()
+		}
+	}()
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); p.Follow(ctx) }()
+	defer func() { stop(); <-done }()
+	for end := time.Now().Add(30 * time.Second); p.n.lists.Value() == 0; time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the core was never found")
+		}
+	}
+}
--- a/internal/plumb/plumb.go
+++ b/internal/plumb/plumb.go
@@ -40,6 +40,13 @@
 	l.known = nodes
 }
 
+// Known gives the nodes that were told of.
+func (l *Line) Known() []dowel.ControlNode {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]dowel.ControlNode(nil), l.known...)
+}
+
 // API gives the address at which callers reach a node, or nothing.
 func (l *Line) API(addr string) string {
 	l.mu.Lock()
