--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -63,6 +63,7 @@
 	Command []byte        // a rack command to put through the log
 	Read    bool          // a confirmed read point
 	Join    *clamp.Member // take this node in as a learner
+	Passed  bool          // a Join that was passed on to the leader
 	List    bool          // a list behind a read point, then the watch
 	Least   uint64        // the list or watch must reach this revision
 	Watch   bool          // events after Least
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -641,11 +641,20 @@
 	}
 }
 
-// TestJoinThroughARelay: a node whose only seed is a relay is told where the core is
-// and joins it.
+// TestJoinThroughARelay: a node whose only seed is a relay is told of a node of the
+// core that does not lead, and joins all the same.
 func TestJoinThroughARelay(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	until(t, "a leader", func() bool { return g.leader() != nil })
+	var follower *Lathe
+	until(t, "a leader and one that follows it", func() bool {
+		lead := g.leader()
+		for _, n := range g.nodes {
+			if s := n.Status(); lead != nil && n != lead && s.Leader == lead.Status().ID {
+				follower = n
+			}
+		}
+		return follower != nil
+	})
 	const relay, joins = "127.0.0.28", "127.0.0.29"
 	ln, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", relay, g.internal))
 	if err != nil {
@@ -662,7 +671,7 @@
 				defer raw.Close()
 				c, _, err := dowel.Accept(raw, 5*time.Second)
 				if err == nil {
-					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: g.nodes[0].self.Addr}, {Addr: g.nodes[1].self.Addr}}}})
+					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: follower.self.Addr}}}})
 				}
 				for err == nil {
 					_, err = c.Receive(5 * time.Second)
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -409,7 +409,8 @@
 	return &dowel.Answer{ID: id, Failed: true, Kind: notch.Internal, Detail: err.Error()}
 }
 
-// serveAsk answers a call that a peer forwarded. It does not forward again.
+// serveAsk answers a call that a peer forwarded. It does not forward again, but for
+// a node that wants to join.
 func (l *Lathe) serveAsk(conn *dowel.Conn, a *dowel.Ask) {
 	ans := &dowel.Answer{ID: a.ID}
 	done := make(chan outcome, 1)
@@ -430,6 +431,16 @@
 	case a.Join != nil:
 		if err := l.admit(*a.Join); err != nil {
 			ans = failed(a.ID, err)
+			l.mu.RLock()
+			leader := l.view.leaderAt
+			l.mu.RUnlock()
+			if errors.Is(err, errNotLeader) && !a.Passed && leader != "" && leader != l.self.Addr {
+				// None of the nodes that a new one knows may be the leader.
+				if x, _, err := l.links.ask(leader, &dowel.Ask{Join: a.Join, Passed: true}, l.timing.Election); err == nil {
+					ans = x
+					ans.ID = a.ID
+				}
+			}
 		}
 	}
 	_ = conn.Send(&dowel.Frame{Answer: ans}) // a broken connection ends at its reader
--- a/internal/plane/follow.go
+++ b/internal/plane/follow.go
@@ -54,16 +54,19 @@
 	var cur *stream
 	var found chan *stream
 	var cancel context.CancelFunc
+	closer := false // what is sought is a node that lies nearer, while cur is well
 	stop := func() {
 		if cancel != nil {
 			cancel()
 			found, cancel = nil, nil
 		}
 	}
-	seek := func(avoid string) {
-		if found != nil {
+	seek := func(avoid string, nearer bool) {
+		if found != nil && (nearer || !closer) {
 			return
 		}
+		stop()
+		closer = nearer
 		var sctx context.Context
 		sctx, cancel = context.WithCancel(ctx)
 		to := make(chan *stream)
@@ -73,20 +76,26 @@
 			want.Zone = p.set.Zone
 		}
 		go func() {
-			s := p.search(sctx, avoid, want)
-			if s == nil {
-				return
+			var s *stream
+			if nearer {
+				s = p.approach(sctx, avoid, want)
+			} else {
+				s = p.search(sctx, avoid, want)
 			}
 			select {
 			case to <- s:
 			case <-sctx.Done():
-				s.close()
+				if s != nil {
+					s.close()
+				}
 			}
 		}()
 	}
 	drop := func(err error) {
-		p.log.Info("stream lost", "from", cur.addr, "error", err)
-		p.n.streamLost.Inc()
+		if !errors.Is(err, errNearer) {
+			p.log.Info("stream lost", "from", cur.addr, "error", err)
+			p.n.streamLost.Inc()
+		}
 		p.stream.Store(nil)
 		cur.close()
 		cur = nil
@@ -100,7 +109,7 @@
 	silence := time.NewTimer(p.timing.Silence)
 	defer silence.Stop()
 	sweep := time.Now()
-	seek("")
+	seek("", false)
 	for {
 		var frames chan *dowel.Frame
 		var broken chan error
@@ -112,22 +121,29 @@
 			return
 		case <-silence.C:
 			if cur != nil {
-				seek(cur.addr)
+				seek(cur.addr, false)
 			}
 		case err := <-broken:
 			avoid := cur.addr
 			drop(err)
-			seek(avoid)
+			seek(avoid, false)
 		case s := <-found:
 			stop()
+			if s == nil {
+				continue
+			}
 			if cur != nil {
-				drop(errQuiet)
+				why := errQuiet
+				if closer {
+					why = errNearer
+				}
+				drop(why)
 			}
 			cur = s
 			silence.Reset(p.timing.Silence)
 			if err := p.opened(s); err != nil {
 				drop(err)
-				seek("")
+				seek("", false)
 			}
 		case f := <-frames:
 			silence.Reset(p.timing.Silence)
@@ -135,13 +151,13 @@
 			err := p.take(cur, f, &sweep)
 			switch {
 			case errors.Is(err, errNearer):
-				drop(err)
-				seek("")
+				cur.began = time.Now() // if nobody there answers, it is asked again later
+				seek(cur.addr, true)
 			case err != nil:
 				stop() // a search under way may count on a copy that no longer holds
 				drop(err)
-				seek(avoid)
-			default:
+				seek(avoid, false)
+			case !closer:
 				stop()
 			}
 		}
@@ -233,6 +249,16 @@
 	return nil
 }
 
+// approach asks the nodes that lie nearer than one that is followed, once.
+func (p *Plane) approach(ctx context.Context, addr string, want dowel.Ask) *stream {
+	for _, a := range p.line.NearerThan(addr) {
+		if s, _ := p.open(ctx, a, want); s != nil {
+			return s
+		}
+	}
+	return nil
+}
+
 // openMost is how many control-plane nodes are asked at a time.
 const openMost = 4
 
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -182,3 +182,37 @@
 		}
 	}
 }
+
+// TestNearerThatIsDead: a nearer node that is named and does not answer costs the
+// stream that is followed nothing; one that answers takes over.
+func TestNearerThatIsDead(t *testing.T) {
+	port := vicetest.FreePort(t, "127.0.0.41", "127.0.0.42")
+	set := vicetest.Settings(t, "127.0.0.43", "", 1, port, []string{"127.0.0.41"}, false)
+	set.Bounds.Contact = 0.2
+	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
+	list := func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: max(1, a.Least)} }
+	far := newControl(t, address("127.0.0.41"), list)
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); p.Follow(ctx) }()
+	defer func() { stop(); <-done }()
+	control := []dowel.ControlNode{{Addr: address("127.0.0.41"), Zone: "b"}, {Addr: address("127.0.0.42"), Zone: "a"}}
+	for rev := uint64(2); rev < 12; rev++ {
+		far.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: rev, Control: control}}
+		time.Sleep(set.Bounds.Contact.D() / 4) // what is nearer is sought at each span of contact
+	}
+	if far.opened.Load() != 1 {
+		t.Errorf("the stream was opened %d times", far.opened.Load())
+	}
+	near := newControl(t, address("127.0.0.42"), list)
+	for end := time.Now().Add(30 * time.Second); near.opened.Load() == 0; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the nearer node was never followed")
+		}
+		select {
+		case far.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: 20, Control: control}}:
+		default:
+		}
+	}
+}
--- a/internal/plumb/plumb.go
+++ b/internal/plumb/plumb.go
@@ -107,6 +107,27 @@
 	return out
 }
 
+// NearerThan lists the nodes that lie nearer than addr, the nearest first.
+func (l *Line) NearerThan(addr string) []string {
+	l.mu.Lock()
+	here := 4
+	distance := map[string]int{}
+	for _, n := range l.known {
+		distance[n.Addr] = l.distance(n)
+		if n.Addr == addr {
+			here = l.distance(n)
+		}
+	}
+	l.mu.Unlock()
+	var out []string
+	for _, a := range l.Candidates("") {
+		if d, known := distance[a]; known && d < here {
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
 // Nearer tells whether a node is known that lies nearer than addr.
 func (l *Line) Nearer(addr string) bool {
 	l.mu.Lock()
