--- a/examples/endpoint/main.go
+++ b/examples/endpoint/main.go
@@ -20,6 +20,7 @@
 func main() {
 	id := flag.String("id", fmt.Sprint("i-", os.Getpid()), "instance id")
 	service := flag.String("service", "hello", "service to serve")
+	version := flag.String("version", "v1", "version of its software")
 	listen := flag.String("listen", "127.0.0.1:0", "address")
 	control := flag.String("control", "127.0.0.1:8166", "control_plane addresses, comma separated")
 	drain := flag.Duration("drain", 3*time.Second, "time to serve on after the drain was acknowledged")
@@ -65,7 +66,7 @@
 		sequence++
 		return call("heartbeat", map[string]any{
 			"address": ln.Addr().String(),
-			"info":    map[string]any{"backend_service": *service, "zone": "local", "capacity": 4},
+			"info":    map[string]any{"backend_service": *service, "config_version": *version, "zone": "local", "capacity": 4},
 			"status":  map[string]any{"state": state, "sequence": sequence, "cold_remaining_s": 0},
 		})
 	}
--- a/feeler/feeler.go
+++ b/feeler/feeler.go
@@ -120,6 +120,8 @@
 	Verdict       Verdict
 	// Answers of the target that were judged in this stage and in all.
 	StageAnswers, Answers int
+	// All is the answers of both versions.
+	All int
 	// Slots of the endpoints of both versions.
 	BaseSlots, TargetSlots int
 	// Moved tells that every proxy knows of the stage and that none has a request
@@ -127,13 +129,14 @@
 	Moved bool
 }
 
-// enough is how many answers of the target a good version must have shown, and
-// bears the part of the base's slots that the target must have before it carries
+// enough is how many answers of the target a good version must have shown: a part
+// of all, within bounds. A service with little traffic shows little, and what a bad
+// version could get of it is little too.
+func (f Facts) enough() bool { return f.Answers >= max(5, min(20, f.All/50)) }
+
+// bears is the part of the base's slots that the target must have before it carries
 // everything.
-const (
-	enough = 20
-	bears  = 0.7
-)
+const bears = 0.7
 
 // Next gives the state that follows; changed is false when nothing does yet.
 // With too little evidence at the term it rolls back: an operator can order
@@ -154,7 +157,7 @@
 	}
 	term := time.Duration(r.DeadlineS * float64(time.Second))
 	last := f.Spent >= term-2*f.Commit
-	good := r.Final() && f.InStage >= f.Pause && f.StageAnswers > 0 && f.Answers >= enough && !f.Verdict.Suspect
+	good := r.Final() && f.InStage >= f.Pause && f.StageAnswers > 0 && f.enough() && !f.Verdict.Suspect
 	switch {
 	case good && (last || f.Moved && f.Spent >= at(term, settled)):
 		return end(Succeeded, "")
@@ -167,7 +170,7 @@
 	if f.Spent < at(term, to.from) || f.StageAnswers == 0 {
 		return r, false
 	}
-	if to.share == 1 && (f.Answers < enough || float64(f.TargetSlots) < bears*float64(f.BaseSlots)) {
+	if to.share == 1 && (!f.enough() || float64(f.TargetSlots) < bears*float64(f.BaseSlots)) {
 		return r, false
 	}
 	r.Stage, r.SpentS = r.Stage+1, f.Spent.Seconds()
@@ -178,7 +181,7 @@
 	switch {
 	case f.TargetSlots == 0:
 		return "no endpoint of the version came"
-	case f.Answers < enough:
+	case !f.enough():
 		return "too few answers to judge by"
 	case float64(f.TargetSlots) < bears*float64(f.BaseSlots):
 		return "too few endpoints of the version to carry the traffic"
--- a/feeler/judge.go
+++ b/feeler/judge.go
@@ -79,6 +79,15 @@
 	return n
 }
 
+// All is how many answers of both versions it holds.
+func (e Evidence) All() int {
+	n := 0
+	for _, a := range e {
+		n += a.Base.Answers + a.Target.Answers
+	}
+	return n
+}
+
 // Slow is from which multiple of a route's usual time on an answer counts as slow.
 const Slow = 4
 
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -113,7 +113,7 @@
 		}
 		f := feeler.Facts{
 			Spent: r.spent(now), InStage: now - r.at, Pause: l.timing.Pause, Commit: l.timing.Answer,
-			Answers: answers, StageAnswers: answers - g.answers,
+			All: sum.All(), Answers: answers, StageAnswers: answers - g.answers,
 		}
 		endpoints := 0
 		for _, e := range l.endpoints {
--- a/internal/vicetest/vicetest.go
+++ b/internal/vicetest/vicetest.go
@@ -38,16 +38,25 @@
 	return 0
 }
 
-// Settings gives the settings of one node. Control and internal ports are
-// alike on all nodes. The bounds are wide, so that a loaded test machine does
-// not look like a failing one.
+// Settings gives the settings of one node, parsed.
 func Settings(t testing.TB, ip, dir string, control, internal int, seeds []string, bootstrap bool) *caliper.Settings {
 	t.Helper()
+	s, err := caliper.Parse([]byte(Text(ip, dir, control, internal, seeds, bootstrap)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// Text gives the settings of one node as a file holds them; [bounds] comes last but
+// for what is added. Control and internal ports are alike on all nodes. The bounds
+// are wide, so that a loaded test machine does not look like a failing one.
+func Text(ip, dir string, control, internal int, seeds []string, bootstrap bool) string {
 	quoted := make([]string, len(seeds))
 	for i, s := range seeds {
 		quoted[i] = fmt.Sprintf("%q", fmt.Sprintf("%s:%d", s, control))
 	}
-	text := fmt.Sprintf(`
+	return fmt.Sprintf(`
 node_name = "node-%s"
 serves = ["control"]
 ip_address = %q
@@ -84,9 +93,4 @@
 history_retention_s = 20
 release_s = 1.5
 `, ip, ip, internal, internal, strings.Join(quoted, ","), bootstrap, dir, ip, control)
-	s, err := caliper.Parse([]byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return s
 }
