--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -171,10 +171,9 @@
 type Trial struct {
 	Order    uint64
 	Evidence feeler.Evidence
-	// Stage is the least stage that any of the proxies has taken, AtBase how many
-	// requests are at endpoints of the old version.
-	Stage  int
-	AtBase int
+	// Stage is the least stage that any of so many proxies has taken, AtBase how many
+	// requests they have at endpoints of the old version.
+	Proxies, Stage, AtBase int
 }
 
 // Round is what the leader granted one proxy, in answer to the report Seq.
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -123,9 +123,9 @@
 			delete(l.tryOuts, service)
 			continue
 		}
-		t.Stage, t.AtBase = trials[service].Stage, trials[service].AtBase
-		if g, told := trials[service]; !told || g.Order != t.Order {
-			t.Stage, t.AtBase = 0, 0
+		t.Proxies, t.Stage, t.AtBase = 0, 0, 0
+		if g := trials[service]; g.Order == t.Order {
+			t.Proxies, t.Stage, t.AtBase = g.Proxies, g.Stage, g.AtBase
 		}
 		t.Evidence = t.Evidence.Clone()
 		trials[service] = t
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -44,15 +44,16 @@
 }
 
 // gauge sums where proxies stand: the least stage taken and all requests at the
-// base.
+// base. A node that no proxy follows any more has evidence, but nobody stands there.
 func gauge(to, from map[string]dowel.Trial) {
 	for service, n := range from {
-		x, there := to[service]
+		x := to[service]
 		switch {
-		case !there || n.Order > x.Order:
-			to[service] = dowel.Trial{Order: n.Order, Stage: n.Stage, AtBase: n.AtBase, Evidence: x.Evidence}
-		case n.Order == x.Order:
-			x.Stage, x.AtBase = min(x.Stage, n.Stage), x.AtBase+n.AtBase
+		case n.Proxies == 0 || n.Order < x.Order:
+		case x.Proxies == 0 || n.Order > x.Order:
+			to[service] = dowel.Trial{Order: n.Order, Proxies: n.Proxies, Stage: n.Stage, AtBase: n.AtBase}
+		default:
+			x.Proxies, x.Stage, x.AtBase = x.Proxies+n.Proxies, min(x.Stage, n.Stage), x.AtBase+n.AtBase
 			to[service] = x
 		}
 	}
@@ -130,7 +131,7 @@
 		}
 		f.Verdict = g.judge.See(sum, endpoints)
 		t, told := l.trials[service]
-		f.Moved = told && t.Order == r.Order && t.Stage == r.Stage && t.AtBase == 0
+		f.Moved = told && t.Proxies > 0 && t.Order == r.Order && t.Stage == r.Stage && t.AtBase == 0
 		next, changed := r.Next(f)
 		if !changed || g.asked == r.revision && now-g.askedAt < l.timing.Election {
 			continue
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -53,7 +53,7 @@
 						e.Add(feeler.Evidence{"r": feeler.OfTarget(fmt.Sprint("new-", id), n)})
 						e.Add(feeler.Evidence{"r": feeler.OfBase(feeler.Count{Answers: 30})})
 					}
-					report.Trials = map[string]dowel.Trial{"s": {Order: r.Order, Stage: r.Stage, Evidence: e}}
+					report.Trials = map[string]dowel.Trial{"s": {Order: r.Order, Proxies: 1, Stage: r.Stage, Evidence: e}}
 				}
 			}
 			if err == nil {
@@ -65,6 +65,18 @@
 	}
 }
 
+// TestGauge: where proxies of several nodes stand together; a node that nobody
+// follows any more holds nothing up.
+func TestGauge(t *testing.T) {
+	to := map[string]dowel.Trial{}
+	for _, n := range []dowel.Trial{{Order: 1, Proxies: 1, Stage: 3, AtBase: 9}, {Order: 2, Proxies: 2, Stage: 3}, {Order: 2, Stage: 0}, {Order: 2, Proxies: 1, Stage: 2, AtBase: 4}, {Order: 1, Proxies: 1}} {
+		gauge(to, map[string]dowel.Trial{"s": n})
+	}
+	if x := to["s"]; x.Order != 2 || x.Proxies != 3 || x.Stage != 2 || x.AtBase != 4 {
+		t.Errorf("they stand at %+v", x)
+	}
+}
+
 // TestRollout drives three nodes through orders that are bad input, one that ends in
 // success although its leader is lost on the way, one that is rolled back, and the
 // loss of all processes after that.
--- a/internal/plane/trial.go
+++ b/internal/plane/trial.go
@@ -61,7 +61,7 @@
 			if out == nil {
 				out = map[string]dowel.Trial{}
 			}
-			out[name] = dowel.Trial{Order: s.trial.Order, Evidence: s.trial.seen, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
+			out[name] = dowel.Trial{Order: s.trial.Order, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
 			s.trial.seen = nil
 			s.trial.strata.Fade()
 		}
