--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -289,10 +289,10 @@
 		stop()
 		return nil, fmt.Errorf("internal port: %w", err)
 	}
+	log.Info("started", "member", hexID(id.ID), "fresh", id.Fresh, "last", l.node.Last())
 	go l.accept(ln)
 	go l.writeDisk()
 	go l.run()
-	log.Info("started", "member", hexID(id.ID), "fresh", id.Fresh, "last", l.node.Last())
 	return l, nil
 }
 
