--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -31,7 +31,8 @@
 	// wait bounds an ordinary call, poll a watch.
 	wait, poll time.Duration
 	noDisks    chan struct{}
-	// sentOn counts callers that were told to bring a large body to the core.
+	// sentOn counts callers that were told to go to the core with a large body, or for
+	// one.
 	passed, sentOn, lost, failed *dial.Counter
 }
 
@@ -190,7 +191,7 @@
 			hatch.Fail(ctx, notch.New(notch.Unavailable, "no core node is in touch"))
 			return
 		}
-		if len(ctx.PostBody()) > passedMost {
+		if len(ctx.PostBody()) > passedMost || string(ctx.QueryArgs().Peek("call")) == "configuration.read" {
 			ctx.Response.Header.Set("Location", "http://"+to.Addr+string(ctx.RequestURI()))
 			ctx.SetStatusCode(fasthttp.StatusTemporaryRedirect)
 			r.sentOn.Inc()
@@ -217,7 +218,7 @@
 
 // passedMost is how large a body may be that a relay passes on: a configuration of
 // 400 KB blocks a link of 4 Mbit/s for a second on its way out again, and every small
-// call behind it. Its caller brings it to the core instead.
+// call behind it. Its caller brings it to the core instead, and fetches it there.
 const passedMost = 16 << 10
 
 var errNoDisks = errors.New("no machine of the core has a disk")
--- a/cmd/vise/relay_test.go
+++ b/cmd/vise/relay_test.go
@@ -93,15 +93,17 @@
 	if code, _ := call("break"); code != 504 {
 		t.Errorf("a call without an answer: %d", code)
 	}
-	// A large body is not passed on; its caller is told where to bring it.
-	r, err := (&http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}).Post(
-		fmt.Sprintf("http://%s:%d/api/rpc?call=configuration.replace", ips[1], control), "application/json", strings.NewReader(strings.Repeat(" ", 100<<10)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.Body.Close()
-	if at := r.Header.Get("Location"); r.StatusCode != 307 || at != api.URL+"/api/rpc?call=configuration.replace" {
-		t.Errorf("a large body: %d to %s", r.StatusCode, at)
+	// A large body is not passed on, either way; its caller is told where to go.
+	for call, body := range map[string]string{"configuration.replace": strings.Repeat(" ", 100<<10), "configuration.read": ""} {
+		r, err := (&http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}).Post(
+			fmt.Sprintf("http://%s:%d/api/rpc?call=%s", ips[1], control, call), "application/json", strings.NewReader(body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Body.Close()
+		if at := r.Header.Get("Location"); r.StatusCode != 307 || at != api.URL+"/api/rpc?call="+call {
+			t.Errorf("%s: %d to %s", call, r.StatusCode, at)
+		}
 	}
 	// Whoever takes the relay for a core node is told where the core is.
 	c, err := dowel.Dial(context.Background(), fmt.Sprintf("%s:%d", ips[1], internal), 5*time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
