--- a/balance/balance.go
+++ b/balance/balance.go
@@ -197,7 +197,7 @@
 	}
 	e := p.byID[s.ID]
 	if e == nil {
-		e = &Endpoint{slow: 1, hash: hashOf(s.ID)}
+		e = &Endpoint{slow: 1, hash: hash64(s.ID, "")}
 		p.byID[s.ID] = e
 		p.all = append(p.all, e)
 	}
--- a/balance/versions.go
+++ b/balance/versions.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"math"
 	"slices"
 )
@@ -87,16 +86,6 @@
 	}
 }
 
-func hashOf(id string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	// The last bytes of names that differ little must move the first bits too.
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>33
-}
-
 // Barred is how many endpoints nothing may be sent to for their version.
 func (p *Pool) Barred() int {
 	n := 0
--- a/cmd/vise/relay_test.go
+++ b/cmd/vise/relay_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -23,26 +22,15 @@
 // core is a stand-in for a core node: it sends bookmarks to whoever follows it,
 // and answers calls by script.
 func core(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
-	ln, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, internal))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
+	addr := fmt.Sprintf("%s:%d", ip, internal)
+	vicetest.Listen(t, addr, func(c *dowel.Conn) {
 		for {
-			raw, err := ln.Accept()
-			if err != nil {
+			if c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: addr, API: api}}, Diskless: diskless.Load()}}) != nil {
 				return
 			}
-			go func() {
-				c, _, err := dowel.Accept(raw, time.Second)
-				for err == nil {
-					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: ln.Addr().String(), API: api}}, Diskless: diskless.Load()}})
-					time.Sleep(20 * time.Millisecond)
-				}
-			}()
+			time.Sleep(20 * time.Millisecond)
 		}
-	}()
+	})
 }
 
 // TestRelay: calls and answers pass unchanged; a call that may have arrived is
--- a/feeler/feeler.go
+++ b/feeler/feeler.go
@@ -79,12 +79,6 @@
 	return stages[max(0, min(r.Stage, len(stages)-1))].share
 }
 
-// Trial is the version that may be sent to beside the base; ok is false when
-// there is none.
-func (r Rollout) Trial() (version string, ok bool) {
-	return r.Target, r.State == InProgress
-}
-
 // Refusal says why an order cannot be taken.
 type Refusal string
 
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -656,29 +656,7 @@
 		return follower != nil
 	})
 	const relay, joins = "127.0.0.28", "127.0.0.29"
-	ln, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", relay, g.internal))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	go func() {
-		for {
-			raw, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer raw.Close()
-				c, _, err := dowel.Accept(raw, 5*time.Second)
-				if err == nil {
-					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: follower.self.Addr}}}})
-				}
-				for err == nil {
-					_, err = c.Receive(5 * time.Second)
-				}
-			}()
-		}
-	}()
+	vicetest.Relay(t, fmt.Sprintf("%s:%d", relay, g.internal), dowel.ControlNode{Addr: follower.self.Addr})
 	set := vicetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
 	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	if err != nil {
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -94,7 +94,7 @@
 	}
 	for key, r := range l.rollouts {
 		service := strings.TrimPrefix(key, rack.RolloutPrefix)
-		if _, trial := r.Trial(); !trial {
+		if r.State != feeler.InProgress {
 			continue
 		}
 		g := l.guides[service]
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -21,7 +21,7 @@
 	acked atomic.Uint64
 	// Under the node's lock.
 	loads  map[string]balance.Load
-	trials map[string]dowel.Trial // without their evidence
+	trials map[string]dowel.Trial // of the newest report
 	seq    uint64
 	at     time.Duration // of the newest report
 	// At most one write of its entry is on its way.
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"io"
 	"log/slog"
-	"net"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -18,38 +17,18 @@
 // control is a stand-in control-plane node: it answers lists and watches and sends
 // what it is told to.
 type control struct {
-	ln     net.Listener
 	opened atomic.Int64
 	say    chan *dowel.Frame
 	answer func(*dowel.Ask) *dowel.Answer
 }
 
 func newControl(t *testing.T, addr string, answer func(*dowel.Ask) *dowel.Answer) *control {
-	ln, err := net.Listen("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &control{ln: ln, say: make(chan *dowel.Frame), answer: answer}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			raw, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go c.serve(raw)
-		}
-	}()
+	c := &control{say: make(chan *dowel.Frame), answer: answer}
+	vicetest.Listen(t, addr, c.serve)
 	return c
 }
 
-func (c *control) serve(raw net.Conn) {
-	conn, _, err := dowel.Accept(raw, 5*time.Second)
-	if err != nil {
-		raw.Close()
-		return
-	}
-	defer conn.Close()
+func (c *control) serve(conn *dowel.Conn) {
 	gone, open := make(chan struct{}), make(chan struct{}, 1)
 	go func() {
 		defer close(gone)
@@ -148,29 +127,7 @@
 	set := vicetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
 	core := set.InternalAddr("127.0.0.25:1")
 	newControl(t, core, func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: 1} })
-	ln, err := net.Listen("tcp4", set.InternalAddr("127.0.0.24:1"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	go func() {
-		for {
-			raw, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer raw.Close()
-				c, _, err := dowel.Accept(raw, 5*time.Second)
-				if err == nil {
-					err = c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: core}}}})
-				}
-				for err == nil {
-					_, err = c.Receive(5 * time.Second)
-				}
-			}()
-		}
-	}()
+	vicetest.Relay(t, set.InternalAddr("127.0.0.24:1"), dowel.ControlNode{Addr: core})
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/vicetest/vicetest.go
+++ b/internal/vicetest/vicetest.go
@@ -7,8 +7,10 @@
 	"net"
 	"strings"
 	"testing"
+	"time"
 
 	"lichentray/internal/caliper"
+	"lichentray/internal/dowel"
 )
 
 // FreePort finds a port that is free on every one of the addresses.
@@ -94,3 +96,39 @@
 release_s = 1.5
 `, ip, ip, internal, internal, strings.Join(quoted, ","), bootstrap, dir, ip, control)
 }
+
+// Listen stands in for a control-plane node or a relay at an internal address: serve
+// speaks with whoever connects, until it returns.
+func Listen(t testing.TB, addr string, serve func(*dowel.Conn)) {
+	t.Helper()
+	ln, err := net.Listen("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			raw, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer raw.Close()
+				if c, _, err := dowel.Accept(raw, 5*time.Second); err == nil {
+					serve(c)
+				}
+			}()
+		}
+	}()
+}
+
+// Relay stands in for a relay that tells where the core is.
+func Relay(t testing.TB, addr string, core ...dowel.ControlNode) {
+	t.Helper()
+	Listen(t, addr, func(c *dowel.Conn) {
+		err := c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: core}})
+		for err == nil {
+			_, err = c.Receive(5 * time.Second)
+		}
+	})
+}
