--- /dev/null
+++ b/feeler/golden_test.go
@@ -0,0 +1,43 @@
+package feeler_test
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"lichentray/feeler"
+	"lichentray/internal/goldentest"
+)
+
+// TestGoldenRollouts compares the roll-outs that the registry holds, as JSON, with a
+// golden file, byte by byte and field by field.
+func TestGoldenRollouts(t *testing.T) {
+	want := []feeler.Rollout{
+		{Base: "v1"},
+		{Base: "v1", Order: 3, Target: "v2", State: feeler.InProgress, Stage: 2, DeadlineS: 600.5, SpentS: 361.25, Why: "none yet"},
+		{Base: "v2", Order: 4, Target: "v2", State: feeler.Succeeded, Stage: 3, DeadlineS: 120, SpentS: 96},
+		{Base: "v2", Order: 5, Target: "v3", State: feeler.RolledBack, Stage: 1, DeadlineS: 60, SpentS: 7, Why: "it fails"},
+	}
+	golden := goldentest.File(t, "testdata/golden/rollouts.jsonl", func() []byte {
+		var b bytes.Buffer
+		for _, r := range want {
+			b.Write(append(r.Encode(), '\n'))
+		}
+		return b.Bytes()
+	})
+	lines := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
+	if len(lines) != len(want) {
+		t.Fatalf("%d lines, want %d", len(lines), len(want))
+	}
+	for i, line := range lines {
+		if got := string(want[i].Encode()); got != line {
+			t.Errorf("written %s, want %s", got, line)
+		}
+		got, err := feeler.Decode([]byte(line))
+		if err != nil {
+			t.Error(err)
+		}
+		goldentest.Same(t, line, got, want[i])
+	}
+	goldentest.Complete(t, want)
+}
--- /dev/null
+++ b/internal/dowel/golden_test.go
@@ -0,0 +1,614 @@
+package dowel
+
+import (
+	"bytes"
+	"compress/flate"
+	"encoding/binary"
+	"encoding/gob"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"lichentray/balance"
+	"lichentray/clamp"
+	"lichentray/feeler"
+	"lichentray/internal/goldentest"
+	"lichentray/internal/notch"
+	"lichentray/latch"
+	"lichentray/rack"
+	"lichentray/tally"
+)
+
+// The golden forms are the types of the wire as they were when the golden file was
+// made. Their field names are data: gob writes them.
+type (
+	goldenFrame struct {
+		Hello        *goldenHello
+		Raft         []goldenMessage
+		Beats        []goldenBeat
+		Ask          *goldenAsk
+		Answer       *goldenAnswer
+		Events       []goldenEvent
+		Bookmark     *goldenBookmark
+		Gone         bool
+		Proxies      *goldenProxyCount
+		Ack          uint64
+		Report       *goldenReport
+		Account      *goldenAccountAck
+		PackedEvents []byte
+	}
+	goldenHello struct {
+		Version int
+		Role    uint8
+		Node    string
+		ID      uint64
+		Addr    string
+		Zone    string
+	}
+	goldenMessage struct {
+		Type       uint8
+		From       uint64
+		To         uint64
+		Term       uint64
+		Index      uint64
+		LogTerm    uint64
+		Commit     uint64
+		Reject     bool
+		Hint       uint64
+		Context    uint64
+		Force      bool
+		Sent, Echo int64
+		Touch      bool
+		Entries    []goldenEntry
+		Snap       *goldenSnapshot
+		Offset     int
+		Size       int
+		Sum        uint32
+	}
+	goldenEntry struct {
+		Index uint64
+		Term  uint64
+		Type  uint8
+		Data  []byte
+	}
+	goldenSnapshot struct {
+		Index   uint64
+		Term    uint64
+		Members goldenMembership
+		Data    []byte
+	}
+	goldenMembership struct {
+		Voters   []goldenMember
+		Learners []goldenMember
+	}
+	goldenMember struct {
+		ID        uint64
+		Addr      string
+		API       string
+		Uncounted bool
+	}
+	goldenBeat struct {
+		ID    string
+		AgoMS uint32
+	}
+	goldenAsk struct {
+		ID      uint64
+		Command []byte
+		Read    bool
+		Join    *goldenMember
+		Passed  bool
+		Leave   uint64
+		List    bool
+		Least   uint64
+		Watch   bool
+		Packs   bool
+		Zone    string
+	}
+	goldenAnswer struct {
+		ID       uint64
+		Failed   bool
+		Kind     uint8
+		Detail   string
+		Result   goldenResult
+		Index    uint64
+		Revision uint64
+		Objects  []goldenObject
+		Gone     bool
+		Nearer   []goldenControlNode
+		Packed   []byte
+	}
+	goldenResult struct {
+		Revision uint64
+		Conflict bool
+		Current  []goldenObject
+		Latch    goldenLatchResult
+		Account  uint64
+	}
+	goldenLatchResult struct {
+		Code     uint8
+		Fence    uint64
+		Grant    uint64
+		Value    uint64
+		Revision uint64
+	}
+	goldenObject struct {
+		Key            string
+		Value          []byte
+		CreateRevision uint64
+		ModRevision    uint64
+	}
+	goldenEvent struct {
+		Type     uint8
+		Object   goldenObject
+		Revision uint64
+		Patch    []byte
+		Base     uint64
+	}
+	goldenControlNode struct{ Addr, API, Zone string }
+	goldenBookmark    struct {
+		Revision uint64
+		Control  []goldenControlNode
+		Proxies  int
+		Loads    map[string]goldenLoad
+		Round    *goldenRound
+		Judged   bool
+		Verdicts []goldenVerdict
+		Diskless bool
+	}
+	goldenLoad struct {
+		Rate     float64
+		Inflight float64
+	}
+	goldenRound struct {
+		Seq    uint64
+		Grants []goldenGrant
+	}
+	goldenGrant struct {
+		Endpoint string
+		Rate     float64
+	}
+	goldenVerdict struct {
+		Endpoint string
+		Pace     uint8
+		Sick     bool
+	}
+	goldenSeen struct {
+		Answers int
+		Times   float64
+		Bad     int
+		Nodes   int
+	}
+	goldenProxyCount struct {
+		Here     map[string]uint64
+		Sum      int
+		Loads    map[string]goldenLoad
+		Seen     map[string]goldenSeen
+		Rounds   map[string]goldenRound
+		Trials   map[string]goldenTrial
+		Life     uint64
+		Verdicts []goldenVerdict
+	}
+	goldenTrial struct {
+		Order                  uint64
+		Evidence               map[string]goldenArms
+		Proxies, Stage, AtBase int
+	}
+	goldenArms struct {
+		Base, Target goldenCount
+		Ill          map[string]goldenCount
+	}
+	goldenCount struct {
+		Answers int
+		Failed  int
+		Broken  int
+		Timed   int
+		Slow    int
+	}
+	goldenReport struct {
+		Seq     uint64
+		Loads   map[string]goldenLoad
+		Seen    map[string]goldenSeen
+		Self    *goldenProxy
+		Trials  map[string]goldenTrial
+		Account *goldenBatch
+	}
+	goldenProxy struct {
+		Name    string
+		Address string
+		Zone    string
+		Leaving bool
+		Weight  float64
+	}
+	goldenBatch struct {
+		Life    string
+		Node    string
+		AtMS    int64
+		Records []goldenRecord
+		Dropped uint64
+		PerS    float64
+		Out     int
+		Closed  bool
+		Most    int
+	}
+	goldenRecord struct {
+		Seq     uint64
+		AtMS    int64
+		Tenant  string
+		Route   string
+		Request string
+		Attempt string
+		Kind    string
+		Status  int
+		TookMS  int64
+	}
+	goldenAccountAck struct {
+		Life   string
+		Seq    uint64
+		Closed bool
+	}
+)
+
+// goldenLargeValue makes a frame large enough to be compressed.
+var goldenLargeValue = []byte(strings.Repeat("a large value; ", 1000))
+
+// goldenPackedObjects and goldenPackedEvents stand in frames in their packed form.
+func goldenPackedObjects() []rack.Object {
+	return []rack.Object{
+		{Key: "endpoints/e1", Value: []byte("value-1"), CreateRevision: 141, ModRevision: 142},
+		{Key: "endpoints/e2", Value: []byte("value-2"), CreateRevision: 143, ModRevision: 144},
+	}
+}
+
+func goldenPackedObjectForms() []goldenObject {
+	return []goldenObject{
+		{Key: "endpoints/e1", Value: []byte("value-1"), CreateRevision: 141, ModRevision: 142},
+		{Key: "endpoints/e2", Value: []byte("value-2"), CreateRevision: 143, ModRevision: 144},
+	}
+}
+
+func goldenPackedEvents() []rack.Event {
+	return []rack.Event{
+		{Type: rack.Modified, Object: rack.Object{Key: "endpoints/e3", Value: []byte("value-3"), CreateRevision: 145, ModRevision: 146}, Revision: 147, Patch: []byte("patch"), Base: 148},
+		{Type: rack.Deleted, Object: rack.Object{Key: "endpoints/e4", ModRevision: 149}, Revision: 149},
+	}
+}
+
+func goldenPackedEventForms() []goldenEvent {
+	return []goldenEvent{
+		{Type: 2, Object: goldenObject{Key: "endpoints/e3", Value: []byte("value-3"), CreateRevision: 145, ModRevision: 146}, Revision: 147, Patch: []byte("patch"), Base: 148},
+		{Type: 3, Object: goldenObject{Key: "endpoints/e4", ModRevision: 149}, Revision: 149},
+	}
+}
+
+// goldenFrames are the frames of the golden file, one of each kind at least, and each
+// serialised type with every field set. Packed is "packed" where the file has the
+// packed form of the objects or events above.
+func goldenFrames() []Frame {
+	frames := []Frame{
+		{Hello: &Hello{Version: 3, Role: Proxy, Node: "node-1", ID: 1, Addr: "127.0.0.1:7001", Zone: "zone-a"}},
+		{Hello: &Hello{Version: 3, Role: Peer, Node: "node-2", ID: 2}},
+		{Hello: &Hello{Version: 3, Role: Relay, Node: "node-3", ID: 3}},
+		{Raft: []clamp.Message{
+			{
+				Type: clamp.MsgSnapshot, From: 11, To: 12, Term: 13, Index: 14, LogTerm: 15, Commit: 16, Reject: true, Hint: 17, Context: 18, Force: true,
+				Sent: 19 * time.Nanosecond, Echo: 20 * time.Nanosecond, Touch: true, Offset: 21, Size: 22, Sum: 23,
+				Entries: []clamp.Entry{{Index: 24, Term: 25, Type: clamp.Change, Data: []byte("entry")}, {Index: 26, Term: 27, Type: clamp.Normal}},
+				Snap: &clamp.Snapshot{Index: 28, Term: 29, Data: []byte("state"), Members: clamp.Membership{
+					Voters:   []clamp.Member{{ID: 30, Addr: "127.0.0.1:7030", API: "127.0.0.1:8030", Uncounted: true}, {ID: 31, Addr: "127.0.0.1:7031", API: "127.0.0.1:8031"}},
+					Learners: []clamp.Member{{ID: 32, Addr: "127.0.0.1:7032", API: "127.0.0.1:8032"}},
+				}},
+			},
+		}},
+		{Raft: []clamp.Message{
+			{Type: clamp.MsgPreVote, From: 41}, {Type: clamp.MsgPreVoteResp, From: 42}, {Type: clamp.MsgVote, From: 43}, {Type: clamp.MsgVoteResp, From: 44},
+			{Type: clamp.MsgAppend, From: 45}, {Type: clamp.MsgAppendResp, From: 46}, {Type: clamp.MsgHeartbeat, From: 47}, {Type: clamp.MsgHeartbeatResp, From: 48},
+			{Type: clamp.MsgSnapshot, From: 49}, {Type: clamp.MsgTimeoutNow, From: 50}, {Type: clamp.MsgSnapshotResp, From: 51},
+		}},
+		{Beats: []Beat{{ID: "e1", AgoMS: 52}, {ID: "e2", AgoMS: 53}}},
+		{Ask: &Ask{ID: 61, Command: []byte("command")}},
+		{Ask: &Ask{ID: 62, Read: true}},
+		{Ask: &Ask{ID: 63, Join: &clamp.Member{ID: 64, Addr: "127.0.0.1:7064", API: "127.0.0.1:8064", Uncounted: true}, Passed: true}},
+		{Ask: &Ask{ID: 65, Leave: 66}},
+		{Ask: &Ask{ID: 67, List: true, Least: 68, Packs: true, Zone: "zone-b"}},
+		{Ask: &Ask{ID: 69, Watch: true, Least: 70}},
+		{Answer: &Answer{
+			ID: 81, Failed: true, Kind: notch.Conflict, Detail: "detail", Index: 82, Revision: 83, Gone: true,
+			Result: rack.Result{
+				Revision: 84, Conflict: true, Account: 85,
+				Current: []rack.Object{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
+				Latch:   latch.Result{Code: latch.Mismatch, Fence: 88, Grant: 89, Value: 90, Revision: 91},
+			},
+			Objects: []rack.Object{{Key: "endpoints/e2", Value: []byte("object"), CreateRevision: 92, ModRevision: 93}},
+			Nearer:  []ControlNode{{Addr: "127.0.0.1:7094", API: "127.0.0.1:8094", Zone: "zone-c"}},
+		}},
+		{Answer: &Answer{ID: 95, Result: rack.Result{Revision: 96, Latch: latch.Result{Code: latch.Held}}}},
+		{Answer: &Answer{ID: 97, Result: rack.Result{Revision: 98, Latch: latch.Result{Code: latch.Lost}}}},
+		{Answer: &Answer{ID: 99, Revision: 100, Packed: []byte("packed")}},
+		{Answer: &Answer{ID: 101, Revision: 102, Objects: []rack.Object{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
+		{Events: []rack.Event{
+			{Type: rack.Added, Object: rack.Object{Key: "endpoints/e1", Value: []byte("added"), CreateRevision: 111, ModRevision: 111}, Revision: 111},
+			{Type: rack.Modified, Object: rack.Object{Key: "endpoints/e1", CreateRevision: 111, ModRevision: 112}, Revision: 112, Patch: []byte("patch"), Base: 113},
+			{Type: rack.Deleted, Object: rack.Object{Key: "endpoints/e1", ModRevision: 114}, Revision: 114},
+		}},
+		{Bookmark: &Bookmark{
+			Revision: 121, Proxies: 122, Judged: true, Diskless: true,
+			Control:  []ControlNode{{Addr: "127.0.0.1:7123", API: "127.0.0.1:8123", Zone: "zone-d"}},
+			Loads:    map[string]balance.Load{"payments": {Rate: 124.5, Inflight: 125.5}, "invoices": {Rate: 126.5, Inflight: 127.5}},
+			Round:    &Round{Seq: 128, Grants: []balance.Grant{{Endpoint: "e1", Rate: 129.5}}},
+			Verdicts: []balance.Verdict{{Endpoint: "e1", Pace: 130, Sick: true}},
+		}},
+		{Gone: true},
+		{Proxies: &ProxyCount{
+			Here: map[string]uint64{"p1": 151, "p2": 152}, Sum: 153, Life: 154,
+			Loads:    map[string]balance.Load{"payments": {Rate: 155.5, Inflight: 156.5}},
+			Seen:     map[string]balance.Seen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
+			Rounds:   map[string]Round{"p1": {Seq: 161, Grants: []balance.Grant{{Endpoint: "e2", Rate: 162.5}}}},
+			Trials:   map[string]Trial{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: feeler.Evidence{"pay": {Base: feeler.Count{Answers: 167}}}}},
+			Verdicts: []balance.Verdict{{Endpoint: "e3", Pace: 168}},
+		}},
+		{Ack: 171},
+		{Report: &Report{
+			Seq:   181,
+			Loads: map[string]balance.Load{"payments": {Rate: 182.5, Inflight: 183.5}},
+			Seen:  map[string]balance.Seen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
+			Self:  &rack.Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
+			Trials: map[string]Trial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: feeler.Evidence{"pay": {
+				Base:   feeler.Count{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
+				Target: feeler.Count{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
+				Ill:    map[string]feeler.Count{"e1": {Failed: 203, Broken: 204, Slow: 205}},
+			}}}},
+			Account: &tally.Batch{
+				Life: "life-1", Node: "p1", AtMS: 1700000000206, Dropped: 207, PerS: 208.5, Out: 209, Closed: true, Most: 210,
+				Records: []tally.Record{{Seq: 211, AtMS: 1700000000212, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: tally.Late, Status: 213, TookMS: 214}},
+			},
+		}},
+		{Account: &AccountAck{Life: "life-1", Seq: 221, Closed: true}},
+		{PackedEvents: []byte("packed")},
+	}
+	for i, kind := range []notch.Kind{
+		notch.Internal, notch.BadRequest, notch.Invalid, notch.NoRoute, notch.NoKey, notch.HeaderTimeout, notch.Held, notch.Conflict, notch.Expired,
+		notch.Mismatch, notch.BodyTooLarge, notch.HeaderTooLarge, notch.Overloaded, notch.BadGateway, notch.Unavailable, notch.Unknown, notch.Deadline,
+	} {
+		frames = append(frames, Frame{Answer: &Answer{ID: 300 + uint64(i), Failed: true, Kind: kind}})
+	}
+	return frames
+}
+
+// goldenFrameForms are goldenFrames as a reader of before has them.
+func goldenFrameForms() []goldenFrame {
+	frames := []goldenFrame{
+		{Hello: &goldenHello{Version: 3, Role: 2, Node: "node-1", ID: 1, Addr: "127.0.0.1:7001", Zone: "zone-a"}},
+		{Hello: &goldenHello{Version: 3, Role: 1, Node: "node-2", ID: 2}},
+		{Hello: &goldenHello{Version: 3, Role: 3, Node: "node-3", ID: 3}},
+		{Raft: []goldenMessage{
+			{
+				Type: 9, From: 11, To: 12, Term: 13, Index: 14, LogTerm: 15, Commit: 16, Reject: true, Hint: 17, Context: 18, Force: true,
+				Sent: 19, Echo: 20, Touch: true, Offset: 21, Size: 22, Sum: 23,
+				Entries: []goldenEntry{{Index: 24, Term: 25, Type: 1, Data: []byte("entry")}, {Index: 26, Term: 27, Type: 0}},
+				Snap: &goldenSnapshot{Index: 28, Term: 29, Data: []byte("state"), Members: goldenMembership{
+					Voters:   []goldenMember{{ID: 30, Addr: "127.0.0.1:7030", API: "127.0.0.1:8030", Uncounted: true}, {ID: 31, Addr: "127.0.0.1:7031", API: "127.0.0.1:8031"}},
+					Learners: []goldenMember{{ID: 32, Addr: "127.0.0.1:7032", API: "127.0.0.1:8032"}},
+				}},
+			},
+		}},
+		{Raft: []goldenMessage{
+			{Type: 1, From: 41}, {Type: 2, From: 42}, {Type: 3, From: 43}, {Type: 4, From: 44},
+			{Type: 5, From: 45}, {Type: 6, From: 46}, {Type: 7, From: 47}, {Type: 8, From: 48},
+			{Type: 9, From: 49}, {Type: 10, From: 50}, {Type: 11, From: 51},
+		}},
+		{Beats: []goldenBeat{{ID: "e1", AgoMS: 52}, {ID: "e2", AgoMS: 53}}},
+		{Ask: &goldenAsk{ID: 61, Command: []byte("command")}},
+		{Ask: &goldenAsk{ID: 62, Read: true}},
+		{Ask: &goldenAsk{ID: 63, Join: &goldenMember{ID: 64, Addr: "127.0.0.1:7064", API: "127.0.0.1:8064", Uncounted: true}, Passed: true}},
+		{Ask: &goldenAsk{ID: 65, Leave: 66}},
+		{Ask: &goldenAsk{ID: 67, List: true, Least: 68, Packs: true, Zone: "zone-b"}},
+		{Ask: &goldenAsk{ID: 69, Watch: true, Least: 70}},
+		{Answer: &goldenAnswer{
+			ID: 81, Failed: true, Kind: 7, Detail: "detail", Index: 82, Revision: 83, Gone: true,
+			Result: goldenResult{
+				Revision: 84, Conflict: true, Account: 85,
+				Current: []goldenObject{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
+				Latch:   goldenLatchResult{Code: 3, Fence: 88, Grant: 89, Value: 90, Revision: 91},
+			},
+			Objects: []goldenObject{{Key: "endpoints/e2", Value: []byte("object"), CreateRevision: 92, ModRevision: 93}},
+			Nearer:  []goldenControlNode{{Addr: "127.0.0.1:7094", API: "127.0.0.1:8094", Zone: "zone-c"}},
+		}},
+		{Answer: &goldenAnswer{ID: 95, Result: goldenResult{Revision: 96, Latch: goldenLatchResult{Code: 1}}}},
+		{Answer: &goldenAnswer{ID: 97, Result: goldenResult{Revision: 98, Latch: goldenLatchResult{Code: 2}}}},
+		{Answer: &goldenAnswer{ID: 99, Revision: 100, Packed: []byte("packed")}},
+		{Answer: &goldenAnswer{ID: 101, Revision: 102, Objects: []goldenObject{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
+		{Events: []goldenEvent{
+			{Type: 1, Object: goldenObject{Key: "endpoints/e1", Value: []byte("added"), CreateRevision: 111, ModRevision: 111}, Revision: 111},
+			{Type: 2, Object: goldenObject{Key: "endpoints/e1", CreateRevision: 111, ModRevision: 112}, Revision: 112, Patch: []byte("patch"), Base: 113},
+			{Type: 3, Object: goldenObject{Key: "endpoints/e1", ModRevision: 114}, Revision: 114},
+		}},
+		{Bookmark: &goldenBookmark{
+			Revision: 121, Proxies: 122, Judged: true, Diskless: true,
+			Control:  []goldenControlNode{{Addr: "127.0.0.1:7123", API: "127.0.0.1:8123", Zone: "zone-d"}},
+			Loads:    map[string]goldenLoad{"payments": {Rate: 124.5, Inflight: 125.5}, "invoices": {Rate: 126.5, Inflight: 127.5}},
+			Round:    &goldenRound{Seq: 128, Grants: []goldenGrant{{Endpoint: "e1", Rate: 129.5}}},
+			Verdicts: []goldenVerdict{{Endpoint: "e1", Pace: 130, Sick: true}},
+		}},
+		{Gone: true},
+		{Proxies: &goldenProxyCount{
+			Here: map[string]uint64{"p1": 151, "p2": 152}, Sum: 153, Life: 154,
+			Loads:    map[string]goldenLoad{"payments": {Rate: 155.5, Inflight: 156.5}},
+			Seen:     map[string]goldenSeen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
+			Rounds:   map[string]goldenRound{"p1": {Seq: 161, Grants: []goldenGrant{{Endpoint: "e2", Rate: 162.5}}}},
+			Trials:   map[string]goldenTrial{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: map[string]goldenArms{"pay": {Base: goldenCount{Answers: 167}}}}},
+			Verdicts: []goldenVerdict{{Endpoint: "e3", Pace: 168}},
+		}},
+		{Ack: 171},
+		{Report: &goldenReport{
+			Seq:   181,
+			Loads: map[string]goldenLoad{"payments": {Rate: 182.5, Inflight: 183.5}},
+			Seen:  map[string]goldenSeen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
+			Self:  &goldenProxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
+			Trials: map[string]goldenTrial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: map[string]goldenArms{"pay": {
+				Base:   goldenCount{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
+				Target: goldenCount{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
+				Ill:    map[string]goldenCount{"e1": {Failed: 203, Broken: 204, Slow: 205}},
+			}}}},
+			Account: &goldenBatch{
+				Life: "life-1", Node: "p1", AtMS: 1700000000206, Dropped: 207, PerS: 208.5, Out: 209, Closed: true, Most: 210,
+				Records: []goldenRecord{{Seq: 211, AtMS: 1700000000212, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: "late", Status: 213, TookMS: 214}},
+			},
+		}},
+		{Account: &goldenAccountAck{Life: "life-1", Seq: 221, Closed: true}},
+		{PackedEvents: []byte("packed")},
+	}
+	for kind := range uint8(17) {
+		frames = append(frames, goldenFrame{Answer: &goldenAnswer{ID: 300 + uint64(kind), Failed: true, Kind: kind}})
+	}
+	return frames
+}
+
+// bytesConn is a connection whose ends are buffers.
+type bytesConn struct {
+	net.Conn
+	in  io.Reader
+	out bytes.Buffer
+}
+
+func (c *bytesConn) Read(b []byte) (int, error)       { return c.in.Read(b) }
+func (c *bytesConn) Write(b []byte) (int, error)      { return c.out.Write(b) }
+func (c *bytesConn) Close() error                     { return nil }
+func (c *bytesConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *bytesConn) SetWriteDeadline(time.Time) error { return nil }
+
+// writeGoldenFrames sends the golden frames and returns the bytes of the connection.
+func writeGoldenFrames(t *testing.T) []byte {
+	t.Helper()
+	objects, err := Pack(goldenPackedObjects())
+	if err != nil {
+		t.Fatal(err)
+	}
+	events, err := Pack(goldenPackedEvents())
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw := &bytesConn{}
+	c := NewConn(raw, time.Second)
+	for _, f := range goldenFrames() {
+		if f.Answer != nil && f.Answer.Packed != nil {
+			f.Answer.Packed = objects
+		}
+		if f.PackedEvents != nil {
+			f.PackedEvents = events
+		}
+		if err := c.Send(&f); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return raw.out.Bytes()
+}
+
+// readFramesAsBefore reads the bytes of a connection with a reader of its own, and
+// returns how many frames were compressed.
+func readFramesAsBefore(t *testing.T, what string, data []byte) (compressed int) {
+	t.Helper()
+	unpackAsBefore := func(b []byte, to any) {
+		if err := gob.NewDecoder(flate.NewReader(bytes.NewReader(b))).Decode(to); err != nil {
+			t.Errorf("%s: unpack: %v", what, err)
+		}
+	}
+	var in bytes.Buffer
+	dec := gob.NewDecoder(&in)
+	want := goldenFrameForms()
+	for i := range want {
+		if len(data) < 4 {
+			t.Fatalf("%s: ends before frame %d", what, i)
+		}
+		head := binary.BigEndian.Uint32(data)
+		length := int(head & 0x7fffffff)
+		body := data[4 : 4+length]
+		data = data[4+length:]
+		if head&0x80000000 != 0 {
+			compressed++
+			plain, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
+			if err != nil {
+				t.Fatalf("%s: frame %d: %v", what, i, err)
+			}
+			body = plain
+		}
+		in.Write(body)
+		var f goldenFrame
+		if err := dec.Decode(&f); err != nil {
+			t.Fatalf("%s: frame %d: %v", what, i, err)
+		}
+		if f.Answer != nil && f.Answer.Packed != nil {
+			var objects []goldenObject
+			unpackAsBefore(f.Answer.Packed, &objects)
+			goldentest.Same(t, what+", packed objects, read as before", objects, goldenPackedObjectForms())
+			f.Answer.Packed = []byte("packed")
+		}
+		if f.PackedEvents != nil {
+			var events []goldenEvent
+			unpackAsBefore(f.PackedEvents, &events)
+			goldentest.Same(t, what+", packed events, read as before", events, goldenPackedEventForms())
+			f.PackedEvents = []byte("packed")
+		}
+		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read as before", what, i), f, want[i])
+	}
+	if len(data) != 0 {
+		t.Errorf("%s: %d bytes after the last frame", what, len(data))
+	}
+	return compressed
+}
+
+func readFramesByThisCode(t *testing.T, what string, data []byte) {
+	t.Helper()
+	c := NewConn(&bytesConn{in: bytes.NewReader(data)}, time.Second)
+	for i, want := range goldenFrames() {
+		f, err := c.Receive(time.Second)
+		if err != nil {
+			t.Fatalf("%s: frame %d: %v", what, i, err)
+		}
+		if f.Answer != nil && f.Answer.Packed != nil {
+			objects, err := f.Answer.List()
+			if err != nil {
+				t.Error(err)
+			}
+			goldentest.Same(t, what+", packed objects, read by this code", objects, goldenPackedObjects())
+			f.Answer.Packed = []byte("packed")
+		}
+		if f.PackedEvents != nil {
+			events, err := f.TakeEvents()
+			if err != nil {
+				t.Error(err)
+			}
+			goldentest.Same(t, what+", packed events, read by this code", events, goldenPackedEvents())
+			f.PackedEvents = []byte("packed")
+		}
+		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read by this code", what, i), *f, want)
+	}
+	if _, err := c.Receive(time.Second); !errors.Is(err, io.EOF) {
+		t.Errorf("%s: after the last frame: %v", what, err)
+	}
+}
+
+// TestGoldenFrames compares the bytes of a connection with a golden file in both
+// directions: the present code reads what was written before, and a reader of before
+// reads what the present code writes.
+func TestGoldenFrames(t *testing.T) {
+	anew := writeGoldenFrames(t)
+	golden := goldentest.File(t, "testdata/golden/frames.bin", func() []byte { return anew })
+	for what, data := range map[string][]byte{"golden file": golden, "written by this code": anew} {
+		if n := readFramesAsBefore(t, what, data); n != 1 {
+			t.Errorf("%s: %d frames are compressed, want 1", what, n)
+		}
+		readFramesByThisCode(t, what, data)
+	}
+	goldentest.Complete(t, goldenFrames())
+	goldentest.Complete(t, goldenFrameForms())
+	if Version != 3 {
+		t.Errorf("the wire has the version %d, want 3", Version)
+	}
+	if _, hello, err := Accept(&bytesConn{in: bytes.NewReader(golden)}, time.Second); err != nil || hello.Node != "node-1" {
+		t.Errorf("the golden hello gave %+v, %v", hello, err)
+	}
+}
--- /dev/null
+++ b/internal/goldentest/goldentest.go
@@ -0,0 +1,171 @@
+// Package goldentest helps tests that compare what the programs store and send
+// with files of an earlier version (golden files). It is imported by tests alone.
+package goldentest
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"sort"
+	"testing"
+)
+
+// WriteVariable is the environment variable that lets File write a file that is
+// missing. A file that exists is never written over.
+const WriteVariable = "LICHENTRAY_WRITE_GOLDEN"
+
+// File returns the content of a golden file. If the file does not exist, the test
+// fails, unless WriteVariable is set: then the file is made from write first.
+func File(t testing.TB, path string, write func() []byte) []byte {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(WriteVariable) != "" {
+		content = write()
+		if err = os.MkdirAll(filepath.Dir(path), 0o755); err == nil {
+			err = os.WriteFile(path, content, 0o644)
+		}
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// Same reports every exported field in which got differs from want. Fields that
+// are not exported are not compared, as no encoding carries them.
+func Same(t testing.TB, what string, got, want any) {
+	t.Helper()
+	for _, d := range differences(what, reflect.ValueOf(got), reflect.ValueOf(want)) {
+		t.Error(d)
+	}
+}
+
+func differences(path string, got, want reflect.Value) (out []string) {
+	if !got.IsValid() || !want.IsValid() || got.Type() != want.Type() {
+		return []string{fmt.Sprintf("%s: got %v, want %v", path, got, want)}
+	}
+	switch got.Kind() {
+	case reflect.Struct:
+		for i := range got.NumField() {
+			if f := got.Type().Field(i); f.IsExported() {
+				out = append(out, differences(path+"."+f.Name, got.Field(i), want.Field(i))...)
+			}
+		}
+		return out
+	case reflect.Pointer, reflect.Interface:
+		if got.IsNil() || want.IsNil() {
+			if got.IsNil() != want.IsNil() {
+				out = append(out, fmt.Sprintf("%s: got nil: %t, want nil: %t", path, got.IsNil(), want.IsNil()))
+			}
+			return out
+		}
+		return differences(path, got.Elem(), want.Elem())
+	case reflect.Slice, reflect.Array:
+		if got.Len() != want.Len() {
+			return []string{fmt.Sprintf("%s: got %d items, want %d: got %v, want %v", path, got.Len(), want.Len(), got, want)}
+		}
+		if got.Type().Elem().Kind() == reflect.Uint8 {
+			if !reflect.DeepEqual(got.Interface(), want.Interface()) && got.Len() > 0 {
+				out = append(out, fmt.Sprintf("%s: got %q, want %q", path, got, want))
+			}
+			return out
+		}
+		for i := range got.Len() {
+			out = append(out, differences(fmt.Sprintf("%s[%d]", path, i), got.Index(i), want.Index(i))...)
+		}
+		return out
+	case reflect.Map:
+		if got.Len() != want.Len() {
+			return []string{fmt.Sprintf("%s: got %d keys, want %d", path, got.Len(), want.Len())}
+		}
+		for _, k := range want.MapKeys() {
+			out = append(out, differences(fmt.Sprintf("%s[%v]", path, k), got.MapIndex(k), want.MapIndex(k))...)
+		}
+		return out
+	}
+	if got.Interface() != want.Interface() {
+		out = append(out, fmt.Sprintf("%s: got %v, want %v", path, got, want))
+	}
+	return out
+}
+
+// Complete reports every exported field, of all struct types that can be reached
+// from the types of values, that is zero wherever it appears in values. A field
+// that was added and is in no golden value is found by it.
+func Complete(t testing.TB, values ...any) {
+	t.Helper()
+	for _, name := range unset(values) {
+		t.Errorf("%s is zero in every golden value", name)
+	}
+}
+
+func unset(values []any) []string {
+	fields := map[string]bool{} // by type and name; true if set somewhere
+	for _, v := range values {
+		reach(reflect.TypeOf(v), fields, map[reflect.Type]bool{})
+	}
+	for _, v := range values {
+		mark(reflect.ValueOf(v), fields)
+	}
+	var out []string
+	for name, set := range fields {
+		if !set {
+			out = append(out, name)
+		}
+	}
+	sort.Strings(out)
+	return out
+}
+
+func reach(typ reflect.Type, fields map[string]bool, seen map[reflect.Type]bool) {
+	if seen[typ] {
+		return
+	}
+	seen[typ] = true
+	switch typ.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array:
+		reach(typ.Elem(), fields, seen)
+	case reflect.Map:
+		reach(typ.Key(), fields, seen)
+		reach(typ.Elem(), fields, seen)
+	case reflect.Struct:
+		for i := range typ.NumField() {
+			if f := typ.Field(i); f.IsExported() {
+				fields[typ.String()+"."+f.Name] = false
+				reach(f.Type, fields, seen)
+			}
+		}
+	}
+}
+
+func mark(v reflect.Value, fields map[string]bool) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			mark(v.Elem(), fields)
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			mark(v.Index(i), fields)
+		}
+	case reflect.Map:
+		for _, k := range v.MapKeys() {
+			mark(k, fields)
+			mark(v.MapIndex(k), fields)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f := v.Type().Field(i)
+			if !f.IsExported() {
+				continue
+			}
+			if !v.Field(i).IsZero() {
+				fields[v.Type().String()+"."+f.Name] = true
+			}
+			mark(v.Field(i), fields)
+		}
+	}
+}
--- /dev/null
+++ b/rack/golden_test.go
@@ -0,0 +1,532 @@
+package rack
+
+import (
+	"bytes"
+	"encoding/gob"
+	"encoding/hex"
+	"fmt"
+	"strings"
+	"testing"
+
+	"lichentray/internal/goldentest"
+	"lichentray/latch"
+	"lichentray/spool/reel"
+	"lichentray/tally"
+)
+
+// The golden forms are the serialised types of a snapshot's image as they were when
+// the golden files were made. Their field names are data: gob writes them.
+type (
+	goldenImage struct {
+		Revision uint64
+		Objects  []goldenObject
+		Latches  *goldenTable
+		Account  *goldenBook
+	}
+	goldenObject struct {
+		Key            string
+		Value          []byte
+		CreateRevision uint64
+		ModRevision    uint64
+	}
+	goldenTable struct {
+		Locks  map[string]goldenLock
+		Cells  map[string]goldenCell
+		Feed   *goldenFeed
+		Groups map[string]*goldenGroup
+	}
+	goldenLock struct {
+		Holder string
+		Fence  uint64
+		Grant  uint64
+		HoldMS uint64
+	}
+	goldenCell struct {
+		Value    string
+		Revision uint64
+	}
+	goldenFeed struct {
+		Entries     []goldenFeedEntry
+		Last, Floor map[string]uint64
+	}
+	goldenFeedEntry struct {
+		At     uint64
+		Topic  string
+		Number uint64
+		Value  goldenChange
+	}
+	goldenChange struct{ Name, Value string }
+	goldenGroup  struct {
+		Revision uint64
+		Floor    uint64
+		Events   []goldenCellEvent
+	}
+	goldenCellEvent struct {
+		Name     string
+		Value    string
+		Revision uint64
+		At       uint64
+	}
+	goldenBook struct {
+		Lives   map[string]*goldenLife
+		Entries map[string]*goldenEntry
+		Dropped map[string]uint64
+		Ats     map[string]uint64
+	}
+	goldenLife struct {
+		Node    string
+		Last    uint64
+		LastMS  int64
+		Dropped uint64
+		PerS    float64
+		Out     int
+		Closed  bool
+		Gap     bool
+		MayMiss int64
+		At      uint64
+	}
+	goldenEntry struct {
+		Tenant  string
+		Request string
+		Tries   []goldenTry
+	}
+	goldenTry struct {
+		Node   string
+		Record goldenRecord
+	}
+	goldenRecord struct {
+		Seq     uint64
+		AtMS    int64
+		Tenant  string
+		Route   string
+		Request string
+		Attempt string
+		Kind    string
+		Status  int
+		TookMS  int64
+	}
+)
+
+// The values that stand in the golden image.
+const (
+	goldenConfigText   = `{"config_version":"12","clusters":["payments","invoices"]}`
+	goldenEndpointText = `{"id":"e1","service":"payments","version":"v1","address":"127.0.0.1:9001","zone":"zone-a","capacity":8,"draining":true,"sequence":21,"cold_s":2.5,"cold":true}`
+	goldenProxyText    = `{"name":"p1","address":"127.0.0.1:9101","zone":"zone-a","leaving":true,"weight":1.5}`
+	goldenEvacText     = `{"begins":3,"finishes":1,"begin_told":true,"finish_told":true}`
+	goldenRolloutText  = `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`
+)
+
+// goldenStore builds, by commands, the state that the golden image holds.
+func goldenStore(t *testing.T) *Store {
+	t.Helper()
+	s := New()
+	put := func(key, value string) {
+		s.Apply(Command{Txn: &Txn{Then: []Write{{Key: key, Value: []byte(value)}}}})
+	}
+	account := func(b tally.Batch) { s.Apply(Command{Account: &b}) }
+	accept := func(version uint64, text string) {
+		txn, err := s.AcceptConfig(version, []byte(text))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.Apply(Command{Txn: txn})
+	}
+	accept(11, `{"config_version":"11"}`) // 1
+	accept(12, goldenConfigText)          // 2
+	put("endpoints/e1", goldenEndpointText)
+	put("departed/e0", "")
+	put("proxies/p1", goldenProxyText)
+	put("evacuations/zone-b", goldenEvacText)
+	put("rollouts/payments", `{"base":"v1"}`)
+	put("rollouts/payments", goldenRolloutText) // 8
+	for _, c := range []latch.Command{
+		{Op: latch.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000},           // 9
+		{Op: latch.Renew, Name: "press", Holder: "holder-1", Fence: 9, HoldMS: 4000}, // 10
+		{Op: latch.Begin, Name: "given-back", Holder: "holder-2", HoldMS: 1000},      // 11
+		{Op: latch.Finish, Name: "given-back", Holder: "holder-2", Fence: 11},        // 12
+		{Op: latch.Next, Name: "orders"},                                             // 13
+		{Op: latch.Put, Name: "g.a", Value: "1"},                                     // 14
+		{Op: latch.Put, Name: "g.b", Value: "2"},                                     // 15
+		{Op: latch.Put, Name: "g.a", Value: "3", HasExpect: true, Expect: 1},         // 16
+		{Op: latch.Put, Name: "single", Value: "4"},                                  // 17
+		{Op: latch.Trim, Before: 14},                                                 // 18
+	} {
+		if r, _ := s.Apply(Command{Latch: &c}); r.Latch.Code != latch.OK {
+			t.Fatalf("%+v gave %+v", c, r)
+		}
+	}
+	record := func(seq uint64, kind tally.Kind) tally.Record {
+		return tally.Record{Seq: seq, AtMS: 1700000000000 + int64(seq), Tenant: fmt.Sprint("tenant-", seq), Route: "pay", Request: fmt.Sprint("request-", seq), Attempt: fmt.Sprint("attempt-", seq), Kind: kind, Status: 500 + int(seq), TookMS: 30 + int64(seq)}
+	}
+	account(tally.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []tally.Record{record(1, tally.Late), record(2, tally.Unsure), record(3, tally.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
+	account(tally.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                // 20; ends life-1
+	account(tally.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                  // 21
+	return s
+}
+
+func goldenObjects() []Object {
+	return []Object{
+		{Key: "accepted/00000000000000000011", Value: []byte("\x37\x8f\xbe\xaf\x51\x57\xeb\x8a\x12\x78\xdc\xc2\xdb\xc9\x73\xa6"), CreateRevision: 1, ModRevision: 1},
+		{Key: "accepted/00000000000000000012", Value: []byte("\xf3\x33\x10\xf4\x5f\x10\x4c\xee\x92\x98\xdc\x05\xb2\x16\xd8\x66"), CreateRevision: 2, ModRevision: 2},
+		{Key: "configuration/current", Value: []byte("\x00\x00\x00\x00\x00\x00\x00\x0c" + goldenConfigText), CreateRevision: 1, ModRevision: 2},
+		{Key: "departed/e0", CreateRevision: 4, ModRevision: 4},
+		{Key: "endpoints/e1", Value: []byte(goldenEndpointText), CreateRevision: 3, ModRevision: 3},
+		{Key: "evacuations/zone-b", Value: []byte(goldenEvacText), CreateRevision: 6, ModRevision: 6},
+		{Key: "proxies/p1", Value: []byte(goldenProxyText), CreateRevision: 5, ModRevision: 5},
+		{Key: "rollouts/payments", Value: []byte(goldenRolloutText), CreateRevision: 7, ModRevision: 8},
+	}
+}
+
+func goldenStoreImage() image {
+	return image{
+		Revision: 21,
+		Objects:  goldenObjects(),
+		Latches: &latch.Table{
+			Locks: map[string]latch.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
+			Cells: map[string]latch.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
+			Feed: &reel.Reel[latch.Change]{
+				Entries: []reel.Entry[latch.Change]{
+					{At: 15, Topic: "g.", Number: 2, Value: latch.Change{Name: "g.b", Value: "2"}},
+					{At: 16, Topic: "g.", Number: 3, Value: latch.Change{Name: "g.a", Value: "3"}},
+					{At: 17, Topic: "single", Number: 1, Value: latch.Change{Name: "single", Value: "4"}},
+				},
+				Last:  map[string]uint64{"g.": 3, "single": 1},
+				Floor: map[string]uint64{"g.": 1},
+			},
+		},
+		Account: &tally.Book{
+			Lives: map[string]*tally.Life{
+				"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19},
+				"life-2": {Node: "p1", LastMS: 1700000003000, At: 20},
+				"life-3": {Node: "p2", LastMS: 1700000004000, Closed: true, At: 21},
+			},
+			Entries: map[string]*tally.Entry{
+				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []tally.Try{
+					{Node: "p1", Record: tally.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: tally.Unsure, Status: 502, TookMS: 32}}}},
+				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []tally.Try{
+					{Node: "p1", Record: tally.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: tally.Failed, Status: 503, TookMS: 33}}}},
+			},
+			Dropped: map[string]uint64{"tenant-1": 1},
+			Ats:     map[string]uint64{"tenant-2\x00request-2": 19, "tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": 19},
+		},
+	}
+}
+
+func goldenStoreImageForm() goldenImage {
+	return goldenImage{
+		Revision: 21,
+		Objects: []goldenObject{
+			{Key: "accepted/00000000000000000011", Value: []byte("\x37\x8f\xbe\xaf\x51\x57\xeb\x8a\x12\x78\xdc\xc2\xdb\xc9\x73\xa6"), CreateRevision: 1, ModRevision: 1},
+			{Key: "accepted/00000000000000000012", Value: []byte("\xf3\x33\x10\xf4\x5f\x10\x4c\xee\x92\x98\xdc\x05\xb2\x16\xd8\x66"), CreateRevision: 2, ModRevision: 2},
+			{Key: "configuration/current", Value: []byte("\x00\x00\x00\x00\x00\x00\x00\x0c" + goldenConfigText), CreateRevision: 1, ModRevision: 2},
+			{Key: "departed/e0", CreateRevision: 4, ModRevision: 4},
+			{Key: "endpoints/e1", Value: []byte(goldenEndpointText), CreateRevision: 3, ModRevision: 3},
+			{Key: "evacuations/zone-b", Value: []byte(goldenEvacText), CreateRevision: 6, ModRevision: 6},
+			{Key: "proxies/p1", Value: []byte(goldenProxyText), CreateRevision: 5, ModRevision: 5},
+			{Key: "rollouts/payments", Value: []byte(goldenRolloutText), CreateRevision: 7, ModRevision: 8},
+		},
+		Latches: &goldenTable{
+			Locks: map[string]goldenLock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
+			Cells: map[string]goldenCell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
+			Feed: &goldenFeed{
+				Entries: []goldenFeedEntry{
+					{At: 15, Topic: "g.", Number: 2, Value: goldenChange{Name: "g.b", Value: "2"}},
+					{At: 16, Topic: "g.", Number: 3, Value: goldenChange{Name: "g.a", Value: "3"}},
+					{At: 17, Topic: "single", Number: 1, Value: goldenChange{Name: "single", Value: "4"}},
+				},
+				Last:  map[string]uint64{"g.": 3, "single": 1},
+				Floor: map[string]uint64{"g.": 1},
+			},
+		},
+		Account: &goldenBook{
+			Lives: map[string]*goldenLife{
+				"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19},
+				"life-2": {Node: "p1", LastMS: 1700000003000, At: 20},
+				"life-3": {Node: "p2", LastMS: 1700000004000, Closed: true, At: 21},
+			},
+			Entries: map[string]*goldenEntry{
+				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []goldenTry{
+					{Node: "p1", Record: goldenRecord{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: "unsure", Status: 502, TookMS: 32}}}},
+				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []goldenTry{
+					{Node: "p1", Record: goldenRecord{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: "failed", Status: 503, TookMS: 33}}}},
+			},
+			Dropped: map[string]uint64{"tenant-1": 1},
+			Ats:     map[string]uint64{"tenant-2\x00request-2": 19, "tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": 19},
+		},
+	}
+}
+
+// goldenGroupsImage is an image with the histories by group, as versions before the
+// feed wrote them.
+func goldenGroupsImage() image {
+	return image{
+		Revision: 31,
+		Objects:  []Object{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
+		Latches: &latch.Table{
+			Locks: map[string]latch.Lock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
+			Cells: map[string]latch.Cell{"h.a": {Value: "6", Revision: 7}},
+			Groups: map[string]*latch.Group{"h.": {Revision: 7, Floor: 5, Events: []latch.Event{
+				{Name: "h.b", Value: "5", Revision: 6, At: 26},
+				{Name: "h.a", Value: "6", Revision: 7, At: 27},
+			}}},
+		},
+	}
+}
+
+func goldenGroupsImageForm() goldenImage {
+	return goldenImage{
+		Revision: 31,
+		Objects:  []goldenObject{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
+		Latches: &goldenTable{
+			Locks: map[string]goldenLock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
+			Cells: map[string]goldenCell{"h.a": {Value: "6", Revision: 7}},
+			Groups: map[string]*goldenGroup{"h.": {Revision: 7, Floor: 5, Events: []goldenCellEvent{
+				{Name: "h.b", Value: "5", Revision: 6, At: 26},
+				{Name: "h.a", Value: "6", Revision: 7, At: 27},
+			}}},
+		},
+	}
+}
+
+func goldenDecode[T any](t *testing.T, data []byte) (v T) {
+	t.Helper()
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&v); err != nil {
+		t.Fatal(err)
+	}
+	return v
+}
+
+func goldenEncode(t *testing.T, v any) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	if err := gob.NewEncoder(&b).Encode(v); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+func goldenSnapshot(t *testing.T, s *Store) []byte {
+	t.Helper()
+	b, err := s.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// TestGoldenImage compares the image of a snapshot with a golden file in both
+// directions: the present code reads what was written before, and a reader of before
+// reads what the present code writes.
+func TestGoldenImage(t *testing.T) {
+	golden := goldentest.File(t, "testdata/golden/image.gob", func() []byte { return goldenSnapshot(t, goldenStore(t)) })
+	goldentest.Same(t, "golden file, read by this code", goldenDecode[image](t, golden), goldenStoreImage())
+
+	restored := New()
+	if err := restored.Restore(golden); err != nil {
+		t.Fatal(err)
+	}
+	for what, data := range map[string][]byte{
+		"golden file":                          golden,
+		"written by this code":                 goldenSnapshot(t, goldenStore(t)),
+		"restored and written by this code":    goldenSnapshot(t, restored),
+		"encoded from the values of this code": goldenEncode(t, goldenStoreImage()),
+	} {
+		goldentest.Same(t, what+", read as before", goldenDecode[goldenImage](t, data), goldenStoreImageForm())
+	}
+	goldentest.Complete(t, goldenStoreImage(), goldenGroupsImage())
+	goldentest.Complete(t, goldenStoreImageForm(), goldenGroupsImageForm())
+}
+
+// TestGoldenGroupsImage is TestGoldenImage for an image from before the feed, which is
+// only read.
+func TestGoldenGroupsImage(t *testing.T) {
+	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenGroupsImage()) })
+	goldentest.Same(t, "golden file, read by this code", goldenDecode[image](t, golden), goldenGroupsImage())
+	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenGroupsImageForm())
+	s := New()
+	if err := s.Restore(golden); err != nil {
+		t.Fatal(err)
+	}
+	events, revision, ok := s.Latches().Since("h.", 5)
+	want := []latch.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
+	if goldentest.Same(t, "events", events, want); revision != 7 || !ok {
+		t.Errorf("revision %d, reaches back: %t", revision, ok)
+	}
+}
+
+func goldenCommands() []Command {
+	latched := func(c latch.Command) Command { return Command{Latch: &c} }
+	return []Command{
+		{Txn: &Txn{}},
+		{Txn: &Txn{
+			If: []Condition{{Key: "endpoints/e1", ModRevision: 300}, {Key: "departed/e1"}},
+			Then: []Write{
+				{Key: "endpoints/e1", Value: []byte("written")},
+				{Key: "endpoints/e2", Delete: true},
+				{Key: "configuration/current", Value: []byte("\x00\x03\x01x"), Patch: true},
+			},
+		}},
+		latched(latch.Command{Op: latch.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000, SpentFence: 41, SpentGrant: 42}),
+		latched(latch.Command{Op: latch.Renew, Name: "press", Holder: "holder-1", Fence: 43, HoldMS: 3001}),
+		latched(latch.Command{Op: latch.Finish, Name: "press", Holder: "holder-1", Fence: 44}),
+		latched(latch.Command{Op: latch.Next, Name: "orders"}),
+		latched(latch.Command{Op: latch.Put, Name: "g.a", Value: "value-1", Expect: 45, HasExpect: true}),
+		latched(latch.Command{Op: latch.Trim, Before: 460000}),
+		latched(latch.Command{Op: latch.Put, Name: "name", Holder: "holder", Value: "value", Fence: 1, HoldMS: 2, SpentFence: 3, SpentGrant: 4, Expect: 5, HasExpect: true, Before: 6}),
+		{Account: &tally.Batch{
+			Life: "life-1", Node: "p1", AtMS: 1700000000001, Dropped: 51, PerS: 52.5, Out: 53, Closed: true, Most: 54,
+			Records: []tally.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: tally.BrokenOff, Status: 200, TookMS: 56}},
+		}},
+	}
+}
+
+// TestGoldenCommands compares the commands of the log with a golden file, byte by byte
+// and field by field.
+func TestGoldenCommands(t *testing.T) {
+	want := goldenCommands()
+	golden := goldentest.File(t, "testdata/golden/commands.hex", func() []byte {
+		var b bytes.Buffer
+		for _, c := range want {
+			fmt.Fprintf(&b, "%x\n", EncodeCommand(c))
+		}
+		return b.Bytes()
+	})
+	lines := strings.Fields(string(golden))
+	if len(lines) != len(want) {
+		t.Fatalf("%d commands, want %d", len(lines), len(want))
+	}
+	for i, line := range lines {
+		if got := fmt.Sprintf("%x", EncodeCommand(want[i])); got != line {
+			t.Errorf("command %d is written %s, want %s", i, got, line)
+		}
+		data, err := hex.DecodeString(line)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := DecodeCommand(data)
+		if err != nil {
+			t.Error(err)
+		}
+		goldentest.Same(t, fmt.Sprint("command ", i), got, want[i])
+	}
+	goldentest.Complete(t, want)
+}
+
+// TestGoldenDelta compares a delta with a golden file, byte by byte.
+func TestGoldenDelta(t *testing.T) {
+	item := func(name string) string { return `{"name":"` + name + `","address":"127.0.0.1:9001"}` }
+	before := "[" + item("first") + "," + item("second") + "," + item("third") + "]"
+	after := "[" + item("first") + "," + item("new") + "," + item("second") + "," + item("third") + "]"
+	golden := goldentest.File(t, "testdata/golden/delta.hex", func() []byte {
+		return fmt.Appendf(nil, "%x\n", Delta([]byte(before), []byte(after)))
+	})
+	if got := fmt.Sprintf("%x\n", Delta([]byte(before), []byte(after))); got != string(golden) {
+		t.Errorf("written %s, want %s", got, golden)
+	}
+	data, err := hex.DecodeString(strings.TrimSpace(string(golden)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := Patch([]byte(before), data); err != nil || string(got) != after {
+		t.Errorf("patched %s, %v", got, err)
+	}
+}
+
+// TestGoldenValues compares the values that the registry holds with a golden file,
+// byte by byte and field by field.
+func TestGoldenValues(t *testing.T) {
+	endpoints := []Endpoint{
+		{ID: "e1", Service: "payments", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Sequence: 21},
+		{ID: "e2", Service: "invoices", Version: "v2", Address: "127.0.0.1:9002", Zone: "zone-b", Capacity: 9, Draining: true, Sequence: 22, ColdS: 2.5, Cold: true},
+	}
+	proxies := []Proxy{
+		{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Weight: 1},
+		{Name: "p2", Address: "127.0.0.1:9102", Zone: "zone-b", Leaving: true, Weight: 1.5},
+	}
+	evacuations := []Evacuation{
+		{Begins: 1},
+		{Begins: 4, Finishes: 2, BeginTold: true, FinishTold: true},
+		{Begins: 3, Finishes: 3, BeginTold: true},
+	}
+	values := [][]byte{}
+	for _, e := range endpoints {
+		values = append(values, e.Encode())
+	}
+	for _, p := range proxies {
+		values = append(values, p.Encode())
+	}
+	for _, e := range evacuations {
+		values = append(values, e.Encode())
+	}
+	values = append(values, EncodeConfig(0x0102030405060708, []byte(goldenConfigText)), ConfigDigest([]byte(goldenConfigText)), []byte(AcceptedKey(12)))
+	golden := goldentest.File(t, "testdata/golden/values.txt", func() []byte {
+		var b bytes.Buffer
+		for _, v := range values {
+			fmt.Fprintf(&b, "%q\n", v)
+		}
+		return b.Bytes()
+	})
+	lines := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
+	if len(lines) != len(values) {
+		t.Fatalf("%d values, want %d", len(lines), len(values))
+	}
+	for i, line := range lines {
+		if got := fmt.Sprintf("%q", values[i]); got != line {
+			t.Errorf("value %d is written %s, want %s", i, got, line)
+		}
+		var raw string
+		if _, err := fmt.Sscanf(line, "%q", &raw); err != nil {
+			t.Fatal(err)
+		}
+		o := Object{Key: fmt.Sprint("value ", i), Value: []byte(raw)}
+		switch {
+		case i < 2:
+			got, err := DecodeEndpoint(o)
+			if err != nil {
+				t.Error(err)
+			}
+			goldentest.Same(t, o.Key, got, endpoints[i])
+		case i < 4:
+			got, err := DecodeProxy(o)
+			if err != nil {
+				t.Error(err)
+			}
+			goldentest.Same(t, o.Key, got, proxies[i-2])
+		case i < 7:
+			goldentest.Same(t, o.Key, DecodeEvacuation(o), evacuations[i-4])
+		case i == 7:
+			if version, text, ok := DecodeConfig(o); version != 0x0102030405060708 || string(text) != goldenConfigText || !ok {
+				t.Errorf("configuration %x %s %t", version, text, ok)
+			}
+		}
+	}
+	goldentest.Complete(t, endpoints, proxies, evacuations)
+
+	// Earlier versions wrote the state of a zone alone.
+	for value, want := range map[string]Evacuation{
+		"":             {},
+		"evacuated":    {Begins: 1, BeginTold: true},
+		"returning":    {Begins: 1, Finishes: 1, BeginTold: true, FinishTold: true},
+		"unreadable {": {Begins: 1, BeginTold: true},
+	} {
+		goldentest.Same(t, value, DecodeEvacuation(Object{Value: []byte(value)}), want)
+	}
+	// What the golden image holds is what the present code writes.
+	for text, got := range map[string][]byte{
+		goldenEndpointText: Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, ColdS: 2.5, Cold: true}.Encode(),
+		goldenProxyText:    Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
+		goldenEvacText:     Evacuation{Begins: 3, Finishes: 1, BeginTold: true, FinishTold: true}.Encode(),
+	} {
+		if string(got) != text {
+			t.Errorf("written %s, want %s", got, text)
+		}
+	}
+	for name, got := range map[string]string{
+		"endpoints/": EndpointPrefix, "departed/": DepartedPrefix, "proxies/": ProxyPrefix, "evacuations/": EvacPrefix,
+		"rollouts/": RolloutPrefix, "accepted/": AcceptedPrefix, "configuration/current": ConfigKey,
+	} {
+		if got != name {
+			t.Errorf("key %q, want %q", got, name)
+		}
+	}
+}
--- /dev/null
+++ b/tally/golden_test.go
@@ -0,0 +1,62 @@
+package tally_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"lichentray/internal/goldentest"
+	"lichentray/tally"
+)
+
+// TestGoldenJSON compares the JSON of the account with a golden file, byte by byte and
+// field by field: the batch, which is stored in log commands, and the filter and the
+// answer of the API.
+func TestGoldenJSON(t *testing.T) {
+	first := tally.Record{Seq: 4, AtMS: 1700000000001, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: tally.Ran, Status: 201, TookMS: 35}
+	second := tally.Record{Seq: 5, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-2", Kind: tally.Unsure, Status: 502, TookMS: 36}
+	want := []any{
+		tally.Batch{Life: "life-1", Node: "proxy-1", AtMS: 1700000000003, Records: []tally.Record{first, second}, Dropped: 6, PerS: 7.5, Out: 8, Closed: true, Most: 9},
+		tally.Filter{Tenant: "tenant-1", Kind: tally.MaybeDoubled, Request: "request-1", SinceMS: 10, UntilMS: 11, Most: 12},
+		tally.Answer{
+			Failures: []tally.Failure{{Tenant: "tenant-1", Request: "request-1", Kind: tally.MaybeDoubled, AtMS: 1700000000001, Tries: []tally.Try{{Node: "proxy-1", Record: first}, {Node: "proxy-2", Record: second}}}},
+			Sums:     map[string]map[tally.Kind]int{"tenant-1": {tally.MaybeDoubled: 13, tally.Lost: 14}},
+			Gaps:     map[string]tally.Life{"life-1": {Node: "proxy-1", Last: 15, LastMS: 16, Dropped: 17, PerS: 18.5, Out: 19, Closed: true, Gap: true, MayMiss: 20}},
+			Dropped:  map[string]uint64{"tenant-2": 21},
+		},
+		[]tally.Kind{tally.Late, tally.Failed, tally.BrokenOff, tally.Ran, tally.Unsure, tally.NotRun, tally.Doubled, tally.MaybeDoubled, tally.Unclear, tally.Lost},
+	}
+	encode := func(v any) []byte {
+		b, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return b
+	}
+	golden := goldentest.File(t, "testdata/golden/account.jsonl", func() []byte {
+		var b bytes.Buffer
+		for _, v := range want {
+			b.Write(append(encode(v), '\n'))
+		}
+		return b.Bytes()
+	})
+	lines := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
+	if len(lines) != len(want) {
+		t.Fatalf("%d lines, want %d", len(lines), len(want))
+	}
+	for i, line := range lines {
+		if got := string(encode(want[i])); got != line {
+			t.Errorf("written %s, want %s", got, line)
+		}
+		got := reflect.New(reflect.TypeOf(want[i]))
+		if err := json.Unmarshal([]byte(line), got.Interface()); err != nil {
+			t.Error(err)
+		}
+		goldentest.Same(t, line, got.Elem().Interface(), want[i])
+	}
+	// Life.At is not part of the JSON; the registry's image has it.
+	complete := append([]any{tally.Life{At: 22}}, want...)
+	goldentest.Complete(t, complete...)
+}
