--- a/cmd/vise/main.go
+++ b/cmd/vise/main.go
@@ -54,8 +54,8 @@
 		return err
 	}
 	defer node.Close()
-	api := hatch.NewAPI(apiNode{node}, board, set.Bounds.HistoryRetention.D())
-	srv := hatch.Server(api.Serve, 16<<20)
+	server := hatch.NewAPI(apiNode{node}, board, set.Bounds.HistoryRetention.D())
+	srv := hatch.Server(server.Serve, 16<<20)
 	ln, err := hatch.Listen(set.Listen.Control, board)
 	if err != nil {
 		return fmt.Errorf("control_plane: %w", err)
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -140,7 +140,7 @@
 	// What is kept decoded of the registry, by key; the actor alone writes it.
 	places    map[string]balance.Place
 	endpoints map[string]rack.Endpoint
-	rollouts  map[string]*rollout
+	rollouts  map[string]*rolloutRecord
 	tryOuts   tryOuts
 	// changedAt is the revision of the newest change of a watched object.
 	changedAt uint64
@@ -207,7 +207,7 @@
 		pending: map[uint64]waiter{}, reads: map[uint64]chan outcome{},
 		alive: map[string]time.Duration{}, probing: map[string]bool{}, counts: map[uint64]proxyCount{},
 		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]balance.Place{}, endpoints: map[string]rack.Endpoint{},
-		rollouts: map[string]*rollout{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
+		rollouts: map[string]*rolloutRecord{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
 		seen:  map[string]balance.Seen{},
 		store: rack.New(), locks: map[string]lockTimer{},
 		wake: map[chan struct{}]struct{}{}, groups: map[string]map[chan struct{}]struct{}{},
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -11,16 +11,16 @@
 	"lichentray/rack"
 )
 
-// rollout is a service's versions as last applied, and since when they stand so by
+// rolloutRecord is a service's versions as last applied, and since when they stand so by
 // this node's steady clock.
-type rollout struct {
+type rolloutRecord struct {
 	feeler.Rollout
 	revision uint64
 	at       time.Duration
 }
 
 // spent is how much of the order's time has passed.
-func (r *rollout) spent(now time.Duration) time.Duration {
+func (r *rolloutRecord) spent(now time.Duration) time.Duration {
 	return now - r.at + time.Duration(r.SpentS*float64(time.Second))
 }
 
@@ -162,7 +162,7 @@
 		l.log.Error("roll-out cannot be read", "key", e.Object.Key, "error", err)
 		return
 	}
-	l.rollouts[e.Object.Key] = &rollout{Rollout: r, revision: e.Object.ModRevision, at: l.now()}
+	l.rollouts[e.Object.Key] = &rolloutRecord{Rollout: r, revision: e.Object.ModRevision, at: l.now()}
 	if r.State != "" && (was == nil || was.Rollout != r) {
 		l.log.Info("roll-out", "service", e.Object.Key[len(rack.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.SpentS, "why", r.Why)
 	}
--- a/rack/account_test.go
+++ b/rack/account_test.go
@@ -58,7 +58,7 @@
 func accounts(t *testing.T, seed int64) {
 	const proxies, perBatch = 6, 20
 	c := trestle.New(seed, 3, func() trestle.Machine {
-		return &registry{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
+		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
 	})
 	c.Run(time.Second)
 	type proxy struct {
@@ -155,9 +155,9 @@
 		c.Run(20 * time.Millisecond)
 	}
 	c.Run(time.Second)
-	store := c.Nodes[1].Machine.(*registry).s
+	store := c.Nodes[1].Machine.(*storeMachine).s
 	for _, id := range c.IDs()[1:] {
-		if got := c.Nodes[id].Machine.(*registry).s.Account().Read(tally.Filter{}); !reflect.DeepEqual(got, store.Account().Read(tally.Filter{})) {
+		if got := c.Nodes[id].Machine.(*storeMachine).s.Account().Read(tally.Filter{}); !reflect.DeepEqual(got, store.Account().Read(tally.Filter{})) {
 			t.Fatalf("node %d holds another account", id)
 		}
 	}
--- a/rack/feed_test.go
+++ b/rack/feed_test.go
@@ -28,7 +28,7 @@
 	const retention = 2 * time.Second
 	var c *trestle.Cluster
 	c = trestle.New(seed, 5, func() trestle.Machine {
-		return &registry{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
 			}
@@ -36,7 +36,7 @@
 		}}
 	})
 	c.Run(time.Second)
-	table := func(id uint64) *latch.Table { return c.Nodes[id].Machine.(*registry).s.Latches() }
+	table := func(id uint64) *latch.Table { return c.Nodes[id].Machine.(*storeMachine).s.Latches() }
 	propose := func(l *latch.Command, done func(latch.Result)) {
 		if n := c.Leader(); n != nil {
 			c.Propose(n.ID, rack.EncodeCommand(rack.Command{Latch: l}), func(res any, ok bool) {
@@ -110,7 +110,7 @@
 			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
 		}
 		if l := c.Leader(); l != nil {
-			marks = append(marks, mark{c.Now, l.Machine.(*registry).s.Revision()})
+			marks = append(marks, mark{c.Now, l.Machine.(*storeMachine).s.Revision()})
 			for len(marks) > 0 && c.Now-marks[0].at > retention*3/2 {
 				propose(&latch.Command{Op: latch.Trim, Before: marks[0].revision}, func(latch.Result) {})
 				marks = marks[1:]
@@ -125,7 +125,7 @@
 			if l == nil || !c.Up(id) {
 				continue
 			}
-			store, lead := c.Nodes[id].Machine.(*registry).s, l.Machine.(*registry).s
+			store, lead := c.Nodes[id].Machine.(*storeMachine).s, l.Machine.(*storeMachine).s
 			tab := store.Latches()
 			c.Read(l.ID, func(ok bool) { // a read point, which any node that has reached it serves
 				if !ok || *w != was || store.Revision() < lead.Revision() {
--- a/rack/history_test.go
+++ b/rack/history_test.go
@@ -332,9 +332,9 @@
 		}
 		h.after(h.c.Step, func() { h.in(id, life, func() { h.do(id, life, x, end) }) })
 	}
-	raft := h.c.Nodes[id].Raft
-	switch leader := raft.Leader(); {
-	case raft.Role() == clamp.Leader:
+	node := h.c.Nodes[id].Raft
+	switch leader := node.Leader(); {
+	case node.Role() == clamp.Leader:
 		if !h.propose(id, x, func(o outcome, res rack.Result) { h.reply(x, o, res) }) {
 			retry()
 		}
@@ -411,9 +411,9 @@
 			h.after(h.c.Step, func() { h.in(id, life, func() { h.readPoint(id, life, end, done) }) })
 		}
 	}
-	raft := h.c.Nodes[id].Raft
-	switch leader := raft.Leader(); {
-	case raft.Role() == clamp.Leader:
+	node := h.c.Nodes[id].Raft
+	switch leader := node.Leader(); {
+	case node.Role() == clamp.Leader:
 		h.c.ReadIndex(id, func(index uint64, ok bool) {
 			h.after(0, func() { h.in(id, life, func() { got(index, ok) }) })
 		})
@@ -461,14 +461,14 @@
 			var poll func()
 			poll = func() {
 				events, rev, kept := life.(*replica).s.Latches().Since(group, after)
-				raft := h.c.Nodes[id].Raft
+				node := h.c.Nodes[id].Raft
 				switch {
 				case !kept || rev < floor || after > rev:
 					h.t.Errorf("node %d: watch of %s after %d, with %d acknowledged before: revision %d, kept %v", id, group, after, floor, rev, kept)
 					done(nil, 0, false)
 				case len(events) > 0 || h.now() >= end:
 					done(events, rev, true)
-				case raft.Leader() == 0:
+				case node.Leader() == 0:
 					done(nil, 0, false)
 				default:
 					h.after(h.c.Step, func() { h.in(id, life, poll) })
--- a/rack/rack_test.go
+++ b/rack/rack_test.go
@@ -109,15 +109,15 @@
 
 func normal(c rack.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Latch) }
 
-// registry lets the simulator drive a store, with lock timers as a node has
+// storeMachine lets the simulator drive a store, with lock timers as a node has
 // them: from when this replica applied the grant.
-type registry struct {
+type storeMachine struct {
 	s     *rack.Store
 	clock func() time.Duration
 	until map[string]time.Duration
 }
 
-func (g *registry) Apply(_ uint64, data []byte) any {
+func (g *storeMachine) Apply(_ uint64, data []byte) any {
 	c, err := rack.DecodeCommand(data)
 	if err != nil {
 		return nil
@@ -128,8 +128,8 @@
 	}
 	return res
 }
-func (g *registry) Snapshot() []byte { b, _ := g.s.Snapshot(); return b }
-func (g *registry) Restore(b []byte) {
+func (g *storeMachine) Snapshot() []byte { b, _ := g.s.Snapshot(); return b }
+func (g *storeMachine) Restore(b []byte) {
 	_ = g.s.Restore(b)
 	for name, l := range g.s.Latches().Locks {
 		g.until[name] = g.clock() + time.Duration(l.HoldMS)*time.Millisecond
@@ -168,7 +168,7 @@
 func history(t *testing.T, seed int64) {
 	var c *trestle.Cluster
 	c = trestle.New(seed, 3, func() trestle.Machine {
-		return &registry{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
 			}
@@ -192,7 +192,7 @@
 			if !c.Up(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
 			}
-			g := n.Machine.(*registry)
+			g := n.Machine.(*storeMachine)
 			x := *cmd
 			if l, ok := g.s.Latches().Locks[x.Name]; ok && x.Op == latch.Begin && c.Now >= g.until[x.Name] {
 				x.SpentFence, x.SpentGrant = l.Fence, l.Grant
@@ -261,7 +261,7 @@
 				floor := ackedPut[key]
 				n := c.Nodes[id]
 				c.Read(id, func(ok bool) {
-					if cell := n.Machine.(*registry).s.Latches().Cells[key]; ok && cell.Revision < floor {
+					if cell := n.Machine.(*storeMachine).s.Latches().Cells[key]; ok && cell.Revision < floor {
 						t.Errorf("read of %s at revision %d, although %d was acknowledged before it", key, cell.Revision, floor)
 					}
 				})
