--- a/internal/chest/chest.go
+++ b/internal/chest/chest.go
@@ -19,7 +19,7 @@
 
 	"github.com/mattn/go-sqlite3"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 )
 
 // Chest is an open store. It is not safe for use from two goroutines at once.
@@ -52,13 +52,13 @@
 //
 // When it returns, the identity is durable, and nothing that was set aside can come
 // back under its name after a loss of power.
-func Open(dir string, first uint64, check func(clamp.Saved) error) (*Chest, Identity, clamp.Saved, error) {
+func Open(dir string, first uint64, check func(raft.Saved) error) (*Chest, Identity, raft.Saved, error) {
 	c := &Chest{dir: dir}
 	if dir != "" {
 		if _, err := os.Stat(filepath.Join(dir, file)); errors.Is(err, os.ErrNotExist) {
 			// A write-ahead log left by itself is not to be played into a new store.
 			if err := c.setAside(); err != nil {
-				return c, Identity{}, clamp.Saved{}, err
+				return c, Identity{}, raft.Saved{}, err
 			}
 		}
 		if bad, err := filepath.Glob(filepath.Join(dir, file+"*.bad")); err != nil || len(bad) > 0 {
@@ -214,7 +214,7 @@
 	return b.Bytes()
 }
 
-func (c *Chest) load(first uint64) (id Identity, saved clamp.Saved, err error) {
+func (c *Chest) load(first uint64) (id Identity, saved raft.Saved, err error) {
 	if err = c.open(); err != nil {
 		return
 	}
@@ -263,7 +263,7 @@
 		if err := verify(v[4], sumOf(data, v[0], v[1], v[2])); err != nil {
 			return err
 		}
-		e := clamp.Entry{Index: uint64(v[0].(int64)), Term: uint64(v[1].(int64)), Type: clamp.EntryType(v[2].(int64)), Data: append([]byte(nil), data...)}
+		e := raft.Entry{Index: uint64(v[0].(int64)), Term: uint64(v[1].(int64)), Type: raft.EntryType(v[2].(int64)), Data: append([]byte(nil), data...)}
 		if e.Index < next {
 			return nil
 		}
@@ -352,7 +352,7 @@
 
 // Save makes one batch durable, all of it or nothing. A snapshot drops the
 // entries that it stands for; with replace it stands for the whole log.
-func (c *Chest) Save(hard *clamp.HardState, snapshot *clamp.Snapshot, replace bool, entries []clamp.Entry) error {
+func (c *Chest) Save(hard *raft.HardState, snapshot *raft.Snapshot, replace bool, entries []raft.Entry) error {
 	return c.tx(func() error {
 		if hard != nil {
 			if err := c.put("hard", encode(*hard)); err != nil {
--- a/internal/chest/chest_test.go
+++ b/internal/chest/chest_test.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 )
 
 // TestAgainstPlainLog writes batches, cuts and snapshots, opens the store anew
@@ -19,17 +19,17 @@
 	if err != nil || !id.Fresh || id.ID>>63 != 1 {
 		t.Fatalf("fresh store: %+v, %v", id, err)
 	}
-	var want clamp.Saved
+	var want raft.Saved
 	for step := range 120 {
 		last := want.Snapshot.Index + uint64(len(want.Entries))
 		switch {
 		case step%31 == 30: // compact
 			k := uint64(len(want.Entries)) / 2
-			want.Snapshot = clamp.Snapshot{Index: want.Snapshot.Index + k, Term: 3, Data: []byte{1, 2}, Members: clamp.Membership{Voters: []clamp.Member{{ID: 7}}}}
+			want.Snapshot = raft.Snapshot{Index: want.Snapshot.Index + k, Term: 3, Data: []byte{1, 2}, Members: raft.Membership{Voters: []raft.Member{{ID: 7}}}}
 			want.Entries = want.Entries[k:]
 			err = c.Save(nil, &want.Snapshot, false, nil)
 		case step%53 == 52: // a leader's snapshot
-			want.Snapshot = clamp.Snapshot{Index: last + 100, Term: 4, Data: []byte{9}}
+			want.Snapshot = raft.Snapshot{Index: last + 100, Term: 4, Data: []byte{9}}
 			want.Entries = nil
 			err = c.Save(nil, &want.Snapshot, true, nil)
 		default:
@@ -38,13 +38,13 @@
 				at -= uint64(1 + r.Intn(3))
 			}
 			want.Entries = want.Entries[:at-want.Snapshot.Index-1]
-			var batch []clamp.Entry
+			var batch []raft.Entry
 			for range 1 + r.Intn(5) {
-				batch = append(batch, clamp.Entry{Index: at, Term: uint64(step), Data: []byte{byte(step)}})
+				batch = append(batch, raft.Entry{Index: at, Term: uint64(step), Data: []byte{byte(step)}})
 				at++
 			}
 			want.Entries = append(want.Entries, batch...)
-			want.Hard = clamp.HardState{Term: uint64(step), Vote: 5}
+			want.Hard = raft.HardState{Term: uint64(step), Vote: 5}
 			err = c.Save(&want.Hard, nil, false, batch)
 		}
 		if err != nil {
@@ -52,7 +52,7 @@
 		}
 		if step%10 == 9 {
 			c.Close()
-			var got clamp.Saved
+			var got raft.Saved
 			var again Identity
 			c, again, got, err = Open(dir, 0, nil)
 			if err != nil || again.Fresh || again.ID != id.ID {
@@ -90,7 +90,7 @@
 			t.Fatalf("%+v, %v", first, err)
 		}
 		for i := uint64(1); i < 400; i++ {
-			if err := c.Save(&clamp.HardState{Term: i}, nil, false, []clamp.Entry{{Index: i, Term: i, Data: make([]byte, 200)}}); err != nil {
+			if err := c.Save(&raft.HardState{Term: i}, nil, false, []raft.Entry{{Index: i, Term: i, Data: make([]byte, 200)}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -110,7 +110,7 @@
 		if second.Discarded == nil || second.ID == 42 || saved.Hard.Term != 0 {
 			t.Errorf("%s: opened as %+v with %+v", name, second, saved.Hard)
 		}
-		if err := c.Save(&clamp.HardState{Term: 1}, nil, false, nil); err != nil {
+		if err := c.Save(&raft.HardState{Term: 1}, nil, false, nil); err != nil {
 			t.Errorf("%s: the new store takes nothing: %v", name, err)
 		}
 		c.Close()
@@ -125,14 +125,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := func(i uint64) []clamp.Entry { return []clamp.Entry{{Index: i, Term: 1, Data: []byte("x")}} }
+	e := func(i uint64) []raft.Entry { return []raft.Entry{{Index: i, Term: 1, Data: []byte("x")}} }
 	if err := c.Save(nil, nil, false, e(1)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.conn.Exec("CREATE TRIGGER full BEFORE INSERT ON log BEGIN SELECT RAISE(ABORT, 'disk is full'); END", nil); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Save(&clamp.HardState{Term: 9}, nil, false, e(2)); err == nil {
+	if err := c.Save(&raft.HardState{Term: 9}, nil, false, e(2)); err == nil {
 		t.Fatal("a refused write was called saved")
 	}
 	if err := c.Save(nil, nil, false, nil); err != nil {
--- a/internal/chest/golden_test.go
+++ b/internal/chest/golden_test.go
@@ -13,10 +13,10 @@
 	"strings"
 	"testing"
 
-	"lichentray/clamp"
 	"lichentray/internal/goldentest"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/tally"
 )
 
@@ -48,27 +48,27 @@
 // goldenIdentity is the identity that the golden store was made under.
 const goldenIdentity = 0x0102030405060708
 
-func goldenHard() clamp.HardState { return clamp.HardState{Term: 5, Vote: 12} }
+func goldenHard() raft.HardState { return raft.HardState{Term: 5, Vote: 12} }
 
-func goldenMembers() clamp.Membership {
-	return clamp.Membership{
-		Voters: []clamp.Member{
+func goldenMembers() raft.Membership {
+	return raft.Membership{
+		Voters: []raft.Member{
 			{ID: 11, Addr: "127.0.0.1:7001", API: "127.0.0.1:8001"},
 			{ID: 12, Addr: "127.0.0.1:7002", API: "127.0.0.1:8002", Uncounted: true},
 		},
-		Learners: []clamp.Member{{ID: 13, Addr: "127.0.0.1:7003", API: "127.0.0.1:8003"}},
+		Learners: []raft.Member{{ID: 13, Addr: "127.0.0.1:7003", API: "127.0.0.1:8003"}},
 	}
 }
 
 // goldenMembersLater is the membership in the log after the snapshot.
-func goldenMembersLater() clamp.Membership {
-	return clamp.Membership{
-		Voters: []clamp.Member{
+func goldenMembersLater() raft.Membership {
+	return raft.Membership{
+		Voters: []raft.Member{
 			{ID: 11, Addr: "127.0.0.1:7001", API: "127.0.0.1:8001"},
 			{ID: 12, Addr: "127.0.0.1:7002", API: "127.0.0.1:8002", Uncounted: true},
 			{ID: 13, Addr: "127.0.0.1:7003", API: "127.0.0.1:8003"},
 		},
-		Learners: []clamp.Member{{ID: 14, Addr: "127.0.0.1:7004", API: "127.0.0.1:8004"}},
+		Learners: []raft.Member{{ID: 14, Addr: "127.0.0.1:7004", API: "127.0.0.1:8004"}},
 	}
 }
 
@@ -116,12 +116,12 @@
 	"",
 }
 
-func goldenEntries() []clamp.Entry {
-	return []clamp.Entry{
+func goldenEntries() []raft.Entry {
+	return []raft.Entry{
 		{Index: 41, Term: 5},
 		{Index: 42, Term: 5, Data: rack.EncodeCommand(rack.Command{Txn: &rack.Txn{If: []rack.Condition{{Key: "endpoints/e1", ModRevision: 3}}, Then: []rack.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
 		{Index: 43, Term: 5, Data: rack.EncodeCommand(rack.Command{Latch: &latch.Command{Op: latch.Next, Name: "orders"}})},
-		{Index: 44, Term: 5, Type: clamp.Change, Data: goldenMembersLater().Encode()},
+		{Index: 44, Term: 5, Type: raft.Change, Data: goldenMembersLater().Encode()},
 	}
 }
 
@@ -134,11 +134,11 @@
 		t.Fatal(id, err)
 	}
 	hard := goldenHard()
-	before := []clamp.Entry{{Index: 39, Term: 3, Data: []byte("dropped by the snapshot")}, {Index: 40, Term: 4, Data: []byte("this too")}}
+	before := []raft.Entry{{Index: 39, Term: 3, Data: []byte("dropped by the snapshot")}, {Index: 40, Term: 4, Data: []byte("this too")}}
 	if err := c.Save(nil, nil, false, before); err != nil {
 		t.Fatal(err)
 	}
-	snapshot := clamp.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: state}
+	snapshot := raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: state}
 	if err := c.Save(&hard, &snapshot, false, goldenEntries()); err != nil {
 		t.Fatal(err)
 	}
@@ -198,22 +198,22 @@
 		t.Errorf("identity %+v", id)
 	}
 	goldentest.Same(t, "hard state", saved.Hard, goldenHard())
-	goldentest.Same(t, "snapshot", saved.Snapshot, clamp.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: goldenState(t)})
+	goldentest.Same(t, "snapshot", saved.Snapshot, raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: goldenState(t)})
 	goldentest.Complete(t, saved)
 	if len(saved.Entries) != 4 {
 		t.Fatalf("%d entries, want 4", len(saved.Entries))
 	}
-	members, err := clamp.DecodeMembership(saved.Entries[3].Data)
+	members, err := raft.DecodeMembership(saved.Entries[3].Data)
 	if err != nil {
 		t.Error(err)
 	}
 	goldentest.Same(t, "membership in the log", members, goldenMembersLater())
 	saved.Entries[3].Data = nil
-	goldentest.Same(t, "entries", saved.Entries, []clamp.Entry{
+	goldentest.Same(t, "entries", saved.Entries, []raft.Entry{
 		{Index: 41, Term: 5, Data: []byte(goldenLogTexts[0])},
 		{Index: 42, Term: 5, Data: []byte(goldenLogTexts[1])},
 		{Index: 43, Term: 5, Data: []byte(goldenLogTexts[2])},
-		{Index: 44, Term: 5, Type: clamp.Change},
+		{Index: 44, Term: 5, Type: raft.Change},
 	})
 	command, err := rack.DecodeCommand(saved.Entries[1].Data)
 	if err != nil {
--- a/internal/chest/power_test.go
+++ b/internal/chest/power_test.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"testing"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 )
 
 // inode is a file with the name that it has in a folder.
@@ -106,21 +106,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hard := clamp.HardState{}
+	hard := raft.HardState{}
 	for i := uint64(1); i <= 300; i++ {
-		hard = clamp.HardState{Term: i, Vote: i}
-		if err := c.Save(&hard, nil, false, []clamp.Entry{{Index: i, Term: i, Data: make([]byte, 8000)}}); err != nil {
+		hard = raft.HardState{Term: i, Vote: i}
+		if err := c.Save(&hard, nil, false, []raft.Entry{{Index: i, Term: i, Data: make([]byte, 8000)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Save(nil, &clamp.Snapshot{Index: 300, Term: 300, Data: []byte("unreadable")}, false, nil); err != nil {
+	if err := c.Save(nil, &raft.Snapshot{Index: 300, Term: 300, Data: []byte("unreadable")}, false, nil); err != nil {
 		t.Fatal(err)
 	}
 	// All processes are killed: the write-ahead log stays, once with the store that it
 	// completes, once alone, as when that was just renamed.
 	killed := look(t, dir)
 	c.Close()
-	refuse := func(s clamp.Saved) error {
+	refuse := func(s raft.Saved) error {
 		if string(s.Snapshot.Data) == "unreadable" {
 			return errUnreadable
 		}
@@ -137,7 +137,7 @@
 		}
 		var fresh Identity
 		everyPowerLoss(t, dir, func() {
-			var saved clamp.Saved
+			var saved raft.Saved
 			if c, fresh, saved, err = Open(dir, 42, refuse); err != nil {
 				t.Fatal(err)
 			}
@@ -169,14 +169,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var want clamp.Saved
+	var want raft.Saved
 	save := func(n uint64) {
 		t.Helper()
 		for range n {
 			i := uint64(len(want.Entries)) + 1
-			e := clamp.Entry{Index: i, Term: i, Data: fmt.Appendf(make([]byte, 0, 5000), "entry %d", i)}
-			want.Hard, want.Entries = clamp.HardState{Term: i, Vote: 7}, append(want.Entries, e)
-			if err := c.Save(&want.Hard, nil, false, []clamp.Entry{e}); err != nil {
+			e := raft.Entry{Index: i, Term: i, Data: fmt.Appendf(make([]byte, 0, 5000), "entry %d", i)}
+			want.Hard, want.Entries = raft.HardState{Term: i, Vote: 7}, append(want.Entries, e)
+			if err := c.Save(&want.Hard, nil, false, []raft.Entry{e}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -208,8 +208,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		snap := clamp.Snapshot{Index: 1, Term: 1, Data: []byte("a state of the machine"), Members: clamp.Membership{Voters: []clamp.Member{{ID: 42, Addr: "the vote of a member"}}}}
-		if err := c.Save(&clamp.HardState{Term: 2}, &snap, false, []clamp.Entry{{Index: 2, Term: 2, Data: []byte("an entry of the log")}}); err != nil {
+		snap := raft.Snapshot{Index: 1, Term: 1, Data: []byte("a state of the machine"), Members: raft.Membership{Voters: []raft.Member{{ID: 42, Addr: "the vote of a member"}}}}
+		if err := c.Save(&raft.HardState{Term: 2}, &snap, false, []raft.Entry{{Index: 2, Term: 2, Data: []byte("an entry of the log")}}); err != nil {
 			t.Fatal(err)
 		}
 		c.Close()
@@ -258,12 +258,12 @@
 			most = max(most, sum)
 		}
 		for i := uint64(1); i <= 600; i++ {
-			if err := c.Save(&clamp.HardState{Term: 1}, nil, false, []clamp.Entry{{Index: i, Term: 1, Data: make([]byte, size)}}); err != nil {
+			if err := c.Save(&raft.HardState{Term: 1}, nil, false, []raft.Entry{{Index: i, Term: 1, Data: make([]byte, size)}}); err != nil {
 				t.Fatal(err)
 			}
 			if logged += int64(size); logged > 4<<20 {
 				logged = 0
-				if err := c.Save(nil, &clamp.Snapshot{Index: i, Term: 1, Data: make([]byte, 400<<10)}, false, nil); err != nil {
+				if err := c.Save(nil, &raft.Snapshot{Index: i, Term: 1, Data: make([]byte, 400<<10)}, false, nil); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -272,7 +272,7 @@
 			}
 		}
 		c.Close()
-		c, _, _, err = Open(dir, 42, func(s clamp.Saved) error {
+		c, _, _, err = Open(dir, 42, func(s raft.Saved) error {
 			if s.Snapshot.Index > 0 {
 				return errUnreadable
 			}
--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"lichentray/balance"
-	"lichentray/clamp"
 	"lichentray/feeler"
 	"lichentray/internal/notch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/tally"
 )
 
@@ -60,16 +60,16 @@
 // Ask is a call that wants one Answer.
 type Ask struct {
 	ID      uint64
-	Command []byte        // a rack command to put through the log
-	Read    bool          // a confirmed read point
-	Join    *clamp.Member // take this node in as a learner
-	Passed  bool          // a Join that was passed on to the leader
-	Leave   uint64        // may this member's process end? asked again until it may
-	List    bool          // a list behind a read point, then the watch
-	Least   uint64        // the list or watch must reach this revision
-	Watch   bool          // events after Least
-	Packs   bool          // a list, and later events, may come packed
-	Zone    string        // a list may be refused in favour of a node in this zone
+	Command []byte       // a rack command to put through the log
+	Read    bool         // a confirmed read point
+	Join    *raft.Member // take this node in as a learner
+	Passed  bool         // a Join that was passed on to the leader
+	Leave   uint64       // may this member's process end? asked again until it may
+	List    bool         // a list behind a read point, then the watch
+	Least   uint64       // the list or watch must reach this revision
+	Watch   bool         // events after Least
+	Packs   bool         // a list, and later events, may come packed
+	Zone    string       // a list may be refused in favour of a node in this zone
 }
 
 // Answer answers an Ask.
@@ -186,7 +186,7 @@
 // Frame is one message. Only what is set is sent.
 type Frame struct {
 	Hello    *Hello
-	Raft     []clamp.Message
+	Raft     []raft.Message
 	Beats    []Beat
 	Ask      *Ask
 	Answer   *Answer
--- a/internal/dowel/dowel_test.go
+++ b/internal/dowel/dowel_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/rack"
+	"lichentray/raft"
 )
 
 func pair(t testing.TB) (net.Conn, net.Conn) {
@@ -25,7 +25,7 @@
 	a, b := pair(t)
 	frames := []*Frame{
 		{Hello: &Hello{Version: Version, Role: Peer, Node: "n", ID: 7}},
-		{Raft: []clamp.Message{{Type: clamp.MsgAppend, From: 1, To: 2, Term: 3, Entries: []clamp.Entry{{Index: 4, Term: 3, Data: []byte("x")}}}}},
+		{Raft: []raft.Message{{Type: raft.MsgAppend, From: 1, To: 2, Term: 3, Entries: []raft.Entry{{Index: 4, Term: 3, Data: []byte("x")}}}}},
 		{Events: []rack.Event{{Type: rack.Added, Object: rack.Object{Key: "k", Value: []byte("v"), ModRevision: 9}, Revision: 9}}, Bookmark: &Bookmark{Revision: 9, Control: []ControlNode{{Addr: "c", Zone: "z"}}}},
 		{Answer: &Answer{ID: 1, Objects: []rack.Object{{Key: "large", Value: bytes.Repeat([]byte("a large value "), 4000)}}}},
 		{Gone: true},
@@ -105,7 +105,7 @@
 	c := NewConn(a, 400*time.Millisecond)
 	data := make([]byte, 1<<20)
 	rand.New(rand.NewSource(1)).Read(data)
-	f := &Frame{Raft: []clamp.Message{{Type: clamp.MsgAppend, Entries: []clamp.Entry{{Index: 1, Data: data}}}}}
+	f := &Frame{Raft: []raft.Message{{Type: raft.MsgAppend, Entries: []raft.Entry{{Index: 1, Data: data}}}}}
 	sent := make(chan error, 2)
 	go func() { sent <- c.Send(f); sent <- c.Send(f) }()
 	got, err := NewConn(slow{b}, time.Second).Receive(0)
--- a/internal/dowel/golden_test.go
+++ b/internal/dowel/golden_test.go
@@ -14,12 +14,12 @@
 	"time"
 
 	"lichentray/balance"
-	"lichentray/clamp"
 	"lichentray/feeler"
 	"lichentray/internal/goldentest"
 	"lichentray/internal/notch"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/tally"
 )
 
@@ -292,26 +292,26 @@
 		{Hello: &Hello{Version: 3, Role: Proxy, Node: "node-1", ID: 1, Addr: "127.0.0.1:7001", Zone: "zone-a"}},
 		{Hello: &Hello{Version: 3, Role: Peer, Node: "node-2", ID: 2}},
 		{Hello: &Hello{Version: 3, Role: Relay, Node: "node-3", ID: 3}},
-		{Raft: []clamp.Message{
+		{Raft: []raft.Message{
 			{
-				Type: clamp.MsgSnapshot, From: 11, To: 12, Term: 13, Index: 14, LogTerm: 15, Commit: 16, Reject: true, Hint: 17, Context: 18, Force: true,
+				Type: raft.MsgSnapshot, From: 11, To: 12, Term: 13, Index: 14, LogTerm: 15, Commit: 16, Reject: true, Hint: 17, Context: 18, Force: true,
 				Sent: 19 * time.Nanosecond, Echo: 20 * time.Nanosecond, Touch: true, Offset: 21, Size: 22, Sum: 23,
-				Entries: []clamp.Entry{{Index: 24, Term: 25, Type: clamp.Change, Data: []byte("entry")}, {Index: 26, Term: 27, Type: clamp.Normal}},
-				Snap: &clamp.Snapshot{Index: 28, Term: 29, Data: []byte("state"), Members: clamp.Membership{
-					Voters:   []clamp.Member{{ID: 30, Addr: "127.0.0.1:7030", API: "127.0.0.1:8030", Uncounted: true}, {ID: 31, Addr: "127.0.0.1:7031", API: "127.0.0.1:8031"}},
-					Learners: []clamp.Member{{ID: 32, Addr: "127.0.0.1:7032", API: "127.0.0.1:8032"}},
+				Entries: []raft.Entry{{Index: 24, Term: 25, Type: raft.Change, Data: []byte("entry")}, {Index: 26, Term: 27, Type: raft.Normal}},
+				Snap: &raft.Snapshot{Index: 28, Term: 29, Data: []byte("state"), Members: raft.Membership{
+					Voters:   []raft.Member{{ID: 30, Addr: "127.0.0.1:7030", API: "127.0.0.1:8030", Uncounted: true}, {ID: 31, Addr: "127.0.0.1:7031", API: "127.0.0.1:8031"}},
+					Learners: []raft.Member{{ID: 32, Addr: "127.0.0.1:7032", API: "127.0.0.1:8032"}},
 				}},
 			},
 		}},
-		{Raft: []clamp.Message{
-			{Type: clamp.MsgPreVote, From: 41}, {Type: clamp.MsgPreVoteResp, From: 42}, {Type: clamp.MsgVote, From: 43}, {Type: clamp.MsgVoteResp, From: 44},
-			{Type: clamp.MsgAppend, From: 45}, {Type: clamp.MsgAppendResp, From: 46}, {Type: clamp.MsgHeartbeat, From: 47}, {Type: clamp.MsgHeartbeatResp, From: 48},
-			{Type: clamp.MsgSnapshot, From: 49}, {Type: clamp.MsgTimeoutNow, From: 50}, {Type: clamp.MsgSnapshotResp, From: 51},
+		{Raft: []raft.Message{
+			{Type: raft.MsgPreVote, From: 41}, {Type: raft.MsgPreVoteResp, From: 42}, {Type: raft.MsgVote, From: 43}, {Type: raft.MsgVoteResp, From: 44},
+			{Type: raft.MsgAppend, From: 45}, {Type: raft.MsgAppendResp, From: 46}, {Type: raft.MsgHeartbeat, From: 47}, {Type: raft.MsgHeartbeatResp, From: 48},
+			{Type: raft.MsgSnapshot, From: 49}, {Type: raft.MsgTimeoutNow, From: 50}, {Type: raft.MsgSnapshotResp, From: 51},
 		}},
 		{Beats: []Beat{{ID: "e1", AgoMS: 52}, {ID: "e2", AgoMS: 53}}},
 		{Ask: &Ask{ID: 61, Command: []byte("command")}},
 		{Ask: &Ask{ID: 62, Read: true}},
-		{Ask: &Ask{ID: 63, Join: &clamp.Member{ID: 64, Addr: "127.0.0.1:7064", API: "127.0.0.1:8064", Uncounted: true}, Passed: true}},
+		{Ask: &Ask{ID: 63, Join: &raft.Member{ID: 64, Addr: "127.0.0.1:7064", API: "127.0.0.1:8064", Uncounted: true}, Passed: true}},
 		{Ask: &Ask{ID: 65, Leave: 66}},
 		{Ask: &Ask{ID: 67, List: true, Least: 68, Packs: true, Zone: "zone-b"}},
 		{Ask: &Ask{ID: 69, Watch: true, Least: 70}},
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -8,13 +8,13 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/balance"
-	"lichentray/clamp"
 	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/jig"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 )
 
 // duties are what the actor does by the clock.
@@ -30,7 +30,7 @@
 	l.reportBeats(now)
 	l.countProxies(now)
 	ms := l.node.Members()
-	if l.node.Role() != clamp.Leader {
+	if l.node.Role() != raft.Leader {
 		// A voter without a leader for long may have been replaced meanwhile.
 		if !ms.Has(l.self.ID) || (l.node.Leader() == 0 && (!ms.Voter(l.self.ID) || now-l.node.TouchedAt() > l.timing.Dead)) {
 			l.join(ms)
@@ -105,7 +105,7 @@
 	}
 	l.beats = map[string]time.Duration{}
 	l.mu.Unlock()
-	if l.node.Role() == clamp.Leader {
+	if l.node.Role() == raft.Leader {
 		for id, at := range beats {
 			l.alive[id] = max(l.alive[id], at)
 		}
@@ -148,7 +148,7 @@
 	seen := l.seen
 	l.seen = map[string]balance.Seen{}
 	l.mu.Unlock()
-	if l.node.Role() != clamp.Leader {
+	if l.node.Role() != raft.Leader {
 		l.links.tell(l.links.addr(l.node.Leader()), &dowel.Frame{Proxies: &dowel.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
 		return
 	}
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -15,7 +15,6 @@
 	"time"
 
 	"lichentray/balance"
-	"lichentray/clamp"
 	"lichentray/internal/caliper"
 	"lichentray/internal/chest"
 	"lichentray/internal/dial"
@@ -24,6 +23,7 @@
 	"lichentray/jig"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/spool"
 )
 
@@ -80,7 +80,7 @@
 	board  *dial.Board
 	start  time.Time
 	life   uint64 // drawn at each start
-	self   clamp.Member
+	self   raft.Member
 	chest  *chest.Chest
 
 	mail chan func()
@@ -91,14 +91,14 @@
 	diskDone, portDone chan struct{}
 
 	// Owned by the actor.
-	node      *clamp.Node
+	node      *raft.Node
 	pending   map[uint64]waiter
 	reads     map[uint64]chan outcome
 	readSeq   uint64
 	alive     map[string]time.Duration
 	probing   map[string]bool
 	leadSince time.Duration
-	role      clamp.Role
+	role      raft.Role
 	leader    uint64
 	turned    chan struct{} // closed, and made anew, when role or leader changes
 	logBytes  int
@@ -182,12 +182,12 @@
 
 // view is what other goroutines need to know of the consensus state.
 type view struct {
-	role      clamp.Role
+	role      raft.Role
 	leader    uint64
 	term      uint64
 	leaderAt  string        // internal address
 	touchedAt time.Duration // see clamp.Node.TouchedAt
-	members   clamp.Membership
+	members   raft.Membership
 	commit    uint64
 	stable    uint64
 }
@@ -235,10 +235,10 @@
 	l.nApplied = board.Counter("applied_index")
 
 	addr := set.InternalAddr(set.Listen.Control)
-	var initial clamp.Membership
+	var initial raft.Membership
 	isSeed := false
 	for _, s := range set.Seeds {
-		m := clamp.Member{Addr: set.InternalAddr(s), API: s}
+		m := raft.Member{Addr: set.InternalAddr(s), API: s}
 		m.ID = memberID(m.Addr)
 		if initial.Has(m.ID) {
 			continue
@@ -273,7 +273,7 @@
 			return nil, fmt.Errorf("bootstrap: %w", err)
 		}
 	}
-	l.self = clamp.Member{ID: id.ID, Addr: addr, API: set.Listen.Control, Uncounted: !set.QuorumMember}
+	l.self = raft.Member{ID: id.ID, Addr: addr, API: set.Listen.Control, Uncounted: !set.QuorumMember}
 	l.roster = newRoster(set, l.timing, l.placeOf)
 	l.cache.Reset(l.store.Revision())
 	l.noteAll()
@@ -282,7 +282,7 @@
 	for _, e := range saved.Entries {
 		l.logBytes += len(e.Data)
 	}
-	l.node = clamp.New(clamp.Config{ID: id.ID, Heartbeat: l.timing.Heartbeat, Election: l.timing.Election, Rand: rand.Int63n, Check: l.checkSnapshot}, 0, saved)
+	l.node = raft.New(raft.Config{ID: id.ID, Heartbeat: l.timing.Heartbeat, Election: l.timing.Election, Rand: rand.Int63n, Check: l.checkSnapshot}, 0, saved)
 	l.links = linkSet{l: l, byAddr: map[string]*link{}, addrOf: map[uint64]string{}, zoneOf: map[string]string{addr: set.Zone}}
 	l.membersAt = l.node.MembersIndex()
 	l.links.learn(l.node.Members())
@@ -381,7 +381,7 @@
 		// Whoever waits for the old leader's answer waits in vain.
 		close(l.turned)
 		l.turned = make(chan struct{})
-		if role == clamp.Leader && l.role != clamp.Leader {
+		if role == raft.Leader && l.role != raft.Leader {
 			l.leadSince = now
 			l.nElections.Inc()
 			l.alive, l.counts = map[string]time.Duration{}, map[uint64]proxyCount{}
@@ -390,7 +390,7 @@
 			l.judge = balance.NewJudge(l.timing.Dead / 2)
 			l.granter = balance.NewGranter(now, l.set.GrantLasts())
 			l.log.Info("leading", "term", n.Term())
-		} else if role != clamp.Leader && (l.role == clamp.Leader || leader != l.leader && leader != 0) {
+		} else if role != raft.Leader && (l.role == raft.Leader || leader != l.leader && leader != 0) {
 			l.log.Info("following", "term", n.Term(), "leader", hexID(leader))
 		}
 		l.role, l.leader = role, leader
@@ -408,10 +408,10 @@
 	l.mu.Unlock()
 }
 
-func (l *Lathe) apply(en clamp.Entry) {
+func (l *Lathe) apply(en raft.Entry) {
 	var res rack.Result
 	var events []rack.Event
-	if en.Type == clamp.Normal && len(en.Data) > 0 {
+	if en.Type == raft.Normal && len(en.Data) > 0 {
 		cmd, err := rack.DecodeCommand(en.Data)
 		if err != nil {
 			// Every replica skips it alike.
@@ -439,7 +439,7 @@
 			}
 			l.mu.Unlock()
 		}
-	} else if en.Type == clamp.Change {
+	} else if en.Type == raft.Change {
 		l.tendNow = true // a replacement takes two
 		l.log.Info("membership changed", "index", en.Index, "voters", len(l.node.Members().Voters), "learners", len(l.node.Members().Learners))
 	}
@@ -494,7 +494,7 @@
 	}
 }
 
-func (l *Lathe) installSnapshot(s *clamp.Snapshot) {
+func (l *Lathe) installSnapshot(s *raft.Snapshot) {
 	l.mu.Lock()
 	l.store, l.restored = l.restored, nil
 	l.cache.Reset(l.store.Revision())
@@ -550,11 +550,11 @@
 }
 
 type diskJob struct {
-	hard    *clamp.HardState
-	install *clamp.Snapshot
-	compact *clamp.Snapshot
-	entries []clamp.Entry
-	after   []clamp.Message
+	hard    *raft.HardState
+	install *raft.Snapshot
+	compact *raft.Snapshot
+	entries []raft.Entry
+	after   []raft.Message
 }
 
 // writeDisk is the actor of the disk: all that waits goes into one sync.
@@ -747,7 +747,7 @@
 
 // propose runs in the actor. It gives the leader's address.
 func (l *Lathe) propose(cmd rack.Command, done chan outcome) string {
-	if l.node.Role() != clamp.Leader {
+	if l.node.Role() != raft.Leader {
 		return l.links.addr(l.node.Leader())
 	}
 	if c := cmd.Latch; c != nil && c.Op == latch.Begin {
@@ -803,7 +803,7 @@
 }
 
 func (l *Lathe) readIndex(done chan outcome) string {
-	if l.node.Role() != clamp.Leader {
+	if l.node.Role() != raft.Leader {
 		return l.links.addr(l.node.Leader())
 	}
 	l.readSeq++
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -14,7 +14,6 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
@@ -22,6 +21,7 @@
 	"lichentray/internal/vicetest"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/spool"
 )
 
@@ -88,7 +88,7 @@
 
 func (g *group) leader() *Lathe {
 	for _, l := range g.nodes {
-		if l.Status().Role == clamp.Leader.String() {
+		if l.Status().Role == raft.Leader.String() {
 			return l
 		}
 	}
@@ -703,13 +703,13 @@
 }
 
 func TestMergeOfDiskJobs(t *testing.T) {
-	e := func(i, term uint64) clamp.Entry { return clamp.Entry{Index: i, Term: term} }
-	j := merge(diskJob{entries: []clamp.Entry{e(5, 1), e(6, 1), e(7, 1)}, hard: &clamp.HardState{Term: 1}},
-		diskJob{entries: []clamp.Entry{e(6, 2)}, hard: &clamp.HardState{Term: 2}})
+	e := func(i, term uint64) raft.Entry { return raft.Entry{Index: i, Term: term} }
+	j := merge(diskJob{entries: []raft.Entry{e(5, 1), e(6, 1), e(7, 1)}, hard: &raft.HardState{Term: 1}},
+		diskJob{entries: []raft.Entry{e(6, 2)}, hard: &raft.HardState{Term: 2}})
 	if len(j.entries) != 2 || j.entries[1].Term != 2 || j.hard.Term != 2 {
 		t.Errorf("a cut was lost in the merge: %+v", j.entries)
 	}
-	j = merge(diskJob{entries: []clamp.Entry{e(5, 1), e(6, 1)}}, diskJob{entries: []clamp.Entry{e(3, 2)}})
+	j = merge(diskJob{entries: []raft.Entry{e(5, 1), e(6, 1)}}, diskJob{entries: []raft.Entry{e(3, 2)}})
 	if len(j.entries) != 1 || j.entries[0].Index != 3 {
 		t.Errorf("a cut below the batch was lost: %+v", j.entries)
 	}
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/rack"
+	"lichentray/raft"
 )
 
 // link is the outgoing connection to one peer. Its queue is bounded: what does
@@ -41,7 +41,7 @@
 }
 
 // learn takes the addresses of a membership and ends links to those who left.
-func (s *linkSet) learn(ms clamp.Membership) {
+func (s *linkSet) learn(ms raft.Membership) {
 	member := map[string]bool{}
 	for _, m := range ms.All() {
 		member[m.Addr] = true
--- a/internal/lathe/members.go
+++ b/internal/lathe/members.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/raft"
 )
 
 // Who votes and who follows only: joining, leaving and replacement.
@@ -79,8 +79,8 @@
 
 // nextMembership takes one step, of one voter at most, towards a full set of voters
 // that can be counted on. self leads. why is empty when there is nothing to do.
-func nextMembership(ms clamp.Membership, self uint64, tol tolerance, of func(clamp.Member) standing) (next clamp.Membership, why string) {
-	var gone, candidate *clamp.Member
+func nextMembership(ms raft.Membership, self uint64, tol tolerance, of func(raft.Member) standing) (next raft.Membership, why string) {
+	var gone, candidate *raft.Member
 	goners, serving, alive := 0, 0, 0
 	votes := map[string]int{} // by place, of the voters that serve
 	for i, m := range ms.Voters {
@@ -161,7 +161,7 @@
 		// Nobody takes their place: three of three bear a loss, three of five none.
 		return withoutVote(ms, *gone, of(*gone))
 	case gone == nil && n%2 == 0 && n > tol.voters(soon):
-		var spare *clamp.Member
+		var spare *raft.Member
 		for i, m := range ms.Voters {
 			if m.ID == self {
 				continue
@@ -183,7 +183,7 @@
 	return ms, ""
 }
 
-func withoutVote(ms clamp.Membership, m clamp.Member, s standing) (clamp.Membership, string) {
+func withoutVote(ms raft.Membership, m raft.Member, s standing) (raft.Membership, string) {
 	switch {
 	case s.replaced:
 		return ms.Without(m.ID), "replaced voter leaves"
@@ -196,7 +196,7 @@
 // mayLeave tells whether a member's process may end: what was committed when it asked,
 // up to mark, is held by every voter that serves, these are a majority, and without
 // the member the group bears what it is to bear, or nobody is there to take its vote.
-func mayLeave(ms clamp.Membership, self, id uint64, tol tolerance, mark uint64, of func(clamp.Member) standing) bool {
+func mayLeave(ms raft.Membership, self, id uint64, tol tolerance, mark uint64, of func(raft.Member) standing) bool {
 	serving := 0
 	for _, m := range ms.Voters {
 		if s := of(m); s.serves() && m.ID != id {
@@ -232,7 +232,7 @@
 	recent  time.Duration // entries younger than this need not be held to be caught up
 	leaves  time.Duration // a leaver that has not asked for so long stays
 	forget  time.Duration // a learner not heard for so long is given up
-	place   func(clamp.Member) string
+	place   func(raft.Member) string
 	term    uint64
 	marks   []logMark
 	leaving map[uint64]leave
@@ -248,7 +248,7 @@
 	commit uint64        // when it asked first
 }
 
-func newRoster(set *caliper.Settings, t Timing, place func(clamp.Member) string) *roster {
+func newRoster(set *caliper.Settings, t Timing, place func(raft.Member) string) *roster {
 	f := set.Tolerance
 	return &roster{
 		tol:  tolerance{f.Machines, max(f.Zones, f.Regions)},
@@ -259,7 +259,7 @@
 
 // note remembers how long the log of n, which leads, is now, and forgets what has had
 // its time.
-func (r *roster) note(n *clamp.Node, now time.Duration) {
+func (r *roster) note(n *raft.Node, now time.Duration) {
 	if r.term != n.Term() {
 		r.term, r.marks, r.leaving = n.Term(), nil, map[uint64]leave{}
 	}
@@ -275,7 +275,7 @@
 }
 
 // standings gives what n, which leads, knows of each member.
-func (r *roster) standings(n *clamp.Node, now time.Duration) func(clamp.Member) standing {
+func (r *roster) standings(n *raft.Node, now time.Duration) func(raft.Member) standing {
 	ms := n.Members()
 	// Of two lives at one address the one heard last counts. Just after an election
 	// both may have been heard at the same moment; then neither is judged by it.
@@ -286,7 +286,7 @@
 			newest[m.Addr] = now + 1
 		}
 	}
-	return func(m clamp.Member) standing {
+	return func(m raft.Member) standing {
 		if m.ID == n.ID() {
 			return standing{alive: true, caughtUp: true, match: n.Match(m.ID), place: r.place(m)}
 		}
@@ -305,16 +305,16 @@
 }
 
 // next gives the membership to be proposed now, and why, or why is empty.
-func (r *roster) next(n *clamp.Node, now time.Duration) (clamp.Membership, string) {
+func (r *roster) next(n *raft.Node, now time.Duration) (raft.Membership, string) {
 	r.note(n, now)
 	if n.Changing() {
-		return clamp.Membership{}, ""
+		return raft.Membership{}, ""
 	}
 	return nextMembership(n.Members(), n.ID(), r.tol, r.standings(n, now))
 }
 
 // leave takes a member's wish to leave and tells whether its process may end.
-func (r *roster) leave(n *clamp.Node, now time.Duration, id uint64) bool {
+func (r *roster) leave(n *raft.Node, now time.Duration, id uint64) bool {
 	r.note(n, now)
 	x, known := r.leaving[id]
 	if !known {
@@ -327,7 +327,7 @@
 
 // tendMembers takes one step towards a full set of voters that can be counted on.
 func (l *Lathe) tendMembers(now time.Duration) {
-	if l.node.Role() != clamp.Leader || (now-l.tendedAt < 4*l.timing.Heartbeat && !l.tendNow) {
+	if l.node.Role() != raft.Leader || (now-l.tendedAt < 4*l.timing.Heartbeat && !l.tendNow) {
 		return
 	}
 	l.tendedAt, l.tendNow = now, false
@@ -342,7 +342,7 @@
 
 // placeOf gives what of a member may be lost at once besides machines: its
 // region, else its zone.
-func (l *Lathe) placeOf(m clamp.Member) string {
+func (l *Lathe) placeOf(m raft.Member) string {
 	zone := l.links.zone(m.Addr)
 	if l.set.Tolerance.Regions > 0 {
 		return l.set.Zones[zone]
@@ -354,7 +354,7 @@
 }
 
 // join asks every control-plane node known to be taken in.
-func (l *Lathe) join(ms clamp.Membership) {
+func (l *Lathe) join(ms raft.Membership) {
 	asked := map[string]bool{l.self.Addr: true}
 	var addrs []string
 	for _, m := range ms.All() {
@@ -382,11 +382,11 @@
 }
 
 // admit takes a node in as a learner; only the leader can.
-func (l *Lathe) admit(m clamp.Member) error {
+func (l *Lathe) admit(m raft.Member) error {
 	got := make(chan error, 1)
 	l.post(func() {
 		switch {
-		case l.node.Role() != clamp.Leader:
+		case l.node.Role() != raft.Leader:
 			got <- errNotLeader
 		case l.node.Members().Has(m.ID):
 			got <- nil
@@ -417,7 +417,7 @@
 		v := l.view
 		l.mu.RUnlock()
 		switch {
-		case v.role == clamp.Leader:
+		case v.role == raft.Leader:
 			if len(v.members.Voters) == 1 {
 				return
 			}
@@ -440,7 +440,7 @@
 	l.post(func() {
 		now := l.now()
 		switch {
-		case l.node.Role() != clamp.Leader:
+		case l.node.Role() != raft.Leader:
 			got <- errNotLeader
 		case l.roster.leave(l.node, now, id):
 			got <- nil
--- a/internal/lathe/members_test.go
+++ b/internal/lathe/members_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/internal/caliper"
+	"lichentray/raft"
 	"lichentray/trestle"
 )
 
@@ -19,7 +19,7 @@
 		r := rand.New(rand.NewSource(seed))
 		tol := tolerance{machines: 1 + r.Intn(2), places: r.Intn(2)}
 		of := map[uint64]standing{}
-		var ms clamp.Membership
+		var ms raft.Membership
 		for id := uint64(1); id <= uint64(1+r.Intn(9)); id++ {
 			s := standing{alive: true, caughtUp: true, match: uint64(r.Intn(9)), place: fmt.Sprint(r.Intn(3))}
 			switch r.Intn(6) {
@@ -32,7 +32,7 @@
 			case 3:
 				s.replaced = r.Intn(3) == 0
 			}
-			m := clamp.Member{ID: id, Uncounted: r.Intn(6) == 0}
+			m := raft.Member{ID: id, Uncounted: r.Intn(6) == 0}
 			if id == 1 {
 				s = standing{alive: true, caughtUp: true, place: "0"}
 			}
@@ -43,8 +43,8 @@
 			}
 			of[id] = s
 		}
-		get := func(m clamp.Member) standing { return of[m.ID] }
-		acks := func(ms clamp.Membership) (serving, alive int) {
+		get := func(m raft.Member) standing { return of[m.ID] }
+		acks := func(ms raft.Membership) (serving, alive int) {
 			for _, m := range ms.Voters {
 				if s := of[m.ID]; s.serves() {
 					serving++
@@ -112,12 +112,12 @@
 // TestWhatALeaveWaitsFor: a leaver goes once every voter that serves holds what was
 // committed, and a spare that can still catch up has its vote.
 func TestWhatALeaveWaitsFor(t *testing.T) {
-	m := func(id uint64) clamp.Member { return clamp.Member{ID: id} }
-	three := clamp.Membership{Voters: []clamp.Member{m(1), m(2), m(3)}}
-	five := clamp.Membership{Voters: append([]clamp.Member{m(4), m(5)}, three.Voters...)}
+	m := func(id uint64) raft.Member { return raft.Member{ID: id} }
+	three := raft.Membership{Voters: []raft.Member{m(1), m(2), m(3)}}
+	five := raft.Membership{Voters: append([]raft.Member{m(4), m(5)}, three.Voters...)}
 	for _, c := range []struct {
 		name string
-		ms   clamp.Membership
+		ms   raft.Membership
 		edit func(of map[uint64]standing)
 		want bool
 	}{
@@ -139,7 +139,7 @@
 		if c.edit != nil {
 			c.edit(of)
 		}
-		if got := mayLeave(c.ms, 1, 3, tolerance{machines: 1}, 10, func(m clamp.Member) standing { return of[m.ID] }); got != c.want {
+		if got := mayLeave(c.ms, 1, 3, tolerance{machines: 1}, 10, func(m raft.Member) standing { return of[m.ID] }); got != c.want {
 			t.Errorf("%s: let go %v", c.name, got)
 		}
 	}
@@ -225,16 +225,16 @@
 		}
 		for _, id := range c.IDs() {
 			if c.Up(id) && !n.Members().Has(id) {
-				_ = n.ProposeMembers(n.Members().WithLearner(clamp.Member{ID: id, Addr: c.api[id]}))
+				_ = n.ProposeMembers(n.Members().WithLearner(raft.Member{ID: id, Addr: c.api[id]}))
 				break
 			}
 		}
 	}
 }
 
-func (c *core) of(n *clamp.Node) *roster {
+func (c *core) of(n *raft.Node) *roster {
 	if c.roster[n.ID()] == nil {
-		c.roster[n.ID()] = &roster{tol: tolerance{machines: 1}, dead: simDead, recent: simElection, leaves: simDead / 2, forget: 4 * simCatchUp, place: func(clamp.Member) string { return "" }}
+		c.roster[n.ID()] = &roster{tol: tolerance{machines: 1}, dead: simDead, recent: simElection, leaves: simDead / 2, forget: 4 * simCatchUp, place: func(raft.Member) string { return "" }}
 	}
 	return c.roster[n.ID()]
 }
@@ -447,10 +447,10 @@
 // and its duties may be due in the same one, as after a slow start.
 func TestDutiesOfANewLeader(t *testing.T) {
 	l := newGroup(t, 1, nil).nodes[0]
-	until(t, "it leads", func() bool { return l.Status().Role == clamp.Leader.String() })
+	until(t, "it leads", func() bool { return l.Status().Role == raft.Leader.String() })
 	done := make(chan bool)
 	l.post(func() {
-		l.role, l.judge, l.granter, l.checkedAt = clamp.Follower, nil, nil, -time.Hour
+		l.role, l.judge, l.granter, l.checkedAt = raft.Follower, nil, nil, -time.Hour
 		l.duties()
 		close(done)
 	})
@@ -482,7 +482,7 @@
 	until(t, "three vote and one stands by", func() bool { n, all := voters(""); return n == 3 && all == 4 })
 	first := 0
 	for i, l := range g.nodes {
-		if s := l.Status(); s.Role != clamp.Leader.String() && l.node != nil && i < 3 {
+		if s := l.Status(); s.Role != raft.Leader.String() && l.node != nil && i < 3 {
 			first = i
 		}
 	}
--- a/internal/lathe/status.go
+++ b/internal/lathe/status.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"lichentray/clamp"
 	"lichentray/feeler"
 	"lichentray/rack"
+	"lichentray/raft"
 )
 
 // MemberStatus is one member of the core as the asked node sees it.
@@ -71,7 +71,7 @@
 		ms := n.Members()
 		for _, m := range ms.All() {
 			st := MemberStatus{ID: hexID(m.ID), Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr), Voter: ms.Voter(m.ID), AgoMS: -1}
-			if n.Role() == clamp.Leader {
+			if n.Role() == raft.Leader {
 				st.Match, st.AgoMS = n.Match(m.ID), 0
 				if m.ID != l.self.ID {
 					st.AgoMS = (now - n.Heard(m.ID)).Milliseconds()
--- a/internal/lathe/transfer.go
+++ b/internal/lathe/transfer.go
@@ -1,9 +1,9 @@
 package lathe
 
 import (
-	"lichentray/clamp"
 	"lichentray/internal/dowel"
 	"lichentray/rack"
+	"lichentray/raft"
 )
 
 // Appends and snapshots go to a peer on a connection of their own: a configuration
@@ -24,15 +24,15 @@
 
 // send queues messages for their peers: what carries the log alone, else those of
 // one peer in one frame.
-func (s *linkSet) send(ms []clamp.Message) {
+func (s *linkSet) send(ms []raft.Message) {
 	var order []uint64
 	frames := map[uint64]*dowel.Frame{}
 	for _, m := range ms {
 		addr := s.addr(m.To)
 		switch {
 		case addr == "" || addr == s.l.self.Addr:
-		case m.Type == clamp.MsgAppend || m.Type == clamp.MsgSnapshot:
-			offer(s.logLink(addr), &dowel.Frame{Raft: []clamp.Message{m}})
+		case m.Type == raft.MsgAppend || m.Type == raft.MsgSnapshot:
+			offer(s.logLink(addr), &dowel.Frame{Raft: []raft.Message{m}})
 		case frames[m.To] == nil:
 			frames[m.To] = &dowel.Frame{}
 			order = append(order, m.To)
@@ -70,7 +70,7 @@
 }
 
 // restore takes the state that the disk holds.
-func (l *Lathe) restore(saved clamp.Saved) error {
+func (l *Lathe) restore(saved raft.Saved) error {
 	if saved.Snapshot.Data == nil {
 		return nil
 	}
--- a/internal/lathe/transfer_test.go
+++ b/internal/lathe/transfer_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/internal/chest"
 	"lichentray/internal/dowel"
 	"lichentray/rack"
+	"lichentray/raft"
 )
 
 // strait is a link of so many bytes a second that several connections share.
@@ -80,7 +80,7 @@
 	t.Cleanup(func() { ln.Close() })
 	addr = ln.Addr().String()
 	s := &strait{rate: 1 << 20}
-	got := make(chan clamp.Message, 64)
+	got := make(chan raft.Message, 64)
 	go func() {
 		for {
 			raw, err := ln.Accept()
@@ -101,7 +101,7 @@
 			}()
 		}
 	}()
-	self := clamp.Member{ID: 1<<63 | 5, Addr: addr}
+	self := raft.Member{ID: 1<<63 | 5, Addr: addr}
 	out, err := dowel.Dial(t.Context(), l.self.Addr, 5*time.Second, dowel.Hello{Role: dowel.Peer, Node: "late", ID: self.ID, Addr: addr})
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 
-	n := clamp.New(clamp.Config{ID: self.ID, Heartbeat: l.timing.Heartbeat, Election: l.timing.Election, Rand: rand.Int63n}, 0, clamp.Saved{})
+	n := raft.New(raft.Config{ID: self.ID, Heartbeat: l.timing.Heartbeat, Election: l.timing.Election, Rand: rand.Int63n}, 0, raft.Saved{})
 	start := time.Now()
 	installed := 0
 	tick := time.NewTicker(l.timing.Tick)
@@ -189,7 +189,7 @@
 		t.Fatal(err)
 	}
 	last := saved.Snapshot.Index + uint64(len(saved.Entries))
-	if err := c.Save(nil, &clamp.Snapshot{Index: last, Term: saved.Hard.Term, Members: saved.Snapshot.Members, Data: []byte("no state")}, false, nil); err != nil {
+	if err := c.Save(nil, &raft.Snapshot{Index: last, Term: saved.Hard.Term, Members: saved.Snapshot.Members, Data: []byte("no state")}, false, nil); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
--- a/rack/feed_test.go
+++ b/rack/feed_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/trestle"
 )
 
@@ -73,7 +73,7 @@
 	takeIn := func() {
 		if l := c.Leader(); l != nil && lost != 0 && !l.Raft.Changing() {
 			ms, id := l.Raft.Members(), next-1
-			m := clamp.Member{ID: id, Addr: fmt.Sprint("node-", id)}
+			m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 			switch {
 			case ms.Has(lost):
 				_ = l.Raft.ProposeMembers(ms.Without(lost)) // tried again next round
--- a/rack/history_test.go
+++ b/rack/history_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"lichentray/clamp"
 	"lichentray/latch"
 	"lichentray/rack"
+	"lichentray/raft"
 	"lichentray/trestle"
 )
 
@@ -334,7 +334,7 @@
 	}
 	node := h.c.Nodes[id].Raft
 	switch leader := node.Leader(); {
-	case node.Role() == clamp.Leader:
+	case node.Role() == raft.Leader:
 		if !h.propose(id, x, func(o outcome, res rack.Result) { h.reply(x, o, res) }) {
 			retry()
 		}
@@ -413,7 +413,7 @@
 	}
 	node := h.c.Nodes[id].Raft
 	switch leader := node.Leader(); {
-	case node.Role() == clamp.Leader:
+	case node.Role() == raft.Leader:
 		h.c.ReadIndex(id, func(index uint64, ok bool) {
 			h.after(0, func() { h.in(id, life, func() { got(index, ok) }) })
 		})
@@ -773,7 +773,7 @@
 func (h *chronicle) takeIn() {
 	if l := h.c.Leader(); l != nil && !l.Raft.Changing() {
 		ms, id := l.Raft.Members(), h.next-1
-		m := clamp.Member{ID: id, Addr: fmt.Sprint("node-", id)}
+		m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 		switch {
 		case !ms.Has(id):
 			_ = l.Raft.ProposeMembers(ms.WithLearner(m)) // tried again
--- a/clamp/catchup_test.go
+++ b/raft/catchup_test.go
@@ -1,4 +1,4 @@
-package clamp_test
+package raft_test
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 	"lichentray/trestle"
 )
 
@@ -101,7 +101,7 @@
 					late = 4
 					c.Add(late)
 					l := c.Leader()
-					if err := l.Raft.ProposeMembers(l.Raft.Members().WithLearner(clamp.Member{ID: late, Addr: "node-4"})); err != nil {
+					if err := l.Raft.ProposeMembers(l.Raft.Members().WithLearner(raft.Member{ID: late, Addr: "node-4"})); err != nil {
 						t.Fatal(err)
 					}
 				} else {
@@ -179,15 +179,15 @@
 // the caller cannot restore leaves the node where it was.
 func TestDamagedPart(t *testing.T) {
 	refused := 0
-	n := clamp.New(clamp.Config{ID: 2, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }, Check: func(data []byte) error {
+	n := raft.New(raft.Config{ID: 2, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }, Check: func(data []byte) error {
 		if string(data) == "junk" {
 			refused++
 			return errors.New("junk")
 		}
 		return nil
-	}}, 0, clamp.Saved{})
-	n.Step(0, clamp.Message{Type: clamp.MsgSnapshot, From: 1, To: 2, Term: 1, Size: 4, Sum: crc32.Checksum([]byte("junk"), crc32.MakeTable(crc32.Castagnoli)),
-		Snap: &clamp.Snapshot{Index: 4, Term: 1, Data: []byte("junk")}})
+	}}, 0, raft.Saved{})
+	n.Step(0, raft.Message{Type: raft.MsgSnapshot, From: 1, To: 2, Term: 1, Size: 4, Sum: crc32.Checksum([]byte("junk"), crc32.MakeTable(crc32.Castagnoli)),
+		Snap: &raft.Snapshot{Index: 4, Term: 1, Data: []byte("junk")}})
 	if e := n.Ready(); refused != 1 || e.Install != nil || n.Last() != 0 {
 		t.Errorf("junk was installed, or not looked at: %+v", e)
 	}
@@ -203,8 +203,8 @@
 		if step > 8 {
 			from = 3
 		}
-		n.Step(0, clamp.Message{Type: clamp.MsgSnapshot, From: from, To: 2, Term: from, Offset: at, Size: len(data), Sum: sum,
-			Snap: &clamp.Snapshot{Index: 9, Term: 1, Data: part}})
+		n.Step(0, raft.Message{Type: raft.MsgSnapshot, From: from, To: 2, Term: from, Offset: at, Size: len(data), Sum: sum,
+			Snap: &raft.Snapshot{Index: 9, Term: 1, Data: part}})
 		e := n.Ready()
 		if e.Install != nil {
 			if !damaged || string(e.Install.Data) != string(data) || step != 9 {
@@ -216,7 +216,7 @@
 		if e.Write != nil {
 			out = append(out, e.Write.After...)
 		}
-		if len(out) != 1 || out[0].Type != clamp.MsgSnapshotResp || out[0].To != from {
+		if len(out) != 1 || out[0].Type != raft.MsgSnapshotResp || out[0].To != from {
 			t.Fatalf("step %d: answered %+v", step, out)
 		}
 		at = out[0].Offset
--- a/clamp/golden_test.go
+++ b/raft/golden_test.go
@@ -1,12 +1,12 @@
-package clamp_test
+package raft_test
 
 import (
 	"bytes"
 	"encoding/gob"
 	"testing"
 
-	"lichentray/clamp"
 	"lichentray/internal/goldentest"
+	"lichentray/raft"
 )
 
 // The golden forms are the serialised types as they were when the golden files were
@@ -28,12 +28,12 @@
 // golden file in both directions: the present code reads what was written before, and
 // a reader of before reads what the present code writes.
 func TestGoldenMembership(t *testing.T) {
-	want := clamp.Membership{
-		Voters: []clamp.Member{
+	want := raft.Membership{
+		Voters: []raft.Member{
 			{ID: 11, Addr: "127.0.0.1:7001", API: "127.0.0.1:8001"},
 			{ID: 12, Addr: "127.0.0.1:7002", API: "127.0.0.1:8002", Uncounted: true},
 		},
-		Learners: []clamp.Member{{ID: 13, Addr: "127.0.0.1:7003", API: "127.0.0.1:8003"}},
+		Learners: []raft.Member{{ID: 13, Addr: "127.0.0.1:7003", API: "127.0.0.1:8003"}},
 	}
 	wantOld := goldenMembership{
 		Voters: []goldenMember{
@@ -44,7 +44,7 @@
 	}
 	golden := goldentest.File(t, "testdata/golden/membership.gob", want.Encode)
 
-	got, err := clamp.DecodeMembership(golden)
+	got, err := raft.DecodeMembership(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/clamp/lease.go
+++ b/raft/lease.go
@@ -1,4 +1,4 @@
-package clamp
+package raft
 
 import "time"
 
--- a/clamp/membership.go
+++ b/raft/membership.go
@@ -1,4 +1,4 @@
-package clamp
+package raft
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 func DecodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&m); err != nil {
-		return m, fmt.Errorf("clamp: membership: %w", err)
+		return m, fmt.Errorf("raft: membership: %w", err)
 	}
 	return m, nil
 }
@@ -68,13 +68,13 @@
 func (n *Node) ProposeMembers(m Membership) error {
 	switch {
 	case n.role != Leader || n.transferTo != 0:
-		return fmt.Errorf("clamp: not the leader")
+		return fmt.Errorf("raft: not the leader")
 	case n.Changing():
-		return fmt.Errorf("clamp: another change is on its way")
+		return fmt.Errorf("raft: another change is on its way")
 	case distance(n.Members().Voters, m.Voters) > 1:
-		return fmt.Errorf("clamp: more than one voter changed")
+		return fmt.Errorf("raft: more than one voter changed")
 	case !m.Voter(n.cfg.ID):
-		return fmt.Errorf("clamp: a leader does not remove itself")
+		return fmt.Errorf("raft: a leader does not remove itself")
 	}
 	n.push(Entry{Type: Change, Data: m.Encode()})
 	for _, x := range m.All() {
--- a/clamp/clamp_test.go
+++ b/raft/raft_test.go
@@ -1,4 +1,4 @@
-package clamp_test
+package raft_test
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 	"lichentray/trestle"
 )
 
@@ -115,7 +115,7 @@
 			// Whoever believes that it leads is asked, the deposed too.
 			for _, x := range c.IDs() {
 				n := c.Nodes[x]
-				if !c.Up(x) || n.Raft.Role() != clamp.Leader {
+				if !c.Up(x) || n.Raft.Role() != raft.Leader {
 					continue
 				}
 				before := make([]string, 0, len(acked))
@@ -181,7 +181,7 @@
 			continue
 		}
 		sure := n.Raft.TouchedAt()
-		if n.Raft.Role() != clamp.Leader {
+		if n.Raft.Role() != raft.Leader {
 			sure -= trestle.Election
 		}
 		var before []string
@@ -254,7 +254,7 @@
 // replace swaps a dead voter for a new node: learner, caught up, voter, and
 // the dead one out, as an operator of the library would.
 func replace(c *trestle.Cluster, dead, fresh uint64) {
-	m := clamp.Member{ID: fresh, Addr: fmt.Sprint("node-", fresh)}
+	m := raft.Member{ID: fresh, Addr: fmt.Sprint("node-", fresh)}
 	for range 400 {
 		c.Run(20 * time.Millisecond)
 		l := c.Leader()
@@ -381,8 +381,8 @@
 // TestOldLifeIsNotHeard: what is meant for an earlier life of an address does
 // nothing.
 func TestOldLifeIsNotHeard(t *testing.T) {
-	n := clamp.New(clamp.Config{ID: 2, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }}, 0, clamp.Saved{})
-	n.Step(0, clamp.Message{Type: clamp.MsgVote, From: 1, To: 3, Term: 9, Index: 5, LogTerm: 5})
+	n := raft.New(raft.Config{ID: 2, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }}, 0, raft.Saved{})
+	n.Step(0, raft.Message{Type: raft.MsgVote, From: 1, To: 3, Term: 9, Index: 5, LogTerm: 5})
 	if e := n.Ready(); e.Write != nil || len(e.Send) > 0 || n.Term() != 0 {
 		t.Error("a message to another life was taken")
 	}
@@ -430,8 +430,8 @@
 // TestSoleVoterWaits: a sole voter leads at once, but says nothing as the leader
 // of a term that a crash could make it lead again, with another log.
 func TestSoleVoterWaits(t *testing.T) {
-	n := clamp.New(clamp.Config{ID: 1, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }}, 0,
-		clamp.Saved{Snapshot: clamp.Snapshot{Members: clamp.Membership{Voters: []clamp.Member{{ID: 1}}, Learners: []clamp.Member{{ID: 2}}}}})
+	n := raft.New(raft.Config{ID: 1, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }}, 0,
+		raft.Saved{Snapshot: raft.Snapshot{Members: raft.Membership{Voters: []raft.Member{{ID: 1}}, Learners: []raft.Member{{ID: 2}}}}})
 	n.Campaign()
 	first := n.Ready()
 	n.Propose([]byte("x"))
@@ -457,7 +457,7 @@
 			c.Cut(old.ID, id, !deaf)
 		}
 		c.Run(310 * time.Millisecond)
-		if old.Raft.Role() == clamp.Leader {
+		if old.Raft.Role() == raft.Leader {
 			t.Errorf("deaf %v: it still leads", deaf)
 		}
 	}
--- a/clamp/readindex.go
+++ b/raft/readindex.go
@@ -1,4 +1,4 @@
-package clamp
+package raft
 
 // Confirmed read points (ReadIndex).
 
--- a/clamp/reject_test.go
+++ b/raft/reject_test.go
@@ -1,28 +1,28 @@
-package clamp_test
+package raft_test
 
 import (
 	"testing"
 	"time"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 )
 
 // TestRejectionsSendOnce: a member misses the first of many appends that are on
 // their way and rejects each of the others. It is sent the log once, not once for
 // each rejection, and has all of it in the end.
 func TestRejectionsSendOnce(t *testing.T) {
-	members := clamp.Membership{Voters: []clamp.Member{{ID: 1}, {ID: 2}, {ID: 3}}}
-	nodes := map[uint64]*clamp.Node{}
+	members := raft.Membership{Voters: []raft.Member{{ID: 1}, {ID: 2}, {ID: 3}}}
+	nodes := map[uint64]*raft.Node{}
 	for id := uint64(1); id <= 3; id++ {
-		nodes[id] = clamp.New(clamp.Config{ID: id, Heartbeat: 100 * time.Millisecond, Election: time.Second, Rand: func(n int64) int64 {
+		nodes[id] = raft.New(raft.Config{ID: id, Heartbeat: 100 * time.Millisecond, Election: time.Second, Rand: func(n int64) int64 {
 			if id == 1 {
 				return 0 // it stands first
 			}
 			return n - 1
-		}}, 0, clamp.Saved{Snapshot: clamp.Snapshot{Members: members}})
+		}}, 0, raft.Saved{Snapshot: raft.Snapshot{Members: members}})
 	}
 	var now time.Duration
-	var toThird []clamp.Message // what member 3 is sent, while it is held back
+	var toThird []raft.Message // what member 3 is sent, while it is held back
 	held, sent := false, 0
 	pump := func() {
 		for more := true; more; {
@@ -40,7 +40,7 @@
 				}
 				for _, m := range out {
 					more = true
-					if m.To == 3 && m.Type == clamp.MsgAppend {
+					if m.To == 3 && m.Type == raft.MsgAppend {
 						sent += len(m.Entries)
 						if held {
 							toThird = append(toThird, m)
@@ -52,13 +52,13 @@
 			}
 		}
 	}
-	for ; nodes[1].Role() != clamp.Leader && now < 30*time.Second; now += 10 * time.Millisecond {
+	for ; nodes[1].Role() != raft.Leader && now < 30*time.Second; now += 10 * time.Millisecond {
 		for id := uint64(1); id <= 3; id++ {
 			nodes[id].Tick(now)
 		}
 		pump()
 	}
-	if nodes[1].Role() != clamp.Leader {
+	if nodes[1].Role() != raft.Leader {
 		t.Fatal("nobody leads")
 	}
 	const n = 300
--- a/clamp/types.go
+++ b/raft/types.go
@@ -1,4 +1,4 @@
-// Package clamp is consensus (Raft): leader election with PreVote and
+// Package raft is consensus (Raft): leader election with PreVote and
 // CheckQuorum, pipelined log replication, ReadIndex, learners, single-server
 // membership change, snapshots and leadership transfer.
 //
@@ -7,7 +7,7 @@
 // disk, sent and applied. What must not be sent before the write is durable is
 // kept apart from what may go at once, so that a slow disk holds up only its
 // own promises.
-package clamp
+package raft
 
 import "time"
 
--- a/trestle/explore.go
+++ b/trestle/explore.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 )
 
 // Kind is one kind of event that the explorer tries.
@@ -74,9 +74,9 @@
 // another cell. Equal cells of one exploration are one.
 type cell struct {
 	id     uint64
-	raft   *clamp.Node
+	raft   *raft.Node
 	now    time.Duration
-	disk   clamp.Saved
+	disk   raft.Saved
 	queue  []disking
 	digest uint64 // of all that was applied
 	sum    uint64
@@ -84,13 +84,13 @@
 
 // disking is a write on its way to the disk.
 type disking struct {
-	w       *clamp.Write
+	w       *raft.Write
 	compact bool
 }
 
 // parcel is a message on its way. Equal ones of one exploration are one.
 type parcel struct {
-	m   clamp.Message
+	m   raft.Message
 	sum uint64
 }
 
@@ -104,9 +104,9 @@
 
 // note is something to be judged, in the order in which it came about.
 type note struct {
-	committed *clamp.Entry
-	snapshot  *clamp.Snapshot
-	read      *clamp.Read
+	committed *raft.Entry
+	snapshot  *raft.Snapshot
+	read      *raft.Read
 	digest    uint64 // after committed
 }
 
@@ -120,7 +120,7 @@
 
 // memory is what an exploration has seen of single nodes and messages.
 type memory struct {
-	first     clamp.Membership
+	first     raft.Membership
 	cells     map[uint64]*cell
 	parcels   map[uint64]*parcel
 	reactions map[stimulus]*reaction
@@ -128,7 +128,7 @@
 
 // fact is a committed entry.
 type fact struct {
-	entry  clamp.Entry
+	entry  raft.Entry
 	digest uint64 // of the state machine after it
 	at     uint64 // term in which it was first known as committed
 	roster string // of the members from there on
@@ -178,7 +178,7 @@
 	return s
 }
 
-func describe(m clamp.Message) string {
+func describe(m raft.Message) string {
 	name := [...]string{"?", "prevote", "prevote-resp", "vote", "vote-resp", "append", "append-resp", "heartbeat", "heartbeat-resp", "snapshot", "timeout-now"}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %d>%d term %d at %d/%d", name[m.Type], m.From, m.To, m.Term, m.Index, m.LogTerm)
@@ -197,7 +197,7 @@
 		b.WriteString(" force")
 	}
 	for _, e := range m.Entries {
-		if e.Type == clamp.Change {
+		if e.Type == raft.Change {
 			fmt.Fprintf(&b, " [%d/%d %s]", e.Index, e.Term, roster(e.Data))
 		} else {
 			fmt.Fprintf(&b, " [%d/%d %s]", e.Index, e.Term, e.Data)
@@ -210,14 +210,14 @@
 }
 
 func roster(data []byte) string {
-	m, err := clamp.DecodeMembership(data)
+	m, err := raft.DecodeMembership(data)
 	if err != nil {
 		return err.Error()
 	}
 	return ids(m)
 }
 
-func ids(m clamp.Membership) string {
+func ids(m raft.Membership) string {
 	var b strings.Builder
 	b.WriteString("voters")
 	for _, x := range m.Voters {
@@ -237,27 +237,27 @@
 	w := &world{memory: m, left: x.Budget}
 	for range x.Voters {
 		w.next++
-		m.first.Voters = append(m.first.Voters, clamp.Member{ID: w.next})
+		m.first.Voters = append(m.first.Voters, raft.Member{ID: w.next})
 	}
 	for range x.Learners {
 		w.next++
-		m.first.Learners = append(m.first.Learners, clamp.Member{ID: w.next})
+		m.first.Learners = append(m.first.Learners, raft.Member{ID: w.next})
 	}
 	for _, v := range m.first.All() {
-		w.nodes = append(w.nodes, m.seal(begin(v.ID, exploreSpan, clamp.Saved{Snapshot: clamp.Snapshot{Members: m.first}})))
+		w.nodes = append(w.nodes, m.seal(begin(v.ID, exploreSpan, raft.Saved{Snapshot: raft.Snapshot{Members: m.first}})))
 	}
 	w.next++
 	return w
 }
 
-func begin(id uint64, now time.Duration, disk clamp.Saved) *cell {
+func begin(id uint64, now time.Duration, disk raft.Saved) *cell {
 	c := &cell{id: id, now: now, disk: disk}
 	if len(disk.Snapshot.Data) == 8 {
 		c.digest = binary.BigEndian.Uint64(disk.Snapshot.Data)
 	}
 	saved := disk
 	saved.Entries = slices.Clone(disk.Entries)
-	c.raft = clamp.New(clamp.Config{ID: id, Heartbeat: exploreHeartbeat, Election: exploreElection, MaxBatch: 1, Rand: func(int64) int64 { return 0 }}, now, saved)
+	c.raft = raft.New(raft.Config{ID: id, Heartbeat: exploreHeartbeat, Election: exploreElection, MaxBatch: 1, Rand: func(int64) int64 { return 0 }}, now, saved)
 	return c
 }
 
@@ -278,7 +278,7 @@
 }
 
 // parcel gives the one parcel with this message.
-func (m *memory) parcel(msg clamp.Message) *parcel {
+func (m *memory) parcel(msg raft.Message) *parcel {
 	sum := xxhash.Sum64(msg.Fingerprint(nil))
 	p := m.parcels[sum]
 	if p == nil {
@@ -379,7 +379,7 @@
 		add(LoseDisk, "lose", c.id, 0, 0)
 		add(ReuseDisk, "reuse", c.id, 0, 0)
 		add(Compact, "compact", c.id, 0, 0)
-		if c.raft.Role() != clamp.Leader {
+		if c.raft.Role() != raft.Leader {
 			continue
 		}
 		add(Propose, "propose", c.id, 0, 0)
@@ -507,19 +507,19 @@
 	case Crash:
 		c = *begin(c.id, c.now, c.disk)
 	case ReuseDisk:
-		c = *begin(c.id, c.now, clamp.Saved{Snapshot: clamp.Snapshot{Members: m.first}})
+		c = *begin(c.id, c.now, raft.Saved{Snapshot: raft.Snapshot{Members: m.first}})
 	case LoseDisk:
-		c = *begin(s.other, exploreSpan, clamp.Saved{})
+		c = *begin(s.other, exploreSpan, raft.Saved{})
 	case Compact:
 		snap, ok := c.raft.Compact(c.raft.Applied(), binary.BigEndian.AppendUint64(nil, c.digest))
 		if !ok {
 			return r
 		}
 		r.notes = append(r.notes, note{snapshot: &snap})
-		c.queue = append(c.queue, disking{&clamp.Write{Snapshot: &snap}, true})
+		c.queue = append(c.queue, disking{&raft.Write{Snapshot: &snap}, true})
 	case MemberStep:
 		ms := c.raft.Members()
-		switch x := (clamp.Member{ID: s.other}); s.verb {
+		switch x := (raft.Member{ID: s.other}); s.verb {
 		case "learner":
 			ms = ms.WithLearner(x)
 		case "voter":
@@ -544,7 +544,7 @@
 		c.disk.Hard = *q.w.Hard
 	}
 	if s := q.w.Snapshot; s != nil {
-		var keep []clamp.Entry
+		var keep []raft.Entry
 		for _, e := range c.disk.Entries {
 			if q.compact && e.Index > s.Index {
 				keep = append(keep, e)
@@ -560,16 +560,16 @@
 }
 
 // sent takes what a node sends. What its messages promise is on its disk.
-func (m *memory) sent(c *cell, r *reaction, ms []clamp.Message) {
+func (m *memory) sent(c *cell, r *reaction, ms []raft.Message) {
 	for _, msg := range ms {
-		vote, kept := clamp.HardState{Term: msg.Term, Vote: msg.To}, true
+		vote, kept := raft.HardState{Term: msg.Term, Vote: msg.To}, true
 		switch hard := c.disk.Hard; {
-		case msg.Type == clamp.MsgVote:
+		case msg.Type == raft.MsgVote:
 			vote.Vote = msg.From
 			kept = hard == vote || hard.Term > msg.Term
-		case msg.Type == clamp.MsgVoteResp && !msg.Reject:
+		case msg.Type == raft.MsgVoteResp && !msg.Reject:
 			kept = hard == vote || hard.Term > msg.Term
-		case msg.Type == clamp.MsgAppendResp && !msg.Reject:
+		case msg.Type == raft.MsgAppendResp && !msg.Reject:
 			kept = msg.Index <= c.disk.Snapshot.Index+uint64(len(c.disk.Entries))
 		}
 		if !kept {
@@ -585,9 +585,9 @@
 
 func (w *world) post(p *parcel) {
 	switch m := p.m; {
-	case m.Type == clamp.MsgVote:
+	case m.Type == raft.MsgVote:
 		w.vote(ballot{m.Term, m.From, m.From})
-	case m.Type == clamp.MsgVoteResp && !m.Reject:
+	case m.Type == raft.MsgVoteResp && !m.Reject:
 		w.vote(ballot{m.Term, m.From, m.To})
 	}
 	if w.isNew(p) {
@@ -638,7 +638,7 @@
 	}
 }
 
-func (w *world) answered(c *cell, r clamp.Read) {
+func (w *world) answered(c *cell, r raft.Read) {
 	for i, f := range w.floors {
 		if f.context == r.Context {
 			if r.OK && r.Index < f.index {
@@ -651,7 +651,7 @@
 }
 
 // commit judges an entry that a node holds as committed.
-func (w *world) commit(c *cell, en clamp.Entry, digest uint64) {
+func (w *world) commit(c *cell, en raft.Entry, digest uint64) {
 	k := int(en.Index) - 1
 	switch {
 	case k < len(w.chosen):
@@ -660,11 +660,11 @@
 		}
 	case k > len(w.chosen):
 		w.fail("%d commits %d, only %d are committed anywhere", c.id, en.Index, len(w.chosen))
-	case c.raft.Role() != clamp.Leader:
+	case c.raft.Role() != raft.Leader:
 		w.fail("%d holds %d/%d as committed, no leader has committed it", c.id, en.Index, en.Term)
 	default:
 		members := w.members(en.Index)
-		if en.Type == clamp.Change {
+		if en.Type == raft.Change {
 			members = roster(en.Data)
 		}
 		w.chosen = append(w.chosen, fact{en, digest, c.raft.Term(), members})
@@ -674,7 +674,7 @@
 
 // checkDurable: an entry that a leader commits is on the disks of a quorum. A
 // disk that was lost since it answered counts as having held it.
-func (w *world) checkDurable(c *cell, en clamp.Entry) {
+func (w *world) checkDurable(c *cell, en raft.Entry) {
 	voters := c.raft.Members().Voters
 	hold := 0
 	for _, m := range voters {
@@ -687,7 +687,7 @@
 	}
 }
 
-func holdsEntry(s clamp.Snapshot, es []clamp.Entry, en clamp.Entry) bool {
+func holdsEntry(s raft.Snapshot, es []raft.Entry, en raft.Entry) bool {
 	if en.Index <= s.Index {
 		return true
 	}
@@ -696,7 +696,7 @@
 }
 
 // checkSnapshot: a snapshot carries the state and the membership of its index.
-func (w *world) checkSnapshot(c *cell, s clamp.Snapshot) {
+func (w *world) checkSnapshot(c *cell, s raft.Snapshot) {
 	if s.Index > uint64(len(w.chosen)) {
 		w.fail("%d has a snapshot of %d, %d entries are committed", c.id, s.Index, len(w.chosen))
 		return
@@ -733,7 +733,7 @@
 			w.fail("%d holds %s as committed up to %d, not %s", c.id, ids(m), c.raft.Commit(), want)
 		}
 	}
-	if c.raft.Role() == clamp.Leader {
+	if c.raft.Role() == raft.Leader {
 		term := c.raft.Term()
 		if id, ok := w.leaders[term]; !ok {
 			heads := make(map[uint64]uint64, len(w.leaders)+1)
@@ -756,7 +756,7 @@
 
 // checkMatching: two logs that agree on the term of an index agree on all up to
 // it.
-func (w *world) checkMatching(a uint64, as clamp.Snapshot, ae []clamp.Entry, b uint64, bs clamp.Snapshot, be []clamp.Entry) {
+func (w *world) checkMatching(a uint64, as raft.Snapshot, ae []raft.Entry, b uint64, bs raft.Snapshot, be []raft.Entry) {
 	low := max(as.Index, bs.Index)
 	high := min(as.Index+uint64(len(ae)), bs.Index+uint64(len(be)))
 	agreed := false
@@ -772,9 +772,9 @@
 // checkQuorums: memberships that can both decide have no two quorums apart. A
 // leader's can decide while a quorum of it has not moved on to a later term.
 func (w *world) checkQuorums() {
-	var uses []clamp.Membership
+	var uses []raft.Membership
 	for _, c := range w.nodes {
-		if c.raft.Role() != clamp.Leader {
+		if c.raft.Role() != raft.Leader {
 			continue
 		}
 		for _, m := range c.raft.InUse() {
@@ -798,10 +798,10 @@
 	}
 }
 
-func meet(a, b []clamp.Member) bool {
+func meet(a, b []raft.Member) bool {
 	both := 0
 	for _, m := range a {
-		if slices.ContainsFunc(b, func(x clamp.Member) bool { return x.ID == m.ID }) {
+		if slices.ContainsFunc(b, func(x raft.Member) bool { return x.ID == m.ID }) {
 			both++
 		}
 	}
@@ -869,7 +869,7 @@
 	for range 10_000 {
 		var next *world
 		for _, c := range w.nodes {
-			if c.raft.Role() == clamp.Leader && fmt.Sprint(c.id) == leader {
+			if c.raft.Role() == raft.Leader && fmt.Sprint(c.id) == leader {
 				return w, nil
 			}
 		}
--- a/trestle/trestle.go
+++ b/trestle/trestle.go
@@ -11,7 +11,7 @@
 	"sort"
 	"time"
 
-	"lichentray/clamp"
+	"lichentray/raft"
 )
 
 // How patient the simulated nodes are.
@@ -38,21 +38,21 @@
 type letter struct {
 	at  time.Duration
 	seq int
-	m   clamp.Message
+	m   raft.Message
 }
 
 type job struct {
 	at time.Duration
-	w  *clamp.Write
+	w  *raft.Write
 }
 
 // Node is one simulated node.
 type Node struct {
 	ID      uint64
-	Raft    *clamp.Node
+	Raft    *raft.Node
 	Machine Machine
 	// Disk is what would be found after a crash.
-	Disk clamp.Saved
+	Disk raft.Saved
 
 	up, frozen bool
 	diskUntil  time.Duration
@@ -99,17 +99,17 @@
 		cut:    map[[2]uint64]bool{}, chosen: map[uint64]string{}, compact: 200,
 		Bandwidth: map[[2]uint64]int{}, Carried: map[[2]uint64]int{}, free: map[[2]uint64]time.Duration{},
 	}
-	var ms clamp.Membership
+	var ms raft.Membership
 	for id := uint64(1); id <= uint64(n); id++ {
-		ms.Voters = append(ms.Voters, clamp.Member{ID: id, Addr: fmt.Sprint("node-", id)})
+		ms.Voters = append(ms.Voters, raft.Member{ID: id, Addr: fmt.Sprint("node-", id)})
 	}
 	for _, m := range ms.Voters {
-		c.add(m.ID, clamp.Saved{Snapshot: clamp.Snapshot{Members: ms}})
+		c.add(m.ID, raft.Saved{Snapshot: raft.Snapshot{Members: ms}})
 	}
 	return c
 }
 
-func (c *Cluster) add(id uint64, disk clamp.Saved) *Node {
+func (c *Cluster) add(id uint64, disk raft.Saved) *Node {
 	n := &Node{ID: id, Disk: disk}
 	c.Nodes[id] = n
 	c.start(n)
@@ -117,7 +117,7 @@
 }
 
 // Add starts a node with an empty disk that is no member yet.
-func (c *Cluster) Add(id uint64) *Node { return c.add(id, clamp.Saved{}) }
+func (c *Cluster) Add(id uint64) *Node { return c.add(id, raft.Saved{}) }
 
 func (c *Cluster) start(n *Node) {
 	n.Machine = c.fresh()
@@ -125,8 +125,8 @@
 		n.Machine.Restore(n.Disk.Snapshot.Data)
 	}
 	saved := n.Disk
-	saved.Entries = append([]clamp.Entry(nil), saved.Entries...)
-	n.Raft = clamp.New(clamp.Config{ID: n.ID, Heartbeat: Heartbeat, Election: Election, Rand: c.Rand.Int63n}, c.Now, saved)
+	saved.Entries = append([]raft.Entry(nil), saved.Entries...)
+	n.Raft = raft.New(raft.Config{ID: n.ID, Heartbeat: Heartbeat, Election: Election, Rand: c.Rand.Int63n}, c.Now, saved)
 	n.jobs, n.waiting, n.reads, n.up, n.frozen, n.diskUntil = nil, map[uint64]call{}, map[uint64]func(uint64, bool){}, true, false, 0
 }
 
@@ -203,7 +203,7 @@
 	var best *Node
 	for _, id := range c.IDs() {
 		n := c.Nodes[id]
-		if n.up && !n.frozen && n.Raft.Role() == clamp.Leader && (best == nil || n.Raft.Term() > best.Raft.Term()) {
+		if n.up && !n.frozen && n.Raft.Role() == raft.Leader && (best == nil || n.Raft.Term() > best.Raft.Term()) {
 			best = n
 		}
 	}
@@ -284,7 +284,7 @@
 	}
 }
 
-func (c *Cluster) post(ms []clamp.Message) {
+func (c *Cluster) post(ms []raft.Message) {
 	for _, m := range ms {
 		if c.Rand.Float64() < c.Faults.Drop {
 			continue
@@ -303,7 +303,7 @@
 }
 
 // size is about what a message takes on its way.
-func size(m clamp.Message) int {
+func size(m raft.Message) int {
 	n := 100
 	for _, e := range m.Entries {
 		n += 30 + len(e.Data)
@@ -315,7 +315,7 @@
 }
 
 // sync makes a write durable.
-func (c *Cluster) sync(n *Node, w *clamp.Write) {
+func (c *Cluster) sync(n *Node, w *raft.Write) {
 	if w.Hard != nil {
 		n.Disk.Hard = *w.Hard
 	}
@@ -361,7 +361,7 @@
 			if s, ok := n.Raft.Compact(n.Raft.Applied(), n.Machine.Snapshot()); ok {
 				k := s.Index - n.Disk.Snapshot.Index
 				if k <= uint64(len(n.Disk.Entries)) {
-					n.Disk.Entries = append([]clamp.Entry(nil), n.Disk.Entries[k:]...)
+					n.Disk.Entries = append([]raft.Entry(nil), n.Disk.Entries[k:]...)
 				} else {
 					n.Disk.Entries = nil
 				}
@@ -371,14 +371,14 @@
 	}
 }
 
-func (c *Cluster) commit(n *Node, en clamp.Entry) {
+func (c *Cluster) commit(n *Node, en raft.Entry) {
 	text := fmt.Sprint(en.Term, en.Type, string(en.Data))
 	if was, ok := c.chosen[en.Index]; ok && was != text && c.Broken == "" {
 		c.Broken = fmt.Sprintf("index %d was committed as %q and, at node %d, as %q", en.Index, was, n.ID, text)
 	}
 	c.chosen[en.Index] = text
 	var result any
-	if en.Type == clamp.Normal && len(en.Data) > 0 {
+	if en.Type == raft.Normal && len(en.Data) > 0 {
 		result = n.Machine.Apply(en.Index, en.Data)
 	}
 	if w, ok := n.waiting[en.Index]; ok {
