--- a/internal/lathe/members_test.go
+++ b/internal/lathe/members_test.go
@@ -9,7 +9,7 @@
 
 	"lichentray/internal/caliper"
 	"lichentray/raft"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // TestMembershipSteps compares the steps, taken to their end while nothing else
@@ -165,7 +165,7 @@
 
 // core is a simulated core whose leaders tend their members as a node does.
 type core struct {
-	*trestle.Cluster
+	*rafttest.Cluster
 	t      *testing.T
 	seed   int64
 	roster map[uint64]*roster
@@ -183,7 +183,7 @@
 )
 
 func newCore(t *testing.T, seed int64, n int) *core {
-	c := &core{Cluster: trestle.New(seed, 3, func() trestle.Machine { return set{} }), t: t, seed: seed, roster: map[uint64]*roster{}, api: map[uint64]string{}}
+	c := &core{Cluster: rafttest.New(seed, 3, func() rafttest.Machine { return set{} }), t: t, seed: seed, roster: map[uint64]*roster{}, api: map[uint64]string{}}
 	for id := uint64(1); id <= uint64(n); id++ {
 		if id > 3 {
 			c.Add(id)
--- a/rack/account_test.go
+++ b/rack/account_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lichentray/rack"
+	"lichentray/raft/rafttest"
 	"lichentray/tally"
-	"lichentray/trestle"
 )
 
 // TestAccountIsWhatWasCaused: proxies cause failures of every kind on purpose, each
@@ -57,7 +57,7 @@
 
 func accounts(t *testing.T, seed int64) {
 	const proxies, perBatch = 6, 20
-	c := trestle.New(seed, 3, func() trestle.Machine {
+	c := rafttest.New(seed, 3, func() rafttest.Machine {
 		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
 	})
 	c.Run(time.Second)
--- a/rack/feed_test.go
+++ b/rack/feed_test.go
@@ -9,7 +9,7 @@
 	"lichentray/latch"
 	"lichentray/rack"
 	"lichentray/raft"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // TestFeedReplaysAlike: five nodes with freezes, cuts one way and both, crashes,
@@ -26,8 +26,8 @@
 
 func replays(t *testing.T, seed int64) {
 	const retention = 2 * time.Second
-	var c *trestle.Cluster
-	c = trestle.New(seed, 5, func() trestle.Machine {
+	var c *rafttest.Cluster
+	c = rafttest.New(seed, 5, func() rafttest.Machine {
 		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
--- a/rack/history_test.go
+++ b/rack/history_test.go
@@ -14,7 +14,7 @@
 	"lichentray/latch"
 	"lichentray/rack"
 	"lichentray/raft"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // TestHistories: a group in trouble for two minutes of simulated time (cuts of
@@ -149,7 +149,7 @@
 
 type chronicle struct {
 	t        *testing.T
-	c        *trestle.Cluster
+	c        *rafttest.Cluster
 	events   []event
 	seq      int
 	stamp    int64
@@ -174,7 +174,7 @@
 		replays: map[string]map[uint64]latch.Event{}, acked: map[string]uint64{},
 	}
 	h.next = uint64(n + 1)
-	h.c = trestle.New(seed, n, func() trestle.Machine {
+	h.c = rafttest.New(seed, n, func() rafttest.Machine {
 		return &replica{h: h, s: rack.New(), timers: map[string]lockTimer{}, ordered: map[bool]time.Duration{}}
 	})
 	h.run(time.Second)
@@ -250,7 +250,7 @@
 	h.in(id, n.Machine, do)
 }
 
-func (h *chronicle) in(id uint64, life trestle.Machine, do func()) {
+func (h *chronicle) in(id uint64, life rafttest.Machine, do func()) {
 	switch n := h.c.Nodes[id]; {
 	case n == nil || !h.c.Up(id) || n.Machine != life:
 	case h.c.Frozen(id):
@@ -324,7 +324,7 @@
 }
 
 // do puts a call's command through the log, here or at the leader.
-func (h *chronicle) do(id uint64, life trestle.Machine, x *call, end time.Duration) {
+func (h *chronicle) do(id uint64, life rafttest.Machine, x *call, end time.Duration) {
 	retry := func() {
 		if end-h.now() < answerIn/2 {
 			h.reply(x, refused, rack.Result{})
@@ -389,7 +389,7 @@
 
 // readPoint asks a node that leads, or the leader that it knows, for a confirmed
 // read point, and goes on once the node has reached it.
-func (h *chronicle) readPoint(id uint64, life trestle.Machine, end time.Duration, done func(ok bool)) {
+func (h *chronicle) readPoint(id uint64, life rafttest.Machine, end time.Duration, done func(ok bool)) {
 	var reached func(index uint64)
 	reached = func(index uint64) {
 		switch {
@@ -428,7 +428,7 @@
 	}
 }
 
-func (h *chronicle) read(id uint64, life trestle.Machine, x *call, end time.Duration) {
+func (h *chronicle) read(id uint64, life rafttest.Machine, x *call, end time.Duration) {
 	h.readPoint(id, life, end, func(ok bool) {
 		if !ok {
 			h.reply(x, refused, rack.Result{})
--- a/rack/orders_test.go
+++ b/rack/orders_test.go
@@ -9,7 +9,7 @@
 
 	"lichentray/latch"
 	"lichentray/rack"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // TestEightOrdersAtOnce: eight orders of each kind under way at once, to eight nodes,
@@ -153,7 +153,7 @@
 	})
 }
 
-func (h *chronicle) transact(id uint64, life trestle.Machine, point bool, key string, derive func(r *replica, held rack.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
+func (h *chronicle) transact(id uint64, life rafttest.Machine, point bool, key string, derive func(r *replica, held rack.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
 	if point {
 		h.readPoint(id, life, end, func(ok bool) {
 			if !ok {
--- a/rack/rack_test.go
+++ b/rack/rack_test.go
@@ -9,7 +9,7 @@
 
 	"lichentray/latch"
 	"lichentray/rack"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // TestAgainstPlainMap compares the store with a map that is copied whole for
@@ -146,7 +146,7 @@
 
 // trouble does one of several things to a node, or nothing, at one draw out of so
 // many.
-func trouble(c *trestle.Cluster, id uint64, draws int) {
+func trouble(c *rafttest.Cluster, id uint64, draws int) {
 	switch c.Rand.Intn(draws) {
 	case 0:
 		for _, o := range c.IDs() {
@@ -166,8 +166,8 @@
 }
 
 func history(t *testing.T, seed int64) {
-	var c *trestle.Cluster
-	c = trestle.New(seed, 3, func() trestle.Machine {
+	var c *rafttest.Cluster
+	c = rafttest.New(seed, 3, func() rafttest.Machine {
 		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
--- a/raft/catchup_test.go
+++ b/raft/catchup_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lichentray/raft"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // slab is a large state: a counter of the commands applied, in so many bytes.
@@ -30,7 +30,7 @@
 func (s *slab) Restore(b []byte) { s.size, s.applied = len(b), binary.BigEndian.Uint64(b) }
 
 // narrow limits all ways to and from a node to so many bytes a second.
-func narrow(c *trestle.Cluster, id uint64, rate int) {
+func narrow(c *rafttest.Cluster, id uint64, rate int) {
 	for _, o := range c.IDs() {
 		if o != id {
 			c.Bandwidth[[2]uint64{o, id}], c.Bandwidth[[2]uint64{id, o}] = rate, rate
@@ -40,7 +40,7 @@
 
 // changes lets commands of so many bytes come at ten a second and tells how many
 // were committed. The leader must stay, and go on hearing a majority.
-func changes(t *testing.T, c *trestle.Cluster, n, bytes int, each func(leader *trestle.Node) (done bool)) (committed int) {
+func changes(t *testing.T, c *rafttest.Cluster, n, bytes int, each func(leader *rafttest.Node) (done bool)) (committed int) {
 	t.Helper()
 	first := c.Leader()
 	for range n {
@@ -57,7 +57,7 @@
 			c.Run(10 * time.Millisecond)
 			// Reckoned from the sending, so the way there and back over the narrow link
 			// counts; here that alone takes up to a third of a second.
-			if !l.Raft.InTouch(3 * trestle.Election) {
+			if !l.Raft.InTouch(3 * rafttest.Election) {
 				t.Fatalf("%v: the leader is out of touch with its majority", c.Now)
 			}
 		}
@@ -91,7 +91,7 @@
 	} {
 		for _, mbit := range []int{4, 20} {
 			t.Run(fmt.Sprint(x.name, " at ", mbit, " Mbit/s"), func(t *testing.T) {
-				c := trestle.New(3, 3, func() trestle.Machine { return &slab{size: state} })
+				c := rafttest.New(3, 3, func() rafttest.Machine { return &slab{size: state} })
 				c.Run(time.Second)
 				late := c.Leader().ID%3 + 1
 				c.Crash(late)
@@ -110,7 +110,7 @@
 				rate := mbit * 1e6 / 8
 				narrow(c, late, rate)
 				began := c.Now
-				changes(t, c, 3*state/rate*10, 2000, func(l *trestle.Node) bool {
+				changes(t, c, 3*state/rate*10, 2000, func(l *rafttest.Node) bool {
 					if other := 6 - l.ID - late; !x.fresh && c.Up(other) && c.Now-began > time.Second {
 						c.Crash(other)
 					}
@@ -135,7 +135,7 @@
 // acknowledged is missing at any node in the end.
 func TestSixHundredChanges(t *testing.T) {
 	for seed := int64(1); seed <= 4; seed++ {
-		c := trestle.New(seed, 3, newList)
+		c := rafttest.New(seed, 3, newList)
 		c.Run(time.Second)
 		for _, id := range c.IDs() {
 			narrow(c, id, 500_000)
--- a/trestle/explore.go
+++ b/raft/modelcheck/explore.go
@@ -1,4 +1,6 @@
-package trestle
+// Package modelcheck explores what a small group of raft nodes can do (bounded
+// model checking): every order of messages, writes and faults up to a depth.
+package modelcheck
 
 import (
 	"bytes"
@@ -830,7 +832,7 @@
 	for i, line := range trace {
 		next, err := w.line(line)
 		if err != nil {
-			return nil, fmt.Errorf("trestle: line %d: %w", i+1, err)
+			return nil, fmt.Errorf("rafttest: line %d: %w", i+1, err)
 		}
 		if w = next; w.broken != "" {
 			break
--- a/trestle/explore_test.go
+++ b/raft/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package trestle_test
+package modelcheck_test
 
 import (
 	"flag"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	. "lichentray/trestle"
+	. "lichentray/raft/modelcheck"
 )
 
 var deeper = flag.Int("explore.depth", 0, "steps to explore beyond the depth of each exploration")
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lichentray/raft"
-	"lichentray/trestle"
+	"lichentray/raft/rafttest"
 )
 
 // list is the plainest state machine: all commands in order.
@@ -20,10 +20,10 @@
 func (l *list) Snapshot() []byte    { b, _ := json.Marshal(l.all); return b }
 func (l *list) Restore(data []byte) { l.all = nil; _ = json.Unmarshal(data, &l.all) }
 
-func newList() trestle.Machine { return &list{} }
+func newList() rafttest.Machine { return &list{} }
 
 func Example() {
-	c := trestle.New(1, 3, newList)
+	c := rafttest.New(1, 3, newList)
 	c.Run(time.Second)
 	leader := c.Leader()
 	c.Propose(leader.ID, []byte("hello"), func(result any, ok bool) { fmt.Println("committed:", ok, "length:", result) })
@@ -41,7 +41,7 @@
 }
 
 func faults(t *testing.T, seed int64) {
-	c := trestle.New(seed, 3+2*int(seed%2), newList)
+	c := rafttest.New(seed, 3+2*int(seed%2), newList)
 	n := uint64(len(c.Nodes))
 	most := int(n-1) / 2
 	acked := map[string]time.Duration{}
@@ -173,7 +173,7 @@
 
 // checkTouch: a node that runs holds all that was acknowledged before it was last in
 // touch, at a follower less one election time-out. touched counts the checks by node.
-func checkTouch(t *testing.T, c *trestle.Cluster, acked map[string]time.Duration, touched map[uint64]int) {
+func checkTouch(t *testing.T, c *rafttest.Cluster, acked map[string]time.Duration, touched map[uint64]int) {
 	t.Helper()
 	for _, id := range c.IDs() {
 		n := c.Nodes[id]
@@ -182,7 +182,7 @@
 		}
 		sure := n.Raft.TouchedAt()
 		if n.Raft.Role() != raft.Leader {
-			sure -= trestle.Election
+			sure -= rafttest.Election
 		}
 		var before []string
 		for v, at := range acked {
@@ -202,12 +202,12 @@
 func TestTouchAges(t *testing.T) {
 	for _, trouble := range []string{"deaf", "mute", "frozen"} {
 		for seed := int64(1); seed <= 6; seed++ {
-			c := trestle.New(seed, 3, newList)
+			c := rafttest.New(seed, 3, newList)
 			c.Run(time.Second)
 			leader := c.Leader().ID
 			for _, id := range []uint64{leader, leader%3 + 1} {
 				before := c.Nodes[id].Raft.TouchedAt()
-				if c.Now-before > trestle.Election {
+				if c.Now-before > rafttest.Election {
 					t.Fatalf("seed %d: in calm, node %d was last in touch at %v, now %v", seed, id, before, c.Now)
 				}
 				began := c.Now
@@ -225,10 +225,10 @@
 					c.Freeze(id, false)
 					c.Run(c.Step)
 				}
-				if at := c.Nodes[id].Raft.TouchedAt(); at > began+trestle.Election/2 {
+				if at := c.Nodes[id].Raft.TouchedAt(); at > began+rafttest.Election/2 {
 					t.Errorf("seed %d: node %d, %s since %v, counts as in touch at %v", seed, id, trouble, began, at)
 				}
-				if c.Nodes[id].Raft.InTouch(trestle.Election) {
+				if c.Nodes[id].Raft.InTouch(rafttest.Election) {
 					t.Errorf("seed %d: node %d, %s, believes that a majority hears it", seed, id, trouble)
 				}
 				c.Heal()
@@ -253,7 +253,7 @@
 
 // replace swaps a dead voter for a new node: learner, caught up, voter, and
 // the dead one out, as an operator of the library would.
-func replace(c *trestle.Cluster, dead, fresh uint64) {
+func replace(c *rafttest.Cluster, dead, fresh uint64) {
 	m := raft.Member{ID: fresh, Addr: fmt.Sprint("node-", fresh)}
 	for range 400 {
 		c.Run(20 * time.Millisecond)
@@ -283,7 +283,7 @@
 // replaced, and two voters, as many as a region has, go dark.
 func TestTwoDisksOfFive(t *testing.T) {
 	for seed := int64(0); seed < 15; seed++ {
-		c := trestle.New(seed, 5, newList)
+		c := rafttest.New(seed, 5, newList)
 		c.Run(time.Second)
 		var acked []string
 		next := uint64(6)
@@ -355,7 +355,7 @@
 // TestSlowLeaderGivesWay: a leader whose disk hangs hands its leadership on
 // while the others go on committing.
 func TestSlowLeaderGivesWay(t *testing.T) {
-	c := trestle.New(7, 3, newList)
+	c := rafttest.New(7, 3, newList)
 	c.Run(time.Second)
 	old := c.Leader().ID
 	c.HangDisk(old, 4*time.Second)
@@ -393,7 +393,7 @@
 // the leader is deposed first.
 func TestEarlyReadsWait(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		c := trestle.New(seed, 3, newList)
+		c := rafttest.New(seed, 3, newList)
 		c.Run(time.Second)
 		old := c.Leader().ID
 		acked := false
@@ -449,7 +449,7 @@
 // heard or not, leads no longer than two election spans (CheckQuorum).
 func TestLeaderOutOfTouchStepsDown(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
-		c := trestle.New(3, 3, newList)
+		c := rafttest.New(3, 3, newList)
 		c.Run(time.Second)
 		old := c.Leader()
 		for _, id := range c.IDs() {
--- a/trestle/trestle.go
+++ b/raft/rafttest/rafttest.go
@@ -1,9 +1,9 @@
-// Package trestle is a deterministic simulator of a group of clamp nodes
+// Package rafttest is a deterministic simulator of a group of clamp nodes
 // (simulation testing): a network that delays, drops and parts, disks that lag,
 // hang and forget what was not synced, nodes that crash, freeze or lose their
 // disk. One seed gives one history. It is meant for tests, this project's and
 // those of programs that embed clamp.
-package trestle
+package rafttest
 
 import (
 	"fmt"
