--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -32,7 +32,7 @@
 
 	"lichentray/balance"
 	"lichentray/internal/dowel"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 var (
@@ -252,7 +252,7 @@
 			return err
 		}
 		for _, e := range events {
-			if e.Object.Key == rack.ConfigKey {
+			if e.Object.Key == registry.ConfigKey {
 				p.changes.Add(1)
 			}
 		}
--- a/internal/chest/golden_test.go
+++ b/internal/chest/golden_test.go
@@ -15,8 +15,8 @@
 
 	"lichentray/internal/goldentest"
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
@@ -119,8 +119,8 @@
 func goldenEntries() []raft.Entry {
 	return []raft.Entry{
 		{Index: 41, Term: 5},
-		{Index: 42, Term: 5, Data: rack.EncodeCommand(rack.Command{Txn: &rack.Txn{If: []rack.Condition{{Key: "endpoints/e1", ModRevision: 3}}, Then: []rack.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
-		{Index: 43, Term: 5, Data: rack.EncodeCommand(rack.Command{Latch: &latch.Command{Op: latch.Next, Name: "orders"}})},
+		{Index: 42, Term: 5, Data: registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "endpoints/e1", ModRevision: 3}}, Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
+		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: "orders"}})},
 		{Index: 44, Term: 5, Type: raft.Change, Data: goldenMembersLater().Encode()},
 	}
 }
@@ -154,7 +154,7 @@
 // the registry's own golden test compares field by field.
 func goldenState(t *testing.T) []byte {
 	t.Helper()
-	state, err := os.ReadFile("../../rack/testdata/golden/image.gob")
+	state, err := os.ReadFile("../../registry/testdata/golden/image.gob")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,13 +215,13 @@
 		{Index: 43, Term: 5, Data: []byte(goldenLogTexts[2])},
 		{Index: 44, Term: 5, Type: raft.Change},
 	})
-	command, err := rack.DecodeCommand(saved.Entries[1].Data)
+	command, err := registry.DecodeCommand(saved.Entries[1].Data)
 	if err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "entry 42", command, rack.Command{Txn: &rack.Txn{
-		If:   []rack.Condition{{Key: "endpoints/e1", ModRevision: 3}},
-		Then: []rack.Write{{Key: "endpoints/e1", Value: []byte("value")}},
+	goldentest.Same(t, "entry 42", command, registry.Command{Txn: &registry.Txn{
+		If:   []registry.Condition{{Key: "endpoints/e1", ModRevision: 3}},
+		Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}},
 	}})
 	checkGoldenState(t, saved.Snapshot.Data)
 }
@@ -229,7 +229,7 @@
 // checkGoldenState restores the snapshot's state and compares what it holds.
 func checkGoldenState(t *testing.T, state []byte) {
 	t.Helper()
-	s := rack.New()
+	s := registry.New()
 	if err := s.Restore(state); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -20,8 +20,8 @@
 	"lichentray/balance"
 	"lichentray/feeler"
 	"lichentray/internal/notch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
@@ -78,10 +78,10 @@
 	Failed   bool
 	Kind     notch.Kind
 	Detail   string
-	Result   rack.Result
+	Result   registry.Result
 	Index    uint64
 	Revision uint64
-	Objects  []rack.Object
+	Objects  []registry.Object
 	Gone     bool
 	// Nearer, in place of a list, names the core, which has a node in the zone asked
 	// from.
@@ -91,16 +91,16 @@
 }
 
 // List gives the objects of an answer, packed or not.
-func (a *Answer) List() ([]rack.Object, error) {
+func (a *Answer) List() ([]registry.Object, error) {
 	if a.Packed == nil {
 		return a.Objects, nil
 	}
-	return unpack[rack.Object](a.Packed)
+	return unpack[registry.Object](a.Packed)
 }
 
 // Pack writes what many connections are sent once for all of them: of a large list
 // or event most of the work, and of the memory, is to encode and compress it.
-func Pack[T rack.Object | rack.Event](items []T) ([]byte, error) {
+func Pack[T registry.Object | registry.Event](items []T) ([]byte, error) {
 	var b bytes.Buffer
 	w := packers.Get().(*flate.Writer)
 	defer packers.Put(w)
@@ -115,7 +115,7 @@
 	return b.Bytes(), nil
 }
 
-func unpack[T rack.Object | rack.Event](b []byte) (out []T, err error) {
+func unpack[T registry.Object | registry.Event](b []byte) (out []T, err error) {
 	r := io.LimitReader(flate.NewReader(bytes.NewReader(b)), MaxFrame)
 	if err = gob.NewDecoder(r).Decode(&out); err == nil {
 		_, err = io.Copy(io.Discard, r) // to its very end, or it was cut
@@ -151,7 +151,7 @@
 	Seq   uint64
 	Loads map[string]balance.Load
 	Seen  map[string]balance.Seen // by endpoint, since the last report
-	Self  *rack.Proxy             // its entry in the registry, where proxies are members
+	Self  *registry.Proxy         // its entry in the registry, where proxies are members
 	// Trials are the roll-outs under way, by service.
 	Trials map[string]Trial
 	// Account is what goes into the account of failures.
@@ -190,7 +190,7 @@
 	Beats    []Beat
 	Ask      *Ask
 	Answer   *Answer
-	Events   []rack.Event
+	Events   []registry.Event
 	Bookmark *Bookmark
 	Gone     bool
 	Proxies  *ProxyCount
@@ -202,11 +202,11 @@
 }
 
 // TakeEvents gives the events of a frame, packed or not.
-func (f *Frame) TakeEvents() ([]rack.Event, error) {
+func (f *Frame) TakeEvents() ([]registry.Event, error) {
 	if f.PackedEvents == nil {
 		return f.Events, nil
 	}
-	return unpack[rack.Event](f.PackedEvents)
+	return unpack[registry.Event](f.PackedEvents)
 }
 
 // PackFrom is from which size on frames are worth packing.
--- a/internal/dowel/dowel_test.go
+++ b/internal/dowel/dowel_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 )
 
 func pair(t testing.TB) (net.Conn, net.Conn) {
@@ -26,8 +26,8 @@
 	frames := []*Frame{
 		{Hello: &Hello{Version: Version, Role: Peer, Node: "n", ID: 7}},
 		{Raft: []raft.Message{{Type: raft.MsgAppend, From: 1, To: 2, Term: 3, Entries: []raft.Entry{{Index: 4, Term: 3, Data: []byte("x")}}}}},
-		{Events: []rack.Event{{Type: rack.Added, Object: rack.Object{Key: "k", Value: []byte("v"), ModRevision: 9}, Revision: 9}}, Bookmark: &Bookmark{Revision: 9, Control: []ControlNode{{Addr: "c", Zone: "z"}}}},
-		{Answer: &Answer{ID: 1, Objects: []rack.Object{{Key: "large", Value: bytes.Repeat([]byte("a large value "), 4000)}}}},
+		{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: "k", Value: []byte("v"), ModRevision: 9}, Revision: 9}}, Bookmark: &Bookmark{Revision: 9, Control: []ControlNode{{Addr: "c", Zone: "z"}}}},
+		{Answer: &Answer{ID: 1, Objects: []registry.Object{{Key: "large", Value: bytes.Repeat([]byte("a large value "), 4000)}}}},
 		{Gone: true},
 	}
 	go func() {
--- a/internal/dowel/golden_test.go
+++ b/internal/dowel/golden_test.go
@@ -18,8 +18,8 @@
 	"lichentray/internal/goldentest"
 	"lichentray/internal/notch"
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
@@ -256,8 +256,8 @@
 var goldenLargeValue = []byte(strings.Repeat("a large value; ", 1000))
 
 // goldenPackedObjects and goldenPackedEvents stand in frames in their packed form.
-func goldenPackedObjects() []rack.Object {
-	return []rack.Object{
+func goldenPackedObjects() []registry.Object {
+	return []registry.Object{
 		{Key: "endpoints/e1", Value: []byte("value-1"), CreateRevision: 141, ModRevision: 142},
 		{Key: "endpoints/e2", Value: []byte("value-2"), CreateRevision: 143, ModRevision: 144},
 	}
@@ -270,10 +270,10 @@
 	}
 }
 
-func goldenPackedEvents() []rack.Event {
-	return []rack.Event{
-		{Type: rack.Modified, Object: rack.Object{Key: "endpoints/e3", Value: []byte("value-3"), CreateRevision: 145, ModRevision: 146}, Revision: 147, Patch: []byte("patch"), Base: 148},
-		{Type: rack.Deleted, Object: rack.Object{Key: "endpoints/e4", ModRevision: 149}, Revision: 149},
+func goldenPackedEvents() []registry.Event {
+	return []registry.Event{
+		{Type: registry.Modified, Object: registry.Object{Key: "endpoints/e3", Value: []byte("value-3"), CreateRevision: 145, ModRevision: 146}, Revision: 147, Patch: []byte("patch"), Base: 148},
+		{Type: registry.Deleted, Object: registry.Object{Key: "endpoints/e4", ModRevision: 149}, Revision: 149},
 	}
 }
 
@@ -317,22 +317,22 @@
 		{Ask: &Ask{ID: 69, Watch: true, Least: 70}},
 		{Answer: &Answer{
 			ID: 81, Failed: true, Kind: notch.Conflict, Detail: "detail", Index: 82, Revision: 83, Gone: true,
-			Result: rack.Result{
+			Result: registry.Result{
 				Revision: 84, Conflict: true, Account: 85,
-				Current: []rack.Object{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
+				Current: []registry.Object{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
 				Latch:   latch.Result{Code: latch.Mismatch, Fence: 88, Grant: 89, Value: 90, Revision: 91},
 			},
-			Objects: []rack.Object{{Key: "endpoints/e2", Value: []byte("object"), CreateRevision: 92, ModRevision: 93}},
+			Objects: []registry.Object{{Key: "endpoints/e2", Value: []byte("object"), CreateRevision: 92, ModRevision: 93}},
 			Nearer:  []ControlNode{{Addr: "127.0.0.1:7094", API: "127.0.0.1:8094", Zone: "zone-c"}},
 		}},
-		{Answer: &Answer{ID: 95, Result: rack.Result{Revision: 96, Latch: latch.Result{Code: latch.Held}}}},
-		{Answer: &Answer{ID: 97, Result: rack.Result{Revision: 98, Latch: latch.Result{Code: latch.Lost}}}},
+		{Answer: &Answer{ID: 95, Result: registry.Result{Revision: 96, Latch: latch.Result{Code: latch.Held}}}},
+		{Answer: &Answer{ID: 97, Result: registry.Result{Revision: 98, Latch: latch.Result{Code: latch.Lost}}}},
 		{Answer: &Answer{ID: 99, Revision: 100, Packed: []byte("packed")}},
-		{Answer: &Answer{ID: 101, Revision: 102, Objects: []rack.Object{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
-		{Events: []rack.Event{
-			{Type: rack.Added, Object: rack.Object{Key: "endpoints/e1", Value: []byte("added"), CreateRevision: 111, ModRevision: 111}, Revision: 111},
-			{Type: rack.Modified, Object: rack.Object{Key: "endpoints/e1", CreateRevision: 111, ModRevision: 112}, Revision: 112, Patch: []byte("patch"), Base: 113},
-			{Type: rack.Deleted, Object: rack.Object{Key: "endpoints/e1", ModRevision: 114}, Revision: 114},
+		{Answer: &Answer{ID: 101, Revision: 102, Objects: []registry.Object{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
+		{Events: []registry.Event{
+			{Type: registry.Added, Object: registry.Object{Key: "endpoints/e1", Value: []byte("added"), CreateRevision: 111, ModRevision: 111}, Revision: 111},
+			{Type: registry.Modified, Object: registry.Object{Key: "endpoints/e1", CreateRevision: 111, ModRevision: 112}, Revision: 112, Patch: []byte("patch"), Base: 113},
+			{Type: registry.Deleted, Object: registry.Object{Key: "endpoints/e1", ModRevision: 114}, Revision: 114},
 		}},
 		{Bookmark: &Bookmark{
 			Revision: 121, Proxies: 122, Judged: true, Diskless: true,
@@ -355,7 +355,7 @@
 			Seq:   181,
 			Loads: map[string]balance.Load{"payments": {Rate: 182.5, Inflight: 183.5}},
 			Seen:  map[string]balance.Seen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
-			Self:  &rack.Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
+			Self:  &registry.Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
 			Trials: map[string]Trial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: feeler.Evidence{"pay": {
 				Base:   feeler.Count{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
 				Target: feeler.Count{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
--- a/internal/dowel/size_test.go
+++ b/internal/dowel/size_test.go
@@ -9,18 +9,18 @@
 	"time"
 
 	"lichentray/balance"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // fleet makes what a node of a large deployment holds: a thousand endpoints and a
 // configuration of 680 routes.
-func fleet() (objects []rack.Object, verdicts []balance.Verdict) {
+func fleet() (objects []registry.Object, verdicts []balance.Verdict) {
 	for i := range 1000 {
-		e := rack.Endpoint{
+		e := registry.Endpoint{
 			ID: fmt.Sprintf("i-%010x", uint64(i)*2654435761%(1<<40)), Service: fmt.Sprintf("service-%d", i%2), Address: fmt.Sprintf("10.%d.64.%d:8369", i%7+1, i%250),
 			Zone: fmt.Sprintf("zone-%d", i%7), Capacity: 3, Sequence: uint64(i % 9), ColdS: 0,
 		}
-		objects = append(objects, rack.Object{Key: e.Key(), Value: e.Encode(), CreateRevision: uint64(i), ModRevision: uint64(i)})
+		objects = append(objects, registry.Object{Key: e.Key(), Value: e.Encode(), CreateRevision: uint64(i), ModRevision: uint64(i)})
 		if i%4 != 0 {
 			verdicts = append(verdicts, balance.Verdict{Endpoint: e.ID, Pace: uint8(20 + i*7%40)})
 		}
@@ -29,7 +29,7 @@
 	for i := range 680 {
 		text += fmt.Sprintf(`{"name":"r-%x","route_type":"idempotent","target_latency_s":0.25,"priority":2,"match":{"path_prefix":"/p%x/"},"action":{"backend_service":"service-%d","timeout_s":0.6,"max_attempts":2}},`, i*7919, i*104729, i%2)
 	}
-	objects = append(objects, rack.Object{Key: rack.ConfigKey, Value: rack.EncodeConfig(7, []byte(text[:len(text)-1]+`]}]}`)), CreateRevision: 1, ModRevision: 1001})
+	objects = append(objects, registry.Object{Key: registry.ConfigKey, Value: registry.EncodeConfig(7, []byte(text[:len(text)-1]+`]}]}`)), CreateRevision: 1, ModRevision: 1001})
 	return objects, verdicts
 }
 
@@ -58,7 +58,7 @@
 	}
 	judged := *bookmark
 	judged.Judged, judged.Verdicts = true, verdicts
-	change := rack.Event{Type: rack.Modified, Object: objects[7], Revision: 5001}
+	change := registry.Event{Type: registry.Modified, Object: objects[7], Revision: 5001}
 	s := &sink{}
 	c := NewConn(s, time.Second)
 	for _, x := range []struct {
@@ -69,7 +69,7 @@
 		{"a list of a thousand endpoints and 680 routes", &Frame{Answer: &Answer{ID: 1, Revision: 5000, Packed: packed}}, 48 << 10},
 		{"a bookmark", &Frame{Bookmark: bookmark}, 600},
 		{"a bookmark with verdicts on three endpoints of four", &Frame{Bookmark: &judged}, 8 << 10},
-		{"one change", &Frame{Events: []rack.Event{change}, Bookmark: &Bookmark{Revision: 5001}}, 400},
+		{"one change", &Frame{Events: []registry.Event{change}, Bookmark: &Bookmark{Revision: 5001}}, 400},
 	} {
 		s.n = 0
 		if err := c.Send(x.f); err != nil {
--- a/internal/hatch/hatch.go
+++ b/internal/hatch/hatch.go
@@ -19,17 +19,17 @@
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/latch"
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
 // Node is what the API needs of the control-plane node.
 type Node interface {
-	Beat(e rack.Endpoint) error
+	Beat(e registry.Endpoint) error
 	SignOff(id string) error
 	Replace(text []byte) error
 	Configuration() ([]byte, error)
-	Do(cmd rack.Command) (rack.Result, error)
+	Do(cmd registry.Command) (registry.Result, error)
 	Cell(name string) (latch.Cell, error)
 	Watch(group string, after uint64, wait time.Duration) ([]latch.Event, uint64, error)
 	Evacuate(zone string, begin bool, waits func() bool) error
@@ -145,7 +145,7 @@
 		if err := needName(of); err != nil {
 			return "numbers", nil, err
 		}
-		r, err := a.node.Do(rack.Command{Latch: &latch.Command{Op: latch.Next, Name: of}})
+		r, err := a.node.Do(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: of}})
 		if err != nil {
 			return "numbers", nil, err
 		}
@@ -226,7 +226,7 @@
 	if b.Address == "" || b.Info.Service == "" || (b.Status.State != "ready" && b.Status.State != "draining") {
 		return nil, notch.New(notch.BadRequest, "address, info.backend_service or status.state is missing or wrong")
 	}
-	return nil, a.node.Beat(rack.Endpoint{
+	return nil, a.node.Beat(registry.Endpoint{
 		ID: of, Service: b.Info.Service, Version: b.Info.Version, Address: b.Address, Zone: b.Info.Zone, Capacity: int(b.Info.Capacity),
 		Draining: b.Status.State == "draining", Sequence: uint64(max(0, b.Status.Sequence)), ColdS: b.Status.ColdS,
 	})
@@ -368,7 +368,7 @@
 	case op != latch.Finish && (b.HoldS <= 0 || b.HoldS > longestHold.Seconds()):
 		return latch.Result{}, notch.New(notch.BadRequest, "hold_s: missing, not above 0 or above %g", longestHold.Seconds())
 	}
-	r, err := a.node.Do(rack.Command{Latch: &latch.Command{
+	r, err := a.node.Do(registry.Command{Latch: &latch.Command{
 		Op: op, Name: of, Holder: b.Holder, Fence: b.Fence, HoldMS: uint64(b.HoldS*1000 + 0.999),
 	}})
 	if err != nil {
@@ -419,7 +419,7 @@
 	if b.Enabled != nil {
 		c.HasExpect, c.Expect = true, *b.Enabled
 	}
-	r, err := a.node.Do(rack.Command{Latch: &c})
+	r, err := a.node.Do(registry.Command{Latch: &c})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hatch/hatch_test.go
+++ b/internal/hatch/hatch_test.go
@@ -13,14 +13,14 @@
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
 	"lichentray/latch"
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
 // node is a stand-in that answers every call with one outcome.
 type node struct {
 	err    error
-	result rack.Result
+	result registry.Result
 	got    any
 	// waits hands out how an order asks for its caller, and takes it back.
 	waits chan func() bool
@@ -39,7 +39,7 @@
 func (n *node) Resolve(_, host, region, zone string) ([]string, time.Duration, error) {
 	return []string{host + "-" + region + "-" + zone}, 1250 * time.Millisecond, n.err
 }
-func (n *node) Beat(e rack.Endpoint) error     { n.got = e; return n.err }
+func (n *node) Beat(e registry.Endpoint) error { n.got = e; return n.err }
 func (n *node) SignOff(id string) error        { n.got = id; return n.err }
 func (n *node) Replace(b []byte) error         { n.got = string(b); return n.err }
 func (n *node) Configuration() ([]byte, error) { return []byte(`{"config_version":1}`), n.err }
@@ -58,7 +58,7 @@
 	return tally.Answer{Failures: []tally.Failure{{Tenant: f.Tenant, Kind: tally.Late}}}, n.err
 }
 func (n *node) Status() any { return "fine" }
-func (n *node) Do(c rack.Command) (rack.Result, error) {
+func (n *node) Do(c registry.Command) (registry.Result, error) {
 	n.got = *c.Latch
 	return n.result, n.err
 }
@@ -67,13 +67,13 @@
 }
 
 func TestCalls(t *testing.T) {
-	held := rack.Result{Latch: latch.Result{Code: latch.Held}}
-	stale := rack.Result{Latch: latch.Result{Code: latch.Mismatch, Revision: 922}}
-	fence := rack.Result{Latch: latch.Result{Fence: 41, Value: 7, Revision: 931}}
+	held := registry.Result{Latch: latch.Result{Code: latch.Held}}
+	stale := registry.Result{Latch: latch.Result{Code: latch.Mismatch, Revision: 922}}
+	fence := registry.Result{Latch: latch.Result{Fence: 41, Value: 7, Revision: 931}}
 	const beat = `{"address":"10.0.0.9:80","info":{"backend_service":"s","zone":"z","capacity":3},"status":{"state":"ready","sequence":4,"cold_remaining_s":0.5}}`
 	for _, c := range []struct {
 		what, method, uri, body string
-		result                  rack.Result
+		result                  registry.Result
 		err                     error
 		status                  int
 		says                    string
--- a/internal/lathe/account.go
+++ b/internal/lathe/account.go
@@ -3,7 +3,7 @@
 import (
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
@@ -11,7 +11,7 @@
 // come through, or whose answer does not, the proxy sends again.
 func (l *Lathe) takeAccount(conn *dowel.Conn, b *tally.Batch) {
 	b.Most = l.set.Account.MostEntries
-	r, err := l.Do(rack.Command{Account: b})
+	r, err := l.Do(registry.Command{Account: b})
 	if err != nil {
 		l.board.Counter("account_batches_put_off_total").Inc()
 		return
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -13,8 +13,8 @@
 	"lichentray/internal/notch"
 	"lichentray/jig"
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 )
 
 // duties are what the actor does by the clock.
@@ -72,26 +72,26 @@
 	}
 	l.marks = append([]mark(nil), l.marks[i:]...)
 	l.trimAt = now
-	l.node.Propose(rack.EncodeCommand(rack.Command{Latch: &latch.Command{Op: latch.Trim, Before: before}}))
+	l.node.Propose(registry.EncodeCommand(registry.Command{Latch: &latch.Command{Op: latch.Trim, Before: before}}))
 	// Signs of the departed are kept as long as the history.
-	var drop rack.Txn
-	forget := func(o rack.Object) {
-		drop.If = append(drop.If, rack.Condition{Key: o.Key, ModRevision: o.ModRevision})
-		drop.Then = append(drop.Then, rack.Write{Key: o.Key, Delete: true})
+	var drop registry.Txn
+	forget := func(o registry.Object) {
+		drop.If = append(drop.If, registry.Condition{Key: o.Key, ModRevision: o.ModRevision})
+		drop.Then = append(drop.Then, registry.Write{Key: o.Key, Delete: true})
 	}
-	for _, o := range l.store.List(rack.DepartedPrefix) {
+	for _, o := range l.store.List(registry.DepartedPrefix) {
 		if o.ModRevision <= before {
 			forget(o)
 		}
 	}
 	// So are digests of configurations, by number.
-	if marks := l.store.List(rack.AcceptedPrefix); len(marks) > acceptedMost {
+	if marks := l.store.List(registry.AcceptedPrefix); len(marks) > acceptedMost {
 		for _, o := range marks[:len(marks)-acceptedMost] {
 			forget(o)
 		}
 	}
 	if len(drop.Then) > 0 {
-		l.node.Propose(rack.EncodeCommand(rack.Command{Txn: &drop}))
+		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &drop}))
 	}
 }
 
@@ -134,7 +134,7 @@
 		gauge(trials, s.trials)
 	}
 	for service, t := range l.tryOuts {
-		if r := l.rollouts[rack.RolloutPrefix+service]; r != nil && (r.Order > t.Order || r.Order == t.Order && r.State != feeler.InProgress) {
+		if r := l.rollouts[registry.RolloutPrefix+service]; r != nil && (r.Order > t.Order || r.Order == t.Order && r.State != feeler.InProgress) {
 			delete(l.tryOuts, service)
 			continue
 		}
@@ -223,7 +223,7 @@
 		go l.probe(o, e)
 	}
 	for id := range l.alive {
-		if _, known := l.endpoints[rack.EndpointPrefix+id]; !known && now-l.alive[id] > l.timing.Missed {
+		if _, known := l.endpoints[registry.EndpointPrefix+id]; !known && now-l.alive[id] > l.timing.Missed {
 			delete(l.alive, id)
 		}
 	}
@@ -238,7 +238,7 @@
 
 // probe asks an endpoint whose beats stopped for its health, and removes it
 // if it is not there.
-func (l *Lathe) probe(o rack.Object, e rack.Endpoint) {
+func (l *Lathe) probe(o registry.Object, e registry.Endpoint) {
 	path := l.healthPath(e.Service)
 	there := path != "" && probeOnce(e, path, l.timing.Silence)
 	l.board.Counter("probes_total").Inc()
@@ -256,9 +256,9 @@
 		if l.now()-l.alive[e.ID] <= l.timing.Missed {
 			return "" // it has beaten in the meantime
 		}
-		return l.propose(rack.Command{Txn: &rack.Txn{
-			If:   []rack.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: o.Key, Delete: true}},
+		return l.propose(registry.Command{Txn: &registry.Txn{
+			If:   []registry.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: o.Key, Delete: true}},
 		}}, done)
 	}
 	if a := l.await(0, remove, done); !a.Failed && !a.Result.Conflict {
@@ -267,7 +267,7 @@
 	}
 }
 
-func probeOnce(e rack.Endpoint, path string, wait time.Duration) bool {
+func probeOnce(e registry.Endpoint, path string, wait time.Duration) bool {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -288,7 +288,7 @@
 // transact derives a conditional transaction from what this node holds and
 // puts it through; on a conflict it reads again and derives anew. derive gives
 // nil when there is nothing to write.
-func (l *Lathe) transact(derive func() (*rack.Txn, error)) (wrote bool, err error) {
+func (l *Lathe) transact(derive func() (*registry.Txn, error)) (wrote bool, err error) {
 	for range 6 {
 		l.mu.Lock()
 		txn, err := derive()
@@ -296,7 +296,7 @@
 		if txn == nil || err != nil {
 			return false, err
 		}
-		r, err := l.Do(rack.Command{Txn: txn})
+		r, err := l.Do(registry.Command{Txn: txn})
 		if err != nil {
 			return false, err
 		}
@@ -311,11 +311,11 @@
 }
 
 // Beat takes a heartbeat of an endpoint.
-func (l *Lathe) Beat(e rack.Endpoint) error {
+func (l *Lathe) Beat(e registry.Endpoint) error {
 	l.nBeats.Inc()
-	gone := rack.DepartedPrefix + e.ID
+	gone := registry.DepartedPrefix + e.ID
 	astray := l.outOfTouch() > l.timing.Silence
-	_, err := l.transact(func() (*rack.Txn, error) {
+	_, err := l.transact(func() (*registry.Txn, error) {
 		if _, departed := l.store.Get(gone); departed {
 			return nil, nil // a late beat of a life that has signed off
 		}
@@ -325,14 +325,14 @@
 		// bounds the service's cold endpoints, so all are marked.
 		e.Cold = e.ColdS > 0 && l.set.Bounds.ColdOvershoot > 0
 		if !known {
-			txn := &rack.Txn{
-				If:   []rack.Condition{{Key: e.Key()}, {Key: gone}},
-				Then: []rack.Write{{Key: e.Key(), Value: e.Encode()}},
+			txn := &registry.Txn{
+				If:   []registry.Condition{{Key: e.Key()}, {Key: gone}},
+				Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}},
 			}
 			l.nameBase(txn, e)
 			return txn, nil
 		}
-		old, err := rack.DecodeEndpoint(o)
+		old, err := registry.DecodeEndpoint(o)
 		if err != nil {
 			return nil, notch.New(notch.Internal, "%v", err)
 		}
@@ -344,9 +344,9 @@
 			return nil, nil // an ordinary beat, or a late one: no write
 		}
 		old.Draining, old.Sequence, old.Cold = e.Draining, e.Sequence, e.Cold
-		return &rack.Txn{
-			If:   []rack.Condition{{Key: e.Key(), ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: e.Key(), Value: old.Encode()}},
+		return &registry.Txn{
+			If:   []registry.Condition{{Key: e.Key(), ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: e.Key(), Value: old.Encode()}},
 		}, nil
 	})
 	return err
@@ -354,18 +354,18 @@
 
 // SignOff removes an endpoint for good.
 func (l *Lathe) SignOff(id string) error {
-	key, gone := rack.EndpointPrefix+id, rack.DepartedPrefix+id
-	_, err := l.transact(func() (*rack.Txn, error) {
+	key, gone := registry.EndpointPrefix+id, registry.DepartedPrefix+id
+	_, err := l.transact(func() (*registry.Txn, error) {
 		if _, departed := l.store.Get(gone); departed {
 			return nil, nil
 		}
 		o, known := l.store.Get(key)
-		txn := &rack.Txn{
-			If:   []rack.Condition{{Key: key, ModRevision: o.ModRevision}, {Key: gone}},
-			Then: []rack.Write{{Key: gone, Value: []byte{}}},
+		txn := &registry.Txn{
+			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}, {Key: gone}},
+			Then: []registry.Write{{Key: gone, Value: []byte{}}},
 		}
 		if known {
-			txn.Then = append(txn.Then, rack.Write{Key: key, Delete: true})
+			txn.Then = append(txn.Then, registry.Write{Key: key, Delete: true})
 		}
 		return txn, nil
 	})
@@ -397,7 +397,7 @@
 	if err != nil {
 		return notch.New(notch.Invalid, "%v", err)
 	}
-	wrote, err := l.transact(func() (*rack.Txn, error) {
+	wrote, err := l.transact(func() (*registry.Txn, error) {
 		// What is judged is committed, if not the newest: that a content was taken
 		// under a version stays true, and to take one asks for the newest.
 		txn, err := l.store.AcceptConfig(c.Version, text)
--- a/internal/lathe/golden_test.go
+++ b/internal/lathe/golden_test.go
@@ -6,7 +6,7 @@
 
 	"lichentray/feeler"
 	"lichentray/internal/goldentest"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // TestGoldenStatus compares the JSON of a node's status with a golden file, byte by
@@ -19,7 +19,7 @@
 		Proxies:  []ProxyStatus{{Node: "proxy-1", Revision: 12}},
 		Zones:    map[string]string{"zone-b": "evacuated"},
 		Services: map[string]ServiceStatus{"payments": {Rollout: feeler.Rollout{Base: "v1", Order: 13, Target: "v2", State: feeler.InProgress, Stage: 14, DeadlineS: 15.5, SpentS: 16.5, Why: "none yet"}, Endpoints: map[string]int{"v1": 17, "v2": 18}}},
-		Registered: []rack.Proxy{
+		Registered: []registry.Proxy{
 			{Name: "proxy-2", Address: "127.0.0.1:9002", Zone: "zone-c", Leaving: true, Weight: 1.5},
 		},
 	}
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -22,8 +22,8 @@
 	"lichentray/internal/notch"
 	"lichentray/jig"
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 	"lichentray/spool"
 )
 
@@ -68,7 +68,7 @@
 }
 
 type outcome struct {
-	result rack.Result
+	result registry.Result
 	err    error
 }
 
@@ -108,8 +108,8 @@
 	tendNow   bool // the membership, without waiting for the next duty
 	trimAt    time.Duration
 	marks     []mark
-	restored  *rack.Store // of a leader's snapshot, until it is installed
-	membersAt uint64      // log index of the membership that the links follow
+	restored  *registry.Store // of a leader's snapshot, until it is installed
+	membersAt uint64          // log index of the membership that the links follow
 	counts    map[uint64]proxyCount
 	proxies   map[string]time.Duration // when the leader last heard of each
 	returning map[string]mark          // since when a zone is being taken back
@@ -120,7 +120,7 @@
 
 	// Shared behind a short lock.
 	mu       sync.RWMutex
-	store    *rack.Store
+	store    *registry.Store
 	cache    *spool.Cacher
 	locks    map[string]lockTimer
 	view     view
@@ -139,13 +139,13 @@
 	verdicts []balance.Verdict       // replaced whole
 	// What is kept decoded of the registry, by key; the actor alone writes it.
 	places    map[string]balance.Place
-	endpoints map[string]rack.Endpoint
+	endpoints map[string]registry.Endpoint
 	rollouts  map[string]*rolloutRecord
 	tryOuts   tryOuts
 	// changedAt is the revision of the newest change of a watched object.
 	changedAt uint64
 	// Each zone's evacuation as last applied, and when its newest orders were.
-	orders  map[string]rack.Evacuation
+	orders  map[string]registry.Evacuation
 	ordered map[orderKind]time.Duration
 	// The configuration compiled, and the revision that it had.
 	compiled   *jig.Table
@@ -206,13 +206,13 @@
 		mail: make(chan func(), 1024), disk: make(chan diskJob, 4096), ctx: ctx, stop: stop, diskDone: make(chan struct{}), portDone: make(chan struct{}),
 		pending: map[uint64]waiter{}, reads: map[uint64]chan outcome{},
 		alive: map[string]time.Duration{}, probing: map[string]bool{}, counts: map[uint64]proxyCount{},
-		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]balance.Place{}, endpoints: map[string]rack.Endpoint{},
+		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]balance.Place{}, endpoints: map[string]registry.Endpoint{},
 		rollouts: map[string]*rolloutRecord{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
 		seen:  map[string]balance.Seen{},
-		store: rack.New(), locks: map[string]lockTimer{},
+		store: registry.New(), locks: map[string]lockTimer{},
 		wake: map[chan struct{}]struct{}{}, groups: map[string]map[chan struct{}]struct{}{},
 		applied: map[chan struct{}]uint64{}, sessions: map[*session]struct{}{}, beats: map[string]time.Duration{},
-		orders: map[string]rack.Evacuation{}, ordered: map[orderKind]time.Duration{}, checking: make(chan struct{}, 1),
+		orders: map[string]registry.Evacuation{}, ordered: map[orderKind]time.Duration{}, checking: make(chan struct{}, 1),
 		turned: make(chan struct{}),
 	}
 	l.cache = spool.NewCacher(l.timing.Window, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
@@ -359,7 +359,7 @@
 		for _, r := range e.Reads {
 			if ch := l.reads[r.Context]; ch != nil {
 				delete(l.reads, r.Context)
-				o := outcome{result: rack.Result{Revision: r.Index}}
+				o := outcome{result: registry.Result{Revision: r.Index}}
 				if !r.OK {
 					o.err = errNotLeader
 				}
@@ -409,10 +409,10 @@
 }
 
 func (l *Lathe) apply(en raft.Entry) {
-	var res rack.Result
-	var events []rack.Event
+	var res registry.Result
+	var events []registry.Event
 	if en.Type == raft.Normal && len(en.Data) > 0 {
-		cmd, err := rack.DecodeCommand(en.Data)
+		cmd, err := registry.DecodeCommand(en.Data)
 		if err != nil {
 			// Every replica skips it alike.
 			l.log.Error("log entry cannot be read", "index", en.Index, "error", err)
@@ -683,7 +683,7 @@
 // kind: a transaction asks for revisions that it changes itself, a put is known by
 // its value, a begin and a renewal by their holder, to finish twice does nothing
 // more, a number drawn twice leaves a gap, an account's records have numbers.
-func (l *Lathe) Do(cmd rack.Command) (rack.Result, error) {
+func (l *Lathe) Do(cmd registry.Command) (registry.Result, error) {
 	end := time.Now().Add(l.timing.Answer)
 	var data []byte
 	unknown := false
@@ -691,7 +691,7 @@
 		done := make(chan outcome, 1)
 		to, err := l.ask(func() string { return l.propose(cmd, done) })
 		if err != nil {
-			return rack.Result{}, err
+			return registry.Result{}, err
 		}
 		switch to.leader {
 		case l.self.Addr:
@@ -705,7 +705,7 @@
 		case "":
 		default:
 			if data == nil {
-				data = rack.EncodeCommand(cmd)
+				data = registry.EncodeCommand(cmd)
 			}
 			ans, sent, err := l.links.ask(to, &dowel.Ask{Command: data}, time.Until(end))
 			if err == nil && !ans.Failed {
@@ -713,7 +713,7 @@
 			}
 			unknown = unknown || err != nil && sent || err == nil && ans.Kind == notch.Unknown
 			if err == nil && ans.Kind != notch.Unavailable && ans.Kind != notch.Unknown {
-				return rack.Result{}, &notch.Error{Kind: ans.Kind, Detail: ans.Detail}
+				return registry.Result{}, &notch.Error{Kind: ans.Kind, Detail: ans.Detail}
 			}
 		}
 		if l.again(end) {
@@ -721,15 +721,15 @@
 		}
 		if unknown {
 			l.nUnknown.Inc()
-			return rack.Result{}, notch.New(notch.Unknown, "the leader did not answer")
+			return registry.Result{}, notch.New(notch.Unknown, "the leader did not answer")
 		}
-		return rack.Result{}, notch.New(notch.Unavailable, "no leader")
+		return registry.Result{}, notch.New(notch.Unavailable, "no leader")
 	}
 }
 
 // wait waits for what becomes of an entry of this node's log. When this node stops
 // leading, the next leader's log mostly tells soon.
-func (l *Lathe) wait(done chan outcome, turned chan struct{}, end time.Time) (rack.Result, error) {
+func (l *Lathe) wait(done chan outcome, turned chan struct{}, end time.Time) (registry.Result, error) {
 	t := time.NewTimer(time.Until(end))
 	defer t.Stop()
 	for {
@@ -740,13 +740,13 @@
 			turned = nil
 			t.Reset(min(time.Until(end), l.timing.Election))
 		case <-t.C:
-			return rack.Result{}, notch.New(notch.Unknown, "no majority in time")
+			return registry.Result{}, notch.New(notch.Unknown, "no majority in time")
 		}
 	}
 }
 
 // propose runs in the actor. It gives the leader's address.
-func (l *Lathe) propose(cmd rack.Command, done chan outcome) string {
+func (l *Lathe) propose(cmd registry.Command, done chan outcome) string {
 	if l.node.Role() != raft.Leader {
 		return l.links.addr(l.node.Leader())
 	}
@@ -761,7 +761,7 @@
 		}
 		cmd.Latch = &spent
 	}
-	index, term, ok := l.node.Propose(rack.EncodeCommand(cmd))
+	index, term, ok := l.node.Propose(registry.EncodeCommand(cmd))
 	if !ok {
 		return ""
 	}
@@ -853,6 +853,6 @@
 
 // configuration reads what is held. The caller has the node's lock.
 func (l *Lathe) configuration() (version uint64, text []byte, ok bool) {
-	o, _ := l.store.Get(rack.ConfigKey)
-	return rack.DecodeConfig(o)
+	o, _ := l.store.Get(registry.ConfigKey)
+	return registry.DecodeConfig(o)
 }
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -20,8 +20,8 @@
 	"lichentray/internal/notch"
 	"lichentray/internal/vicetest"
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 	"lichentray/spool"
 )
 
@@ -117,7 +117,7 @@
 
 	// A beat creates, an ordinary one writes nothing, a drain updates, a
 	// sign-off deletes, and a late beat brings nothing back.
-	e := rack.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
+	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
 	if err := l[0].Beat(e); err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 	if _, there := mirror.Objects()[e.Key()]; there {
 		t.Error("the resumed copy still has the departed endpoint")
 	}
-	if o := mirror.Objects()[rack.ConfigKey]; len(o.Value) < 8 || string(o.Value[8:]) != fmt.Sprintf(text, 6) {
+	if o := mirror.Objects()[registry.ConfigKey]; len(o.Value) < 8 || string(o.Value[8:]) != fmt.Sprintf(text, 6) {
 		t.Error("the resumed copy lacks the configuration that came meanwhile")
 	}
 	stream.Close()
@@ -167,14 +167,14 @@
 	// Locks, numbers, cells and a watch over all nodes.
 	var last uint64
 	for i := range 9 {
-		r, err := l[i%3].Do(rack.Command{Latch: &latch.Command{Op: latch.Next, Name: "n"}})
+		r, err := l[i%3].Do(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: "n"}})
 		if err != nil || r.Latch.Value <= last {
 			t.Fatalf("number %d after %d, %v", r.Latch.Value, last, err)
 		}
 		last = r.Latch.Value
 	}
 	got := make(chan error, 1)
-	if _, err := l[0].Do(rack.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "1"}}); err != nil {
+	if _, err := l[0].Do(registry.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "1"}}); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
@@ -184,7 +184,7 @@
 		}
 		got <- err
 	}()
-	if _, err := l[2].Do(rack.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "2"}}); err != nil {
+	if _, err := l[2].Do(registry.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "2"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-got; err != nil {
@@ -290,12 +290,12 @@
 	const proxies, endpoints = 300, 1000
 	g := newGroup(t, 1, nil)
 	l := g.nodes[0]
-	var all rack.Txn
+	var all registry.Txn
 	for i := range endpoints {
-		e := rack.Endpoint{ID: fmt.Sprintf("i-%04d", i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "z", Capacity: 3}
-		all.Then = append(all.Then, rack.Write{Key: e.Key(), Value: e.Encode()})
+		e := registry.Endpoint{ID: fmt.Sprintf("i-%04d", i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "z", Capacity: 3}
+		all.Then = append(all.Then, registry.Write{Key: e.Key(), Value: e.Encode()})
 	}
-	until(t, "a thousand endpoints are known", func() bool { _, err := l.Do(rack.Command{Txn: &all}); return err == nil })
+	until(t, "a thousand endpoints are known", func() bool { _, err := l.Do(registry.Command{Txn: &all}); return err == nil })
 
 	type copyOf struct {
 		conn *dowel.Conn
@@ -327,7 +327,7 @@
 		t.Errorf("%d lists for %d proxies", l.nRelist.Value(), proxies)
 	}
 
-	drained := rack.Endpoint{ID: "i-0007", Service: "s", Address: "10.0.0.7:80", Zone: "z", Capacity: 3, Draining: true, Sequence: 1}
+	drained := registry.Endpoint{ID: "i-0007", Service: "s", Address: "10.0.0.7:80", Zone: "z", Capacity: 3, Draining: true, Sequence: 1}
 	until(t, "the drain is acknowledged", func() bool { return l.Beat(drained) == nil })
 	key := drained.Key()
 	want, _ := l.store.Get(key)
@@ -359,7 +359,7 @@
 		t.Fatal(err)
 	}
 	for i, c := range got {
-		for c.m.Objects()[rack.ConfigKey].ModRevision == 0 {
+		for c.m.Objects()[registry.ConfigKey].ModRevision == 0 {
 			f, err := c.conn.Receive(20 * time.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -374,7 +374,7 @@
 				}
 			}
 		}
-		if _, held, _ := rack.DecodeConfig(c.m.Objects()[rack.ConfigKey]); string(held) != large {
+		if _, held, _ := registry.DecodeConfig(c.m.Objects()[registry.ConfigKey]); string(held) != large {
 			t.Fatalf("proxy %d holds %d bytes of a configuration of %d", i, len(held), len(large))
 		}
 	}
@@ -505,7 +505,7 @@
 	// A proxy registers over its stream, says that it leaves, and is dropped once
 	// it is not heard of.
 	stream, _ := follow(t, l[1].self.Addr, spool.NewMirror())
-	self := &rack.Proxy{Name: "p", Address: "10.0.0.1:80", Zone: "a", Weight: 5}
+	self := &registry.Proxy{Name: "p", Address: "10.0.0.1:80", Zone: "a", Weight: 5}
 	places := func(n *Lathe) string {
 		got, ttl, err := n.Resolve("10.9.9.9", "h", "r1", "a")
 		return fmt.Sprint(got, ttl, err != nil)
@@ -532,18 +532,18 @@
 	until(t, "its leaving is known", func() bool {
 		l[2].mu.RLock()
 		defer l[2].mu.RUnlock()
-		return l[2].places[rack.ProxyPrefix+"p"].Leaving
+		return l[2].places[registry.ProxyPrefix+"p"].Leaving
 	})
 	stream.Close()
 	until(t, "its lease runs out", func() bool { return places(l[2]) == "[] 0s true" })
 
 	// A beat that tells of a cold start marks the endpoint, a later one ends it.
-	e := rack.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, ColdS: 3}
+	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, ColdS: 3}
 	marked := func() bool {
 		l[0].mu.RLock()
 		defer l[0].mu.RUnlock()
 		o, _ := l[0].store.Get(e.Key())
-		x, err := rack.DecodeEndpoint(o)
+		x, err := registry.DecodeEndpoint(o)
 		return err == nil && x.Cold
 	}
 	if err := l[0].Beat(e); err != nil {
@@ -578,28 +578,28 @@
 	}
 	until(t, "the evacuation is read back", func() bool {
 		got, err := l[2].Evacuations()
-		return err == nil && got["b"] == rack.Evacuated
+		return err == nil && got["b"] == registry.Evacuated
 	})
 	// A second operator's order counts once it can be no repeat, and the zone is
 	// back only when both are taken back.
-	order := func(begin bool) (now rack.Evacuation) {
+	order := func(begin bool) (now registry.Evacuation) {
 		// Without a clear answer it is sent again, as an operator does.
 		until(t, "an order is acknowledged", func() bool { return l[0].Evacuate("b", begin, waits) == nil })
 		until(t, "a read point", func() bool { return l[0].ReadPoint() == nil })
 		l[0].mu.RLock()
 		defer l[0].mu.RUnlock()
-		o, _ := l[0].store.Get(rack.EvacPrefix + "b")
-		return rack.DecodeEvacuation(o)
+		o, _ := l[0].store.Get(registry.EvacPrefix + "b")
+		return registry.DecodeEvacuation(o)
 	}
 	if now := order(true); now.Begins != 1 {
 		t.Errorf("a repeat after the loss of all: %+v", now)
 	}
 	until(t, "a second order counts", func() bool { return order(true).Begins == 2 })
-	if now := order(false); now.Finishes != 1 || now.State() != rack.Evacuated {
+	if now := order(false); now.Finishes != 1 || now.State() != registry.Evacuated {
 		t.Errorf("one finish of two: %+v", now)
 	}
 	until(t, "the second finish counts", func() bool { return order(false).Finishes == 2 })
-	if got, err := l[1].Evacuations(); err != nil || got["b"] != rack.Returning {
+	if got, err := l[1].Evacuations(); err != nil || got["b"] != registry.Returning {
 		t.Errorf("after the finish: %v, %v", got, err)
 	}
 	until(t, "the zone is in ordinary use", func() bool {
@@ -639,7 +639,7 @@
 	l := g.nodes[0]
 	held := []byte(fmt.Sprintf(text, 5))
 	until(t, "a configuration is taken", func() bool { return l.Replace(held) == nil })
-	e := rack.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
+	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
 	for _, id := range []string{"i-1", "i-2"} {
 		e.ID = id
 		if err := l.Beat(e); err != nil {
@@ -655,12 +655,12 @@
 	until(t, "the node knows that it has lost touch", func() bool { return !l.again(time.Now().Add(time.Hour)) })
 
 	beat := func(id string, draining bool) error {
-		return l.Beat(rack.Endpoint{ID: id, Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 9, Draining: draining})
+		return l.Beat(registry.Endpoint{ID: id, Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 9, Draining: draining})
 	}
 	_, readErr := l.Configuration()
 	_, cellErr := l.Cell("c")
 	_, _, watchErr := l.Watch("g.", 0, time.Second)
-	_, numberErr := l.Do(rack.Command{Latch: &latch.Command{Op: latch.Next, Name: "n"}})
+	_, numberErr := l.Do(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: "n"}})
 	for what, err := range map[string]error{
 		"a configuration is read":     readErr,
 		"a cell is read":              cellErr,
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -11,8 +11,8 @@
 
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 )
 
 // link is the outgoing connection to one peer. Its queue is bounded: what does
@@ -439,7 +439,7 @@
 	done := make(chan outcome, 1)
 	switch {
 	case a.Command != nil:
-		cmd, err := rack.DecodeCommand(a.Command)
+		cmd, err := registry.DecodeCommand(a.Command)
 		if err != nil {
 			ans = failed(a.ID, notch.New(notch.BadRequest, "%v", err))
 			break
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -8,7 +8,7 @@
 	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // rolloutRecord is a service's versions as last applied, and since when they stand so by
@@ -93,7 +93,7 @@
 		return
 	}
 	for key, r := range l.rollouts {
-		service := strings.TrimPrefix(key, rack.RolloutPrefix)
+		service := strings.TrimPrefix(key, registry.RolloutPrefix)
 		if r.State != feeler.InProgress {
 			continue
 		}
@@ -137,13 +137,13 @@
 			continue
 		}
 		g.asked, g.askedAt = r.revision, now
-		l.node.Propose(rack.EncodeCommand(rack.Command{Txn: &rack.Txn{
-			If:   []rack.Condition{{Key: key, ModRevision: r.revision}},
-			Then: []rack.Write{{Key: key, Value: next.Encode()}},
+		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+			If:   []registry.Condition{{Key: key, ModRevision: r.revision}},
+			Then: []registry.Write{{Key: key, Value: next.Encode()}},
 		}}))
 	}
 	for service := range l.guides {
-		if r := l.rollouts[rack.RolloutPrefix+service]; r == nil || r.State != feeler.InProgress {
+		if r := l.rollouts[registry.RolloutPrefix+service]; r == nil || r.State != feeler.InProgress {
 			delete(l.guides, service)
 		}
 	}
@@ -151,9 +151,9 @@
 
 // noteRollout takes a change of a service's versions. The caller has the node's
 // lock.
-func (l *Lathe) noteRollout(e rack.Event) {
+func (l *Lathe) noteRollout(e registry.Event) {
 	was := l.rollouts[e.Object.Key]
-	if e.Type == rack.Deleted {
+	if e.Type == registry.Deleted {
 		delete(l.rollouts, e.Object.Key)
 		return
 	}
@@ -164,26 +164,26 @@
 	}
 	l.rollouts[e.Object.Key] = &rolloutRecord{Rollout: r, revision: e.Object.ModRevision, at: l.now()}
 	if r.State != "" && (was == nil || was.Rollout != r) {
-		l.log.Info("roll-out", "service", e.Object.Key[len(rack.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.SpentS, "why", r.Why)
+		l.log.Info("roll-out", "service", e.Object.Key[len(registry.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.SpentS, "why", r.Why)
 	}
 	if r.State != feeler.InProgress {
-		delete(l.tryOuts, e.Object.Key[len(rack.RolloutPrefix):])
+		delete(l.tryOuts, e.Object.Key[len(registry.RolloutPrefix):])
 	}
 }
 
 // nameBase lets the first endpoint of a service tell which version is in use. The
 // caller has the node's lock.
-func (l *Lathe) nameBase(txn *rack.Txn, e rack.Endpoint) {
+func (l *Lathe) nameBase(txn *registry.Txn, e registry.Endpoint) {
 	if !l.set.RollsOut() {
 		return
 	}
-	key := rack.RolloutPrefix + e.Service
+	key := registry.RolloutPrefix + e.Service
 	if _, known := l.store.Get(key); known {
 		return
 	}
-	txn.If = append(txn.If, rack.Condition{Key: key})
+	txn.If = append(txn.If, registry.Condition{Key: key})
 	// Before the endpoint, so that no proxy holds it without.
-	txn.Then = append([]rack.Write{{Key: key, Value: feeler.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
+	txn.Then = append([]registry.Write{{Key: key, Value: feeler.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
 }
 
 var errNoRollouts = notch.New(notch.NoRoute, "this deployment does not tell versions apart")
@@ -196,8 +196,8 @@
 	if err := l.ReadPoint(); err != nil {
 		return err
 	}
-	key := rack.RolloutPrefix + service
-	wrote, err := l.transact(func() (*rack.Txn, error) {
+	key := registry.RolloutPrefix + service
+	wrote, err := l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(key)
 		var was feeler.Rollout
 		if o.ModRevision > 0 {
@@ -216,9 +216,9 @@
 		if next == was {
 			return nil, nil
 		}
-		return &rack.Txn{
-			If:   []rack.Condition{{Key: key, ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: key, Value: next.Encode()}},
+		return &registry.Txn{
+			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: key, Value: next.Encode()}},
 		}, nil
 	})
 	if wrote {
@@ -237,7 +237,7 @@
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	r := l.rollouts[rack.RolloutPrefix+service]
+	r := l.rollouts[registry.RolloutPrefix+service]
 	if r == nil || r.State == "" {
 		return feeler.Rollout{}, notch.New(notch.NoKey, "no roll-out of %q", service)
 	}
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -11,7 +11,7 @@
 	"lichentray/internal/caliper"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/spool"
 )
 
@@ -42,7 +42,7 @@
 				}
 			}
 			report := &dowel.Report{Seq: seq}
-			if o, ok := m.Objects()[rack.RolloutPrefix+"s"]; ok {
+			if o, ok := m.Objects()[registry.RolloutPrefix+"s"]; ok {
 				if r, _ := feeler.Decode(o.Value); r.State == feeler.InProgress {
 					e := feeler.Evidence{}
 					for id := range 6 {
@@ -98,7 +98,7 @@
 	}
 	for id := range 6 {
 		for v, kind := range []string{"old", "new"} {
-			e := rack.Endpoint{ID: fmt.Sprint(kind, "-", id), Service: "s", Version: fmt.Sprint("v", v+1), Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
+			e := registry.Endpoint{ID: fmt.Sprint(kind, "-", id), Service: "s", Version: fmt.Sprint("v", v+1), Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
 			until(t, "a beat is taken", func() bool { return l[id%3].Beat(e) == nil })
 		}
 	}
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -11,7 +11,7 @@
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/spool"
 )
 
@@ -190,7 +190,7 @@
 	l.mu.RLock()
 	rev, at := l.store.Revision(), l.changedAt
 	held := a.Packs && l.packed.data != nil && l.packed.at == at
-	var objects []rack.Object
+	var objects []registry.Object
 	if rev >= a.Least && !held {
 		for _, prefix := range watched {
 			objects = append(objects, l.store.List(prefix)...)
@@ -219,7 +219,7 @@
 }
 
 // watched are the kinds of object that proxies hold a copy of.
-var watched = [...]string{rack.EndpointPrefix, rack.EvacPrefix, rack.RolloutPrefix, rack.ConfigKey}
+var watched = [...]string{registry.EndpointPrefix, registry.EvacPrefix, registry.RolloutPrefix, registry.ConfigKey}
 
 func isWatched(key string) bool {
 	for _, prefix := range watched {
--- a/internal/lathe/status.go
+++ b/internal/lathe/status.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"lichentray/feeler"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 )
 
 // MemberStatus is one member of the core as the asked node sees it.
@@ -56,7 +56,7 @@
 	Zones map[string]string `json:"zones"`
 	// Services tells, where versions are told apart, which versions there are.
 	Services   map[string]ServiceStatus `json:"services,omitempty"`
-	Registered []rack.Proxy             `json:"registered"`
+	Registered []registry.Proxy         `json:"registered"`
 }
 
 func hexID(id uint64) string { return fmt.Sprintf("%016x", id) }
@@ -87,9 +87,9 @@
 		l.mu.RLock()
 		defer l.mu.RUnlock()
 		s.Revision = l.store.Revision()
-		for _, o := range l.store.List(rack.EndpointPrefix) {
+		for _, o := range l.store.List(registry.EndpointPrefix) {
 			s.Endpoints++
-			if e, err := rack.DecodeEndpoint(o); err == nil {
+			if e, err := registry.DecodeEndpoint(o); err == nil {
 				if e.Draining {
 					s.Draining++
 				}
@@ -107,7 +107,7 @@
 			if s.Services == nil {
 				s.Services = map[string]ServiceStatus{}
 			}
-			s.Services[key[len(rack.RolloutPrefix):]] = ServiceStatus{r.Rollout, map[string]int{}}
+			s.Services[key[len(registry.RolloutPrefix):]] = ServiceStatus{r.Rollout, map[string]int{}}
 		}
 		for _, e := range l.endpoints {
 			if x, told := s.Services[e.Service]; told {
@@ -115,8 +115,8 @@
 			}
 		}
 		s.Zones = l.evacuations()
-		for _, o := range l.store.List(rack.ProxyPrefix) {
-			if p, err := rack.DecodeProxy(o); err == nil {
+		for _, o := range l.store.List(registry.ProxyPrefix) {
+			if p, err := registry.DecodeProxy(o); err == nil {
 				s.Registered = append(s.Registered, p)
 			}
 		}
--- a/internal/lathe/transfer.go
+++ b/internal/lathe/transfer.go
@@ -2,8 +2,8 @@
 
 import (
 	"lichentray/internal/dowel"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 )
 
 // Appends and snapshots go to a peer on a connection of their own: a configuration
@@ -80,7 +80,7 @@
 // checkSnapshot restores a leader's snapshot beside the state held, which it replaces
 // once it is installed.
 func (l *Lathe) checkSnapshot(data []byte) error {
-	s := rack.New()
+	s := registry.New()
 	if err := s.Restore(data); err != nil {
 		l.log.Error("snapshot cannot be read, this node goes on lagging", "error", err)
 		return err
--- a/internal/lathe/transfer_test.go
+++ b/internal/lathe/transfer_test.go
@@ -10,8 +10,8 @@
 
 	"lichentray/internal/chest"
 	"lichentray/internal/dowel"
-	"lichentray/rack"
 	"lichentray/raft"
+	"lichentray/registry"
 )
 
 // strait is a link of so many bytes a second that several connections share.
@@ -58,7 +58,7 @@
 	put := func(key string, size int) (err error) {
 		value := make([]byte, size)
 		r.Read(value)
-		_, err = l.Do(rack.Command{Txn: &rack.Txn{Then: []rack.Write{{Key: key, Value: value}}}})
+		_, err = l.Do(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key, Value: value}}}})
 		return err
 	}
 	const state = 3 << 20
@@ -137,7 +137,7 @@
 				size = 2000
 				done := make(chan uint64, 1)
 				l.post(func() {
-					i, _, _ := l.node.Propose(rack.EncodeCommand(rack.Command{Txn: &rack.Txn{Then: []rack.Write{{Key: "account/tick", Value: value}}}}))
+					i, _, _ := l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: "account/tick", Value: value}}}}))
 					done <- i
 				})
 				last = max(last, <-done)
@@ -154,7 +154,7 @@
 		if e.Install != nil {
 			installed++
 			during = time.Since(start)
-			if err := rack.New().Restore(e.Install.Data); err != nil {
+			if err := registry.New().Restore(e.Install.Data); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/lathe/world.go
+++ b/internal/lathe/world.go
@@ -9,18 +9,18 @@
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/jig"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // table gives the compiled configuration that this node holds, or nil. The
 // caller has the node's lock for writing.
 func (l *Lathe) table() *jig.Table {
-	o, _ := l.store.Get(rack.ConfigKey)
+	o, _ := l.store.Get(registry.ConfigKey)
 	if o.ModRevision == l.compiledAt {
 		return l.compiled
 	}
 	l.compiled, l.compiledAt = nil, o.ModRevision
-	if _, text, ok := rack.DecodeConfig(o); ok {
+	if _, text, ok := registry.DecodeConfig(o); ok {
 		if c, err := jig.ReadChecked(text); err == nil {
 			l.compiled = jig.Compile(c)
 		}
@@ -43,15 +43,15 @@
 }
 
 // register keeps a proxy's entry in the registry as the proxy itself says.
-func (l *Lathe) register(p rack.Proxy) error {
-	_, err := l.transact(func() (*rack.Txn, error) {
+func (l *Lathe) register(p registry.Proxy) error {
+	_, err := l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(p.Key())
-		if old, err := rack.DecodeProxy(o); err == nil && old == p {
+		if old, err := registry.DecodeProxy(o); err == nil && old == p {
 			return nil, nil
 		}
-		return &rack.Txn{
-			If:   []rack.Condition{{Key: p.Key(), ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: p.Key(), Value: p.Encode()}},
+		return &registry.Txn{
+			If:   []registry.Condition{{Key: p.Key(), ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: p.Key(), Value: p.Encode()}},
 		}, nil
 	})
 	return err
@@ -59,20 +59,20 @@
 
 // note takes a change of the registry into what the node keeps decoded of it.
 // The caller has the node's lock.
-func (l *Lathe) note(e rack.Event) {
+func (l *Lathe) note(e registry.Event) {
 	switch key := e.Object.Key; {
-	case strings.HasPrefix(key, rack.ProxyPrefix):
+	case strings.HasPrefix(key, registry.ProxyPrefix):
 		l.noteProxy(e)
-	case strings.HasPrefix(key, rack.EvacPrefix):
+	case strings.HasPrefix(key, registry.EvacPrefix):
 		l.noteOrder(e)
-	case strings.HasPrefix(key, rack.RolloutPrefix):
+	case strings.HasPrefix(key, registry.RolloutPrefix):
 		l.noteRollout(e)
-	case strings.HasPrefix(key, rack.EndpointPrefix):
+	case strings.HasPrefix(key, registry.EndpointPrefix):
 		delete(l.endpoints, key)
-		if e.Type == rack.Deleted {
+		if e.Type == registry.Deleted {
 			break
 		}
-		if p, err := rack.DecodeEndpoint(e.Object); err == nil {
+		if p, err := registry.DecodeEndpoint(e.Object); err == nil {
 			l.endpoints[key] = p
 		}
 	}
@@ -86,20 +86,20 @@
 	clear(l.places)
 	clear(l.endpoints)
 	clear(l.rollouts)
-	for _, prefix := range [...]string{rack.ProxyPrefix, rack.EvacPrefix, rack.RolloutPrefix, rack.EndpointPrefix} {
+	for _, prefix := range [...]string{registry.ProxyPrefix, registry.EvacPrefix, registry.RolloutPrefix, registry.EndpointPrefix} {
 		for _, o := range l.store.List(prefix) {
-			l.note(rack.Event{Type: rack.Added, Object: o})
+			l.note(registry.Event{Type: registry.Added, Object: o})
 		}
 	}
 	l.changedAt = l.store.Revision()
 }
 
-func (l *Lathe) noteProxy(e rack.Event) {
-	if e.Type == rack.Deleted {
+func (l *Lathe) noteProxy(e registry.Event) {
+	if e.Type == registry.Deleted {
 		delete(l.places, e.Object.Key)
 		return
 	}
-	if p, err := rack.DecodeProxy(e.Object); err == nil {
+	if p, err := registry.DecodeProxy(e.Object); err == nil {
 		l.places[e.Object.Key] = balance.Place{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Leaving: p.Leaving}
 	}
 }
@@ -145,22 +145,22 @@
 	if err := l.ReadPoint(); err != nil {
 		return err
 	}
-	key := rack.EvacPrefix + zone
+	key := registry.EvacPrefix + zone
 	bound := l.set.Bounds.AckTimeout.D()
-	repeats := rack.Repeats{Told: bound / 5, Untold: bound}
-	var now rack.Evacuation
-	wrote, err := l.transact(func() (*rack.Txn, error) {
+	repeats := registry.Repeats{Told: bound / 5, Untold: bound}
+	var now registry.Evacuation
+	wrote, err := l.transact(func() (*registry.Txn, error) {
 		if !waits() {
 			return nil, notch.New(notch.Unavailable, "the caller has gone on to another node")
 		}
 		o, _ := l.store.Get(key)
-		was := rack.DecodeEvacuation(o)
+		was := registry.DecodeEvacuation(o)
 		if now = was.Order(begin, l.now()-l.ordered[orderKind{key, begin}], repeats); now == was {
 			return nil, nil
 		}
-		return &rack.Txn{
-			If:   []rack.Condition{{Key: key, ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: key, Value: now.Encode()}},
+		return &registry.Txn{
+			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: key, Value: now.Encode()}},
 		}, nil
 	})
 	if wrote {
@@ -181,23 +181,23 @@
 // answered notes that this node lived on after it answered an order, so that a
 // further one of its kind is hardly a repeat. A note that does not come through
 // is not tried again: without it more orders count as repeats.
-func (l *Lathe) answered(key string, begin bool, order rack.Evacuation) {
-	_, _ = l.transact(func() (*rack.Txn, error) {
+func (l *Lathe) answered(key string, begin bool, order registry.Evacuation) {
+	_, _ = l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(key)
-		now := rack.DecodeEvacuation(o)
+		now := registry.DecodeEvacuation(o)
 		noted := now.Answered(begin)
 		if now == noted || now.Begins != order.Begins || now.Finishes != order.Finishes {
 			return nil, nil
 		}
-		return &rack.Txn{
-			If:   []rack.Condition{{Key: key, ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: key, Value: noted.Encode()}},
+		return &registry.Txn{
+			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: key, Value: noted.Encode()}},
 		}, nil
 	})
 }
 
-func (l *Lathe) noteOrder(e rack.Event) {
-	order := rack.DecodeEvacuation(e.Object)
+func (l *Lathe) noteOrder(e registry.Event) {
+	order := registry.DecodeEvacuation(e.Object)
 	was := l.orders[e.Object.Key]
 	l.orders[e.Object.Key] = order
 	if order.Begins != was.Begins {
@@ -221,8 +221,8 @@
 // evacuations reads what is held. The caller has the node's lock.
 func (l *Lathe) evacuations() map[string]string {
 	out := map[string]string{}
-	for _, o := range l.store.List(rack.EvacPrefix) {
-		out[o.Key[len(rack.EvacPrefix):]] = rack.DecodeEvacuation(o).State()
+	for _, o := range l.store.List(registry.EvacPrefix) {
+		out[o.Key[len(registry.EvacPrefix):]] = registry.DecodeEvacuation(o).State()
 	}
 	return out
 }
@@ -230,8 +230,8 @@
 // endReturns takes zones back into ordinary use once their endpoints' beats
 // have had the time to tell which are cold.
 func (l *Lathe) endReturns(now time.Duration) {
-	for _, o := range l.store.List(rack.EvacPrefix) {
-		if rack.DecodeEvacuation(o).State() != rack.Returning {
+	for _, o := range l.store.List(registry.EvacPrefix) {
+		if registry.DecodeEvacuation(o).State() != registry.Returning {
 			delete(l.returning, o.Key)
 			continue
 		}
@@ -241,9 +241,9 @@
 			continue
 		}
 		if now-since.at > 2*l.set.HeartbeatEvery.D()+l.timing.Silence {
-			l.node.Propose(rack.EncodeCommand(rack.Command{Txn: &rack.Txn{
-				If:   []rack.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
-				Then: []rack.Write{{Key: o.Key, Delete: true}},
+			l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+				If:   []registry.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
+				Then: []registry.Write{{Key: o.Key, Delete: true}},
 			}}))
 			l.returning[o.Key] = mark{now, o.ModRevision} // asked again if it did not come through
 		}
@@ -256,8 +256,8 @@
 	if !l.node.InTouch(l.timing.Election) || now-l.leadSince < l.timing.Lease {
 		return
 	}
-	for _, o := range l.store.List(rack.ProxyPrefix) {
-		name := o.Key[len(rack.ProxyPrefix):]
+	for _, o := range l.store.List(registry.ProxyPrefix) {
+		name := o.Key[len(registry.ProxyPrefix):]
 		seen, ok := l.proxies[name]
 		if !ok {
 			l.proxies[name] = now
@@ -268,9 +268,9 @@
 		}
 		l.proxies[name] = now // asked again if it does not come through
 		l.board.Counter("proxies_removed_total").Inc()
-		l.node.Propose(rack.EncodeCommand(rack.Command{Txn: &rack.Txn{
-			If:   []rack.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
-			Then: []rack.Write{{Key: o.Key, Delete: true}},
+		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+			If:   []registry.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: o.Key, Delete: true}},
 		}}))
 	}
 }
@@ -284,7 +284,7 @@
 	var byZone, byRegion map[string][]string
 	var all []string
 	for _, e := range l.endpoints {
-		if e.Draining || (!e.Cold && evac[e.Zone] != rack.Returning) {
+		if e.Draining || (!e.Cold && evac[e.Zone] != registry.Returning) {
 			continue
 		}
 		c, ok := l.cluster(e.Service)
@@ -294,7 +294,7 @@
 		if byZone == nil {
 			byZone, byRegion = map[string][]string{}, map[string][]string{}
 			for name := range told {
-				p, there := l.places[rack.ProxyPrefix+name]
+				p, there := l.places[registry.ProxyPrefix+name]
 				if !there || p.Leaving {
 					continue
 				}
--- a/internal/plane/bench_test.go
+++ b/internal/plane/bench_test.go
@@ -10,7 +10,7 @@
 
 	"lichentray/internal/dial"
 	"lichentray/internal/vicetest"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // BenchmarkCopy is what a proxy's copy takes: memory for each endpoint and route,
@@ -27,9 +27,9 @@
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 		before := heap()
 		for i := range n {
-			x := rack.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s", i%1500), Version: "v1", Address: fmt.Sprintf("10.0.%d.%d:8080", i>>8&255, i&255), Zone: "a", Capacity: 4}
-			o := rack.Object{Key: x.Key(), Value: x.Encode(), CreateRevision: uint64(i + 1), ModRevision: uint64(i + 1)}
-			if err := p.takeEvent(rack.Event{Type: rack.Added, Object: o, Revision: uint64(i + 1)}); err != nil {
+			x := registry.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s", i%1500), Version: "v1", Address: fmt.Sprintf("10.0.%d.%d:8080", i>>8&255, i&255), Zone: "a", Capacity: 4}
+			o := registry.Object{Key: x.Key(), Value: x.Encode(), CreateRevision: uint64(i + 1), ModRevision: uint64(i + 1)}
+			if err := p.takeEvent(registry.Event{Type: registry.Added, Object: o, Revision: uint64(i + 1)}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -38,8 +38,8 @@
 			rev := uint64(n)
 			for b.Loop() {
 				rev++
-				x := rack.Endpoint{ID: fmt.Sprintf("i-%08x", int(rev)%n*7919), Service: fmt.Sprint("s", int(rev)%n%1500), Version: "v1", Address: "10.0.0.1:8080", Zone: "a", Capacity: 4, Sequence: rev}
-				if err := p.takeEvent(rack.Event{Type: rack.Modified, Object: rack.Object{Key: x.Key(), Value: x.Encode(), ModRevision: rev}, Revision: rev}); err != nil {
+				x := registry.Endpoint{ID: fmt.Sprintf("i-%08x", int(rev)%n*7919), Service: fmt.Sprint("s", int(rev)%n%1500), Version: "v1", Address: "10.0.0.1:8080", Zone: "a", Capacity: 4, Sequence: rev}
+				if err := p.takeEvent(registry.Event{Type: registry.Modified, Object: registry.Object{Key: x.Key(), Value: x.Encode(), ModRevision: rev}, Revision: rev}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -64,16 +64,16 @@
 				fmt.Fprintf(&sb, `{"name":"r%d","route_type":"idempotent","target_latency_s":1,"priority":1,"match":{"path_prefix":"/p%d/"},"action":{"backend_service":"s","timeout_s":5,"max_attempts":2}}`, i, i)
 			}
 			sb.WriteString(`]}]}`)
-			return rack.EncodeConfig(version, []byte(sb.String()))
+			return registry.EncodeConfig(version, []byte(sb.String()))
 		}
 		before := heap()
-		p.takeConfig(rack.Object{Key: rack.ConfigKey, Value: text(1)})
+		p.takeConfig(registry.Object{Key: registry.ConfigKey, Value: text(1)})
 		each, size := (heap()-before)/float64(n), len(text(1))
 		version := uint64(1)
 		b.Run(fmt.Sprint("configuration of ", n, " routes"), func(b *testing.B) {
 			for b.Loop() {
 				version++
-				p.takeConfig(rack.Object{Key: rack.ConfigKey, Value: text(version)})
+				p.takeConfig(registry.Object{Key: registry.ConfigKey, Value: text(version)})
 			}
 			b.ReportMetric(each, "heap-bytes/route")
 			b.ReportMetric(float64(size)/float64(n), "text-bytes/route")
--- a/internal/plane/byte_test.go
+++ b/internal/plane/byte_test.go
@@ -20,7 +20,7 @@
 	"lichentray/balance"
 	"lichentray/internal/dial"
 	"lichentray/internal/vicetest"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // ledger is the plain model: what endpoints did with each request, by its id.
@@ -357,7 +357,7 @@
 	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	p.timing.EjectBase, p.timing.EjectMost = 1, 1 // or the worst would soon be left alone
-	p.takeObject(rack.Object{Key: rack.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
+	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
 	p.services["s"].budget = balance.NewBudget(5, 1000)
 	var serving sync.WaitGroup
 	var listeners []net.Listener
@@ -382,8 +382,8 @@
 				}()
 			}
 		}()
-		x := rack.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Address: ln.Addr().String(), Zone: "a", Capacity: 20}
-		p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, false)
+		x := registry.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Address: ln.Addr().String(), Zone: "a", Capacity: 20}
+		p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
 		listeners = append(listeners, ln)
 	}
 	f := openFront(t, p)
--- a/internal/plane/follow.go
+++ b/internal/plane/follow.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lichentray/internal/dowel"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // stream is an open stream of one control-plane node.
@@ -395,7 +395,7 @@
 }
 
 // takeEvents takes changes in order. If one doesn't fit, the copy is listed anew.
-func (p *Plane) takeEvents(events []rack.Event) error {
+func (p *Plane) takeEvents(events []registry.Event) error {
 	for _, e := range events {
 		if err := p.takeEvent(e); err != nil {
 			p.mirror.Forget()
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -11,7 +11,7 @@
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/vicetest"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // control is a stand-in control-plane node: it answers lists and watches and sends
@@ -108,8 +108,8 @@
 	}
 	until("a list", func() bool { return p.n.lists.Value() == 1 })
 	<-asked // the first has been quiet: the second is asked, and does not answer
-	e := rack.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "a"}
-	first.say <- &dowel.Frame{Events: []rack.Event{{Type: rack.Added, Object: rack.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &dowel.Bookmark{Revision: 2}}
+	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "a"}
+	first.say <- &dowel.Frame{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &dowel.Bookmark{Revision: 2}}
 	until("what the quiet stream said", func() bool { return p.n.revision.Value() == 2 })
 	if p.n.streamLost.Value() != 0 || first.opened.Load() != 1 {
 		t.Errorf("the stream was broken off: %d lost, opened %d times", p.n.streamLost.Value(), first.opened.Load())
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -21,7 +21,7 @@
 	"lichentray/internal/dowel"
 	"lichentray/internal/plumb"
 	"lichentray/jig"
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/spool"
 )
 
@@ -292,29 +292,29 @@
 	have := map[string]bool{}
 	for _, o := range p.mirror.Objects() {
 		have[o.Key] = true
-		if o.Key != rack.ConfigKey {
+		if o.Key != registry.ConfigKey {
 			p.takeObject(o, false)
 		}
 	}
 	for zone := range p.zones {
-		if !have[rack.EvacPrefix+zone] {
+		if !have[registry.EvacPrefix+zone] {
 			p.setZone(zone, balance.Used)
 		}
 	}
 	for name, s := range p.services {
-		if s.trial.Base != "" && !have[rack.RolloutPrefix+name] {
+		if s.trial.Base != "" && !have[registry.RolloutPrefix+name] {
 			p.setRollout(s, feeler.Rollout{})
 		}
 	}
 	// Last, so that no request meets routes without endpoints.
-	if o, ok := p.mirror.Objects()[rack.ConfigKey]; ok {
+	if o, ok := p.mirror.Objects()[registry.ConfigKey]; ok {
 		p.takeConfig(o)
 	}
 	for _, s := range p.services {
 		s.mu.Lock()
 		var gone []string
 		for _, e := range s.pool.Endpoints() {
-			if !have[rack.EndpointPrefix+e.ID] {
+			if !have[registry.EndpointPrefix+e.ID] {
 				gone = append(gone, e.ID)
 			}
 		}
@@ -338,24 +338,24 @@
 
 // takeObject takes one object's new state. live tells that it has just
 // happened.
-func (p *Plane) takeObject(o rack.Object, live bool) {
-	if o.Key == rack.ConfigKey {
+func (p *Plane) takeObject(o registry.Object, live bool) {
+	if o.Key == registry.ConfigKey {
 		p.takeConfig(o)
 		return
 	}
-	if zone, ok := strings.CutPrefix(o.Key, rack.EvacPrefix); ok {
+	if zone, ok := strings.CutPrefix(o.Key, registry.EvacPrefix); ok {
 		z := balance.Emptied
-		if rack.DecodeEvacuation(o).State() == rack.Returning {
+		if registry.DecodeEvacuation(o).State() == registry.Returning {
 			z = balance.Back
 		}
 		p.setZone(zone, z)
 		return
 	}
-	if name, ok := strings.CutPrefix(o.Key, rack.RolloutPrefix); ok {
+	if name, ok := strings.CutPrefix(o.Key, registry.RolloutPrefix); ok {
 		p.takeRollout(name, o)
 		return
 	}
-	e, err := rack.DecodeEndpoint(o)
+	e, err := registry.DecodeEndpoint(o)
 	if err != nil {
 		p.log.Error("endpoint cannot be read", "key", o.Key, "error", err)
 		return
@@ -396,19 +396,19 @@
 	p.log.Info("zone changes its use", "zone", zone, "use", z)
 }
 
-func (p *Plane) takeEvent(e rack.Event) error {
+func (p *Plane) takeEvent(e registry.Event) error {
 	changed, err := p.mirror.Apply(e)
 	if err != nil || !changed {
 		return err
 	}
-	if e.Type != rack.Deleted {
+	if e.Type != registry.Deleted {
 		p.takeObject(p.mirror.Objects()[e.Object.Key], true)
 		return nil
 	}
-	if zone, ok := strings.CutPrefix(e.Object.Key, rack.EvacPrefix); ok {
+	if zone, ok := strings.CutPrefix(e.Object.Key, registry.EvacPrefix); ok {
 		p.setZone(zone, balance.Used)
 	}
-	if id, ok := strings.CutPrefix(e.Object.Key, rack.EndpointPrefix); ok {
+	if id, ok := strings.CutPrefix(e.Object.Key, registry.EndpointPrefix); ok {
 		for _, s := range p.services {
 			s.remove(id)
 		}
@@ -417,8 +417,8 @@
 }
 
 // takeConfig compiles a configuration and puts it in force, whole.
-func (p *Plane) takeConfig(o rack.Object) {
-	_, text, ok := rack.DecodeConfig(o)
+func (p *Plane) takeConfig(o registry.Object) {
+	_, text, ok := registry.DecodeConfig(o)
 	if !ok {
 		return
 	}
@@ -637,11 +637,11 @@
 }
 
 // self is this node's entry in the registry, where clients find proxies there.
-func (p *Plane) self() *rack.Proxy {
+func (p *Plane) self() *registry.Proxy {
 	if p.set.Entry != caliper.EntryDirectory || (!p.Ready() && !p.stopping.Load()) {
 		return nil
 	}
-	return &rack.Proxy{Name: p.set.NodeName, Address: p.set.Listen.Frontend, Zone: p.set.Zone, Leaving: p.stopping.Load(), Weight: p.set.Limits.BandwidthMbps}
+	return &registry.Proxy{Name: p.set.NodeName, Address: p.set.Listen.Frontend, Zone: p.set.Zone, Leaving: p.stopping.Load(), Weight: p.set.Limits.BandwidthMbps}
 }
 
 // leave tells the control plane at once that this node ends.
--- a/internal/plane/plane_test.go
+++ b/internal/plane/plane_test.go
@@ -16,7 +16,7 @@
 
 	"lichentray/internal/dial"
 	"lichentray/internal/vicetest"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // endpoint is a stand-in: it reads one request a turn and answers by script.
@@ -102,10 +102,10 @@
 func newFront(t *testing.T, endpoints ...*endpoint) (*Plane, *Front) {
 	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
-	p.takeObject(rack.Object{Key: rack.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
+	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
 	for i, e := range endpoints {
-		x := rack.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Address: e.ln.Addr().String(), Zone: "a", Capacity: 4}
-		p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, false)
+		x := registry.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Address: e.ln.Addr().String(), Zone: "a", Capacity: 4}
+		p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
 	}
 	for range 100 { // a budget in hand for further tries
 		p.services["s"].budget.Request()
@@ -156,9 +156,9 @@
 		t.Errorf("long after the start: %d", r.StatusCode)
 	}
 	// By now the first request has waited for longer than a late one would.
-	x := rack.Endpoint{ID: "i-0", Service: "s", Address: e.ln.Addr().String(), Zone: "a", Capacity: 4}
-	p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, false)
-	p.takeObject(rack.Object{Key: rack.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
+	x := registry.Endpoint{ID: "i-0", Service: "s", Address: e.ln.Addr().String(), Zone: "a", Capacity: 4}
+	p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
+	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
 	if code := <-got; code != 200 {
 		t.Errorf("the request that came right after the start: %d", code)
 	}
@@ -393,8 +393,8 @@
 func TestDrainingGetsNothingNew(t *testing.T) {
 	a, b := newEndpoint(t, func(int, string) string { return ok("x") }), newEndpoint(t, func(int, string) string { return ok("x") })
 	p, addr := front(t, a, b)
-	x := rack.Endpoint{ID: "i-0", Service: "s", Address: a.ln.Addr().String(), Zone: "a", Capacity: 4, Draining: true}
-	p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, true)
+	x := registry.Endpoint{ID: "i-0", Service: "s", Address: a.ln.Addr().String(), Zone: "a", Capacity: 4, Draining: true}
+	p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, true)
 	for range 30 {
 		send(t, addr, get("/safe/a"), 1)
 	}
@@ -402,7 +402,7 @@
 		t.Errorf("draining endpoint got %d requests, the other %d", len(a.requests()), len(b.requests()))
 	}
 	old := strings.Replace(strings.Replace(routes, `"config_version":3`, `"config_version":2`, 1), "/safe/", "/other/", 1)
-	p.takeObject(rack.Object{Key: rack.ConfigKey, Value: append(make([]byte, 8), old...)}, true)
+	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), old...)}, true)
 	if s := status(send(t, addr, get("/safe/a"), 1)); s != 200 {
 		t.Errorf("an older configuration came into force: %d", s)
 	}
@@ -418,15 +418,15 @@
 	p.set.Zones = map[string]string{"a": "r1", "b": "r2"}
 	p.region, p.here = map[string]int{"r1": 0, "r2": 1}, 0
 	for id, e := range map[string]*endpoint{"a": near, "b": far} {
-		x := rack.Endpoint{ID: "i-" + id, Service: "s", Address: e.ln.Addr().String(), Zone: id, Capacity: 4}
-		p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, false)
+		x := registry.Endpoint{ID: "i-" + id, Service: "s", Address: e.ln.Addr().String(), Zone: id, Capacity: 4}
+		p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
 	}
 	version := 3
 	check := func(regions, want string) {
 		t.Helper()
 		version++
 		text := strings.Replace(strings.Replace(routes, `"max_attempts":2`, `"max_attempts":2,"allowed_regions":[`+regions+`]`, -1), `"config_version":3`, fmt.Sprintf(`"config_version":%d`, version), 1)
-		p.takeObject(rack.Object{Key: rack.ConfigKey, Value: append(make([]byte, 8), text...)}, true)
+		p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), text...)}, true)
 		for range 5 {
 			rs := send(t, addr, post("/once/a"), 1)
 			if len(rs) != 1 {
@@ -441,13 +441,13 @@
 	check("", "200 near")
 	check(`"r2"`, "200 far")
 	check(`"nowhere"`, "503")
-	evac := rack.Object{Key: rack.EvacPrefix + "b", Value: []byte(rack.Evacuated), ModRevision: 1}
-	if err := p.takeEvent(rack.Event{Type: rack.Added, Object: evac, Revision: 1}); err != nil {
+	evac := registry.Object{Key: registry.EvacPrefix + "b", Value: []byte(registry.Evacuated), ModRevision: 1}
+	if err := p.takeEvent(registry.Event{Type: registry.Added, Object: evac, Revision: 1}); err != nil {
 		t.Fatal(err)
 	}
 	check(`"r2"`, "503")
 	check("", "200 near")
-	if err := p.takeEvent(rack.Event{Type: rack.Deleted, Object: rack.Object{Key: evac.Key, ModRevision: 2}, Revision: 2}); err != nil {
+	if err := p.takeEvent(registry.Event{Type: registry.Deleted, Object: registry.Object{Key: evac.Key, ModRevision: 2}, Revision: 2}); err != nil {
 		t.Fatal(err)
 	}
 	check(`"r2"`, "200 far")
--- a/internal/plane/trial.go
+++ b/internal/plane/trial.go
@@ -8,7 +8,7 @@
 	"lichentray/balance"
 	"lichentray/feeler"
 	"lichentray/internal/dowel"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // trial is a service's versions as the registry has them, and what this node saw
@@ -20,7 +20,7 @@
 }
 
 // takeRollout takes a service's versions.
-func (p *Plane) takeRollout(name string, o rack.Object) {
+func (p *Plane) takeRollout(name string, o registry.Object) {
 	r, err := feeler.Decode(o.Value)
 	if err != nil {
 		p.log.Error("roll-out cannot be read, the versions sent to stay", "key", o.Key, "error", err)
--- a/internal/plane/trial_test.go
+++ b/internal/plane/trial_test.go
@@ -8,16 +8,16 @@
 
 	"lichentray/balance"
 	"lichentray/feeler"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 func (p *Plane) order(r feeler.Rollout) {
-	p.takeObject(rack.Object{Key: rack.RolloutPrefix + "s", Value: r.Encode()}, true)
+	p.takeObject(registry.Object{Key: registry.RolloutPrefix + "s", Value: r.Encode()}, true)
 }
 
 func (p *Plane) version(id, version string, e *endpoint) {
-	x := rack.Endpoint{ID: id, Service: "s", Version: version, Address: e.ln.Addr().String(), Zone: "a", Capacity: 40}
-	p.takeObject(rack.Object{Key: x.Key(), Value: x.Encode()}, true)
+	x := registry.Endpoint{ID: id, Service: "s", Version: version, Address: e.ln.Addr().String(), Zone: "a", Capacity: 40}
+	p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, true)
 }
 
 // TestVersionsSentTo: what a proxy sends where in each state of a roll-out, by the
--- a/rack/accept_test.go
+++ b/registry/accept_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"math/rand"
 	"testing"
 
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // TestAcceptedOnce: operators send configurations at random, some under one number
@@ -17,12 +17,12 @@
 func TestAcceptedOnce(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
-		var log []rack.Command
-		newest := rack.New()
-		lag := make([]*rack.Store, 3)
+		var log []registry.Command
+		newest := registry.New()
+		lag := make([]*registry.Store, 3)
 		at := make([]int, len(lag))
 		for i := range lag {
-			lag[i] = rack.New()
+			lag[i] = registry.New()
 		}
 		catchUp := func(i, to int) {
 			for ; at[i] < to; at[i]++ {
@@ -33,7 +33,7 @@
 		send := func(i int, version uint64, text []byte) bool {
 			for {
 				txn, err := lag[i].AcceptConfig(version, text)
-				if taken := new(rack.TakenError); errors.As(err, &taken) {
+				if taken := new(registry.TakenError); errors.As(err, &taken) {
 					if taken.Version != version || bytes.Equal(taken.Taken, taken.Asked) {
 						t.Fatalf("seed %d: refused with %v", seed, err)
 					}
@@ -42,7 +42,7 @@
 				if txn == nil {
 					return true
 				}
-				cmd := rack.Command{Txn: txn}
+				cmd := registry.Command{Txn: txn}
 				log = append(log, cmd)
 				r, _ := newest.Apply(cmd)
 				if !r.Conflict {
@@ -59,7 +59,7 @@
 			if rng.Intn(40) == 0 { // it restarts from a snapshot
 				data, err := lag[i].Snapshot()
 				if err == nil {
-					lag[i] = rack.New()
+					lag[i] = registry.New()
 					err = lag[i].Restore(data)
 				}
 				if err != nil {
@@ -76,8 +76,8 @@
 				t.Fatalf("seed %d, step %d: %s acknowledged: %v; first under its number: %s", seed, step, text, ok, first[version])
 			}
 			highest = max(highest, version)
-			o, _ := newest.Get(rack.ConfigKey)
-			if held, text, _ := rack.DecodeConfig(o); held != highest || string(text) != first[highest] {
+			o, _ := newest.Get(registry.ConfigKey)
+			if held, text, _ := registry.DecodeConfig(o); held != highest || string(text) != first[highest] {
 				t.Fatalf("seed %d, step %d: version %d holds, %s; the highest is %d, %s", seed, step, held, text, highest, first[highest])
 			}
 		}
--- a/rack/account_test.go
+++ b/registry/account_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lichentray/rack"
 	"lichentray/raft/rafttest"
+	"lichentray/registry"
 	"lichentray/tally"
 )
 
@@ -58,7 +58,7 @@
 func accounts(t *testing.T, seed int64) {
 	const proxies, perBatch = 6, 20
 	c := rafttest.New(seed, 3, func() rafttest.Machine {
-		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
+		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
 	})
 	c.Run(time.Second)
 	type proxy struct {
@@ -84,7 +84,7 @@
 	send := func(p *proxy, closed bool) {
 		b := p.stub.Batch(ms(), perBatch)
 		b.PerS, b.Out, b.Closed, b.Most = 100, 2, closed && len(b.Records) < perBatch, 100000
-		data := rack.EncodeCommand(rack.Command{Account: &b})
+		data := registry.EncodeCommand(registry.Command{Account: &b})
 		ids := c.IDs()
 		id := ids[c.Rand.Intn(len(ids))]
 		if l := c.Leader(); l != nil && c.Rand.Intn(4) > 0 {
@@ -92,7 +92,7 @@
 		}
 		lost := c.Rand.Intn(4) == 0
 		done := func(res any, ok bool) {
-			if r, is := res.(rack.Result); ok && is && !lost {
+			if r, is := res.(registry.Result); ok && is && !lost {
 				p.stub.Acked(p.life, r.Account)
 				p.known = true
 			}
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := rack.New()
+	other := registry.New()
 	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.Account().Read(tally.Filter{}), store.Account().Read(tally.Filter{})) {
 		t.Fatalf("the account does not come back from a snapshot: %v", err)
 	}
--- a/rack/bench_test.go
+++ b/registry/bench_test.go
@@ -1,27 +1,27 @@
-package rack_test
+package registry_test
 
 import (
 	"fmt"
 	"runtime"
 	"testing"
 
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
-func endpoint(i int) rack.Endpoint {
-	return rack.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s-", i%1500), Version: "v1", Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: fmt.Sprint("zone-", i%12), Capacity: 4, Sequence: 1}
+func endpoint(i int) registry.Endpoint {
+	return registry.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s-", i%1500), Version: "v1", Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: fmt.Sprint("zone-", i%12), Capacity: 4, Sequence: 1}
 }
 
-func create(s *rack.Store, i int) {
+func create(s *registry.Store, i int) {
 	e := endpoint(i)
-	s.Apply(rack.Command{Txn: &rack.Txn{If: []rack.Condition{{Key: e.Key()}}, Then: []rack.Write{{Key: e.Key(), Value: e.Encode()}}}})
+	s.Apply(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: e.Key()}}, Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}}}})
 }
 
 // BenchmarkEndpoints is what the registry holds and does for each endpoint: one
 // conditional create, the memory, and the snapshot.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, n := range []int{11000, 44000} {
-		s := rack.New()
+		s := registry.New()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -35,7 +35,7 @@
 			for b.Loop() {
 				create(s, n+i%1000)
 				e := endpoint(n + i%1000)
-				s.Apply(rack.Command{Txn: &rack.Txn{Then: []rack.Write{{Key: e.Key(), Delete: true}}}})
+				s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: e.Key(), Delete: true}}}})
 				i++
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-bytes/endpoint")
@@ -53,7 +53,7 @@
 		})
 		b.Run(fmt.Sprint("list of ", n), func(b *testing.B) {
 			for b.Loop() {
-				s.List(rack.EndpointPrefix)
+				s.List(registry.EndpointPrefix)
 			}
 		})
 	}
--- a/rack/codec.go
+++ b/registry/codec.go
@@ -1,4 +1,4 @@
-package rack
+package registry
 
 import (
 	"encoding/binary"
@@ -21,7 +21,7 @@
 	writePatch  = 2
 )
 
-var errShort = errors.New("rack: command is cut short or of an unknown form")
+var errShort = errors.New("registry: command is cut short or of an unknown form")
 
 func putBytes(b []byte, s []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(len(s)))
--- a/rack/delta.go
+++ b/registry/delta.go
@@ -1,4 +1,4 @@
-package rack
+package registry
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 // how it travels and is logged, and it is tied to the revision that it was made
 // against.
 
-var errDelta = errors.New("rack: delta does not fit the value")
+var errDelta = errors.New("registry: delta does not fit the value")
 
 var deltaSeed = maphash.MakeSeed()
 
--- a/rack/delta_test.go
+++ b/registry/delta_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // TestDelta: whatever the two values, the delta makes the second of the first;
@@ -35,8 +35,8 @@
 		if seed%10 == 0 {
 			old, value = []byte(fmt.Sprint(r.Int63())), nil
 		}
-		d := rack.Delta(old, value)
-		got, err := rack.Patch(old, d)
+		d := registry.Delta(old, value)
+		got, err := registry.Patch(old, d)
 		if err != nil || !bytes.Equal(got, value) {
 			t.Fatalf("seed %d: %v, %q became %q", seed, err, value, got)
 		}
@@ -47,9 +47,9 @@
 }
 
 func FuzzPatch(f *testing.F) {
-	f.Add([]byte("abc"), rack.Delta([]byte("abc"), []byte("abd")))
+	f.Add([]byte("abc"), registry.Delta([]byte("abc"), []byte("abd")))
 	f.Add([]byte("abc"), []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 9, 0})
 	f.Fuzz(func(t *testing.T, old, delta []byte) {
-		_, _ = rack.Patch(old, delta) // refused or made, never a crash
+		_, _ = registry.Patch(old, delta) // refused or made, never a crash
 	})
 }
--- a/rack/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -1,4 +1,4 @@
-package rack
+package registry
 
 import (
 	"fmt"
--- a/rack/feed_test.go
+++ b/registry/feed_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"time"
 
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
 	"lichentray/raft/rafttest"
+	"lichentray/registry"
 )
 
 // TestFeedReplaysAlike: five nodes with freezes, cuts one way and both, crashes,
@@ -28,7 +28,7 @@
 	const retention = 2 * time.Second
 	var c *rafttest.Cluster
 	c = rafttest.New(seed, 5, func() rafttest.Machine {
-		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
 			}
@@ -39,8 +39,8 @@
 	table := func(id uint64) *latch.Table { return c.Nodes[id].Machine.(*storeMachine).s.Latches() }
 	propose := func(l *latch.Command, done func(latch.Result)) {
 		if n := c.Leader(); n != nil {
-			c.Propose(n.ID, rack.EncodeCommand(rack.Command{Latch: l}), func(res any, ok bool) {
-				if r, is := res.(rack.Result); ok && is {
+			c.Propose(n.ID, registry.EncodeCommand(registry.Command{Latch: l}), func(res any, ok bool) {
+				if r, is := res.(registry.Result); ok && is {
 					done(r.Latch)
 				}
 			})
--- a/rack/history_test.go
+++ b/registry/history_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"encoding/binary"
@@ -12,9 +12,9 @@
 	"github.com/anishathalye/porcupine"
 
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft"
 	"lichentray/raft/rafttest"
+	"lichentray/registry"
 )
 
 // TestHistories: a group in trouble for two minutes of simulated time (cuts of
@@ -45,7 +45,7 @@
 	longestMS = 2000                    // a lock is held for so long at most
 	cutFor    = 20 * time.Second
 
-	evacuation = rack.EvacPrefix + "z"
+	evacuation = registry.EvacPrefix + "z"
 )
 
 // outcome is how a call ended for its caller.
@@ -62,10 +62,10 @@
 type call struct {
 	tag    uint64
 	object string
-	cmd    rack.Command // none for a read
+	cmd    registry.Command // none for a read
 
 	outcome    outcome
-	result     rack.Result
+	result     registry.Result
 	revision   uint64 // of what was read
 	value      string
 	sent, back time.Duration
@@ -77,11 +77,11 @@
 // from when it applied the grant, anew after a snapshot or a start.
 type replica struct {
 	h      *chronicle
-	s      *rack.Store
+	s      *registry.Store
 	timers map[string]lockTimer
 	// The evacuation of the one zone that there is, and when its newest orders of
 	// each kind came here.
-	evac    rack.Evacuation
+	evac    registry.Evacuation
 	ordered map[bool]time.Duration
 }
 
@@ -91,7 +91,7 @@
 }
 
 func (r *replica) Apply(index uint64, data []byte) any {
-	cmd, err := rack.DecodeCommand(data[8:])
+	cmd, err := registry.DecodeCommand(data[8:])
 	if err != nil {
 		r.h.t.Errorf("index %d: %v", index, err)
 		return nil
@@ -127,7 +127,7 @@
 func (r *replica) note() {
 	o, _ := r.s.Get(evacuation)
 	was := r.evac
-	if r.evac = rack.DecodeEvacuation(o); r.evac.Begins != was.Begins {
+	if r.evac = registry.DecodeEvacuation(o); r.evac.Begins != was.Begins {
 		r.ordered[true] = r.h.now()
 	}
 	if r.evac.Finishes != was.Finishes {
@@ -137,7 +137,7 @@
 
 type effect struct {
 	index  uint64
-	result rack.Result
+	result registry.Result
 	stamp  int64 // when a replica first applied it
 }
 
@@ -155,7 +155,7 @@
 	stamp    int64
 	calls    []*call
 	effects  map[uint64]effect // by tag
-	results  map[uint64]rack.Result
+	results  map[uint64]registry.Result
 	sends    map[string]int // of each put's value
 	next     uint64         // identity
 	lost     uint64         // voter whose disk is gone
@@ -170,12 +170,12 @@
 
 func newChronicle(t *testing.T, seed int64, n int) *chronicle {
 	h := &chronicle{
-		t: t, effects: map[uint64]effect{}, results: map[uint64]rack.Result{}, sends: map[string]int{},
+		t: t, effects: map[uint64]effect{}, results: map[uint64]registry.Result{}, sends: map[string]int{},
 		replays: map[string]map[uint64]latch.Event{}, acked: map[string]uint64{},
 	}
 	h.next = uint64(n + 1)
 	h.c = rafttest.New(seed, n, func() rafttest.Machine {
-		return &replica{h: h, s: rack.New(), timers: map[string]lockTimer{}, ordered: map[bool]time.Duration{}}
+		return &replica{h: h, s: registry.New(), timers: map[string]lockTimer{}, ordered: map[bool]time.Duration{}}
 	})
 	h.run(time.Second)
 	return h
@@ -189,7 +189,7 @@
 }
 
 // took notes the effect of a call, the same at every replica.
-func (h *chronicle) took(tag, index uint64, res rack.Result) {
+func (h *chronicle) took(tag, index uint64, res registry.Result) {
 	if was, ok := h.results[index]; ok && !reflect.DeepEqual(was, res) {
 		h.t.Errorf("index %d gave %+v at one replica and %+v at another", index, was, res)
 	}
@@ -314,7 +314,7 @@
 	x.done()
 }
 
-func (h *chronicle) reply(x *call, o outcome, res rack.Result) {
+func (h *chronicle) reply(x *call, o outcome, res registry.Result) {
 	h.after(h.draw(10*time.Millisecond), func() {
 		if x.back == 0 {
 			x.result = res
@@ -327,7 +327,7 @@
 func (h *chronicle) do(id uint64, life rafttest.Machine, x *call, end time.Duration) {
 	retry := func() {
 		if end-h.now() < answerIn/2 {
-			h.reply(x, refused, rack.Result{})
+			h.reply(x, refused, registry.Result{})
 			return
 		}
 		h.after(h.c.Step, func() { h.in(id, life, func() { h.do(id, life, x, end) }) })
@@ -335,14 +335,14 @@
 	node := h.c.Nodes[id].Raft
 	switch leader := node.Leader(); {
 	case node.Role() == raft.Leader:
-		if !h.propose(id, x, func(o outcome, res rack.Result) { h.reply(x, o, res) }) {
+		if !h.propose(id, x, func(o outcome, res registry.Result) { h.reply(x, o, res) }) {
 			retry()
 		}
 	case leader == 0:
 		retry()
 	default:
 		h.send(id, leader, func() {
-			back := func(o outcome, res rack.Result) {
+			back := func(o outcome, res registry.Result) {
 				h.send(leader, id, func() {
 					h.in(id, life, func() {
 						if o == refused {
@@ -354,7 +354,7 @@
 				})
 			}
 			if !h.propose(leader, x, back) {
-				back(refused, rack.Result{})
+				back(refused, registry.Result{})
 			}
 		})
 	}
@@ -362,7 +362,7 @@
 
 // propose appends a command at a node that leads. It names the grant that has run
 // out by this node's steady clock.
-func (h *chronicle) propose(id uint64, x *call, done func(outcome, rack.Result)) bool {
+func (h *chronicle) propose(id uint64, x *call, done func(outcome, registry.Result)) bool {
 	cmd := x.cmd
 	r := h.c.Nodes[id].Machine.(*replica)
 	if cmd.Latch != nil && cmd.Latch.Op == latch.Begin {
@@ -374,15 +374,15 @@
 		}
 		cmd.Latch = &spent
 	}
-	data := append(binary.BigEndian.AppendUint64(nil, x.tag), rack.EncodeCommand(cmd)...)
+	data := append(binary.BigEndian.AppendUint64(nil, x.tag), registry.EncodeCommand(cmd)...)
 	h.stamp++
 	x.from = h.stamp // it cannot take effect before
 	return h.c.Propose(id, data, func(result any, ok bool) {
-		switch res, is := result.(rack.Result); {
+		switch res, is := result.(registry.Result); {
 		case ok && is:
 			done(answered, res)
 		case !ok && h.c.Up(id):
-			done(refused, rack.Result{}) // another entry stands in its place
+			done(refused, registry.Result{}) // another entry stands in its place
 		}
 	})
 }
@@ -431,18 +431,18 @@
 func (h *chronicle) read(id uint64, life rafttest.Machine, x *call, end time.Duration) {
 	h.readPoint(id, life, end, func(ok bool) {
 		if !ok {
-			h.reply(x, refused, rack.Result{})
+			h.reply(x, refused, registry.Result{})
 			return
 		}
 		s := life.(*replica).s
-		if x.object == rack.ConfigKey {
-			o, _ := s.Get(rack.ConfigKey)
+		if x.object == registry.ConfigKey {
+			o, _ := s.Get(registry.ConfigKey)
 			x.revision, x.value = o.ModRevision, string(o.Value)
 		} else {
 			cell := s.Latches().Cells[x.object]
 			x.revision, x.value = cell.Revision, cell.Value
 		}
-		h.reply(x, answered, rack.Result{})
+		h.reply(x, answered, registry.Result{})
 	})
 }
 
@@ -552,7 +552,7 @@
 }
 
 func (p *caller) latch(c latch.Command, done func(x *call)) {
-	x := &call{object: c.Name, cmd: rack.Command{Latch: &c}}
+	x := &call{object: c.Name, cmd: registry.Command{Latch: &c}}
 	p.h.ask(p.h.someNode(), x, func() {
 		done(x)
 		p.think()
@@ -566,7 +566,7 @@
 	value := fmt.Sprint(p.name, " ", p.version)
 	switch k := r.Intn(12); {
 	case k < 2:
-		x := &call{object: rack.ConfigKey}
+		x := &call{object: registry.ConfigKey}
 		h.ask(h.someNode(), x, func() {
 			if x.outcome == answered {
 				p.config = *x
@@ -595,12 +595,12 @@
 // replace writes the configuration on the condition that it is the one last read,
 // sometimes as the difference.
 func (p *caller) replace(value string) {
-	w := rack.Write{Key: rack.ConfigKey, Value: []byte(value)}
+	w := registry.Write{Key: registry.ConfigKey, Value: []byte(value)}
 	if p.config.revision > 0 && p.config.value != "" && p.h.c.Rand.Intn(2) == 0 {
-		w.Value, w.Patch = rack.Delta([]byte(p.config.value), w.Value), true
+		w.Value, w.Patch = registry.Delta([]byte(p.config.value), w.Value), true
 	}
-	x := &call{object: rack.ConfigKey, value: value, cmd: rack.Command{Txn: &rack.Txn{
-		If: []rack.Condition{{Key: rack.ConfigKey, ModRevision: p.config.revision}}, Then: []rack.Write{w},
+	x := &call{object: registry.ConfigKey, value: value, cmd: registry.Command{Txn: &registry.Txn{
+		If: []registry.Condition{{Key: registry.ConfigKey, ModRevision: p.config.revision}}, Then: []registry.Write{w},
 	}}}
 	p.h.ask(p.h.someNode(), x, func() {
 		switch {
@@ -617,7 +617,7 @@
 // put sends a put, and often sends it again where its outcome is unknown.
 func (p *caller) put(c latch.Command) {
 	p.h.sends[c.Value]++
-	x := &call{object: c.Name, cmd: rack.Command{Latch: &c}}
+	x := &call{object: c.Name, cmd: registry.Command{Latch: &c}}
 	p.h.ask(p.h.someNode(), x, func() {
 		if x.outcome == unknown && p.h.c.Rand.Intn(2) == 0 {
 			p.put(c)
@@ -750,7 +750,7 @@
 			}
 			h.puts++
 			c := latch.Command{Op: latch.Put, Name: object, Value: fmt.Sprint("probe ", h.puts)}
-			h.ask(h.someNode(), &call{object: object, cmd: rack.Command{Latch: &c}}, func() {})
+			h.ask(h.someNode(), &call{object: object, cmd: registry.Command{Latch: &c}}, func() {})
 		})
 	}
 }
@@ -801,14 +801,14 @@
 	const held = 4 * time.Second
 	begin := func(k int, holder string, hold time.Duration) {
 		c := latch.Command{Op: latch.Begin, Name: fmt.Sprint("l", k), Holder: holder, HoldMS: uint64(hold.Milliseconds())}
-		h.ask(h.someNode(), &call{object: c.Name, cmd: rack.Command{Latch: &c}}, func() {})
+		h.ask(h.someNode(), &call{object: c.Name, cmd: registry.Command{Latch: &c}}, func() {})
 	}
 	for k := range 4 {
 		begin(k, "sleeper", held)
 	}
 	for range 300 {
 		c := latch.Command{Op: latch.Next, Name: "n0"}
-		h.ask(h.someNode(), &call{object: c.Name, cmd: rack.Command{Latch: &c}}, func() {})
+		h.ask(h.someNode(), &call{object: c.Name, cmd: registry.Command{Latch: &c}}, func() {})
 	}
 	h.run(500 * time.Millisecond)
 	for _, id := range h.c.IDs() {
@@ -825,7 +825,7 @@
 	}
 	last := func(id uint64, object string, c *latch.Command) {
 		for try := 0; ; try++ {
-			x := &call{object: object, cmd: rack.Command{Latch: c}}
+			x := &call{object: object, cmd: registry.Command{Latch: c}}
 			h.ask(id, x, func() {})
 			h.run(patience + 100*time.Millisecond)
 			if x.outcome == answered && (c == nil || x.result.Latch.Code == latch.OK) {
@@ -838,7 +838,7 @@
 		}
 	}
 	for _, id := range h.c.IDs() {
-		last(id, rack.ConfigKey, nil)
+		last(id, registry.ConfigKey, nil)
 		for k := range 6 {
 			last(id, fmt.Sprintf("g%d.%d", k/3, k%3), nil)
 		}
@@ -879,7 +879,7 @@
 			late++
 		case x.outcome != answered:
 			continue
-		case x.cmd != (rack.Command{}) && !reflect.DeepEqual(e.result, x.result):
+		case x.cmd != (registry.Command{}) && !reflect.DeepEqual(e.result, x.result):
 			h.t.Errorf("answered as %+v, committed as %+v: %+v", x.result, e.result, x)
 		}
 		if c := x.cmd.Latch; c != nil && c.Op == latch.Put && x.result.Latch.Code == latch.OK {
--- a/rack/orders_test.go
+++ b/registry/orders_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft/rafttest"
+	"lichentray/registry"
 )
 
 // TestEightOrdersAtOnce: eight orders of each kind under way at once, to eight nodes,
@@ -54,7 +54,7 @@
 	latched := func(c latch.Command) func(id uint64, done func(o outcome)) {
 		return func(id uint64, done func(o outcome)) {
 			h.sends[c.Value]++
-			x := &call{object: c.Name, cmd: rack.Command{Latch: &c}}
+			x := &call{object: c.Name, cmd: registry.Command{Latch: &c}}
 			h.ask(id, x, func() { done(x.outcome) })
 		}
 	}
@@ -102,7 +102,7 @@
 	writes := map[uint64]uint64{} // versions, by revision
 	for _, x := range h.calls {
 		if e, took := h.effects[x.tag]; took && x.cmd.Txn != nil && !e.result.Conflict {
-			writes[e.result.Revision], _, _ = rack.DecodeConfig(rack.Object{Value: []byte(x.value)})
+			writes[e.result.Revision], _, _ = registry.DecodeConfig(registry.Object{Value: []byte(x.value)})
 		}
 	}
 	for _, revision := range slices.Sorted(maps.Keys(writes)) {
@@ -123,18 +123,18 @@
 
 // replace takes a configuration as a control-plane node does.
 func (h *chronicle) replace(id, version uint64, done func(o outcome)) {
-	h.order(id, false, rack.ConfigKey, func(_ *replica, held rack.Object) []byte {
-		if v, _, ok := rack.DecodeConfig(held); ok && v >= version {
+	h.order(id, false, registry.ConfigKey, func(_ *replica, held registry.Object) []byte {
+		if v, _, ok := registry.DecodeConfig(held); ok && v >= version {
 			return nil
 		}
-		return rack.EncodeConfig(version, fmt.Append(nil, "version ", version))
+		return registry.EncodeConfig(version, fmt.Append(nil, "version ", version))
 	}, done)
 }
 
 // order lets a node carry out an order on one object: on the condition that what the
 // node holds still stands, else behind a read point once more. derive gives nil
 // where there is nothing to write.
-func (h *chronicle) order(id uint64, point bool, key string, derive func(r *replica, held rack.Object) []byte, done func(o outcome)) {
+func (h *chronicle) order(id uint64, point bool, key string, derive func(r *replica, held registry.Object) []byte, done func(o outcome)) {
 	over := false
 	once := func(o outcome) {
 		if !over {
@@ -153,7 +153,7 @@
 	})
 }
 
-func (h *chronicle) transact(id uint64, life rafttest.Machine, point bool, key string, derive func(r *replica, held rack.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
+func (h *chronicle) transact(id uint64, life rafttest.Machine, point bool, key string, derive func(r *replica, held registry.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
 	if point {
 		h.readPoint(id, life, end, func(ok bool) {
 			if !ok {
@@ -175,9 +175,9 @@
 		done(refused)
 		return
 	}
-	x := &call{object: key, value: string(value), cmd: rack.Command{Txn: &rack.Txn{
-		If:   []rack.Condition{{Key: key, ModRevision: o.ModRevision}},
-		Then: []rack.Write{{Key: key, Value: value}},
+	x := &call{object: key, value: string(value), cmd: registry.Command{Txn: &registry.Txn{
+		If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+		Then: []registry.Write{{Key: key, Value: value}},
 	}}}
 	h.begin(x, func() {
 		if x.outcome != answered || !x.result.Conflict {
@@ -192,18 +192,18 @@
 // evacuate takes an evacuation order as a control-plane node does, and notes a
 // little later that the node lived on after its answer.
 func (h *chronicle) evacuate(id uint64, begin bool) {
-	told := func(_ *replica, held rack.Object) []byte {
-		if e := rack.DecodeEvacuation(held); e != e.Answered(begin) {
+	told := func(_ *replica, held registry.Object) []byte {
+		if e := registry.DecodeEvacuation(held); e != e.Answered(begin) {
 			return e.Answered(begin).Encode()
 		}
 		return nil
 	}
 	asked := h.now()
-	h.order(id, true, evacuation, func(r *replica, held rack.Object) []byte {
+	h.order(id, true, evacuation, func(r *replica, held registry.Object) []byte {
 		if h.now()-asked > patience {
 			return nil // its caller has gone on to another node, which shows at its socket
 		}
-		e := rack.DecodeEvacuation(held)
+		e := registry.DecodeEvacuation(held)
 		if now := e.Order(begin, h.now()-r.ordered[begin], repeats); now != e {
 			return now.Encode()
 		}
@@ -215,7 +215,7 @@
 	})
 }
 
-var repeats = rack.Repeats{Told: 2 * time.Second, Untold: 10 * time.Second}
+var repeats = registry.Repeats{Told: 2 * time.Second, Untold: 10 * time.Second}
 
 // TestOneEvacuationSentOften: one order to empty a zone, sent to eight nodes at once
 // and to eight others again within the time in which a repeat is known, empties it
@@ -248,7 +248,7 @@
 			h.c.Heal()
 			h.c.Restart(leader)
 			h.run(4 * time.Second)
-			want := rack.Evacuation{Begins: 1, BeginTold: true}
+			want := registry.Evacuation{Begins: 1, BeginTold: true}
 			if !begin {
 				want.Finishes, want.FinishTold = 1, true
 			}
@@ -283,13 +283,13 @@
 	h.run(2 * repeats.Told)
 	h.evacuate(other, true) // by another operator
 	h.run(300 * time.Millisecond)
-	if e := h.c.Nodes[other].Machine.(*replica).evac; e.State() != rack.Evacuated {
+	if e := h.c.Nodes[other].Machine.(*replica).evac; e.State() != registry.Evacuated {
 		t.Fatalf("before the late order: %+v", e)
 	}
 	h.c.Freeze(frozen, false)
 	h.turn()
 	h.run(time.Second)
-	if e := h.c.Nodes[other].Machine.(*replica).evac; e.State() != rack.Evacuated {
+	if e := h.c.Nodes[other].Machine.(*replica).evac; e.State() != registry.Evacuated {
 		t.Errorf("after the late order: %+v, %s", e, e.State())
 	}
 }
--- a/rack/rack.go
+++ b/registry/registry.go
@@ -1,10 +1,10 @@
-// Package rack is the replicated registry (a multi-version key-value state
+// Package registry is the replicated registry (a multi-version key-value state
 // machine): objects under a key per kind and name, conditional transactions,
 // one global revision, and the locks, numbers and cells of latch beside them.
 //
 // It does no input or output and reads no clock. Feed every replica the same
 // commands in the same order and all hold the same state.
-package rack
+package registry
 
 import (
 	"bytes"
@@ -210,7 +210,7 @@
 	var b bytes.Buffer
 	s.account.Seal()
 	if err := gob.NewEncoder(&b).Encode(image{s.revision, s.List(""), s.latches, s.account}); err != nil {
-		return nil, fmt.Errorf("rack: snapshot: %w", err)
+		return nil, fmt.Errorf("registry: snapshot: %w", err)
 	}
 	return b.Bytes(), nil
 }
@@ -219,7 +219,7 @@
 func (s *Store) Restore(data []byte) error {
 	im := image{Latches: latch.NewTable(), Account: tally.NewBook()}
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&im); err != nil {
-		return fmt.Errorf("rack: restore: %w", err)
+		return fmt.Errorf("registry: restore: %w", err)
 	}
 	im.Latches.Settle()
 	im.Account.Settle()
@@ -363,7 +363,7 @@
 
 func decode[T any](o Object) (v T, err error) {
 	if err = json.Unmarshal(o.Value, &v); err != nil {
-		err = fmt.Errorf("rack: %s: %w", o.Key, err)
+		err = fmt.Errorf("registry: %s: %w", o.Key, err)
 	}
 	return v, err
 }
--- a/rack/rack_test.go
+++ b/registry/registry_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package registry_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"lichentray/latch"
-	"lichentray/rack"
 	"lichentray/raft/rafttest"
+	"lichentray/registry"
 )
 
 // TestAgainstPlainMap compares the store with a map that is copied whole for
@@ -17,21 +17,21 @@
 func TestAgainstPlainMap(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		s := rack.New()
-		model := map[string]rack.Object{}
+		s := registry.New()
+		model := map[string]registry.Object{}
 		rev := uint64(0)
 		for step := range 500 {
-			txn := &rack.Txn{}
+			txn := &registry.Txn{}
 			for range r.Intn(3) {
 				k := fmt.Sprint("k", r.Intn(5))
-				txn.If = append(txn.If, rack.Condition{Key: k, ModRevision: []uint64{0, model[k].ModRevision, uint64(r.Intn(20))}[r.Intn(3)]})
+				txn.If = append(txn.If, registry.Condition{Key: k, ModRevision: []uint64{0, model[k].ModRevision, uint64(r.Intn(20))}[r.Intn(3)]})
 			}
 			used := map[string]bool{}
 			for range 1 + r.Intn(2) {
 				k := fmt.Sprint("k", r.Intn(5))
 				if !used[k] {
 					used[k] = true
-					txn.Then = append(txn.Then, rack.Write{Key: k, Value: []byte(fmt.Sprint(step)), Delete: r.Intn(3) == 0})
+					txn.Then = append(txn.Then, registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), Delete: r.Intn(3) == 0})
 				}
 			}
 			ok := true
@@ -41,7 +41,7 @@
 			want := 0
 			if ok {
 				rev++
-				next := map[string]rack.Object{}
+				next := map[string]registry.Object{}
 				for k, o := range model {
 					next[k] = o
 				}
@@ -52,7 +52,7 @@
 						delete(next, w.Key)
 						want++
 					case !w.Delete:
-						o := rack.Object{Key: w.Key, Value: w.Value, CreateRevision: rev, ModRevision: rev}
+						o := registry.Object{Key: w.Key, Value: w.Value, CreateRevision: rev, ModRevision: rev}
 						if had {
 							o.CreateRevision = old.CreateRevision
 						}
@@ -62,7 +62,7 @@
 				}
 				model = next
 			}
-			cmd, err := rack.DecodeCommand(rack.EncodeCommand(rack.Command{Txn: txn}))
+			cmd, err := registry.DecodeCommand(registry.EncodeCommand(registry.Command{Txn: txn}))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -75,7 +75,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s = rack.New()
+				s = registry.New()
 				if err := s.Restore(data); err != nil {
 					t.Fatal(err)
 				}
@@ -91,34 +91,34 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	f.Add(rack.EncodeCommand(rack.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "v", HasExpect: true, Expect: 3}}))
-	f.Add(rack.EncodeCommand(rack.Command{Txn: &rack.Txn{If: []rack.Condition{{Key: "a", ModRevision: 7}}, Then: []rack.Write{{Key: "b", Value: []byte("x")}}}}))
+	f.Add(registry.EncodeCommand(registry.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "v", HasExpect: true, Expect: 3}}))
+	f.Add(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "a", ModRevision: 7}}, Then: []registry.Write{{Key: "b", Value: []byte("x")}}}}))
 	f.Add([]byte{1, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1})
 	f.Add([]byte{2})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, err := rack.DecodeCommand(b)
+		c, err := registry.DecodeCommand(b)
 		if err != nil {
 			return
 		}
-		again, err := rack.DecodeCommand(rack.EncodeCommand(c))
+		again, err := registry.DecodeCommand(registry.EncodeCommand(c))
 		if err != nil || !reflect.DeepEqual(normal(c), normal(again)) {
 			t.Fatalf("%+v became %+v, %v", c, again, err)
 		}
 	})
 }
 
-func normal(c rack.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Latch) }
+func normal(c registry.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Latch) }
 
 // storeMachine lets the simulator drive a store, with lock timers as a node has
 // them: from when this replica applied the grant.
 type storeMachine struct {
-	s     *rack.Store
+	s     *registry.Store
 	clock func() time.Duration
 	until map[string]time.Duration
 }
 
 func (g *storeMachine) Apply(_ uint64, data []byte) any {
-	c, err := rack.DecodeCommand(data)
+	c, err := registry.DecodeCommand(data)
 	if err != nil {
 		return nil
 	}
@@ -168,7 +168,7 @@
 func history(t *testing.T, seed int64) {
 	var c *rafttest.Cluster
 	c = rafttest.New(seed, 3, func() rafttest.Machine {
-		return &storeMachine{s: rack.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
 			}
@@ -197,8 +197,8 @@
 			if l, ok := g.s.Latches().Locks[x.Name]; ok && x.Op == latch.Begin && c.Now >= g.until[x.Name] {
 				x.SpentFence, x.SpentGrant = l.Fence, l.Grant
 			}
-			c.Propose(id, rack.EncodeCommand(rack.Command{Latch: &x}), func(res any, ok bool) {
-				if r, is := res.(rack.Result); ok && is {
+			c.Propose(id, registry.EncodeCommand(registry.Command{Latch: &x}), func(res any, ok bool) {
+				if r, is := res.(registry.Result); ok && is {
 					done(r.Latch)
 				}
 			})
@@ -278,11 +278,11 @@
 }
 
 func Example() {
-	s := rack.New()
-	put := func(mod uint64, v string) rack.Result {
-		r, _ := s.Apply(rack.Command{Txn: &rack.Txn{
-			If:   []rack.Condition{{Key: "endpoints/a", ModRevision: mod}},
-			Then: []rack.Write{{Key: "endpoints/a", Value: []byte(v)}},
+	s := registry.New()
+	put := func(mod uint64, v string) registry.Result {
+		r, _ := s.Apply(registry.Command{Txn: &registry.Txn{
+			If:   []registry.Condition{{Key: "endpoints/a", ModRevision: mod}},
+			Then: []registry.Write{{Key: "endpoints/a", Value: []byte(v)}},
 		}})
 		return r
 	}
--- a/rack/snapshot_test.go
+++ b/registry/snapshot_test.go
@@ -1,19 +1,19 @@
-package rack_test
+package registry_test
 
 import (
 	"reflect"
 	"testing"
 
 	"lichentray/latch"
-	"lichentray/rack"
+	"lichentray/registry"
 )
 
 // FuzzRestore: whatever is given as a snapshot, it is either refused and changes
 // nothing, or is a state that can be written and read again.
 func FuzzRestore(f *testing.F) {
-	full := rack.New()
-	for _, c := range []rack.Command{
-		{Txn: &rack.Txn{Then: []rack.Write{{Key: "endpoints/a", Value: []byte("x")}}}},
+	full := registry.New()
+	for _, c := range []registry.Command{
+		{Txn: &registry.Txn{Then: []registry.Write{{Key: "endpoints/a", Value: []byte("x")}}}},
 		{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "v"}},
 		{Latch: &latch.Command{Op: latch.Next, Name: "n"}},
 	} {
@@ -27,7 +27,7 @@
 	f.Add(image[:len(image)/2])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s := rack.New()
+		s := registry.New()
 		if err := s.Restore(image); err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 		if refused && (s.Revision() != full.Revision() || !reflect.DeepEqual(s.List(""), full.List("")) || s.Latches() != latches) {
 			t.Fatalf("%q was refused, and changed the state", b)
 		}
-		if err := rack.New().Restore(out); err != nil {
+		if err := registry.New().Restore(out); err != nil {
 			t.Fatalf("%q was taken, and cannot be read again: %v", b, err)
 		}
 	})
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -12,7 +12,7 @@
 	"errors"
 	"time"
 
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/spool/reel"
 )
 
@@ -29,7 +29,7 @@
 	most     int
 	bytes    int // of the values held, and how many there may be
 	mostByte int
-	feed     reel.Reel[rack.Event]
+	feed     reel.Reel[registry.Event]
 	times    []time.Duration // when each came
 	floor    uint64          // highest revision that is no longer, or never was, in the window
 	revision uint64
@@ -44,11 +44,11 @@
 // Reset starts over from a store's state at a revision, as after a snapshot:
 // no earlier event is known.
 func (c *Cacher) Reset(revision uint64) {
-	c.feed, c.times, c.bytes, c.floor, c.revision = reel.Reel[rack.Event]{}, nil, 0, revision, revision
+	c.feed, c.times, c.bytes, c.floor, c.revision = reel.Reel[registry.Event]{}, nil, 0, revision, revision
 }
 
 // Append takes the events of one write and the revision that it brought.
-func (c *Cacher) Append(now time.Duration, revision uint64, events []rack.Event) {
+func (c *Cacher) Append(now time.Duration, revision uint64, events []registry.Event) {
 	c.revision = revision
 	for _, e := range events {
 		if e.Patch != nil {
@@ -72,21 +72,21 @@
 	}
 }
 
-func size(e rack.Event) int { return len(e.Object.Value) + len(e.Patch) }
+func size(e registry.Event) int { return len(e.Object.Value) + len(e.Patch) }
 
 // Revision is the newest revision known.
 func (c *Cacher) Revision() uint64 { return c.revision }
 
 // Since gives the events above a revision, at most most of them but never part
 // of one write.
-func (c *Cacher) Since(after uint64, most int) ([]rack.Event, error) {
+func (c *Cacher) Since(after uint64, most int) ([]registry.Event, error) {
 	if after > c.revision {
 		return nil, ErrAhead
 	}
 	if after < c.floor {
 		return nil, ErrGone
 	}
-	var out []rack.Event
+	var out []registry.Event
 	for _, x := range c.feed.Entries[c.feed.From(after):] {
 		if len(out) >= most && x.At != out[len(out)-1].Revision {
 			break
@@ -100,11 +100,11 @@
 type Mirror struct {
 	revision uint64
 	listed   bool
-	objects  map[string]rack.Object
+	objects  map[string]registry.Object
 }
 
 // NewMirror makes a copy that knows nothing yet.
-func NewMirror() *Mirror { return &Mirror{objects: map[string]rack.Object{}} }
+func NewMirror() *Mirror { return &Mirror{objects: map[string]registry.Object{}} }
 
 // Revision is the revision up to which the copy is exact.
 func (m *Mirror) Revision() uint64 { return m.revision }
@@ -113,14 +113,14 @@
 func (m *Mirror) Listed() bool { return m.listed }
 
 // Objects gives the copy's content.
-func (m *Mirror) Objects() map[string]rack.Object { return m.objects }
+func (m *Mirror) Objects() map[string]registry.Object { return m.objects }
 
 // Reset takes a list at a revision. A list older than the copy is refused.
-func (m *Mirror) Reset(revision uint64, objects []rack.Object) error {
+func (m *Mirror) Reset(revision uint64, objects []registry.Object) error {
 	if revision < m.revision {
 		return ErrAhead
 	}
-	fresh := make(map[string]rack.Object, len(objects))
+	fresh := make(map[string]registry.Object, len(objects))
 	for _, o := range objects {
 		fresh[o.Key] = o
 	}
@@ -134,11 +134,11 @@
 
 // Apply takes one event; one that is already contained changes nothing. On an
 // error the copy is unchanged and must be listed anew.
-func (m *Mirror) Apply(e rack.Event) (changed bool, err error) {
+func (m *Mirror) Apply(e registry.Event) (changed bool, err error) {
 	if e.Revision < m.revision {
 		return false, nil
 	}
-	if e.Patch != nil && e.Type != rack.Deleted {
+	if e.Patch != nil && e.Type != registry.Deleted {
 		old := m.objects[e.Object.Key]
 		if old.ModRevision >= e.Revision {
 			return false, nil
@@ -146,12 +146,12 @@
 		if old.ModRevision != e.Base {
 			return false, ErrBase
 		}
-		if e.Object.Value, err = rack.Patch(old.Value, e.Patch); err != nil {
+		if e.Object.Value, err = registry.Patch(old.Value, e.Patch); err != nil {
 			return false, ErrBase
 		}
 	}
 	m.revision = e.Revision
-	if e.Type == rack.Deleted {
+	if e.Type == registry.Deleted {
 		delete(m.objects, e.Object.Key)
 	} else {
 		m.objects[e.Object.Key] = e.Object
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lichentray/rack"
+	"lichentray/registry"
 	"lichentray/spool"
 )
 
@@ -18,23 +18,23 @@
 func TestMirrorIsExact(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		s := rack.New()
+		s := registry.New()
 		c := spool.NewCacher(200*time.Millisecond, 12, 30)
 		m := spool.NewMirror()
 		lists := 0
 		for step := range 800 {
 			now := time.Duration(step) * 10 * time.Millisecond
 			if r.Intn(3) > 0 {
-				txn := &rack.Txn{}
+				txn := &registry.Txn{}
 				for range 1 + r.Intn(2) {
 					k := fmt.Sprint("k", r.Intn(6))
-					w := rack.Write{Key: k, Value: []byte(fmt.Sprint(step)), Delete: r.Intn(4) == 0}
+					w := registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), Delete: r.Intn(4) == 0}
 					if o, had := s.Get(k); had && !w.Delete && len(txn.Then) == 0 && r.Intn(2) == 0 {
-						w.Value, w.Patch = rack.Delta(o.Value, w.Value), true
+						w.Value, w.Patch = registry.Delta(o.Value, w.Value), true
 					}
 					txn.Then = append(txn.Then, w)
 				}
-				_, ev := s.Apply(rack.Command{Txn: txn})
+				_, ev := s.Apply(registry.Command{Txn: txn})
 				c.Append(now, s.Revision(), ev)
 			}
 			if r.Intn(6) > 0 {
@@ -68,7 +68,7 @@
 					}
 				}
 			}
-			want := map[string]rack.Object{}
+			want := map[string]registry.Object{}
 			for _, o := range s.List("") {
 				want[o.Key] = o
 			}
@@ -99,9 +99,9 @@
 }
 
 func Example() {
-	s, c := rack.New(), spool.NewCacher(time.Minute, 100, 1<<20)
+	s, c := registry.New(), spool.NewCacher(time.Minute, 100, 1<<20)
 	write := func(key string) {
-		_, ev := s.Apply(rack.Command{Txn: &rack.Txn{Then: []rack.Write{{Key: key}}}})
+		_, ev := s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key}}}})
 		c.Append(0, s.Revision(), ev)
 	}
 	write("a")
