--- a/latch/latch.go
+++ b/coordination/coordination.go
@@ -1,4 +1,4 @@
-// Package latch holds locks with fences, numbers and cells (distributed locks
+// Package coordination holds locks with fences, numbers and cells (distributed locks
 // with fencing tokens, sequencers, and compare-and-set registers with an event
 // history) as pure state for a replicated state machine.
 //
@@ -6,7 +6,7 @@
 // moment it applied the grant, and a taking over names the grant that its
 // proposer saw run out. Two replicas that apply the same commands hold the same
 // state.
-package latch
+package coordination
 
 import (
 	"cmp"
--- a/latch/latch_test.go
+++ b/coordination/coordination_test.go
@@ -1,4 +1,4 @@
-package latch
+package coordination
 
 import (
 	"fmt"
--- a/internal/chest/golden_test.go
+++ b/internal/chest/golden_test.go
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
+	"lichentray/coordination"
 	"lichentray/internal/goldentest"
-	"lichentray/latch"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/tally"
@@ -120,7 +120,7 @@
 	return []raft.Entry{
 		{Index: 41, Term: 5},
 		{Index: 42, Term: 5, Data: registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "endpoints/e1", ModRevision: 3}}, Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
-		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: "orders"}})},
+		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "orders"}})},
 		{Index: 44, Term: 5, Type: raft.Change, Data: goldenMembersLater().Encode()},
 	}
 }
@@ -246,10 +246,10 @@
 	if s.Revision() != 21 {
 		t.Errorf("revision %d, want 21", s.Revision())
 	}
-	goldentest.Same(t, "locks", s.Latches().Locks, map[string]latch.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
-	goldentest.Same(t, "cells", s.Latches().Cells, map[string]latch.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
+	goldentest.Same(t, "locks", s.Latches().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
+	goldentest.Same(t, "cells", s.Latches().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
 	events, revision, ok := s.Latches().Since("g.", 1)
-	goldentest.Same(t, "events", events, []latch.Event{{Name: "g.b", Value: "2", Revision: 2, At: 15}, {Name: "g.a", Value: "3", Revision: 3, At: 16}})
+	goldentest.Same(t, "events", events, []coordination.Event{{Name: "g.b", Value: "2", Revision: 2, At: 15}, {Name: "g.a", Value: "3", Revision: 3, At: 16}})
 	if revision != 3 || !ok {
 		t.Errorf("group at revision %d, reaches back: %t", revision, ok)
 	}
--- a/internal/dowel/golden_test.go
+++ b/internal/dowel/golden_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"lichentray/balance"
+	"lichentray/coordination"
 	"lichentray/feeler"
 	"lichentray/internal/goldentest"
 	"lichentray/internal/notch"
-	"lichentray/latch"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/tally"
@@ -320,13 +320,13 @@
 			Result: registry.Result{
 				Revision: 84, Conflict: true, Account: 85,
 				Current: []registry.Object{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
-				Latch:   latch.Result{Code: latch.Mismatch, Fence: 88, Grant: 89, Value: 90, Revision: 91},
+				Latch:   coordination.Result{Code: coordination.Mismatch, Fence: 88, Grant: 89, Value: 90, Revision: 91},
 			},
 			Objects: []registry.Object{{Key: "endpoints/e2", Value: []byte("object"), CreateRevision: 92, ModRevision: 93}},
 			Nearer:  []ControlNode{{Addr: "127.0.0.1:7094", API: "127.0.0.1:8094", Zone: "zone-c"}},
 		}},
-		{Answer: &Answer{ID: 95, Result: registry.Result{Revision: 96, Latch: latch.Result{Code: latch.Held}}}},
-		{Answer: &Answer{ID: 97, Result: registry.Result{Revision: 98, Latch: latch.Result{Code: latch.Lost}}}},
+		{Answer: &Answer{ID: 95, Result: registry.Result{Revision: 96, Latch: coordination.Result{Code: coordination.Held}}}},
+		{Answer: &Answer{ID: 97, Result: registry.Result{Revision: 98, Latch: coordination.Result{Code: coordination.Lost}}}},
 		{Answer: &Answer{ID: 99, Revision: 100, Packed: []byte("packed")}},
 		{Answer: &Answer{ID: 101, Revision: 102, Objects: []registry.Object{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
 		{Events: []registry.Event{
--- a/internal/hatch/hatch.go
+++ b/internal/hatch/hatch.go
@@ -14,11 +14,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/coordination"
 	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/latch"
 	"lichentray/registry"
 	"lichentray/tally"
 )
@@ -30,8 +30,8 @@
 	Replace(text []byte) error
 	Configuration() ([]byte, error)
 	Do(cmd registry.Command) (registry.Result, error)
-	Cell(name string) (latch.Cell, error)
-	Watch(group string, after uint64, wait time.Duration) ([]latch.Event, uint64, error)
+	Cell(name string) (coordination.Cell, error)
+	Watch(group string, after uint64, wait time.Duration) ([]coordination.Event, uint64, error)
 	Evacuate(zone string, begin bool, waits func() bool) error
 	Evacuations() (map[string]string, error)
 	BeginRollout(service, target string, deadline time.Duration) error
@@ -145,7 +145,7 @@
 		if err := needName(of); err != nil {
 			return "numbers", nil, err
 		}
-		r, err := a.node.Do(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: of}})
+		r, err := a.node.Do(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: of}})
 		if err != nil {
 			return "numbers", nil, err
 		}
@@ -354,34 +354,34 @@
 	HoldS  float64 `json:"hold_s"`
 }
 
-func (a *API) lock(op latch.Op, of string, body []byte) (latch.Result, error) {
+func (a *API) lock(op coordination.Op, of string, body []byte) (coordination.Result, error) {
 	var b lockBody
 	if err := needName(of); err != nil {
-		return latch.Result{}, err
+		return coordination.Result{}, err
 	}
 	if err := decode(body, &b); err != nil {
-		return latch.Result{}, err
+		return coordination.Result{}, err
 	}
 	switch {
 	case b.Holder == "" || len(b.Holder) > longestName:
-		return latch.Result{}, notch.New(notch.BadRequest, "holder: missing or over %d bytes", longestName)
-	case op != latch.Finish && (b.HoldS <= 0 || b.HoldS > longestHold.Seconds()):
-		return latch.Result{}, notch.New(notch.BadRequest, "hold_s: missing, not above 0 or above %g", longestHold.Seconds())
+		return coordination.Result{}, notch.New(notch.BadRequest, "holder: missing or over %d bytes", longestName)
+	case op != coordination.Finish && (b.HoldS <= 0 || b.HoldS > longestHold.Seconds()):
+		return coordination.Result{}, notch.New(notch.BadRequest, "hold_s: missing, not above 0 or above %g", longestHold.Seconds())
 	}
-	r, err := a.node.Do(registry.Command{Latch: &latch.Command{
+	r, err := a.node.Do(registry.Command{Latch: &coordination.Command{
 		Op: op, Name: of, Holder: b.Holder, Fence: b.Fence, HoldMS: uint64(b.HoldS*1000 + 0.999),
 	}})
 	if err != nil {
-		return latch.Result{}, err
+		return coordination.Result{}, err
 	}
-	if r.Latch.Code != latch.OK {
-		return latch.Result{}, notch.New(notch.Held, "%s", of)
+	if r.Latch.Code != coordination.OK {
+		return coordination.Result{}, notch.New(notch.Held, "%s", of)
 	}
 	return r.Latch, nil
 }
 
 func (a *API) lockBegin(of string, body []byte) (any, error) {
-	r, err := a.lock(latch.Begin, of, body)
+	r, err := a.lock(coordination.Begin, of, body)
 	if err != nil {
 		return nil, err
 	}
@@ -389,12 +389,12 @@
 }
 
 func (a *API) lockRenew(of string, body []byte) (any, error) {
-	_, err := a.lock(latch.Renew, of, body)
+	_, err := a.lock(coordination.Renew, of, body)
 	return nil, err
 }
 
 func (a *API) lockFinish(of string, body []byte) (any, error) {
-	_, err := a.lock(latch.Finish, of, body)
+	_, err := a.lock(coordination.Finish, of, body)
 	return nil, err
 }
 
@@ -415,7 +415,7 @@
 	if len(*b.Value) > longestValue {
 		return nil, notch.New(notch.BodyTooLarge, "value: over %d bytes", longestValue)
 	}
-	c := latch.Command{Op: latch.Put, Name: of, Value: *b.Value}
+	c := coordination.Command{Op: coordination.Put, Name: of, Value: *b.Value}
 	if b.Enabled != nil {
 		c.HasExpect, c.Expect = true, *b.Enabled
 	}
@@ -424,7 +424,7 @@
 		return nil, err
 	}
 	answer := map[string]uint64{"revision": r.Latch.Revision}
-	if r.Latch.Code == latch.Mismatch {
+	if r.Latch.Code == coordination.Mismatch {
 		return answer, notch.New(notch.Mismatch, "%s", of)
 	}
 	return answer, nil
@@ -460,7 +460,7 @@
 	if err := needName(group); err != nil {
 		return nil, err
 	}
-	events, revision, err := a.node.Watch(latch.GroupOf(group), after, wait)
+	events, revision, err := a.node.Watch(coordination.GroupOf(group), after, wait)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hatch/hatch_test.go
+++ b/internal/hatch/hatch_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/coordination"
 	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
-	"lichentray/latch"
 	"lichentray/registry"
 	"lichentray/tally"
 )
@@ -43,8 +43,8 @@
 func (n *node) SignOff(id string) error        { n.got = id; return n.err }
 func (n *node) Replace(b []byte) error         { n.got = string(b); return n.err }
 func (n *node) Configuration() ([]byte, error) { return []byte(`{"config_version":1}`), n.err }
-func (n *node) Cell(name string) (latch.Cell, error) {
-	return latch.Cell{Value: "v", Revision: 4}, n.err
+func (n *node) Cell(name string) (coordination.Cell, error) {
+	return coordination.Cell{Value: "v", Revision: 4}, n.err
 }
 func (n *node) BeginRollout(service, target string, d time.Duration) error {
 	n.got = service + " " + target + " " + d.String()
@@ -62,14 +62,14 @@
 	n.got = *c.Latch
 	return n.result, n.err
 }
-func (n *node) Watch(g string, after uint64, _ time.Duration) ([]latch.Event, uint64, error) {
-	return []latch.Event{{Name: g + "a", Value: "x", Revision: after + 1}}, after + 1, n.err
+func (n *node) Watch(g string, after uint64, _ time.Duration) ([]coordination.Event, uint64, error) {
+	return []coordination.Event{{Name: g + "a", Value: "x", Revision: after + 1}}, after + 1, n.err
 }
 
 func TestCalls(t *testing.T) {
-	held := registry.Result{Latch: latch.Result{Code: latch.Held}}
-	stale := registry.Result{Latch: latch.Result{Code: latch.Mismatch, Revision: 922}}
-	fence := registry.Result{Latch: latch.Result{Fence: 41, Value: 7, Revision: 931}}
+	held := registry.Result{Latch: coordination.Result{Code: coordination.Held}}
+	stale := registry.Result{Latch: coordination.Result{Code: coordination.Mismatch, Revision: 922}}
+	fence := registry.Result{Latch: coordination.Result{Fence: 41, Value: 7, Revision: 931}}
 	const beat = `{"address":"10.0.0.9:80","info":{"backend_service":"s","zone":"z","capacity":3},"status":{"state":"ready","sequence":4,"cold_remaining_s":0.5}}`
 	for _, c := range []struct {
 		what, method, uri, body string
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -8,11 +8,11 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/balance"
+	"lichentray/coordination"
 	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/jig"
-	"lichentray/latch"
 	"lichentray/raft"
 	"lichentray/registry"
 )
@@ -72,7 +72,7 @@
 	}
 	l.marks = append([]mark(nil), l.marks[i:]...)
 	l.trimAt = now
-	l.node.Propose(registry.EncodeCommand(registry.Command{Latch: &latch.Command{Op: latch.Trim, Before: before}}))
+	l.node.Propose(registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Trim, Before: before}}))
 	// Signs of the departed are kept as long as the history.
 	var drop registry.Txn
 	forget := func(o registry.Object) {
@@ -430,9 +430,9 @@
 }
 
 // Cell reads a cell behind a read point.
-func (l *Lathe) Cell(name string) (latch.Cell, error) {
+func (l *Lathe) Cell(name string) (coordination.Cell, error) {
 	if err := l.ReadPoint(); err != nil {
-		return latch.Cell{}, err
+		return coordination.Cell{}, err
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -447,7 +447,7 @@
 const watchersPart = 4
 
 // Watch waits for puts in a group above after.
-func (l *Lathe) Watch(group string, after uint64, wait time.Duration) ([]latch.Event, uint64, error) {
+func (l *Lathe) Watch(group string, after uint64, wait time.Duration) ([]coordination.Event, uint64, error) {
 	if err := l.ReadPoint(); err != nil {
 		return nil, 0, err
 	}
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"lichentray/balance"
+	"lichentray/coordination"
 	"lichentray/internal/caliper"
 	"lichentray/internal/chest"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/jig"
-	"lichentray/latch"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/spool"
@@ -432,8 +432,8 @@
 					poke(ch)
 				}
 			}
-			if cmd.Latch != nil && cmd.Latch.Op == latch.Put {
-				for ch := range l.groups[latch.GroupOf(cmd.Latch.Name)] {
+			if cmd.Latch != nil && cmd.Latch.Op == coordination.Put {
+				for ch := range l.groups[coordination.GroupOf(cmd.Latch.Name)] {
 					poke(ch)
 				}
 			}
@@ -472,14 +472,14 @@
 	}
 }
 
-func (l *Lathe) timeLock(now time.Duration, c *latch.Command, r latch.Result) {
+func (l *Lathe) timeLock(now time.Duration, c *coordination.Command, r coordination.Result) {
 	switch c.Op {
-	case latch.Begin, latch.Renew:
+	case coordination.Begin, coordination.Renew:
 		// The state's time, not the command's: a renewal that comes late may ask for less.
-		if k := l.store.Latches().Locks[c.Name]; r.Code == latch.OK {
+		if k := l.store.Latches().Locks[c.Name]; r.Code == coordination.OK {
 			l.locks[c.Name] = lockTimer{k.Grant, now + time.Duration(k.HoldMS)*time.Millisecond}
 		}
-	case latch.Finish:
+	case coordination.Finish:
 		if _, held := l.store.Latches().Locks[c.Name]; !held {
 			delete(l.locks, c.Name)
 		}
@@ -750,7 +750,7 @@
 	if l.node.Role() != raft.Leader {
 		return l.links.addr(l.node.Leader())
 	}
-	if c := cmd.Latch; c != nil && c.Op == latch.Begin {
+	if c := cmd.Latch; c != nil && c.Op == coordination.Begin {
 		// Name the grant that has run out by this leader's steady clock.
 		spent := *c
 		spent.SpentFence, spent.SpentGrant = 0, 0
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
+	"lichentray/coordination"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/internal/vicetest"
-	"lichentray/latch"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/spool"
@@ -167,14 +167,14 @@
 	// Locks, numbers, cells and a watch over all nodes.
 	var last uint64
 	for i := range 9 {
-		r, err := l[i%3].Do(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: "n"}})
+		r, err := l[i%3].Do(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "n"}})
 		if err != nil || r.Latch.Value <= last {
 			t.Fatalf("number %d after %d, %v", r.Latch.Value, last, err)
 		}
 		last = r.Latch.Value
 	}
 	got := make(chan error, 1)
-	if _, err := l[0].Do(registry.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "1"}}); err != nil {
+	if _, err := l[0].Do(registry.Command{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "1"}}); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
@@ -184,7 +184,7 @@
 		}
 		got <- err
 	}()
-	if _, err := l[2].Do(registry.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "2"}}); err != nil {
+	if _, err := l[2].Do(registry.Command{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "2"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-got; err != nil {
@@ -660,7 +660,7 @@
 	_, readErr := l.Configuration()
 	_, cellErr := l.Cell("c")
 	_, _, watchErr := l.Watch("g.", 0, time.Second)
-	_, numberErr := l.Do(registry.Command{Latch: &latch.Command{Op: latch.Next, Name: "n"}})
+	_, numberErr := l.Do(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "n"}})
 	for what, err := range map[string]error{
 		"a configuration is read":     readErr,
 		"a cell is read":              cellErr,
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"errors"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/tally"
 )
 
@@ -126,7 +126,7 @@
 			return Command{}, errShort
 		}
 		r.b = b[2:]
-		l := &latch.Command{Op: latch.Op(b[1])}
+		l := &coordination.Command{Op: coordination.Op(b[1])}
 		l.Name, l.Holder, l.Value = string(r.bytes()), string(r.bytes()), string(r.bytes())
 		l.Fence, l.HoldMS, l.SpentFence, l.SpentGrant = r.num(), r.num(), r.num(), r.num()
 		l.Expect, l.HasExpect, l.Before = r.num(), r.num() == 1, r.num()
--- a/registry/feed_test.go
+++ b/registry/feed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/raft"
 	"lichentray/raft/rafttest"
 	"lichentray/registry"
@@ -36,8 +36,8 @@
 		}}
 	})
 	c.Run(time.Second)
-	table := func(id uint64) *latch.Table { return c.Nodes[id].Machine.(*storeMachine).s.Latches() }
-	propose := func(l *latch.Command, done func(latch.Result)) {
+	table := func(id uint64) *coordination.Table { return c.Nodes[id].Machine.(*storeMachine).s.Latches() }
+	propose := func(l *coordination.Command, done func(coordination.Result)) {
 		if n := c.Leader(); n != nil {
 			c.Propose(n.ID, registry.EncodeCommand(registry.Command{Latch: l}), func(res any, ok bool) {
 				if r, is := res.(registry.Result); ok && is {
@@ -55,8 +55,8 @@
 	for i := range watchers {
 		watchers[i] = watcher{group: fmt.Sprintf("g%d.", i%2), at: c.Now}
 	}
-	ever := map[string]map[uint64]latch.Event{"g0.": {}, "g1.": {}}
-	note := func(group string, e latch.Event) {
+	ever := map[string]map[uint64]coordination.Event{"g0.": {}, "g1.": {}}
+	note := func(group string, e coordination.Event) {
 		if was, there := ever[group][e.Revision]; there && was != e {
 			t.Errorf("revision %d of %s was %+v and is %+v", e.Revision, group, was, e)
 		}
@@ -101,9 +101,9 @@
 		takeIn()
 		for k := range 4 {
 			name := fmt.Sprintf("g%d.%d", c.Rand.Intn(2), c.Rand.Intn(3))
-			e := latch.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
-			propose(&latch.Command{Op: latch.Put, Name: e.Name, Value: e.Value}, func(r latch.Result) {
-				if was, there := ever[latch.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
+			e := coordination.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
+			propose(&coordination.Command{Op: coordination.Put, Name: e.Name, Value: e.Value}, func(r coordination.Result) {
+				if was, there := ever[coordination.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
 					t.Errorf("revision %d was given to %+v and %+v", r.Revision, was, e)
 				}
 			})
@@ -112,7 +112,7 @@
 		if l := c.Leader(); l != nil {
 			marks = append(marks, mark{c.Now, l.Machine.(*storeMachine).s.Revision()})
 			for len(marks) > 0 && c.Now-marks[0].at > retention*3/2 {
-				propose(&latch.Command{Op: latch.Trim, Before: marks[0].revision}, func(latch.Result) {})
+				propose(&coordination.Command{Op: coordination.Trim, Before: marks[0].revision}, func(coordination.Result) {})
 				marks = marks[1:]
 			}
 		}
@@ -169,9 +169,9 @@
 	if lost != 0 {
 		t.Error("the new member was never taken in")
 	}
-	propose(&latch.Command{Op: latch.Put, Name: "g0.0", Value: "last"}, func(latch.Result) {})
+	propose(&coordination.Command{Op: coordination.Put, Name: "g0.0", Value: "last"}, func(coordination.Result) {})
 	c.Run(3 * time.Second)
-	var first *latch.Table
+	var first *coordination.Table
 	for _, id := range c.IDs() {
 		tab := table(id)
 		if first == nil {
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"lichentray/coordination"
 	"lichentray/internal/goldentest"
-	"lichentray/latch"
 	"lichentray/spool/reel"
 	"lichentray/tally"
 )
@@ -139,19 +139,19 @@
 	put("evacuations/zone-b", goldenEvacText)
 	put("rollouts/payments", `{"base":"v1"}`)
 	put("rollouts/payments", goldenRolloutText) // 8
-	for _, c := range []latch.Command{
-		{Op: latch.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000},           // 9
-		{Op: latch.Renew, Name: "press", Holder: "holder-1", Fence: 9, HoldMS: 4000}, // 10
-		{Op: latch.Begin, Name: "given-back", Holder: "holder-2", HoldMS: 1000},      // 11
-		{Op: latch.Finish, Name: "given-back", Holder: "holder-2", Fence: 11},        // 12
-		{Op: latch.Next, Name: "orders"},                                             // 13
-		{Op: latch.Put, Name: "g.a", Value: "1"},                                     // 14
-		{Op: latch.Put, Name: "g.b", Value: "2"},                                     // 15
-		{Op: latch.Put, Name: "g.a", Value: "3", HasExpect: true, Expect: 1},         // 16
-		{Op: latch.Put, Name: "single", Value: "4"},                                  // 17
-		{Op: latch.Trim, Before: 14},                                                 // 18
+	for _, c := range []coordination.Command{
+		{Op: coordination.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000},           // 9
+		{Op: coordination.Renew, Name: "press", Holder: "holder-1", Fence: 9, HoldMS: 4000}, // 10
+		{Op: coordination.Begin, Name: "given-back", Holder: "holder-2", HoldMS: 1000},      // 11
+		{Op: coordination.Finish, Name: "given-back", Holder: "holder-2", Fence: 11},        // 12
+		{Op: coordination.Next, Name: "orders"},                                             // 13
+		{Op: coordination.Put, Name: "g.a", Value: "1"},                                     // 14
+		{Op: coordination.Put, Name: "g.b", Value: "2"},                                     // 15
+		{Op: coordination.Put, Name: "g.a", Value: "3", HasExpect: true, Expect: 1},         // 16
+		{Op: coordination.Put, Name: "single", Value: "4"},                                  // 17
+		{Op: coordination.Trim, Before: 14},                                                 // 18
 	} {
-		if r, _ := s.Apply(Command{Latch: &c}); r.Latch.Code != latch.OK {
+		if r, _ := s.Apply(Command{Latch: &c}); r.Latch.Code != coordination.OK {
 			t.Fatalf("%+v gave %+v", c, r)
 		}
 	}
@@ -181,14 +181,14 @@
 	return image{
 		Revision: 21,
 		Objects:  goldenObjects(),
-		Latches: &latch.Table{
-			Locks: map[string]latch.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
-			Cells: map[string]latch.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
-			Feed: &reel.Reel[latch.Change]{
-				Entries: []reel.Entry[latch.Change]{
-					{At: 15, Topic: "g.", Number: 2, Value: latch.Change{Name: "g.b", Value: "2"}},
-					{At: 16, Topic: "g.", Number: 3, Value: latch.Change{Name: "g.a", Value: "3"}},
-					{At: 17, Topic: "single", Number: 1, Value: latch.Change{Name: "single", Value: "4"}},
+		Latches: &coordination.Table{
+			Locks: map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
+			Cells: map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
+			Feed: &reel.Reel[coordination.Change]{
+				Entries: []reel.Entry[coordination.Change]{
+					{At: 15, Topic: "g.", Number: 2, Value: coordination.Change{Name: "g.b", Value: "2"}},
+					{At: 16, Topic: "g.", Number: 3, Value: coordination.Change{Name: "g.a", Value: "3"}},
+					{At: 17, Topic: "single", Number: 1, Value: coordination.Change{Name: "single", Value: "4"}},
 				},
 				Last:  map[string]uint64{"g.": 3, "single": 1},
 				Floor: map[string]uint64{"g.": 1},
@@ -262,10 +262,10 @@
 	return image{
 		Revision: 31,
 		Objects:  []Object{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
-		Latches: &latch.Table{
-			Locks: map[string]latch.Lock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
-			Cells: map[string]latch.Cell{"h.a": {Value: "6", Revision: 7}},
-			Groups: map[string]*latch.Group{"h.": {Revision: 7, Floor: 5, Events: []latch.Event{
+		Latches: &coordination.Table{
+			Locks: map[string]coordination.Lock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
+			Cells: map[string]coordination.Cell{"h.a": {Value: "6", Revision: 7}},
+			Groups: map[string]*coordination.Group{"h.": {Revision: 7, Floor: 5, Events: []coordination.Event{
 				{Name: "h.b", Value: "5", Revision: 6, At: 26},
 				{Name: "h.a", Value: "6", Revision: 7, At: 27},
 			}}},
@@ -348,14 +348,14 @@
 		t.Fatal(err)
 	}
 	events, revision, ok := s.Latches().Since("h.", 5)
-	want := []latch.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
+	want := []coordination.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
 	if goldentest.Same(t, "events", events, want); revision != 7 || !ok {
 		t.Errorf("revision %d, reaches back: %t", revision, ok)
 	}
 }
 
 func goldenCommands() []Command {
-	latched := func(c latch.Command) Command { return Command{Latch: &c} }
+	latched := func(c coordination.Command) Command { return Command{Latch: &c} }
 	return []Command{
 		{Txn: &Txn{}},
 		{Txn: &Txn{
@@ -366,13 +366,13 @@
 				{Key: "configuration/current", Value: []byte("\x00\x03\x01x"), Patch: true},
 			},
 		}},
-		latched(latch.Command{Op: latch.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000, SpentFence: 41, SpentGrant: 42}),
-		latched(latch.Command{Op: latch.Renew, Name: "press", Holder: "holder-1", Fence: 43, HoldMS: 3001}),
-		latched(latch.Command{Op: latch.Finish, Name: "press", Holder: "holder-1", Fence: 44}),
-		latched(latch.Command{Op: latch.Next, Name: "orders"}),
-		latched(latch.Command{Op: latch.Put, Name: "g.a", Value: "value-1", Expect: 45, HasExpect: true}),
-		latched(latch.Command{Op: latch.Trim, Before: 460000}),
-		latched(latch.Command{Op: latch.Put, Name: "name", Holder: "holder", Value: "value", Fence: 1, HoldMS: 2, SpentFence: 3, SpentGrant: 4, Expect: 5, HasExpect: true, Before: 6}),
+		latched(coordination.Command{Op: coordination.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000, SpentFence: 41, SpentGrant: 42}),
+		latched(coordination.Command{Op: coordination.Renew, Name: "press", Holder: "holder-1", Fence: 43, HoldMS: 3001}),
+		latched(coordination.Command{Op: coordination.Finish, Name: "press", Holder: "holder-1", Fence: 44}),
+		latched(coordination.Command{Op: coordination.Next, Name: "orders"}),
+		latched(coordination.Command{Op: coordination.Put, Name: "g.a", Value: "value-1", Expect: 45, HasExpect: true}),
+		latched(coordination.Command{Op: coordination.Trim, Before: 460000}),
+		latched(coordination.Command{Op: coordination.Put, Name: "name", Holder: "holder", Value: "value", Fence: 1, HoldMS: 2, SpentFence: 3, SpentGrant: 4, Expect: 5, HasExpect: true, Before: 6}),
 		{Account: &tally.Batch{
 			Life: "life-1", Node: "p1", AtMS: 1700000000001, Dropped: 51, PerS: 52.5, Out: 53, Closed: true, Most: 54,
 			Records: []tally.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: tally.BrokenOff, Status: 200, TookMS: 56}},
--- a/registry/history_test.go
+++ b/registry/history_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/raft"
 	"lichentray/raft/rafttest"
 	"lichentray/registry"
@@ -98,7 +98,7 @@
 	}
 	res, _ := r.s.Apply(cmd)
 	if l := cmd.Latch; l != nil {
-		if (l.Op == latch.Begin || l.Op == latch.Renew) && res.Latch.Code == latch.OK {
+		if (l.Op == coordination.Begin || l.Op == coordination.Renew) && res.Latch.Code == coordination.OK {
 			k := r.s.Latches().Locks[l.Name]
 			r.timers[l.Name] = lockTimer{k.Grant, r.h.now() + time.Duration(k.HoldMS)*time.Millisecond}
 		}
@@ -164,14 +164,14 @@
 	puts     int
 	watches  int
 	installs int
-	replays  map[string]map[uint64]latch.Event // what watchers were told, by group
-	acked    map[string]uint64                 // newest revision acknowledged, by group
+	replays  map[string]map[uint64]coordination.Event // what watchers were told, by group
+	acked    map[string]uint64                        // newest revision acknowledged, by group
 }
 
 func newChronicle(t *testing.T, seed int64, n int) *chronicle {
 	h := &chronicle{
 		t: t, effects: map[uint64]effect{}, results: map[uint64]registry.Result{}, sends: map[string]int{},
-		replays: map[string]map[uint64]latch.Event{}, acked: map[string]uint64{},
+		replays: map[string]map[uint64]coordination.Event{}, acked: map[string]uint64{},
 	}
 	h.next = uint64(n + 1)
 	h.c = rafttest.New(seed, n, func() rafttest.Machine {
@@ -307,8 +307,8 @@
 	}
 	h.stamp++
 	x.outcome, x.back, x.to = o, h.now(), h.stamp
-	if o == answered && x.cmd.Latch != nil && x.cmd.Latch.Op == latch.Put && x.result.Latch.Code == latch.OK {
-		g := latch.GroupOf(x.cmd.Latch.Name)
+	if o == answered && x.cmd.Latch != nil && x.cmd.Latch.Op == coordination.Put && x.result.Latch.Code == coordination.OK {
+		g := coordination.GroupOf(x.cmd.Latch.Name)
 		h.acked[g] = max(h.acked[g], x.result.Latch.Revision)
 	}
 	x.done()
@@ -365,7 +365,7 @@
 func (h *chronicle) propose(id uint64, x *call, done func(outcome, registry.Result)) bool {
 	cmd := x.cmd
 	r := h.c.Nodes[id].Machine.(*replica)
-	if cmd.Latch != nil && cmd.Latch.Op == latch.Begin {
+	if cmd.Latch != nil && cmd.Latch.Op == coordination.Begin {
 		spent := *cmd.Latch
 		if k, held := r.s.Latches().Locks[spent.Name]; held {
 			if t := r.timers[spent.Name]; t.grant == k.Grant && h.now() >= t.until {
@@ -448,7 +448,7 @@
 
 // watch asks a node for the puts of a group above after; it waits a little for
 // one, and is not answered by a node that has lost touch.
-func (h *chronicle) watch(id uint64, group string, after uint64, done func(events []latch.Event, revision uint64, ok bool)) {
+func (h *chronicle) watch(id uint64, group string, after uint64, done func(events []coordination.Event, revision uint64, ok bool)) {
 	floor := h.acked[group]
 	h.at(id, func() {
 		life := h.c.Nodes[id].Machine
@@ -488,7 +488,7 @@
 			h.after(h.draw(300*time.Millisecond), func() { h.watcher(group, after) })
 		}
 	}
-	h.watch(h.someNode(), group, after, func(events []latch.Event, revision uint64, ok bool) {
+	h.watch(h.someNode(), group, after, func(events []coordination.Event, revision uint64, ok bool) {
 		if !ok || heard {
 			again(after)
 			return
@@ -501,10 +501,10 @@
 
 // told checks what a watch gave: all puts above after and up to revision, each as
 // everybody else was told.
-func (h *chronicle) told(group string, after uint64, events []latch.Event, revision uint64) {
+func (h *chronicle) told(group string, after uint64, events []coordination.Event, revision uint64) {
 	all := h.replays[group]
 	if all == nil {
-		all = map[uint64]latch.Event{}
+		all = map[uint64]coordination.Event{}
 		h.replays[group] = all
 	}
 	for _, e := range events {
@@ -551,7 +551,7 @@
 	}
 }
 
-func (p *caller) latch(c latch.Command, done func(x *call)) {
+func (p *caller) latch(c coordination.Command, done func(x *call)) {
 	x := &call{object: c.Name, cmd: registry.Command{Latch: &c}}
 	p.h.ask(p.h.someNode(), x, func() {
 		done(x)
@@ -584,9 +584,9 @@
 			p.think()
 		})
 	case k < 8:
-		p.put(latch.Command{Op: latch.Put, Name: cell, Value: value, HasExpect: r.Intn(2) == 0, Expect: p.cells[cell]})
+		p.put(coordination.Command{Op: coordination.Put, Name: cell, Value: value, HasExpect: r.Intn(2) == 0, Expect: p.cells[cell]})
 	case k < 9:
-		p.latch(latch.Command{Op: latch.Next, Name: fmt.Sprint("n", r.Intn(2))}, func(*call) {})
+		p.latch(coordination.Command{Op: coordination.Next, Name: fmt.Sprint("n", r.Intn(2))}, func(*call) {})
 	default:
 		p.lockStep()
 	}
@@ -615,7 +615,7 @@
 }
 
 // put sends a put, and often sends it again where its outcome is unknown.
-func (p *caller) put(c latch.Command) {
+func (p *caller) put(c coordination.Command) {
 	p.h.sends[c.Value]++
 	x := &call{object: c.Name, cmd: registry.Command{Latch: &c}}
 	p.h.ask(p.h.someNode(), x, func() {
@@ -638,27 +638,27 @@
 		p.holds++
 		p.lock, p.holder, p.fence = fmt.Sprint("l", r.Intn(4)), fmt.Sprint(p.name, ".", p.holds), 0
 	}
-	l := latch.Command{Name: p.lock, Holder: p.holder, Fence: p.fence, HoldMS: uint64(100 + r.Intn(longestMS-100))}
+	l := coordination.Command{Name: p.lock, Holder: p.holder, Fence: p.fence, HoldMS: uint64(100 + r.Intn(longestMS-100))}
 	switch k := r.Intn(10); {
 	case p.fence == 0 || k < 1:
-		l.Op, l.Fence = latch.Begin, 0
+		l.Op, l.Fence = coordination.Begin, 0
 		p.latch(l, func(x *call) {
-			if x.outcome == answered && x.result.Latch.Code == latch.OK {
+			if x.outcome == answered && x.result.Latch.Code == coordination.OK {
 				p.fence = x.result.Latch.Fence
 			} else if r.Intn(2) == 0 {
 				p.lock = ""
 			}
 		})
 	case k < 6:
-		l.Op = latch.Renew
+		l.Op = coordination.Renew
 		p.latch(l, func(x *call) {
-			if x.outcome == answered && x.result.Latch.Code == latch.Lost {
+			if x.outcome == answered && x.result.Latch.Code == coordination.Lost {
 				p.lock = ""
 			}
 		})
 	case k < 8:
 		p.lock = ""
-		l.Op = latch.Finish
+		l.Op = coordination.Finish
 		p.latch(l, func(*call) {})
 	default:
 		p.lock = ""
@@ -749,7 +749,7 @@
 				return
 			}
 			h.puts++
-			c := latch.Command{Op: latch.Put, Name: object, Value: fmt.Sprint("probe ", h.puts)}
+			c := coordination.Command{Op: coordination.Put, Name: object, Value: fmt.Sprint("probe ", h.puts)}
 			h.ask(h.someNode(), &call{object: object, cmd: registry.Command{Latch: &c}}, func() {})
 		})
 	}
@@ -800,14 +800,14 @@
 	// Four die with their locks, which then stand in every snapshot alone.
 	const held = 4 * time.Second
 	begin := func(k int, holder string, hold time.Duration) {
-		c := latch.Command{Op: latch.Begin, Name: fmt.Sprint("l", k), Holder: holder, HoldMS: uint64(hold.Milliseconds())}
+		c := coordination.Command{Op: coordination.Begin, Name: fmt.Sprint("l", k), Holder: holder, HoldMS: uint64(hold.Milliseconds())}
 		h.ask(h.someNode(), &call{object: c.Name, cmd: registry.Command{Latch: &c}}, func() {})
 	}
 	for k := range 4 {
 		begin(k, "sleeper", held)
 	}
 	for range 300 {
-		c := latch.Command{Op: latch.Next, Name: "n0"}
+		c := coordination.Command{Op: coordination.Next, Name: "n0"}
 		h.ask(h.someNode(), &call{object: c.Name, cmd: registry.Command{Latch: &c}}, func() {})
 	}
 	h.run(500 * time.Millisecond)
@@ -823,12 +823,12 @@
 		}
 		h.run(held / 20)
 	}
-	last := func(id uint64, object string, c *latch.Command) {
+	last := func(id uint64, object string, c *coordination.Command) {
 		for try := 0; ; try++ {
 			x := &call{object: object, cmd: registry.Command{Latch: c}}
 			h.ask(id, x, func() {})
 			h.run(patience + 100*time.Millisecond)
-			if x.outcome == answered && (c == nil || x.result.Latch.Code == latch.OK) {
+			if x.outcome == answered && (c == nil || x.result.Latch.Code == coordination.OK) {
 				return
 			}
 			if try == 3 {
@@ -844,10 +844,10 @@
 		}
 	}
 	for k := range 4 {
-		last(h.c.IDs()[0], fmt.Sprint("l", k), &latch.Command{Op: latch.Begin, Name: fmt.Sprint("l", k), Holder: "last", HoldMS: 100})
+		last(h.c.IDs()[0], fmt.Sprint("l", k), &coordination.Command{Op: coordination.Begin, Name: fmt.Sprint("l", k), Holder: "last", HoldMS: 100})
 	}
 	for k := range 2 {
-		last(h.c.IDs()[1], fmt.Sprint("n", k), &latch.Command{Op: latch.Next, Name: fmt.Sprint("n", k)})
+		last(h.c.IDs()[1], fmt.Sprint("n", k), &coordination.Command{Op: coordination.Next, Name: fmt.Sprint("n", k)})
 		group := fmt.Sprintf("g%d.", k)
 		for _, id := range h.c.IDs() {
 			events, rev, _ := h.c.Nodes[id].Machine.(*replica).s.Latches().Since(group, 0)
@@ -882,7 +882,7 @@
 		case x.cmd != (registry.Command{}) && !reflect.DeepEqual(e.result, x.result):
 			h.t.Errorf("answered as %+v, committed as %+v: %+v", x.result, e.result, x)
 		}
-		if c := x.cmd.Latch; c != nil && c.Op == latch.Put && x.result.Latch.Code == latch.OK {
+		if c := x.cmd.Latch; c != nil && c.Op == coordination.Put && x.result.Latch.Code == coordination.OK {
 			if first, ok := given[c.Value]; ok && first != x.result.Latch.Revision {
 				h.t.Errorf("%q was given revision %d and %d", c.Value, first, x.result.Latch.Revision)
 			}
@@ -955,7 +955,7 @@
 	switch {
 	case c == nil:
 		return s == register{x.revision, x.value}, s
-	case r.Code == latch.Mismatch:
+	case r.Code == coordination.Mismatch:
 		return s.revision == r.Revision && c.HasExpect && c.Expect != s.revision, s
 	case r.Revision <= s.revision:
 		return h.sends[c.Value] > 1 && (r.Revision < s.revision || c.Value == s.value), s
@@ -979,20 +979,20 @@
 	}
 	mine := s.holder == c.Holder && s.fence == c.Fence
 	switch {
-	case c.Op == latch.Finish:
+	case c.Op == coordination.Finish:
 		if mine {
 			s.holder, s.until = "", 0
 		}
 		return true, s
-	case c.Op == latch.Renew:
-		if r.Code != latch.OK {
+	case c.Op == coordination.Renew:
+		if r.Code != coordination.OK {
 			return !mine, s
 		}
 		if x.outcome == answered {
 			s.until = until
 		}
 		return mine, s
-	case r.Code == latch.Held:
+	case r.Code == coordination.Held:
 		return s.holder != "" && s.holder != c.Holder, s
 	case s.holder == c.Holder && r.Fence == s.fence:
 		if x.outcome == answered {
@@ -1017,14 +1017,14 @@
 	for i := len(h.calls) - 1; i >= 0; i-- { // as they were sent, the newest first
 		x := h.calls[i]
 		c := x.cmd.Latch
-		if x.object != name || c.Op != latch.Finish && (x.outcome != answered || x.result.Latch.Code != latch.OK) {
+		if x.object != name || c.Op != coordination.Finish && (x.outcome != answered || x.result.Latch.Code != coordination.OK) {
 			continue
 		}
 		s := span{c.Holder, x.back, x.sent + time.Duration(c.HoldMS)*time.Millisecond}
 		if next, ok := until[c.Holder]; ok {
 			s.to = min(s.to, next)
 		}
-		if c.Op == latch.Finish {
+		if c.Op == coordination.Finish {
 			until[c.Holder] = x.sent
 			continue
 		}
--- a/registry/orders_test.go
+++ b/registry/orders_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/raft/rafttest"
 	"lichentray/registry"
 )
@@ -51,7 +51,7 @@
 		}
 		next(unknown)
 	}
-	latched := func(c latch.Command) func(id uint64, done func(o outcome)) {
+	latched := func(c coordination.Command) func(id uint64, done func(o outcome)) {
 		return func(id uint64, done func(o outcome)) {
 			h.sends[c.Value]++
 			x := &call{object: c.Name, cmd: registry.Command{Latch: &c}}
@@ -60,11 +60,11 @@
 	}
 	for k := range 8 {
 		order(k, func(id uint64, done func(o outcome)) { h.replace(id, uint64(k+1), done) })
-		order(k, latched(latch.Command{Op: latch.Begin, Name: "l", Holder: "one", HoldMS: 10_000}))
-		order(k, latched(latch.Command{Op: latch.Put, Name: "g.a", Value: fmt.Sprint("put ", k)}))
-		order(k, latched(latch.Command{Op: latch.Put, Name: "e.a", Value: fmt.Sprint("first ", k), HasExpect: true}))
+		order(k, latched(coordination.Command{Op: coordination.Begin, Name: "l", Holder: "one", HoldMS: 10_000}))
+		order(k, latched(coordination.Command{Op: coordination.Put, Name: "g.a", Value: fmt.Sprint("put ", k)}))
+		order(k, latched(coordination.Command{Op: coordination.Put, Name: "e.a", Value: fmt.Sprint("first ", k), HasExpect: true}))
 		h.after(2*time.Second+h.draw(6*time.Second), func() {
-			latched(latch.Command{Op: latch.Begin, Name: "l", Holder: fmt.Sprint("other ", k), HoldMS: 1000})(ids[k], func(outcome) {})
+			latched(coordination.Command{Op: coordination.Begin, Name: "l", Holder: fmt.Sprint("other ", k), HoldMS: 1000})(ids[k], func(outcome) {})
 		})
 	}
 	h.run(h.draw(250 * time.Millisecond))
@@ -94,7 +94,7 @@
 			if fence == 0 {
 				fence = x.result.Latch.Fence
 			}
-			if x.result.Latch.Code != latch.OK || x.result.Latch.Fence != fence {
+			if x.result.Latch.Code != coordination.OK || x.result.Latch.Fence != fence {
 				t.Errorf("one holder got %+v and fence %d", x.result.Latch, fence)
 			}
 		}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -16,7 +16,7 @@
 	"sort"
 	"strings"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/tally"
 )
 
@@ -53,7 +53,7 @@
 // Command is one entry of the log: a transaction or a latch command.
 type Command struct {
 	Txn   *Txn
-	Latch *latch.Command
+	Latch *coordination.Command
 	// Account is a batch of records for the account of failures.
 	Account *tally.Batch
 }
@@ -64,7 +64,7 @@
 	Revision uint64
 	Conflict bool
 	Current  []Object
-	Latch    latch.Result
+	Latch    coordination.Result
 	// Account is the number up to which a life's records are in.
 	Account uint64
 }
@@ -94,20 +94,20 @@
 type Store struct {
 	revision uint64
 	objects  map[string]Object
-	latches  *latch.Table
+	latches  *coordination.Table
 	account  *tally.Book
 }
 
 // New makes an empty store.
 func New() *Store {
-	return &Store{objects: map[string]Object{}, latches: latch.NewTable(), account: tally.NewBook()}
+	return &Store{objects: map[string]Object{}, latches: coordination.NewTable(), account: tally.NewBook()}
 }
 
 // Revision is the global revision of the last success.
 func (s *Store) Revision() uint64 { return s.revision }
 
 // Latches gives the locks and cells for reading.
-func (s *Store) Latches() *latch.Table { return s.latches }
+func (s *Store) Latches() *coordination.Table { return s.latches }
 
 // Account gives the account of failures for reading.
 func (s *Store) Account() *tally.Book { return s.account }
@@ -139,10 +139,10 @@
 	}
 	if c.Latch != nil {
 		r := s.latches.Apply(s.revision+1, *c.Latch)
-		if r.Code == latch.OK {
+		if r.Code == coordination.OK {
 			s.revision++
 		}
-		if c.Latch.Op == latch.Trim {
+		if c.Latch.Op == coordination.Trim {
 			s.account.Trim(c.Latch.Before)
 		}
 		return Result{Revision: s.revision, Latch: r}, nil
@@ -201,7 +201,7 @@
 type image struct {
 	Revision uint64
 	Objects  []Object
-	Latches  *latch.Table
+	Latches  *coordination.Table
 	Account  *tally.Book
 }
 
@@ -217,7 +217,7 @@
 
 // Restore replaces the state by a snapshot; on an error nothing changes.
 func (s *Store) Restore(data []byte) error {
-	im := image{Latches: latch.NewTable(), Account: tally.NewBook()}
+	im := image{Latches: coordination.NewTable(), Account: tally.NewBook()}
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&im); err != nil {
 		return fmt.Errorf("registry: restore: %w", err)
 	}
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/raft/rafttest"
 	"lichentray/registry"
 )
@@ -91,7 +91,7 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	f.Add(registry.EncodeCommand(registry.Command{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "v", HasExpect: true, Expect: 3}}))
+	f.Add(registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "v", HasExpect: true, Expect: 3}}))
 	f.Add(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "a", ModRevision: 7}}, Then: []registry.Write{{Key: "b", Value: []byte("x")}}}}))
 	f.Add([]byte{1, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1})
 	f.Add([]byte{2})
@@ -123,7 +123,7 @@
 		return nil
 	}
 	res, _ := g.s.Apply(c)
-	if l := c.Latch; l != nil && res.Latch.Code == latch.OK && (l.Op == latch.Begin || l.Op == latch.Renew) {
+	if l := c.Latch; l != nil && res.Latch.Code == coordination.OK && (l.Op == coordination.Begin || l.Op == coordination.Renew) {
 		g.until[l.Name] = g.clock() + time.Duration(l.HoldMS)*time.Millisecond
 	}
 	return res
@@ -186,7 +186,7 @@
 	}
 	holders := map[string]hold{}
 	owner := map[uint64]string{}
-	do := func(cmd *latch.Command, done func(latch.Result)) {
+	do := func(cmd *coordination.Command, done func(coordination.Result)) {
 		for _, id := range c.IDs() { // whoever believes that it leads
 			n := c.Nodes[id]
 			if !c.Up(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
@@ -194,7 +194,7 @@
 			}
 			g := n.Machine.(*storeMachine)
 			x := *cmd
-			if l, ok := g.s.Latches().Locks[x.Name]; ok && x.Op == latch.Begin && c.Now >= g.until[x.Name] {
+			if l, ok := g.s.Latches().Locks[x.Name]; ok && x.Op == coordination.Begin && c.Now >= g.until[x.Name] {
 				x.SpentFence, x.SpentGrant = l.Fence, l.Grant
 			}
 			c.Propose(id, registry.EncodeCommand(registry.Command{Latch: &x}), func(res any, ok bool) {
@@ -214,7 +214,7 @@
 			switch c.Rand.Intn(4) {
 			case 0:
 				floor := topNumber
-				do(&latch.Command{Op: latch.Next, Name: "n"}, func(r latch.Result) {
+				do(&coordination.Command{Op: coordination.Next, Name: "n"}, func(r coordination.Result) {
 					if r.Value <= floor {
 						t.Errorf("number %d was given although %d had been given before the call", r.Value, floor)
 					}
@@ -223,8 +223,8 @@
 			case 1:
 				who := fmt.Sprint("h", c.Rand.Intn(4))
 				floor := topFence
-				do(&latch.Command{Op: latch.Begin, Name: "l", Holder: who, HoldMS: 200}, func(r latch.Result) {
-					if r.Code != latch.OK {
+				do(&coordination.Command{Op: coordination.Begin, Name: "l", Holder: who, HoldMS: 200}, func(r coordination.Result) {
+					if r.Code != coordination.OK {
 						return
 					}
 					end := sentAt + 200*time.Millisecond
@@ -246,7 +246,7 @@
 			case 2:
 				v := fmt.Sprint(round, "-", k)
 				floor := ackedPut[key]
-				do(&latch.Command{Op: latch.Put, Name: key, Value: v}, func(r latch.Result) {
+				do(&coordination.Command{Op: coordination.Put, Name: key, Value: v}, func(r coordination.Result) {
 					if r.Revision <= floor {
 						t.Errorf("put got revision %d, not above %d", r.Revision, floor)
 					}
--- a/registry/snapshot_test.go
+++ b/registry/snapshot_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"lichentray/latch"
+	"lichentray/coordination"
 	"lichentray/registry"
 )
 
@@ -14,8 +14,8 @@
 	full := registry.New()
 	for _, c := range []registry.Command{
 		{Txn: &registry.Txn{Then: []registry.Write{{Key: "endpoints/a", Value: []byte("x")}}}},
-		{Latch: &latch.Command{Op: latch.Put, Name: "g.a", Value: "v"}},
-		{Latch: &latch.Command{Op: latch.Next, Name: "n"}},
+		{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "v"}},
+		{Latch: &coordination.Command{Op: coordination.Next, Name: "n"}},
 	} {
 		full.Apply(c)
 	}
