--- a/coordination/coordination.go
+++ b/coordination/coordination.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"lichentray/spool/reel"
+	"lichentray/eventlog"
 )
 
 // Op names a command on the state.
@@ -99,7 +99,7 @@
 	Cells map[string]Cell
 	// Feed holds the puts of all groups in the log's order; a group is a topic of
 	// it, and its revisions are the topic's numbers.
-	Feed *reel.Reel[Change]
+	Feed *eventlog.Reel[Change]
 	// Groups is how earlier versions kept the history; it is read once.
 	Groups map[string]*Group
 
@@ -115,7 +115,7 @@
 
 // NewTable makes an empty state.
 func NewTable() *Table {
-	return &Table{Locks: map[string]Lock{}, Cells: map[string]Cell{}, Feed: &reel.Reel[Change]{}, first: map[Change]uint64{}}
+	return &Table{Locks: map[string]Lock{}, Cells: map[string]Cell{}, Feed: &eventlog.Reel[Change]{}, first: map[Change]uint64{}}
 }
 
 // Settle makes a table that was decoded ready for use.
@@ -133,7 +133,7 @@
 // adopt takes over the histories of an earlier version.
 func (t *Table) adopt() {
 	var all []Event
-	t.Feed = &reel.Reel[Change]{Last: map[string]uint64{}, Floor: map[string]uint64{}}
+	t.Feed = &eventlog.Reel[Change]{Last: map[string]uint64{}, Floor: map[string]uint64{}}
 	for name, g := range t.Groups {
 		t.Feed.Last[name], t.Feed.Floor[name] = g.Floor, g.Floor
 		all = append(all, g.Events...)
@@ -232,7 +232,7 @@
 // Since gives the events of a group above after, and the group's revision.
 // ok is false when the history no longer reaches back to after.
 func (t *Table) Since(group string, after uint64) (events []Event, revision uint64, ok bool) {
-	ok = t.Feed.Each(group, after, func(e reel.Entry[Change]) bool {
+	ok = t.Feed.Each(group, after, func(e eventlog.Entry[Change]) bool {
 		events = append(events, Event{e.Value.Name, e.Value.Value, e.Number, e.At})
 		return true
 	})
--- a/spool/reel/reel.go
+++ b/eventlog/eventlog.go
@@ -1,4 +1,4 @@
-// Package reel is a numbered feed (an append-only change log with topics, replayed
+// Package eventlog is a numbered feed (an append-only change log with topics, replayed
 // from cursors).
 //
 // Each entry stands under the number that the replicated log gave its change, and,
@@ -7,7 +7,7 @@
 // the same changes holds the same feed and can replay it: a reader is a cursor, may
 // go on at any replica, and costs nothing while it is slow. What was forgotten, and
 // how far, is told by numbers too.
-package reel
+package eventlog
 
 import "sort"
 
--- a/spool/reel/reel_test.go
+++ b/eventlog/eventlog_test.go
@@ -1,4 +1,4 @@
-package reel_test
+package eventlog_test
 
 import (
 	"bytes"
@@ -8,12 +8,12 @@
 	"reflect"
 	"testing"
 
-	"lichentray/spool/reel"
+	"lichentray/eventlog"
 )
 
 // plain is every entry ever, and how far each topic was forgotten.
 type plain struct {
-	all   []reel.Entry[int]
+	all   []eventlog.Entry[int]
 	floor map[string]uint64
 }
 
@@ -23,7 +23,7 @@
 func TestAgainstEverythingEver(t *testing.T) {
 	for seed := range int64(30) {
 		rnd := rand.New(rand.NewSource(seed))
-		r, p := &reel.Reel[int]{}, plain{floor: map[string]uint64{}}
+		r, p := &eventlog.Reel[int]{}, plain{floor: map[string]uint64{}}
 		last := map[string]uint64{}
 		for at := uint64(1); at < 300; at++ {
 			topic := fmt.Sprint("t", rnd.Intn(4))
@@ -41,7 +41,7 @@
 				if err := gob.NewEncoder(&b).Encode(r); err != nil {
 					t.Fatal(err)
 				}
-				r = &reel.Reel[int]{}
+				r = &eventlog.Reel[int]{}
 				if err := gob.NewDecoder(&b).Decode(r); err != nil {
 					t.Fatal(err)
 				}
@@ -50,11 +50,11 @@
 				if n := r.Append(at, topic, int(at)); n != last[topic] {
 					t.Fatalf("seed %d: number %d of %s, want %d", seed, n, topic, last[topic])
 				}
-				p.all = append(p.all, reel.Entry[int]{At: at, Topic: topic, Number: last[topic], Value: int(at)})
+				p.all = append(p.all, eventlog.Entry[int]{At: at, Topic: topic, Number: last[topic], Value: int(at)})
 			}
 			for after := range last[topic] + 2 {
-				var got, want []reel.Entry[int]
-				ok := r.Each(topic, after, func(e reel.Entry[int]) bool { got = append(got, e); return true })
+				var got, want []eventlog.Entry[int]
+				ok := r.Each(topic, after, func(e eventlog.Entry[int]) bool { got = append(got, e); return true })
 				for _, e := range p.all {
 					if e.Topic == topic && e.Number > after && after >= p.floor[topic] {
 						want = append(want, e)
@@ -69,10 +69,10 @@
 }
 
 func Example() {
-	r := &reel.Reel[string]{}
+	r := &eventlog.Reel[string]{}
 	r.Append(7, "loans.", "sheet 12 to Basel")
 	r.Append(9, "loans.", "sheet 12 back")
-	r.Each("loans.", 1, func(e reel.Entry[string]) bool {
+	r.Each("loans.", 1, func(e eventlog.Entry[string]) bool {
 		fmt.Println(e.Number, e.Value)
 		return true
 	})
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 
 	"lichentray/coordination"
+	"lichentray/eventlog"
 	"lichentray/internal/goldentest"
-	"lichentray/spool/reel"
 	"lichentray/tally"
 )
 
@@ -184,8 +184,8 @@
 		Latches: &coordination.Table{
 			Locks: map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
 			Cells: map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
-			Feed: &reel.Reel[coordination.Change]{
-				Entries: []reel.Entry[coordination.Change]{
+			Feed: &eventlog.Reel[coordination.Change]{
+				Entries: []eventlog.Entry[coordination.Change]{
 					{At: 15, Topic: "g.", Number: 2, Value: coordination.Change{Name: "g.b", Value: "2"}},
 					{At: 16, Topic: "g.", Number: 3, Value: coordination.Change{Name: "g.a", Value: "3"}},
 					{At: 17, Topic: "single", Number: 1, Value: coordination.Change{Name: "single", Value: "4"}},
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -12,8 +12,8 @@
 	"errors"
 	"time"
 
+	"lichentray/eventlog"
 	"lichentray/registry"
-	"lichentray/spool/reel"
 )
 
 // ErrGone says that the cursor is older than the window: list again.
@@ -29,7 +29,7 @@
 	most     int
 	bytes    int // of the values held, and how many there may be
 	mostByte int
-	feed     reel.Reel[registry.Event]
+	feed     eventlog.Reel[registry.Event]
 	times    []time.Duration // when each came
 	floor    uint64          // highest revision that is no longer, or never was, in the window
 	revision uint64
@@ -44,7 +44,7 @@
 // Reset starts over from a store's state at a revision, as after a snapshot:
 // no earlier event is known.
 func (c *Cacher) Reset(revision uint64) {
-	c.feed, c.times, c.bytes, c.floor, c.revision = reel.Reel[registry.Event]{}, nil, 0, revision, revision
+	c.feed, c.times, c.bytes, c.floor, c.revision = eventlog.Reel[registry.Event]{}, nil, 0, revision, revision
 }
 
 // Append takes the events of one write and the revision that it brought.
