--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -24,7 +24,7 @@
 	"lichentray/jig"
 	"lichentray/raft"
 	"lichentray/registry"
-	"lichentray/spool"
+	"lichentray/watchcache"
 )
 
 // Timing are the node's own figures, all derived from the bounds.
@@ -121,7 +121,7 @@
 	// Shared behind a short lock.
 	mu       sync.RWMutex
 	store    *registry.Store
-	cache    *spool.Cacher
+	cache    *watchcache.Cacher
 	locks    map[string]lockTimer
 	view     view
 	wake     map[chan struct{}]struct{}
@@ -215,7 +215,7 @@
 		orders: map[string]registry.Evacuation{}, ordered: map[orderKind]time.Duration{}, checking: make(chan struct{}, 1),
 		turned: make(chan struct{}),
 	}
-	l.cache = spool.NewCacher(l.timing.Window, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
+	l.cache = watchcache.NewCacher(l.timing.Window, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
 	l.nProposals = board.Counter("proposals_total")
 	l.nUnknown = board.Counter("proposals_unknown_total")
 	l.nUnread = board.Counter("reads_unconfirmed_total")
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -22,7 +22,7 @@
 	"lichentray/internal/vicetest"
 	"lichentray/raft"
 	"lichentray/registry"
-	"lichentray/spool"
+	"lichentray/watchcache"
 )
 
 const text = `{"config_version":%d,"listeners":[],"clusters":[{"name":"s","health_check_path":"/health"}]}`
@@ -121,7 +121,7 @@
 	if err := l[0].Beat(e); err != nil {
 		t.Fatal(err)
 	}
-	stream, mirror := follow(t, l[1].self.Addr, spool.NewMirror())
+	stream, mirror := follow(t, l[1].self.Addr, watchcache.NewMirror())
 	// The beat is acknowledged once it is committed; this node may apply it later.
 	if err := l[0].ReadPoint(); err != nil {
 		t.Fatal(err)
@@ -235,7 +235,7 @@
 }
 
 // follow lists or resumes at a node as a proxy does, up to the newest revision.
-func follow(t *testing.T, addr string, m *spool.Mirror) (*dowel.Conn, *spool.Mirror) {
+func follow(t *testing.T, addr string, m *watchcache.Mirror) (*dowel.Conn, *watchcache.Mirror) {
 	t.Helper()
 	c, err := dowel.Dial(context.Background(), addr, 5*time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
 	if err != nil {
@@ -299,7 +299,7 @@
 
 	type copyOf struct {
 		conn *dowel.Conn
-		m    *spool.Mirror
+		m    *watchcache.Mirror
 	}
 	copies := make(chan copyOf, proxies)
 	gate := make(chan struct{}, 25) // a slow machine does not get to all of them in time
@@ -308,7 +308,7 @@
 			var got copyOf
 			gate <- struct{}{}
 			defer func() { <-gate; copies <- got }()
-			got.conn, got.m = follow(t, l.self.Addr, spool.NewMirror())
+			got.conn, got.m = follow(t, l.self.Addr, watchcache.NewMirror())
 		}()
 	}
 	var got []copyOf
@@ -383,7 +383,7 @@
 	}
 	// Who does not know the packed form, as an earlier version, gets the same list,
 	// and a list after a change is a new one.
-	_, m := follow(t, l.self.Addr, spool.NewMirror())
+	_, m := follow(t, l.self.Addr, watchcache.NewMirror())
 	plain, _ := l.list(&dowel.Ask{ID: 1, List: true})
 	if len(plain.Objects) != endpoints+1 || l.nPacked.Value() != 2 {
 		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.nPacked.Value())
@@ -504,7 +504,7 @@
 
 	// A proxy registers over its stream, says that it leaves, and is dropped once
 	// it is not heard of.
-	stream, _ := follow(t, l[1].self.Addr, spool.NewMirror())
+	stream, _ := follow(t, l[1].self.Addr, watchcache.NewMirror())
 	self := &registry.Proxy{Name: "p", Address: "10.0.0.1:80", Zone: "a", Weight: 5}
 	places := func(n *Lathe) string {
 		got, ttl, err := n.Resolve("10.9.9.9", "h", "r1", "a")
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -12,13 +12,13 @@
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
-	"lichentray/spool"
+	"lichentray/watchcache"
 )
 
 // proxy follows some node of a group and reports what a version under trial does
 // there: nothing but failures if bad.
 func proxy(ctx context.Context, nodes []string, bad *atomic.Bool) {
-	m := spool.NewMirror()
+	m := watchcache.NewMirror()
 	for i := 0; ctx.Err() == nil; i++ {
 		c, err := dowel.Dial(ctx, nodes[i%len(nodes)], time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
 		if err != nil {
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -12,7 +12,7 @@
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
-	"lichentray/spool"
+	"lichentray/watchcache"
 )
 
 // session is one proxy that lists and watches here.
@@ -117,7 +117,7 @@
 		return l.behind(a, ans.Revision), 0
 	}
 	_, err := l.cache.Since(a.Least, 1)
-	ans.Gone = errors.Is(err, spool.ErrGone)
+	ans.Gone = errors.Is(err, watchcache.ErrGone)
 	return ans, a.Least
 }
 
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -22,7 +22,7 @@
 	"lichentray/internal/plumb"
 	"lichentray/jig"
 	"lichentray/registry"
-	"lichentray/spool"
+	"lichentray/watchcache"
 )
 
 // Timing are the node's own figures, all derived from the bounds.
@@ -74,7 +74,7 @@
 	sharing  atomic.Bool  // this machine's link, with a relay
 
 	// Owned by the follower goroutine.
-	mirror   *spool.Mirror
+	mirror   *watchcache.Mirror
 	services map[string]*service
 	zones    map[string]balance.Zone  // those that are not in ordinary use
 	sentAt   map[uint64]time.Duration // of the latest reports
@@ -172,7 +172,7 @@
 // New makes a proxy node that knows nothing yet.
 func New(set *caliper.Settings, log *slog.Logger, board *dial.Board) *Plane {
 	p := &Plane{
-		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: spool.NewMirror(),
+		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
 		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]balance.Zone{},
 		line: plumb.New(set), sentAt: map[uint64]time.Duration{}, region: map[string]int{},
 		// A later life of this node begins above the sequences of an earlier one.
--- a/spool/spool.go
+++ b/watchcache/watchcache.go
@@ -1,4 +1,4 @@
-// Package spool is the cacher and the watch stream (watch cache with a sliding
+// Package watchcache is the cacher and the watch stream (watch cache with a sliding
 // event window, and the reflector's mirror on the other end).
 //
 // A Cacher follows the store's changes and keeps the newest of them. A watcher
@@ -6,7 +6,7 @@
 // and once its cursor has left the window it is told Gone and lists again. A
 // Mirror is the exact copy that a reader builds from one list and the events
 // after it. Neither does input or output, reads a clock or starts a goroutine.
-package spool
+package watchcache
 
 import (
 	"errors"
@@ -17,11 +17,11 @@
 )
 
 // ErrGone says that the cursor is older than the window: list again.
-var ErrGone = errors.New("spool: revision is older than the event window")
+var ErrGone = errors.New("watchcache: revision is older than the event window")
 
 // ErrAhead says that the cursor is newer than this cache: it lags behind the
 // reader and must not serve it.
-var ErrAhead = errors.New("spool: revision is newer than this cache")
+var ErrAhead = errors.New("watchcache: revision is newer than this cache")
 
 // Cacher holds the window of recent events.
 type Cacher struct {
@@ -130,7 +130,7 @@
 
 // ErrBase says that a change was made against a value that this copy does not
 // hold: list again.
-var ErrBase = errors.New("spool: change does not fit the copy")
+var ErrBase = errors.New("watchcache: change does not fit the copy")
 
 // Apply takes one event; one that is already contained changes nothing. On an
 // error the copy is unchanged and must be listed anew.
--- a/spool/spool_test.go
+++ b/watchcache/watchcache_test.go
@@ -1,4 +1,4 @@
-package spool_test
+package watchcache_test
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"time"
 
 	"lichentray/registry"
-	"lichentray/spool"
+	"lichentray/watchcache"
 )
 
 // TestMirrorIsExact: a reader that lists once and then watches, with breaks,
@@ -19,8 +19,8 @@
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		s := registry.New()
-		c := spool.NewCacher(200*time.Millisecond, 12, 30)
-		m := spool.NewMirror()
+		c := watchcache.NewCacher(200*time.Millisecond, 12, 30)
+		m := watchcache.NewMirror()
 		lists := 0
 		for step := range 800 {
 			now := time.Duration(step) * 10 * time.Millisecond
@@ -48,7 +48,7 @@
 			}
 			for {
 				events, err := c.Since(m.Revision(), 3)
-				if errors.Is(err, spool.ErrGone) {
+				if errors.Is(err, watchcache.ErrGone) {
 					if err := m.Reset(s.Revision(), s.List("")); err != nil {
 						t.Fatal(err)
 					}
@@ -83,29 +83,29 @@
 }
 
 func TestRefusals(t *testing.T) {
-	c := spool.NewCacher(time.Second, 10, 1000)
+	c := watchcache.NewCacher(time.Second, 10, 1000)
 	c.Reset(5)
-	if _, err := c.Since(6, 1); !errors.Is(err, spool.ErrAhead) {
+	if _, err := c.Since(6, 1); !errors.Is(err, watchcache.ErrAhead) {
 		t.Errorf("a cache behind its reader said %v", err)
 	}
-	if _, err := c.Since(4, 1); !errors.Is(err, spool.ErrGone) {
+	if _, err := c.Since(4, 1); !errors.Is(err, watchcache.ErrGone) {
 		t.Errorf("a cursor before the window got %v", err)
 	}
-	m := spool.NewMirror()
+	m := watchcache.NewMirror()
 	_ = m.Reset(9, nil)
-	if err := m.Reset(8, nil); !errors.Is(err, spool.ErrAhead) {
+	if err := m.Reset(8, nil); !errors.Is(err, watchcache.ErrAhead) {
 		t.Errorf("an older list got %v", err)
 	}
 }
 
 func Example() {
-	s, c := registry.New(), spool.NewCacher(time.Minute, 100, 1<<20)
+	s, c := registry.New(), watchcache.NewCacher(time.Minute, 100, 1<<20)
 	write := func(key string) {
 		_, ev := s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key}}}})
 		c.Append(0, s.Revision(), ev)
 	}
 	write("a")
-	m := spool.NewMirror()
+	m := watchcache.NewMirror()
 	_ = m.Reset(s.Revision(), s.List("")) // list at N
 	write("b")
 	events, _ := c.Since(m.Revision(), 10) // watch from N+1
