--- a/tally/tally.go
+++ b/audit/audit.go
@@ -1,4 +1,4 @@
-// Package tally is the account of failures (an audit log gathered from all proxy
+// Package audit is the account of failures (an audit log gathered from all proxy
 // nodes): what went wrong for each tenant, by request, with none missing and none
 // doubled, and where something may be missing, how much.
 //
@@ -6,7 +6,7 @@
 // rises by one, kept until they are acknowledged. The replicated state keeps a Book,
 // which takes each record in once, however often it is sent and to whom. Both are
 // pure: they do no input or output, read no clock and start no goroutine.
-package tally
+package audit
 
 import (
 	"cmp"
--- a/cmd/gauge/main.go
+++ b/cmd/gauge/main.go
@@ -21,11 +21,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/audit"
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/lathe"
 	"lichentray/jig"
-	"lichentray/tally"
 )
 
 // Exit codes.
@@ -94,7 +94,7 @@
 	json    bool
 	args    []string
 	command string
-	filter  tally.Filter
+	filter  audit.Filter
 	since   string
 	before  string
 }
@@ -451,8 +451,8 @@
 		return err
 	}
 	switch {
-	case f.Kind != "" && !slices.Contains(tally.Kinds(), f.Kind):
-		return fail(exitUsage, "--kind: %q is none of %v", f.Kind, tally.Kinds())
+	case f.Kind != "" && !slices.Contains(audit.Kinds(), f.Kind):
+		return fail(exitUsage, "--kind: %q is none of %v", f.Kind, audit.Kinds())
 	case f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
 		return fail(exitUsage, "--until: not after --since")
 	case f.Most < 0:
@@ -465,7 +465,7 @@
 	if body, err = t.read("accounts.read", body); err != nil {
 		return err
 	}
-	var a tally.Answer
+	var a audit.Answer
 	if err := json.Unmarshal(body, &a); err != nil {
 		return fail(exitFailed, "the answer cannot be read: %v", err)
 	}
--- a/internal/chest/golden_test.go
+++ b/internal/chest/golden_test.go
@@ -13,11 +13,11 @@
 	"strings"
 	"testing"
 
+	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/internal/goldentest"
 	"lichentray/raft"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // The golden forms are the serialised types of the store as they were when the golden
@@ -256,14 +256,14 @@
 	if _, _, ok := s.Latches().Since("g.", 0); ok {
 		t.Error("events that were trimmed are there")
 	}
-	account := s.Account().Read(tally.Filter{})
-	goldentest.Same(t, "account", account, tally.Answer{
-		Failures: []tally.Failure{
-			{Tenant: "tenant-2", Request: "request-2", Kind: tally.Unclear, AtMS: 1700000000002, Tries: []tally.Try{{Node: "p1", Record: tally.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: tally.Unsure, Status: 502, TookMS: 32}}}},
-			{Tenant: "tenant-3", Request: "request-3", Kind: tally.Failed, AtMS: 1700000000003, Tries: []tally.Try{{Node: "p1", Record: tally.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: tally.Failed, Status: 503, TookMS: 33}}}},
+	account := s.Account().Read(audit.Filter{})
+	goldentest.Same(t, "account", account, audit.Answer{
+		Failures: []audit.Failure{
+			{Tenant: "tenant-2", Request: "request-2", Kind: audit.Unclear, AtMS: 1700000000002, Tries: []audit.Try{{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.Unsure, Status: 502, TookMS: 32}}}},
+			{Tenant: "tenant-3", Request: "request-3", Kind: audit.Failed, AtMS: 1700000000003, Tries: []audit.Try{{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
 		},
-		Sums:    map[string]map[tally.Kind]int{"tenant-2": {tally.Unclear: 1}, "tenant-3": {tally.Failed: 1}},
-		Gaps:    map[string]tally.Life{"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19}},
+		Sums:    map[string]map[audit.Kind]int{"tenant-2": {audit.Unclear: 1}, "tenant-3": {audit.Failed: 1}},
+		Gaps:    map[string]audit.Life{"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19}},
 		Dropped: map[string]uint64{"tenant-1": 1},
 	})
 }
--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -17,12 +17,12 @@
 	"syscall"
 	"time"
 
+	"lichentray/audit"
 	"lichentray/balance"
 	"lichentray/feeler"
 	"lichentray/internal/notch"
 	"lichentray/raft"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // Version is the wire's version. Nodes of different versions do not talk.
@@ -155,7 +155,7 @@
 	// Trials are the roll-outs under way, by service.
 	Trials map[string]Trial
 	// Account is what goes into the account of failures.
-	Account *tally.Batch
+	Account *audit.Batch
 }
 
 // AccountAck tells a proxy up to where records of a life are in the account, and
--- a/internal/dowel/golden_test.go
+++ b/internal/dowel/golden_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"lichentray/audit"
 	"lichentray/balance"
 	"lichentray/coordination"
 	"lichentray/feeler"
@@ -20,7 +21,6 @@
 	"lichentray/internal/notch"
 	"lichentray/raft"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // The golden forms are the types of the wire as they were when the golden file was
@@ -361,9 +361,9 @@
 				Target: feeler.Count{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
 				Ill:    map[string]feeler.Count{"e1": {Failed: 203, Broken: 204, Slow: 205}},
 			}}}},
-			Account: &tally.Batch{
+			Account: &audit.Batch{
 				Life: "life-1", Node: "p1", AtMS: 1700000000206, Dropped: 207, PerS: 208.5, Out: 209, Closed: true, Most: 210,
-				Records: []tally.Record{{Seq: 211, AtMS: 1700000000212, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: tally.Late, Status: 213, TookMS: 214}},
+				Records: []audit.Record{{Seq: 211, AtMS: 1700000000212, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Late, Status: 213, TookMS: 214}},
 			},
 		}},
 		{Account: &AccountAck{Life: "life-1", Seq: 221, Closed: true}},
--- a/internal/hatch/hatch.go
+++ b/internal/hatch/hatch.go
@@ -14,13 +14,13 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // Node is what the API needs of the control-plane node.
@@ -36,7 +36,7 @@
 	Evacuations() (map[string]string, error)
 	BeginRollout(service, target string, deadline time.Duration) error
 	Rollout(service string) (feeler.Rollout, error)
-	Account(f tally.Filter) (tally.Answer, error)
+	Account(f audit.Filter) (audit.Answer, error)
 	Status() any
 }
 
@@ -318,15 +318,15 @@
 }
 
 func (a *API) accountRead(_ string, body []byte) (any, error) {
-	var f tally.Filter
+	var f audit.Filter
 	if len(body) > 0 {
 		if err := decode(body, &f); err != nil {
 			return nil, err
 		}
 	}
 	switch {
-	case f.Kind != "" && !slices.Contains(tally.Kinds(), f.Kind):
-		return nil, notch.New(notch.BadRequest, "kind: %q is none of %v", f.Kind, tally.Kinds())
+	case f.Kind != "" && !slices.Contains(audit.Kinds(), f.Kind):
+		return nil, notch.New(notch.BadRequest, "kind: %q is none of %v", f.Kind, audit.Kinds())
 	case f.SinceMS < 0:
 		return nil, notch.New(notch.BadRequest, "since_ms: below 0")
 	case f.UntilMS < 0 || f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
--- a/internal/hatch/hatch_test.go
+++ b/internal/hatch/hatch_test.go
@@ -9,12 +9,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // node is a stand-in that answers every call with one outcome.
@@ -53,9 +53,9 @@
 func (n *node) Rollout(service string) (feeler.Rollout, error) {
 	return feeler.Rollout{Base: "v1", Target: "v2", State: feeler.RolledBack, Why: service}, n.err
 }
-func (n *node) Account(f tally.Filter) (tally.Answer, error) {
+func (n *node) Account(f audit.Filter) (audit.Answer, error) {
 	n.got = f
-	return tally.Answer{Failures: []tally.Failure{{Tenant: f.Tenant, Kind: tally.Late}}}, n.err
+	return audit.Answer{Failures: []audit.Failure{{Tenant: f.Tenant, Kind: audit.Late}}}, n.err
 }
 func (n *node) Status() any { return "fine" }
 func (n *node) Do(c registry.Command) (registry.Result, error) {
--- a/internal/lathe/account.go
+++ b/internal/lathe/account.go
@@ -1,15 +1,15 @@
 package lathe
 
 import (
+	"lichentray/audit"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // takeAccount takes a proxy's batch into the account and lets it know. What does not
 // come through, or whose answer does not, the proxy sends again.
-func (l *Lathe) takeAccount(conn *dowel.Conn, b *tally.Batch) {
+func (l *Lathe) takeAccount(conn *dowel.Conn, b *audit.Batch) {
 	b.Most = l.set.Account.MostEntries
 	r, err := l.Do(registry.Command{Account: b})
 	if err != nil {
@@ -21,12 +21,12 @@
 }
 
 // Account reads the account of failures.
-func (l *Lathe) Account(f tally.Filter) (tally.Answer, error) {
+func (l *Lathe) Account(f audit.Filter) (audit.Answer, error) {
 	if l.set.Account == nil {
-		return tally.Answer{}, notch.New(notch.NoRoute, "this deployment keeps no account of failures")
+		return audit.Answer{}, notch.New(notch.NoRoute, "this deployment keeps no account of failures")
 	}
 	if err := l.ReadPoint(); err != nil {
-		return tally.Answer{}, err
+		return audit.Answer{}, err
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/internal/plane/account.go
+++ b/internal/plane/account.go
@@ -10,10 +10,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/audit"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
-	"lichentray/tally"
 )
 
 // account is this node's side of the account of failures. Nil notes nothing.
@@ -24,7 +24,7 @@
 	known atomic.Bool
 
 	mu     sync.Mutex
-	stub   *tally.Stub
+	stub   *audit.Stub
 	life   string
 	sentAt time.Time
 	asked  int64 // requests since sentAt
@@ -47,7 +47,7 @@
 	}
 	life := set.NodeName + "-" + strconv.FormatInt(time.Now().UnixMilli(), 36) + "-" + strconv.FormatInt(rand.Int63(), 36)
 	return &account{
-		set: set.Account, stub: tally.NewStub(life, set.NodeName, set.Account.MostHeld), life: life,
+		set: set.Account, stub: audit.NewStub(life, set.NodeName, set.Account.MostHeld), life: life,
 		noted: board.Counter("account_noted_total"), held: board.Counter("account_held"), dropped: board.Counter("account_dropped"),
 	}
 }
@@ -73,7 +73,7 @@
 }
 
 // note keeps one record of a try.
-func (a *account) note(h *fasthttp.RequestHeader, route string, kind tally.Kind, status int, began time.Time) {
+func (a *account) note(h *fasthttp.RequestHeader, route string, kind audit.Kind, status int, began time.Time) {
 	if a == nil {
 		return
 	}
@@ -87,7 +87,7 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stub.Note(tally.Record{
+	a.stub.Note(audit.Record{
 		AtMS: now.UnixMilli(), Tenant: a.tenant(h), Route: route, Request: cut(request), Attempt: cut(attempt),
 		Kind: kind, Status: status, TookMS: now.Sub(began).Milliseconds(),
 	})
@@ -112,7 +112,7 @@
 func cut(s string) string { return s[:min(len(s), 128)] }
 
 // batch gives what is to be handed over now, or nil. The caller has the lock.
-func (a *account) batch(now time.Time, closing bool, again time.Duration) *tally.Batch {
+func (a *account) batch(now time.Time, closing bool, again time.Duration) *audit.Batch {
 	span := now.Sub(a.sentAt)
 	if !closing && span < again && a.known.Load() && (a.stub.Held() == 0 || span < again/4) {
 		return nil
@@ -130,7 +130,7 @@
 }
 
 // report gives the batch that goes with a report.
-func (a *account) report() *tally.Batch {
+func (a *account) report() *audit.Batch {
 	if a == nil {
 		return nil
 	}
--- a/internal/plane/forward.go
+++ b/internal/plane/forward.go
@@ -14,10 +14,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/audit"
 	"lichentray/balance"
 	"lichentray/internal/notch"
 	"lichentray/jig"
-	"lichentray/tally"
 )
 
 // Answers are counted by route in these kinds.
@@ -72,9 +72,9 @@
 		if r = p.awaitView(ctx); r == nil {
 			p.refuse(ctx, notch.New(notch.Unavailable, "no configuration yet"))
 			if ctx.IsGet() || ctx.IsHead() {
-				p.account.note(&ctx.Request.Header, "", tally.Failed, 503, ctx.Time())
+				p.account.note(&ctx.Request.Header, "", audit.Failed, 503, ctx.Time())
 			} else {
-				p.account.note(&ctx.Request.Header, "", tally.NotRun, 503, ctx.Time())
+				p.account.note(&ctx.Request.Header, "", audit.NotRun, 503, ctx.Time())
 			}
 			// The first view comes soon after a start, or not for long.
 			ctx.Response.Header.Set("Retry-After", seconds(p.timing.Dial+p.timing.Dial*time.Duration(rand.Intn(100))/100))
@@ -659,11 +659,11 @@
 	q.stats.count(d.kind)
 	switch {
 	case q.route.Repeatable:
-		p.noteTry(q, tally.Failed, d.kind.Status())
+		p.noteTry(q, audit.Failed, d.kind.Status())
 	case q.ran:
-		p.noteTry(q, tally.Unsure, d.kind.Status())
+		p.noteTry(q, audit.Unsure, d.kind.Status())
 	default:
-		p.noteTry(q, tally.NotRun, d.kind.Status())
+		p.noteTry(q, audit.NotRun, d.kind.Status())
 	}
 	p.refuse(q.ctx, notch.New(d.kind, "%s", why))
 }
@@ -758,7 +758,7 @@
 }
 
 // noteTry notes how a try of a client ended.
-func (p *Plane) noteTry(q *request, kind tally.Kind, status int) {
+func (p *Plane) noteTry(q *request, kind audit.Kind, status int) {
 	p.account.note(&q.ctx.Request.Header, q.route.Name, kind, status, q.began)
 }
 
@@ -769,14 +769,14 @@
 	}
 	switch {
 	case status < 300 && !q.route.Repeatable:
-		p.noteTry(q, tally.Ran, status)
+		p.noteTry(q, audit.Ran, status)
 	case status >= 500 && !q.route.Repeatable:
-		p.noteTry(q, tally.Unsure, status)
+		p.noteTry(q, audit.Unsure, status)
 	case status >= 500:
-		p.noteTry(q, tally.Failed, status)
+		p.noteTry(q, audit.Failed, status)
 	}
 	if status < 300 && q.route.Aim > 0 && time.Since(q.began) > q.route.Aim {
-		p.noteTry(q, tally.Late, status)
+		p.noteTry(q, audit.Late, status)
 	}
 }
 
@@ -817,7 +817,7 @@
 	if !t.broke {
 		return nil
 	}
-	t.p.noteTry(t.q, tally.BrokenOff, t.a.status)
+	t.p.noteTry(t.q, audit.BrokenOff, t.a.status)
 	t.svc.mu.Lock()
 	t.svc.pool.Broke(t.p.now(), t.e)
 	t.svc.mu.Unlock()
--- a/registry/account_test.go
+++ b/registry/account_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"lichentray/audit"
 	"lichentray/raft/rafttest"
 	"lichentray/registry"
-	"lichentray/tally"
 )
 
 // TestAccountIsWhatWasCaused: proxies cause failures of every kind on purpose, each
@@ -28,31 +28,31 @@
 // caused is one try as it truly was.
 type caused struct {
 	life string
-	tally.Record
+	audit.Record
 }
 
 // verdict is the slow and plain reading of all tries of one commitment.
-func verdict(tries []caused) tally.Kind {
+func verdict(tries []caused) audit.Kind {
 	ran, unsure := 0, 0
 	for _, c := range tries {
-		if c.Kind == tally.Ran {
+		if c.Kind == audit.Ran {
 			ran++
 		}
-		if c.Kind == tally.Unsure {
+		if c.Kind == audit.Unsure {
 			unsure++
 		}
 	}
 	switch {
 	case ran >= 2:
-		return tally.Doubled
+		return audit.Doubled
 	case ran == 1 && unsure >= 1:
-		return tally.MaybeDoubled
+		return audit.MaybeDoubled
 	case ran == 1:
 		return ""
 	case unsure >= 1:
-		return tally.Unclear
+		return audit.Unclear
 	}
-	return tally.Lost
+	return audit.Lost
 }
 
 func accounts(t *testing.T, seed int64) {
@@ -62,7 +62,7 @@
 	})
 	c.Run(time.Second)
 	type proxy struct {
-		stub *tally.Stub
+		stub *audit.Stub
 		life string
 		n    int
 		// known tells that the life is in the book: before, it takes no requests.
@@ -75,7 +75,7 @@
 			n = all[i].n + 1
 		}
 		life := fmt.Sprintf("p%d-%d", i, n)
-		all[i] = &proxy{stub: tally.NewStub(life, fmt.Sprint("p", i), 10000), life: life, n: n}
+		all[i] = &proxy{stub: audit.NewStub(life, fmt.Sprint("p", i), 10000), life: life, n: n}
 	}
 	for i := range all {
 		open(i)
@@ -104,10 +104,10 @@
 	}
 	var truth []caused
 	gone := map[string][]caused{} // of killed lives, what was not acknowledged
-	kinds := []tally.Kind{tally.Late, tally.Failed, tally.BrokenOff}
-	evidence := []tally.Kind{tally.Ran, tally.Ran, tally.Unsure, tally.NotRun}
+	kinds := []audit.Kind{audit.Late, audit.Failed, audit.BrokenOff}
+	evidence := []audit.Kind{audit.Ran, audit.Ran, audit.Unsure, audit.NotRun}
 	at := 0
-	note := func(p *proxy, r tally.Record) {
+	note := func(p *proxy, r audit.Record) {
 		if !p.known {
 			return
 		}
@@ -121,10 +121,10 @@
 		trouble(c, id, 10)
 		tenant := fmt.Sprint("t", c.Rand.Intn(3))
 		for range c.Rand.Intn(3) {
-			note(all[c.Rand.Intn(proxies)], tally.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
+			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
 		}
 		for range c.Rand.Intn(4) { // the tries of one commitment
-			note(all[c.Rand.Intn(proxies)], tally.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[c.Rand.Intn(4)]})
+			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[c.Rand.Intn(4)]})
 		}
 		for _, p := range all {
 			if c.Rand.Intn(3) == 0 {
@@ -157,7 +157,7 @@
 	c.Run(time.Second)
 	store := c.Nodes[1].Machine.(*storeMachine).s
 	for _, id := range c.IDs()[1:] {
-		if got := c.Nodes[id].Machine.(*storeMachine).s.Account().Read(tally.Filter{}); !reflect.DeepEqual(got, store.Account().Read(tally.Filter{})) {
+		if got := c.Nodes[id].Machine.(*storeMachine).s.Account().Read(audit.Filter{}); !reflect.DeepEqual(got, store.Account().Read(audit.Filter{})) {
 			t.Fatalf("node %d holds another account", id)
 		}
 	}
@@ -167,10 +167,10 @@
 		t.Fatal(err)
 	}
 	other := registry.New()
-	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.Account().Read(tally.Filter{}), store.Account().Read(tally.Filter{})) {
+	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.Account().Read(audit.Filter{}), store.Account().Read(audit.Filter{})) {
 		t.Fatalf("the account does not come back from a snapshot: %v", err)
 	}
-	account := store.Account().Read(tally.Filter{})
+	account := store.Account().Read(audit.Filter{})
 	// What is certainly in: all but what killed lives had not been acknowledged, of
 	// which some may have been taken in without an answer.
 	unknown := map[string]bool{}
@@ -199,7 +199,7 @@
 		if unknown[x.life+x.Attempt] && !in[x.Attempt] {
 			continue // lost with its proxy, within the gap
 		}
-		if x.Kind == tally.Ran || x.Kind == tally.Unsure || x.Kind == tally.NotRun {
+		if x.Kind == audit.Ran || x.Kind == audit.Unsure || x.Kind == audit.NotRun {
 			commits[x.Tenant+" "+x.Request] = append(commits[x.Tenant+" "+x.Request], x)
 			continue
 		}
@@ -220,7 +220,7 @@
 	for _, f := range account.Failures {
 		key := f.Tenant + " " + f.Request
 		switch f.Kind {
-		case tally.Late, tally.Failed, tally.BrokenOff:
+		case audit.Late, audit.Failed, audit.BrokenOff:
 			got[fmt.Sprint(key, " ", f.Kind, " ", f.Tries[0].Attempt)] = true
 		default:
 			if !doubtful[key] {
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"errors"
 
+	"lichentray/audit"
 	"lichentray/coordination"
-	"lichentray/tally"
 )
 
 // Commands stand in the log in a small binary form of their own: gob would
@@ -116,7 +116,7 @@
 	var c Command
 	switch b[0] {
 	case codeAccount:
-		c.Account = new(tally.Batch)
+		c.Account = new(audit.Batch)
 		if json.Unmarshal(r.b, c.Account) != nil {
 			return Command{}, errShort
 		}
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -8,10 +8,10 @@
 	"strings"
 	"testing"
 
+	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/eventlog"
 	"lichentray/internal/goldentest"
-	"lichentray/tally"
 )
 
 // The golden forms are the serialised types of a snapshot's image as they were when
@@ -123,7 +123,7 @@
 	put := func(key, value string) {
 		s.Apply(Command{Txn: &Txn{Then: []Write{{Key: key, Value: []byte(value)}}}})
 	}
-	account := func(b tally.Batch) { s.Apply(Command{Account: &b}) }
+	account := func(b audit.Batch) { s.Apply(Command{Account: &b}) }
 	accept := func(version uint64, text string) {
 		txn, err := s.AcceptConfig(version, []byte(text))
 		if err != nil {
@@ -155,12 +155,12 @@
 			t.Fatalf("%+v gave %+v", c, r)
 		}
 	}
-	record := func(seq uint64, kind tally.Kind) tally.Record {
-		return tally.Record{Seq: seq, AtMS: 1700000000000 + int64(seq), Tenant: fmt.Sprint("tenant-", seq), Route: "pay", Request: fmt.Sprint("request-", seq), Attempt: fmt.Sprint("attempt-", seq), Kind: kind, Status: 500 + int(seq), TookMS: 30 + int64(seq)}
+	record := func(seq uint64, kind audit.Kind) audit.Record {
+		return audit.Record{Seq: seq, AtMS: 1700000000000 + int64(seq), Tenant: fmt.Sprint("tenant-", seq), Route: "pay", Request: fmt.Sprint("request-", seq), Attempt: fmt.Sprint("attempt-", seq), Kind: kind, Status: 500 + int(seq), TookMS: 30 + int64(seq)}
 	}
-	account(tally.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []tally.Record{record(1, tally.Late), record(2, tally.Unsure), record(3, tally.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
-	account(tally.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                // 20; ends life-1
-	account(tally.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                  // 21
+	account(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.Late), record(2, audit.Unsure), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
+	account(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                // 20; ends life-1
+	account(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                  // 21
 	return s
 }
 
@@ -194,17 +194,17 @@
 				Floor: map[string]uint64{"g.": 1},
 			},
 		},
-		Account: &tally.Book{
-			Lives: map[string]*tally.Life{
+		Account: &audit.Book{
+			Lives: map[string]*audit.Life{
 				"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19},
 				"life-2": {Node: "p1", LastMS: 1700000003000, At: 20},
 				"life-3": {Node: "p2", LastMS: 1700000004000, Closed: true, At: 21},
 			},
-			Entries: map[string]*tally.Entry{
-				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []tally.Try{
-					{Node: "p1", Record: tally.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: tally.Unsure, Status: 502, TookMS: 32}}}},
-				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []tally.Try{
-					{Node: "p1", Record: tally.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: tally.Failed, Status: 503, TookMS: 33}}}},
+			Entries: map[string]*audit.Entry{
+				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []audit.Try{
+					{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.Unsure, Status: 502, TookMS: 32}}}},
+				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []audit.Try{
+					{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
 			},
 			Dropped: map[string]uint64{"tenant-1": 1},
 			Ats:     map[string]uint64{"tenant-2\x00request-2": 19, "tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": 19},
@@ -373,9 +373,9 @@
 		latched(coordination.Command{Op: coordination.Put, Name: "g.a", Value: "value-1", Expect: 45, HasExpect: true}),
 		latched(coordination.Command{Op: coordination.Trim, Before: 460000}),
 		latched(coordination.Command{Op: coordination.Put, Name: "name", Holder: "holder", Value: "value", Fence: 1, HoldMS: 2, SpentFence: 3, SpentGrant: 4, Expect: 5, HasExpect: true, Before: 6}),
-		{Account: &tally.Batch{
+		{Account: &audit.Batch{
 			Life: "life-1", Node: "p1", AtMS: 1700000000001, Dropped: 51, PerS: 52.5, Out: 53, Closed: true, Most: 54,
-			Records: []tally.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: tally.BrokenOff, Status: 200, TookMS: 56}},
+			Records: []audit.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.BrokenOff, Status: 200, TookMS: 56}},
 		}},
 	}
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -16,8 +16,8 @@
 	"sort"
 	"strings"
 
+	"lichentray/audit"
 	"lichentray/coordination"
-	"lichentray/tally"
 )
 
 // Object is one entry. ModRevision is the global revision of its last write.
@@ -55,7 +55,7 @@
 	Txn   *Txn
 	Latch *coordination.Command
 	// Account is a batch of records for the account of failures.
-	Account *tally.Batch
+	Account *audit.Batch
 }
 
 // Result is what a command gave. On Conflict nothing was written and Current
@@ -95,12 +95,12 @@
 	revision uint64
 	objects  map[string]Object
 	latches  *coordination.Table
-	account  *tally.Book
+	account  *audit.Book
 }
 
 // New makes an empty store.
 func New() *Store {
-	return &Store{objects: map[string]Object{}, latches: coordination.NewTable(), account: tally.NewBook()}
+	return &Store{objects: map[string]Object{}, latches: coordination.NewTable(), account: audit.NewBook()}
 }
 
 // Revision is the global revision of the last success.
@@ -110,7 +110,7 @@
 func (s *Store) Latches() *coordination.Table { return s.latches }
 
 // Account gives the account of failures for reading.
-func (s *Store) Account() *tally.Book { return s.account }
+func (s *Store) Account() *audit.Book { return s.account }
 
 // Get reads one object.
 func (s *Store) Get(key string) (Object, bool) {
@@ -202,7 +202,7 @@
 	Revision uint64
 	Objects  []Object
 	Latches  *coordination.Table
-	Account  *tally.Book
+	Account  *audit.Book
 }
 
 // Snapshot writes the whole state.
@@ -217,7 +217,7 @@
 
 // Restore replaces the state by a snapshot; on an error nothing changes.
 func (s *Store) Restore(data []byte) error {
-	im := image{Latches: coordination.NewTable(), Account: tally.NewBook()}
+	im := image{Latches: coordination.NewTable(), Account: audit.NewBook()}
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&im); err != nil {
 		return fmt.Errorf("registry: restore: %w", err)
 	}
--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"lichentray/audit"
 	"lichentray/internal/vicetest"
-	"lichentray/tally"
 )
 
 // stand is one control-plane node and two proxy nodes as processes.
@@ -121,7 +121,7 @@
 }
 
 // account asks gauge.
-func (s *stand) account(flags ...string) (a tally.Answer) {
+func (s *stand) account(flags ...string) (a audit.Answer) {
 	s.t.Helper()
 	args := append([]string{"account", "--output", "json", "--nodes", fmt.Sprintf("127.0.0.31:%d", s.control)}, flags...)
 	out, err := exec.Command(filepath.Join(s.bin, "gauge"), args...).Output()
@@ -238,32 +238,32 @@
 		})
 	}
 	pa, pb := "127.0.0.32", "127.0.0.33"
-	want := map[string]tally.Kind{}
+	want := map[string]audit.Kind{}
 	for i := range 3 {
 		id := func(what string) string { return fmt.Sprint(what, i) }
 		ask(pa, "GET", "museum.example", "/search/fine", "", id("fine"))
 		ask(pa, "GET", "museum.example", "/search/late", "", id("late"))
-		want["museum "+id("late")] = tally.Late
+		want["museum "+id("late")] = audit.Late
 		ask(pb, "GET", "other.example", "/sheet/broken", "student", id("sheet"))
-		want["student "+id("sheet")] = tally.BrokenOff
+		want["student "+id("sheet")] = audit.BrokenOff
 		well(pb)
 		ask(pa, "POST", "museum.example", "/loan/fine", "", id("loan"))
 		ask(pa, "POST", "museum.example", "/loan/fine", "", id("twice"))
 		ask(pb, "POST", "museum.example", "/loan/fine", "", id("twice"))
-		want["museum "+id("twice")] = tally.Doubled
+		want["museum "+id("twice")] = audit.Doubled
 		ask(pa, "POST", "museum.example", "/loan/silent", "", id("unclear"))
-		want["museum "+id("unclear")] = tally.Unclear
+		want["museum "+id("unclear")] = audit.Unclear
 		well(pa)
 		ask(pb, "POST", "museum.example", "/loan/silent", "", id("perhaps"))
 		well(pb)
 		ask(pa, "POST", "museum.example", "/loan/fine", "", id("perhaps"))
-		want["museum "+id("perhaps")] = tally.MaybeDoubled
+		want["museum "+id("perhaps")] = audit.MaybeDoubled
 		ask(pb, "GET", "other.example", "/sheet/broken", "", id("nobody"))
-		want["unknown "+id("nobody")] = tally.BrokenOff
+		want["unknown "+id("nobody")] = audit.BrokenOff
 		well(pb)
 	}
-	got := func() map[string]tally.Kind {
-		out := map[string]tally.Kind{}
+	got := func() map[string]audit.Kind {
+		out := map[string]audit.Kind{}
 		for _, f := range s.account("--most", "0").Failures {
 			if f.Tenant == "watch" {
 				continue
@@ -277,12 +277,12 @@
 		return out
 	}
 	s.until("the account holds what was caused", func() bool { return reflect.DeepEqual(got(), want) || t.Failed() })
-	if sum := s.account("--tenant", "museum", "--kind", "doubled").Sums; !reflect.DeepEqual(sum, map[string]map[tally.Kind]int{"museum": {tally.Doubled: 3}}) {
+	if sum := s.account("--tenant", "museum", "--kind", "doubled").Sums; !reflect.DeepEqual(sum, map[string]map[audit.Kind]int{"museum": {audit.Doubled: 3}}) {
 		t.Errorf("sums of one kind: %v", sum)
 	}
 	// One ends in order, after a last failure; the other is killed and starts again.
 	ask(pa, "GET", "museum.example", "/search/late", "", "last")
-	want["museum last"] = tally.Late
+	want["museum last"] = audit.Late
 	if err := a.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
