--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -19,10 +19,10 @@
 
 	"lichentray/audit"
 	"lichentray/balance"
-	"lichentray/feeler"
 	"lichentray/internal/notch"
 	"lichentray/raft"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // Version is the wire's version. Nodes of different versions do not talk.
@@ -171,7 +171,7 @@
 // was told since its own start.
 type Trial struct {
 	Order    uint64
-	Evidence feeler.Evidence
+	Evidence rollout.Evidence
 	// Stage is the least stage that any of so many proxies has taken, AtBase how many
 	// requests they have at endpoints of the old version.
 	Proxies, Stage, AtBase int
--- a/internal/dowel/golden_test.go
+++ b/internal/dowel/golden_test.go
@@ -16,11 +16,11 @@
 	"lichentray/audit"
 	"lichentray/balance"
 	"lichentray/coordination"
-	"lichentray/feeler"
 	"lichentray/internal/goldentest"
 	"lichentray/internal/notch"
 	"lichentray/raft"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // The golden forms are the types of the wire as they were when the golden file was
@@ -347,7 +347,7 @@
 			Loads:    map[string]balance.Load{"payments": {Rate: 155.5, Inflight: 156.5}},
 			Seen:     map[string]balance.Seen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
 			Rounds:   map[string]Round{"p1": {Seq: 161, Grants: []balance.Grant{{Endpoint: "e2", Rate: 162.5}}}},
-			Trials:   map[string]Trial{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: feeler.Evidence{"pay": {Base: feeler.Count{Answers: 167}}}}},
+			Trials:   map[string]Trial{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: rollout.Evidence{"pay": {Base: rollout.Count{Answers: 167}}}}},
 			Verdicts: []balance.Verdict{{Endpoint: "e3", Pace: 168}},
 		}},
 		{Ack: 171},
@@ -356,10 +356,10 @@
 			Loads: map[string]balance.Load{"payments": {Rate: 182.5, Inflight: 183.5}},
 			Seen:  map[string]balance.Seen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
 			Self:  &registry.Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
-			Trials: map[string]Trial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: feeler.Evidence{"pay": {
-				Base:   feeler.Count{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
-				Target: feeler.Count{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
-				Ill:    map[string]feeler.Count{"e1": {Failed: 203, Broken: 204, Slow: 205}},
+			Trials: map[string]Trial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: rollout.Evidence{"pay": {
+				Base:   rollout.Count{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
+				Target: rollout.Count{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
+				Ill:    map[string]rollout.Count{"e1": {Failed: 203, Broken: 204, Slow: 205}},
 			}}}},
 			Account: &audit.Batch{
 				Life: "life-1", Node: "p1", AtMS: 1700000000206, Dropped: 207, PerS: 208.5, Out: 209, Closed: true, Most: 210,
--- a/internal/hatch/hatch.go
+++ b/internal/hatch/hatch.go
@@ -16,11 +16,11 @@
 
 	"lichentray/audit"
 	"lichentray/coordination"
-	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // Node is what the API needs of the control-plane node.
@@ -35,7 +35,7 @@
 	Evacuate(zone string, begin bool, waits func() bool) error
 	Evacuations() (map[string]string, error)
 	BeginRollout(service, target string, deadline time.Duration) error
-	Rollout(service string) (feeler.Rollout, error)
+	Rollout(service string) (rollout.Rollout, error)
 	Account(f audit.Filter) (audit.Answer, error)
 	Status() any
 }
--- a/internal/hatch/hatch_test.go
+++ b/internal/hatch/hatch_test.go
@@ -11,10 +11,10 @@
 
 	"lichentray/audit"
 	"lichentray/coordination"
-	"lichentray/feeler"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // node is a stand-in that answers every call with one outcome.
@@ -50,8 +50,8 @@
 	n.got = service + " " + target + " " + d.String()
 	return n.err
 }
-func (n *node) Rollout(service string) (feeler.Rollout, error) {
-	return feeler.Rollout{Base: "v1", Target: "v2", State: feeler.RolledBack, Why: service}, n.err
+func (n *node) Rollout(service string) (rollout.Rollout, error) {
+	return rollout.Rollout{Base: "v1", Target: "v2", State: rollout.RolledBack, Why: service}, n.err
 }
 func (n *node) Account(f audit.Filter) (audit.Answer, error) {
 	n.got = f
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -9,12 +9,12 @@
 
 	"lichentray/balance"
 	"lichentray/coordination"
-	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/jig"
 	"lichentray/raft"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // duties are what the actor does by the clock.
@@ -134,7 +134,7 @@
 		gauge(trials, s.trials)
 	}
 	for service, t := range l.tryOuts {
-		if r := l.rollouts[registry.RolloutPrefix+service]; r != nil && (r.Order > t.Order || r.Order == t.Order && r.State != feeler.InProgress) {
+		if r := l.rollouts[registry.RolloutPrefix+service]; r != nil && (r.Order > t.Order || r.Order == t.Order && r.State != rollout.InProgress) {
 			delete(l.tryOuts, service)
 			continue
 		}
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -5,16 +5,16 @@
 	"strings"
 	"time"
 
-	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // rolloutRecord is a service's versions as last applied, and since when they stand so by
 // this node's steady clock.
 type rolloutRecord struct {
-	feeler.Rollout
+	rollout.Rollout
 	revision uint64
 	at       time.Duration
 }
@@ -36,7 +36,7 @@
 			continue
 		}
 		if n.Order > x.Order {
-			x = dowel.Trial{Order: n.Order, Evidence: feeler.Evidence{}}
+			x = dowel.Trial{Order: n.Order, Evidence: rollout.Evidence{}}
 		}
 		x.Evidence.Add(n.Evidence)
 		t[service] = x
@@ -62,8 +62,8 @@
 // guide is what the leader keeps of a roll-out under way.
 type guide struct {
 	order   uint64
-	judge   *feeler.Judge
-	by      map[uint64]feeler.Evidence // by the life of the node that told it
+	judge   *rollout.Judge
+	by      map[uint64]rollout.Evidence // by the life of the node that told it
 	stage   int
 	answers int // of the target when the stage was entered
 	asked   uint64
@@ -76,7 +76,7 @@
 	for service, t := range told {
 		g := l.guides[service]
 		if g == nil || g.order < t.Order {
-			g = &guide{order: t.Order, judge: feeler.NewJudge(), by: map[uint64]feeler.Evidence{}, stage: -1}
+			g = &guide{order: t.Order, judge: rollout.NewJudge(), by: map[uint64]rollout.Evidence{}, stage: -1}
 			l.guides[service] = g
 		}
 		if g.order == t.Order {
@@ -94,7 +94,7 @@
 	}
 	for key, r := range l.rollouts {
 		service := strings.TrimPrefix(key, registry.RolloutPrefix)
-		if r.State != feeler.InProgress {
+		if r.State != rollout.InProgress {
 			continue
 		}
 		g := l.guides[service]
@@ -104,7 +104,7 @@
 				continue // proxies know of an order that this node has still to apply
 			}
 		}
-		sum := feeler.Evidence{}
+		sum := rollout.Evidence{}
 		for _, e := range g.by {
 			sum.Add(e)
 		}
@@ -112,7 +112,7 @@
 		if g.stage != r.Stage {
 			g.stage, g.answers = r.Stage, answers
 		}
-		f := feeler.Facts{
+		f := rollout.Facts{
 			Spent: r.spent(now), InStage: now - r.at, Pause: l.timing.Pause, Commit: l.timing.Answer,
 			All: sum.All(), Answers: answers, StageAnswers: answers - g.answers,
 		}
@@ -143,7 +143,7 @@
 		}}))
 	}
 	for service := range l.guides {
-		if r := l.rollouts[registry.RolloutPrefix+service]; r == nil || r.State != feeler.InProgress {
+		if r := l.rollouts[registry.RolloutPrefix+service]; r == nil || r.State != rollout.InProgress {
 			delete(l.guides, service)
 		}
 	}
@@ -157,7 +157,7 @@
 		delete(l.rollouts, e.Object.Key)
 		return
 	}
-	r, err := feeler.Decode(e.Object.Value)
+	r, err := rollout.Decode(e.Object.Value)
 	if err != nil {
 		l.log.Error("roll-out cannot be read", "key", e.Object.Key, "error", err)
 		return
@@ -166,7 +166,7 @@
 	if r.State != "" && (was == nil || was.Rollout != r) {
 		l.log.Info("roll-out", "service", e.Object.Key[len(registry.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.SpentS, "why", r.Why)
 	}
-	if r.State != feeler.InProgress {
+	if r.State != rollout.InProgress {
 		delete(l.tryOuts, e.Object.Key[len(registry.RolloutPrefix):])
 	}
 }
@@ -183,7 +183,7 @@
 	}
 	txn.If = append(txn.If, registry.Condition{Key: key})
 	// Before the endpoint, so that no proxy holds it without.
-	txn.Then = append([]registry.Write{{Key: key, Value: feeler.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
+	txn.Then = append([]registry.Write{{Key: key, Value: rollout.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
 }
 
 var errNoRollouts = notch.New(notch.NoRoute, "this deployment does not tell versions apart")
@@ -199,17 +199,17 @@
 	key := registry.RolloutPrefix + service
 	wrote, err := l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(key)
-		var was feeler.Rollout
+		var was rollout.Rollout
 		if o.ModRevision > 0 {
 			var err error
-			if was, err = feeler.Decode(o.Value); err != nil {
+			if was, err = rollout.Decode(o.Value); err != nil {
 				return nil, notch.New(notch.Internal, "%v", err)
 			}
 		} else if _, known := l.cluster(service); !known {
 			return nil, notch.New(notch.BadRequest, "backend_service: %q is not known", service)
 		}
 		next, err := was.Begin(target, deadline)
-		var refused feeler.Refusal
+		var refused rollout.Refusal
 		if errors.As(err, &refused) {
 			return nil, notch.New(notch.Conflict, "%s", refused)
 		}
@@ -228,18 +228,18 @@
 }
 
 // Rollout reads how the newest order of a service stands.
-func (l *Lathe) Rollout(service string) (feeler.Rollout, error) {
+func (l *Lathe) Rollout(service string) (rollout.Rollout, error) {
 	if !l.set.RollsOut() {
-		return feeler.Rollout{}, errNoRollouts
+		return rollout.Rollout{}, errNoRollouts
 	}
 	if err := l.ReadPoint(); err != nil {
-		return feeler.Rollout{}, err
+		return rollout.Rollout{}, err
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	r := l.rollouts[registry.RolloutPrefix+service]
 	if r == nil || r.State == "" {
-		return feeler.Rollout{}, notch.New(notch.NoKey, "no roll-out of %q", service)
+		return rollout.Rollout{}, notch.New(notch.NoKey, "no roll-out of %q", service)
 	}
 	return r.Rollout, nil
 }
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"lichentray/feeler"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
 	"lichentray/registry"
+	"lichentray/rollout"
 	"lichentray/watchcache"
 )
 
@@ -43,15 +43,15 @@
 			}
 			report := &dowel.Report{Seq: seq}
 			if o, ok := m.Objects()[registry.RolloutPrefix+"s"]; ok {
-				if r, _ := feeler.Decode(o.Value); r.State == feeler.InProgress {
-					e := feeler.Evidence{}
+				if r, _ := rollout.Decode(o.Value); r.State == rollout.InProgress {
+					e := rollout.Evidence{}
 					for id := range 6 {
-						n := feeler.Count{Answers: 3}
+						n := rollout.Count{Answers: 3}
 						if bad.Load() {
 							n.Failed = 3
 						}
-						e.Add(feeler.Evidence{"r": feeler.OfTarget(fmt.Sprint("new-", id), n)})
-						e.Add(feeler.Evidence{"r": feeler.OfBase(feeler.Count{Answers: 30})})
+						e.Add(rollout.Evidence{"r": rollout.OfTarget(fmt.Sprint("new-", id), n)})
+						e.Add(rollout.Evidence{"r": rollout.OfBase(rollout.Count{Answers: 30})})
 					}
 					report.Trials = map[string]dowel.Trial{"s": {Order: r.Order, Proxies: 1, Stage: r.Stage, Evidence: e}}
 				}
@@ -110,7 +110,7 @@
 		nodes = append(nodes, x.self.Addr)
 	}
 	go proxy(ctx, nodes, &bad)
-	read := func(at *Lathe) (r feeler.Rollout) {
+	read := func(at *Lathe) (r rollout.Rollout) {
 		until(t, "the roll-out is read", func() bool {
 			var err error
 			r, err = at.Rollout("s")
@@ -126,7 +126,7 @@
 	if err := l[0].BeginRollout("s", "v3", time.Minute); notch.Of(err) != notch.Conflict {
 		t.Errorf("another version while one is under way: %v", err)
 	}
-	if r := read(l[0]); r.State != feeler.InProgress || r.Base != "v1" || r.Order != 1 {
+	if r := read(l[0]); r.State != rollout.InProgress || r.Base != "v1" || r.Order != 1 {
 		t.Errorf("begun: %+v", r)
 	}
 	// The leader is lost and comes back; whoever follows goes on.
@@ -142,23 +142,23 @@
 	})
 	l[lost].Close()
 	g.start(lost, false)
-	until(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != feeler.InProgress })
-	if r := read(l[lost]); r.State != feeler.Succeeded || r.Base != "v2" || r.Order != 1 {
+	until(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != rollout.InProgress })
+	if r := read(l[lost]); r.State != rollout.Succeeded || r.Base != "v2" || r.Order != 1 {
 		t.Fatalf("ended: %+v", r)
 	}
 	bad.Store(true)
 	begin(l[0], "v3", time.Minute)
-	until(t, "the bad version is rolled back", func() bool { return read(l[1]).State != feeler.InProgress })
+	until(t, "the bad version is rolled back", func() bool { return read(l[1]).State != rollout.InProgress })
 	for i := range l {
 		l[i].Close()
 	}
 	for i := range l {
 		g.start(i, false)
 	}
-	if r := read(l[2]); r.State != feeler.RolledBack || r.Base != "v2" || r.Target != "v3" || r.Order != 2 || r.Why == "" {
+	if r := read(l[2]); r.State != rollout.RolledBack || r.Base != "v2" || r.Target != "v3" || r.Order != 2 || r.Why == "" {
 		t.Errorf("after the restart: %+v", r)
 	}
-	if err := l[0].BeginRollout("s", "v3", time.Minute); err != nil || read(l[0]).State != feeler.RolledBack {
+	if err := l[0].BeginRollout("s", "v3", time.Minute); err != nil || read(l[0]).State != rollout.RolledBack {
 		t.Errorf("the order again after its roll-back: %v, %+v", err, read(l[0]))
 	}
 	if err := l[0].BeginRollout("s", "v3", time.Hour); notch.Of(err) != notch.Conflict {
--- a/internal/lathe/status.go
+++ b/internal/lathe/status.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"lichentray/feeler"
 	"lichentray/raft"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // MemberStatus is one member of the core as the asked node sees it.
@@ -29,8 +29,8 @@
 // ServiceStatus is a service's versions: how its newest roll-out stands and how many
 // endpoints there are of each.
 type ServiceStatus struct {
-	Rollout   feeler.Rollout `json:"rollout"`
-	Endpoints map[string]int `json:"endpoints"`
+	Rollout   rollout.Rollout `json:"rollout"`
+	Endpoints map[string]int  `json:"endpoints"`
 }
 
 // Status is what a control-plane node tells of itself.
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"lichentray/balance"
-	"lichentray/feeler"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/plumb"
 	"lichentray/jig"
 	"lichentray/registry"
+	"lichentray/rollout"
 	"lichentray/watchcache"
 )
 
@@ -303,7 +303,7 @@
 	}
 	for name, s := range p.services {
 		if s.trial.Base != "" && !have[registry.RolloutPrefix+name] {
-			p.setRollout(s, feeler.Rollout{})
+			p.setRollout(s, rollout.Rollout{})
 		}
 	}
 	// Last, so that no request meets routes without endpoints.
--- a/internal/plane/trial.go
+++ b/internal/plane/trial.go
@@ -6,22 +6,22 @@
 	"time"
 
 	"lichentray/balance"
-	"lichentray/feeler"
 	"lichentray/internal/dowel"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
 // trial is a service's versions as the registry has them, and what this node saw
 // of them since its last report.
 type trial struct {
-	feeler.Rollout
-	seen   feeler.Evidence
-	strata feeler.Strata // of the requests lately
+	rollout.Rollout
+	seen   rollout.Evidence
+	strata rollout.Strata // of the requests lately
 }
 
 // takeRollout takes a service's versions.
 func (p *Plane) takeRollout(name string, o registry.Object) {
-	r, err := feeler.Decode(o.Value)
+	r, err := rollout.Decode(o.Value)
 	if err != nil {
 		p.log.Error("roll-out cannot be read, the versions sent to stay", "key", o.Key, "error", err)
 		return
@@ -29,11 +29,11 @@
 	p.setRollout(p.service(name), r)
 }
 
-func (p *Plane) setRollout(s *service, r feeler.Rollout) {
+func (p *Plane) setRollout(s *service, r rollout.Rollout) {
 	s.mu.Lock()
 	was := s.trial.Rollout
 	s.trial.Rollout = r
-	if was.Order != r.Order || r.State != feeler.InProgress {
+	if was.Order != r.Order || r.State != rollout.InProgress {
 		s.trial.seen = nil
 	}
 	s.pool.SetVersions(balance.Versions{Told: r.Base != "" || r.Order > 0, Base: r.Base, Target: r.Target, Share: r.Share()})
@@ -53,7 +53,7 @@
 	for name, s := range p.services {
 		s.mu.Lock()
 		p.board.Counter("endpoints_barred", "service", name).Set(int64(s.pool.Barred()))
-		if s.trial.State == feeler.InProgress {
+		if s.trial.State == rollout.InProgress {
 			for _, a := range s.trial.seen {
 				p.board.Counter("rollout_requests_total", "service", name, "version", "base").Add(int64(a.Base.Answers + a.Base.Broken))
 				p.board.Counter("rollout_requests_total", "service", name, "version", "target").Add(int64(a.Target.Answers + a.Target.Broken))
@@ -105,7 +105,7 @@
 func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*balance.Endpoint) bool, arm *balance.Arm) (*balance.Endpoint, *shelf) {
 	if *arm == balance.Target {
 		s.mu.Lock()
-		final, over := s.trial.Final(), s.trial.State != feeler.InProgress
+		final, over := s.trial.Final(), s.trial.State != rollout.InProgress
 		s.mu.Unlock()
 		if !final && !over {
 			if e, sh := s.acquire(p, r, 0, skip); e != nil {
@@ -128,7 +128,7 @@
 // takes tells whether an endpoint takes a request that goes to a version. The
 // caller has the service's lock.
 func (s *service) takes(e *balance.Endpoint, arm balance.Arm) bool {
-	if arm == balance.Target && s.trial.State == feeler.InProgress {
+	if arm == balance.Target && s.trial.State == rollout.InProgress {
 		return e.Arm == balance.Target && e.Front
 	}
 	return e.Arm == balance.Base
@@ -155,7 +155,7 @@
 	s.mu.Lock()
 	trial, fresh := s.trial.Rollout, e.Fresh(p.now())
 	s.mu.Unlock()
-	if trial.State != feeler.InProgress {
+	if trial.State != rollout.InProgress {
 		return nil
 	}
 	w := &watch{s: s, arm: arm, order: trial.Order, route: q.route.Name, endpoint: e.ID}
@@ -163,9 +163,9 @@
 		w.usual = q.stats.ordinary()
 	}
 	if w.usual > 0 && arm == balance.Target {
-		w.timer = time.AfterFunc(feeler.Slow*w.usual, func() {
+		w.timer = time.AfterFunc(rollout.Slow*w.usual, func() {
 			if w.late.CompareAndSwap(false, true) {
-				w.note(feeler.Count{Timed: 1, Slow: 1})
+				w.note(rollout.Count{Timed: 1, Slow: 1})
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 func (w *watch) broke(o outcome, inTime bool) {
 	w.end()
 	if w != nil && o.at >= sentPart && !o.stale && inTime {
-		w.note(feeler.Count{Broken: 1})
+		w.note(rollout.Count{Broken: 1})
 	}
 }
 
@@ -194,31 +194,31 @@
 	if w == nil {
 		return
 	}
-	c := feeler.Count{Answers: 1}
+	c := rollout.Count{Answers: 1}
 	if !ok {
 		c.Failed = 1
 	} else if w.usual > 0 && !w.late.Swap(true) {
 		c.Timed = 1
-		if took > feeler.Slow*w.usual {
+		if took > rollout.Slow*w.usual {
 			c.Slow = 1
 		}
 	}
 	w.note(c)
 }
 
-func (w *watch) note(c feeler.Count) {
+func (w *watch) note(c rollout.Count) {
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
 	t := &w.s.trial
-	if t.Order != w.order || t.State != feeler.InProgress {
+	if t.Order != w.order || t.State != rollout.InProgress {
 		return
 	}
 	if t.seen == nil {
-		t.seen = feeler.Evidence{}
+		t.seen = rollout.Evidence{}
 	}
-	a := feeler.OfBase(c)
+	a := rollout.OfBase(c)
 	if w.arm == balance.Target {
-		a = feeler.OfTarget(w.endpoint, c)
+		a = rollout.OfTarget(w.endpoint, c)
 	}
-	t.seen.Add(feeler.Evidence{w.route: a})
+	t.seen.Add(rollout.Evidence{w.route: a})
 }
--- a/internal/plane/trial_test.go
+++ b/internal/plane/trial_test.go
@@ -7,11 +7,11 @@
 	"testing"
 
 	"lichentray/balance"
-	"lichentray/feeler"
 	"lichentray/registry"
+	"lichentray/rollout"
 )
 
-func (p *Plane) order(r feeler.Rollout) {
+func (p *Plane) order(r rollout.Rollout) {
 	p.takeObject(registry.Object{Key: registry.RolloutPrefix + "s", Value: r.Encode()}, true)
 }
 
@@ -45,24 +45,24 @@
 			p.heard.Store(-int64(p.timing.Lease) * 2)
 		}
 	}
-	trial := func(stage int) feeler.Rollout {
-		return feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: feeler.InProgress, Stage: stage, DeadlineS: 15}
+	trial := func(stage int) rollout.Rollout {
+		return rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: rollout.InProgress, Stage: stage, DeadlineS: 15}
 	}
 	const n = 300
 	for _, c := range []struct {
 		what     string
-		r        feeler.Rollout
+		r        rollout.Rollout
 		heard    bool
 		least    int // requests at the target
 		most     int
 		failures bool // of requests that may run once
 	}{
-		{"no order", feeler.Rollout{Base: "v1"}, true, 0, 0, false},
+		{"no order", rollout.Rollout{Base: "v1"}, true, 0, 0, false},
 		{"canary", trial(0), true, 1, n / 5, true},
 		{"canary without news", trial(0), false, 0, 0, false},
 		{"all", trial(3), true, n, n, true},
 		{"all, without news", trial(3), false, 0, 0, false},
-		{"rolled back", feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: feeler.RolledBack, Stage: 3}, true, 0, 0, false},
+		{"rolled back", rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: rollout.RolledBack, Stage: 3}, true, 0, 0, false},
 	} {
 		p.order(c.r)
 		for _, path := range []string{"/safe/a", "/once/a"} {
@@ -88,9 +88,9 @@
 				t.Errorf("%s: %s sent %d of %d to the target, %d failed", c.what, path, got, n, failed)
 			}
 		}
-		if c.r.State == feeler.InProgress {
+		if c.r.State == rollout.InProgress {
 			told := p.trials()["s"]
-			sum := feeler.Count{}
+			sum := rollout.Count{}
 			for _, a := range told.Evidence {
 				sum = sum.Add(a.Target)
 			}
@@ -121,7 +121,7 @@
 			for i := range c.endpoints {
 				p.version(fmt.Sprint("i-", i), "v2", e)
 			}
-			p.order(feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: feeler.InProgress, Stage: c.stage})
+			p.order(rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: rollout.InProgress, Stage: c.stage})
 			pool := p.services["s"].pool
 			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
 			var front []string
--- a/feeler/golden_test.go
+++ b/rollout/golden_test.go
@@ -1,22 +1,22 @@
-package feeler_test
+package rollout_test
 
 import (
 	"bytes"
 	"strings"
 	"testing"
 
-	"lichentray/feeler"
 	"lichentray/internal/goldentest"
+	"lichentray/rollout"
 )
 
 // TestGoldenRollouts compares the roll-outs that the registry holds, as JSON, with a
 // golden file, byte by byte and field by field.
 func TestGoldenRollouts(t *testing.T) {
-	want := []feeler.Rollout{
+	want := []rollout.Rollout{
 		{Base: "v1"},
-		{Base: "v1", Order: 3, Target: "v2", State: feeler.InProgress, Stage: 2, DeadlineS: 600.5, SpentS: 361.25, Why: "none yet"},
-		{Base: "v2", Order: 4, Target: "v2", State: feeler.Succeeded, Stage: 3, DeadlineS: 120, SpentS: 96},
-		{Base: "v2", Order: 5, Target: "v3", State: feeler.RolledBack, Stage: 1, DeadlineS: 60, SpentS: 7, Why: "it fails"},
+		{Base: "v1", Order: 3, Target: "v2", State: rollout.InProgress, Stage: 2, DeadlineS: 600.5, SpentS: 361.25, Why: "none yet"},
+		{Base: "v2", Order: 4, Target: "v2", State: rollout.Succeeded, Stage: 3, DeadlineS: 120, SpentS: 96},
+		{Base: "v2", Order: 5, Target: "v3", State: rollout.RolledBack, Stage: 1, DeadlineS: 60, SpentS: 7, Why: "it fails"},
 	}
 	golden := goldentest.File(t, "testdata/golden/rollouts.jsonl", func() []byte {
 		var b bytes.Buffer
@@ -33,7 +33,7 @@
 		if got := string(want[i].Encode()); got != line {
 			t.Errorf("written %s, want %s", got, line)
 		}
-		got, err := feeler.Decode([]byte(line))
+		got, err := rollout.Decode([]byte(line))
 		if err != nil {
 			t.Error(err)
 		}
--- a/feeler/judge.go
+++ b/rollout/judge.go
@@ -1,4 +1,4 @@
-package feeler
+package rollout
 
 import (
 	"fmt"
--- a/feeler/feeler.go
+++ b/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package feeler decides roll-outs (progressive delivery with canary analysis):
+// Package rollout decides roll-outs (progressive delivery with canary analysis):
 // the state machine of one service's versions, and the sequential test that
 // compares a new version's answers with those of the version in use.
 //
@@ -6,7 +6,7 @@
 // evidence come in as arguments. The state machine gives the next state; that
 // exactly one of two next states comes to hold is left to whoever writes it under
 // the condition that the state read is still the newest.
-package feeler
+package rollout
 
 import (
 	"encoding/json"
@@ -50,7 +50,7 @@
 // Decode reads an object's value.
 func Decode(value []byte) (r Rollout, err error) {
 	if err = json.Unmarshal(value, &r); err != nil {
-		err = fmt.Errorf("feeler: roll-out cannot be read: %w", err)
+		err = fmt.Errorf("rollout: roll-out cannot be read: %w", err)
 	}
 	return r, err
 }
--- a/feeler/feeler_test.go
+++ b/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package feeler_test
+package rollout_test
 
 import (
 	"errors"
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"lichentray/feeler"
+	"lichentray/rollout"
 )
 
 const term = 15 * time.Second
 
-func begun(t *testing.T) feeler.Rollout {
+func begun(t *testing.T) rollout.Rollout {
 	t.Helper()
-	r, err := feeler.Rollout{Base: "v1"}.Begin("v2", term)
+	r, err := rollout.Rollout{Base: "v1"}.Begin("v2", term)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,55 +24,55 @@
 
 // TestOrders: what an order does in each state, by a table written out by hand.
 func TestOrders(t *testing.T) {
-	in := func(s feeler.State) feeler.Rollout {
-		r := feeler.Rollout{Base: "v1", Order: 1, Target: "v2", State: s, DeadlineS: 15}
-		if s == feeler.Succeeded {
+	in := func(s rollout.State) rollout.Rollout {
+		r := rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: s, DeadlineS: 15}
+		if s == rollout.Succeeded {
 			r.Base = "v2"
 		}
 		return r
 	}
 	for _, c := range []struct {
-		from    feeler.Rollout
+		from    rollout.Rollout
 		target  string
 		term    time.Duration
-		state   feeler.State
+		state   rollout.State
 		order   uint64
 		refused bool
 	}{
-		{feeler.Rollout{}, "v2", term, "", 0, true},
-		{feeler.Rollout{Base: "v1"}, "v2", term, feeler.InProgress, 1, false},
-		{feeler.Rollout{Base: "v1"}, "v1", term, feeler.Succeeded, 1, false},
-		{in(feeler.InProgress), "v2", term, feeler.InProgress, 1, false},
-		{in(feeler.InProgress), "v3", term, feeler.InProgress, 1, true},
-		{in(feeler.Succeeded), "v2", term, feeler.Succeeded, 1, false},
-		{in(feeler.Succeeded), "v3", term, feeler.InProgress, 2, false},
-		{in(feeler.Succeeded), "v1", term, feeler.InProgress, 2, false},
-		{in(feeler.RolledBack), "v2", term, feeler.RolledBack, 1, false}, // the same order, sent again
-		{in(feeler.RolledBack), "v2", 2 * term, feeler.RolledBack, 1, true},
-		{in(feeler.RolledBack), "v3", term, feeler.InProgress, 2, false},
-		{in(feeler.RolledBack), "v1", term, feeler.Succeeded, 2, false},
+		{rollout.Rollout{}, "v2", term, "", 0, true},
+		{rollout.Rollout{Base: "v1"}, "v2", term, rollout.InProgress, 1, false},
+		{rollout.Rollout{Base: "v1"}, "v1", term, rollout.Succeeded, 1, false},
+		{in(rollout.InProgress), "v2", term, rollout.InProgress, 1, false},
+		{in(rollout.InProgress), "v3", term, rollout.InProgress, 1, true},
+		{in(rollout.Succeeded), "v2", term, rollout.Succeeded, 1, false},
+		{in(rollout.Succeeded), "v3", term, rollout.InProgress, 2, false},
+		{in(rollout.Succeeded), "v1", term, rollout.InProgress, 2, false},
+		{in(rollout.RolledBack), "v2", term, rollout.RolledBack, 1, false}, // the same order, sent again
+		{in(rollout.RolledBack), "v2", 2 * term, rollout.RolledBack, 1, true},
+		{in(rollout.RolledBack), "v3", term, rollout.InProgress, 2, false},
+		{in(rollout.RolledBack), "v1", term, rollout.Succeeded, 2, false},
 	} {
 		got, err := c.from.Begin(c.target, c.term)
-		var refusal feeler.Refusal
+		var refusal rollout.Refusal
 		if errors.As(err, &refusal) != c.refused || got.State != c.state || got.Order != c.order {
 			t.Errorf("%+v ordered to %s: %+v, %v", c.from, c.target, got, err)
 		}
-		if back, err := feeler.Decode(got.Encode()); err != nil || back != got {
+		if back, err := rollout.Decode(got.Encode()); err != nil || back != got {
 			t.Errorf("%+v comes back as %+v, %v", got, back, err)
 		}
 	}
-	if _, err := feeler.Decode([]byte(`{"base":`)); err == nil {
+	if _, err := rollout.Decode([]byte(`{"base":`)); err == nil {
 		t.Error("a value cut short was read")
 	}
 }
 
 // cell is the registry's object: a write holds only under the revision read.
 type cell struct {
-	r        feeler.Rollout
+	r        rollout.Rollout
 	revision int
 }
 
-func (c *cell) write(r feeler.Rollout, read int) bool {
+func (c *cell) write(r rollout.Rollout, read int) bool {
 	if read != c.revision {
 		return false
 	}
@@ -85,19 +85,19 @@
 // who repeats the order or gives another, and a restart that forgets what was read.
 // A plain model beside it holds the outcome that each order came to first.
 func TestOneDecision(t *testing.T) {
-	good := feeler.Facts{Spent: term, InStage: time.Second, Verdict: feeler.Verdict{}, StageAnswers: 50, Answers: 500, BaseSlots: 10, TargetSlots: 10, Moved: true, Commit: time.Second}
+	good := rollout.Facts{Spent: term, InStage: time.Second, Verdict: rollout.Verdict{}, StageAnswers: 50, Answers: 500, BaseSlots: 10, TargetSlots: 10, Moved: true, Commit: time.Second}
 	bad := good
 	bad.Verdict.Bad = true
 	actions := []string{"A reads", "B reads", "A finds it good", "B finds it bad", "same order", "other order", "A restarts"}
-	outcomes := map[feeler.State]int{}
-	var play func(c cell, a, b cell, decided map[uint64]feeler.State, depth int, path string)
-	play = func(c cell, a, b cell, decided map[uint64]feeler.State, depth int, path string) {
+	outcomes := map[rollout.State]int{}
+	var play func(c cell, a, b cell, decided map[uint64]rollout.State, depth int, path string)
+	play = func(c cell, a, b cell, decided map[uint64]rollout.State, depth int, path string) {
 		if was, done := decided[c.r.Order]; done && (c.r.State != was || c.r.Target == "") {
 			t.Fatalf("%s: order %d was %s and is %s", path, c.r.Order, was, c.r.State)
 		}
-		if c.r.State == feeler.Succeeded || c.r.State == feeler.RolledBack {
-			decided = map[uint64]feeler.State{c.r.Order: c.r.State}
-			if base := map[feeler.State]string{feeler.Succeeded: c.r.Target, feeler.RolledBack: "v1"}[c.r.State]; c.r.Order == 1 && c.r.Base != base {
+		if c.r.State == rollout.Succeeded || c.r.State == rollout.RolledBack {
+			decided = map[uint64]rollout.State{c.r.Order: c.r.State}
+			if base := map[rollout.State]string{rollout.Succeeded: c.r.Target, rollout.RolledBack: "v1"}[c.r.State]; c.r.Order == 1 && c.r.Base != base {
 				t.Fatalf("%s: %s with base %s", path, c.r.State, c.r.Base)
 			}
 			outcomes[c.r.State]++
@@ -123,7 +123,7 @@
 			case "same order", "other order":
 				to := map[string]string{"same order": "v2", "other order": "v3"}[act]
 				if next, err := c.r.Begin(to, term); err == nil && next != c.r {
-					if c.r.State == feeler.InProgress {
+					if c.r.State == rollout.InProgress {
 						t.Fatalf("%s: a second order began while one is under way", path)
 					}
 					c.write(next, c.revision)
@@ -137,8 +137,8 @@
 	first := begun(t)
 	first.Stage = 3
 	start := cell{first, 1}
-	play(start, start, start, map[uint64]feeler.State{}, 6, "begun")
-	if outcomes[feeler.Succeeded] == 0 || outcomes[feeler.RolledBack] == 0 {
+	play(start, start, start, map[uint64]rollout.State{}, 6, "begun")
+	if outcomes[rollout.Succeeded] == 0 || outcomes[rollout.RolledBack] == 0 {
 		t.Errorf("outcomes met: %v", outcomes)
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 type played struct {
-	state    feeler.State
+	state    rollout.State
 	why      string
 	exposure float64       // of all requests until the term
 	after    time.Duration // from the 50th bad answer to the last request
@@ -168,9 +168,9 @@
 // they saw reaches the judge a tick later.
 func (w *world) play(t *testing.T) played {
 	r := begun(t)
-	judge := feeler.NewJudge()
-	sum, late := feeler.Evidence{}, feeler.Evidence{}
-	var strata feeler.Strata
+	judge := rollout.NewJudge()
+	sum, late := rollout.Evidence{}, rollout.Evidence{}
+	var strata rollout.Strata
 	share, entered, stage, answersAt := 0.0, time.Duration(0), 0, 0
 	var got played
 	sent, total, badSeen := 0.0, 0.0, 0
@@ -184,7 +184,7 @@
 	}
 	for at := time.Duration(0); at < term; at += tick {
 		sum.Add(late)
-		late = feeler.Evidence{}
+		late = rollout.Evidence{}
 		strata.Fade()
 		for i, part := range []float64{0.6, 0.3, 0.1} {
 			route := []string{"lookup", "reserve", "sheet"}[i]
@@ -212,36 +212,36 @@
 						fail += 0.4
 					}
 				}
-				c := feeler.Count{Answers: 1, Timed: 1}
+				c := rollout.Count{Answers: 1, Timed: 1}
 				switch x := w.rnd.Float64(); {
 				case x < broken:
-					c = feeler.Count{Broken: 1}
+					c = rollout.Count{Broken: 1}
 				case x < broken+fail:
 					c.Failed, c.Timed = 1, 0
 				case x < broken+fail+slow:
 					c.Slow = 1
 				}
 				if target {
-					late.Add(feeler.Evidence{route: feeler.OfTarget(fmt.Sprint(end), c)})
+					late.Add(rollout.Evidence{route: rollout.OfTarget(fmt.Sprint(end), c)})
 					if c.Failed+c.Slow > 0 && w.bad != nil {
 						if badSeen++; badSeen == 50 {
 							fiftieth = at
 						}
 					}
 				} else {
-					late.Add(feeler.Evidence{route: feeler.OfBase(c)})
+					late.Add(rollout.Evidence{route: rollout.OfBase(c)})
 				}
 			}
 		}
 		share = 0
-		if r.State == feeler.InProgress && at > time.Second {
+		if r.State == rollout.InProgress && at > time.Second {
 			share = r.Share()
 		}
-		if r.State == feeler.Succeeded {
+		if r.State == rollout.Succeeded {
 			share = 1
 		}
 		if w.silent != nil && w.silent(at) {
-			if share < 1 || r.State == feeler.InProgress {
+			if share < 1 || r.State == rollout.InProgress {
 				share = 0 // the lease is out
 			}
 			continue
@@ -249,13 +249,13 @@
 		if r.Stage != stage {
 			stage, entered, answersAt = r.Stage, at, sum.Answers()
 		}
-		next, changed := r.Next(feeler.Facts{
+		next, changed := r.Next(rollout.Facts{
 			Spent: at, InStage: at - entered, Pause: time.Second, Commit: 800 * time.Millisecond, Verdict: judge.See(sum, 6),
 			All: sum.All(), Answers: sum.Answers(), StageAnswers: sum.Answers() - answersAt, BaseSlots: 100, TargetSlots: 100, Moved: at-entered > 2*time.Second,
 		})
 		if changed {
 			r = next
-			if r.State != feeler.InProgress {
+			if r.State != rollout.InProgress {
 				got.spent = at
 			}
 		}
@@ -334,7 +334,7 @@
 				}
 				w.fail, w.slow = w.fail+0.004, w.slow+0.02
 				got := w.play(t)
-				if good := got.state == feeler.Succeeded; good != c.good {
+				if good := got.state == rollout.Succeeded; good != c.good {
 					wrong++
 					t.Logf("seed %d: %s after %v, %s", seed, got.state, got.spent, got.why)
 				}
@@ -355,20 +355,20 @@
 // roll-back that says so.
 func TestShort(t *testing.T) {
 	for _, c := range []struct {
-		f    feeler.Facts
+		f    rollout.Facts
 		says string
 	}{
-		{feeler.Facts{}, "no endpoint of the version came"},
-		{feeler.Facts{TargetSlots: 10, BaseSlots: 10, Answers: 3, StageAnswers: 3}, "too few answers to judge by"},
-		{feeler.Facts{TargetSlots: 6, BaseSlots: 10, Answers: 300, StageAnswers: 300}, "too few endpoints of the version to carry the traffic"},
-		{feeler.Facts{TargetSlots: 10, BaseSlots: 10, Answers: 300, StageAnswers: 300, Verdict: feeler.Verdict{Suspect: true}}, "suspect until the term"},
+		{rollout.Facts{}, "no endpoint of the version came"},
+		{rollout.Facts{TargetSlots: 10, BaseSlots: 10, Answers: 3, StageAnswers: 3}, "too few answers to judge by"},
+		{rollout.Facts{TargetSlots: 6, BaseSlots: 10, Answers: 300, StageAnswers: 300}, "too few endpoints of the version to carry the traffic"},
+		{rollout.Facts{TargetSlots: 10, BaseSlots: 10, Answers: 300, StageAnswers: 300, Verdict: rollout.Verdict{Suspect: true}}, "suspect until the term"},
 	} {
 		r := begun(t)
 		for at := time.Duration(0); at <= term; at += tick {
 			c.f.Spent, c.f.InStage, c.f.Pause, c.f.Commit = at, time.Hour, time.Second, time.Second
 			r, _ = r.Next(c.f)
 		}
-		if r.State != feeler.RolledBack || r.Why != c.says || r.Base != "v1" {
+		if r.State != rollout.RolledBack || r.Why != c.says || r.Base != "v1" {
 			t.Errorf("%+v ends as %+v", c.f, r)
 		}
 	}
@@ -376,11 +376,11 @@
 
 // Example follows a version that proves good through its stages.
 func Example() {
-	r, _ := feeler.Rollout{Base: "v1"}.Begin("v2", 10*time.Second)
-	judge, seen := feeler.NewJudge(), feeler.Evidence{}
-	for at := time.Duration(0); r.State == feeler.InProgress; at += time.Second {
-		seen.Add(feeler.Evidence{"route": {Base: feeler.Count{Answers: 100}, Target: feeler.Count{Answers: 50}}})
-		next, changed := r.Next(feeler.Facts{Spent: at, InStage: time.Second, Pause: time.Second, Commit: time.Second / 2, Moved: true,
+	r, _ := rollout.Rollout{Base: "v1"}.Begin("v2", 10*time.Second)
+	judge, seen := rollout.NewJudge(), rollout.Evidence{}
+	for at := time.Duration(0); r.State == rollout.InProgress; at += time.Second {
+		seen.Add(rollout.Evidence{"route": {Base: rollout.Count{Answers: 100}, Target: rollout.Count{Answers: 50}}})
+		next, changed := r.Next(rollout.Facts{Spent: at, InStage: time.Second, Pause: time.Second, Commit: time.Second / 2, Moved: true,
 			Verdict: judge.See(seen, 8), Answers: seen.Answers(), StageAnswers: 50, BaseSlots: 8, TargetSlots: 8})
 		if r = next; changed {
 			fmt.Printf("%v %s, share %g, base %s\n", at, r.State, r.Share(), r.Base)
