--- a/cmd/gauge/main.go
+++ b/cmd/gauge/main.go
@@ -22,10 +22,10 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/audit"
+	"lichentray/config"
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/lathe"
-	"lichentray/jig"
 )
 
 // Exit codes.
@@ -236,19 +236,19 @@
 	return os.ReadFile(t.args[0])
 }
 
-func (t *tool) readConfig(in io.Reader) ([]byte, *jig.Configuration, error) {
+func (t *tool) readConfig(in io.Reader) ([]byte, *config.Configuration, error) {
 	text, err := t.file(in)
 	if err != nil {
 		return nil, nil, err
 	}
-	c, err := jig.Read(text)
+	c, err := config.Read(text)
 	if err != nil {
 		return nil, nil, fail(exitInvalid, "configuration: %v", err)
 	}
 	return text, c, nil
 }
 
-func describe(c *jig.Configuration) (string, map[string]any) {
+func describe(c *config.Configuration) (string, map[string]any) {
 	n := 0
 	for _, l := range c.Listeners {
 		n += len(l.Rules)
--- a/cmd/vise/main.go
+++ b/cmd/vise/main.go
@@ -14,12 +14,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/config"
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
 	"lichentray/internal/hatch"
 	"lichentray/internal/lathe"
-	"lichentray/jig"
 )
 
 func main() { os.Exit(daemon.Main("vise", "the control-plane node", run)) }
@@ -45,7 +45,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(75)
-	if err := jig.Warm(); err != nil {
+	if err := config.Warm(); err != nil {
 		return err
 	}
 	board := dial.NewBoard()
--- a/jig/bench_test.go
+++ b/config/bench_test.go
@@ -1,4 +1,4 @@
-package jig
+package config
 
 import (
 	"fmt"
--- a/jig/jig.go
+++ b/config/config.go
@@ -1,6 +1,6 @@
-// Package jig is the configuration (schema, checking, and the compiled route
+// Package config is the configuration (schema, checking, and the compiled route
 // table). Names become dense indices when a configuration is compiled.
-package jig
+package config
 
 import (
 	"bytes"
--- a/internal/caliper/caliper.go
+++ b/internal/caliper/caliper.go
@@ -15,7 +15,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"lichentray/jig"
+	"lichentray/config"
 )
 
 // EnvPath names the variable that holds the path of the settings file.
@@ -184,7 +184,7 @@
 }
 
 func check(raw map[string]any) error {
-	sch, err := jig.NewSchema(schemaText)
+	sch, err := config.NewSchema(schemaText)
 	if err != nil {
 		return err
 	}
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -8,10 +8,10 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/balance"
+	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/jig"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -375,13 +375,13 @@
 // readConfig reads and checks a configuration, one at a time: to check one of 2000
 // routes takes some ten megabytes and longer than a storm leaves between two, and
 // whoever has waited for too long is better off at another node.
-func (l *Lathe) readConfig(text []byte) (*jig.Configuration, error) {
+func (l *Lathe) readConfig(text []byte) (*config.Configuration, error) {
 	wait := time.NewTimer(l.timing.Answer)
 	defer wait.Stop()
 	select {
 	case l.checking <- struct{}{}:
 		defer func() { <-l.checking }()
-		return jig.Read(text)
+		return config.Read(text)
 	case <-wait.C:
 		l.nBusy.Inc()
 		return nil, notch.New(notch.Unavailable, "too many configurations at once")
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"lichentray/balance"
+	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/caliper"
 	"lichentray/internal/chest"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/jig"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/watchcache"
@@ -148,7 +148,7 @@
 	orders  map[string]registry.Evacuation
 	ordered map[orderKind]time.Duration
 	// The configuration compiled, and the revision that it had.
-	compiled   *jig.Table
+	compiled   *config.Table
 	compiledAt uint64
 
 	links  linkSet
--- a/internal/lathe/world.go
+++ b/internal/lathe/world.go
@@ -6,23 +6,23 @@
 	"time"
 
 	"lichentray/balance"
+	"lichentray/config"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
-	"lichentray/jig"
 	"lichentray/registry"
 )
 
 // table gives the compiled configuration that this node holds, or nil. The
 // caller has the node's lock for writing.
-func (l *Lathe) table() *jig.Table {
+func (l *Lathe) table() *config.Table {
 	o, _ := l.store.Get(registry.ConfigKey)
 	if o.ModRevision == l.compiledAt {
 		return l.compiled
 	}
 	l.compiled, l.compiledAt = nil, o.ModRevision
 	if _, text, ok := registry.DecodeConfig(o); ok {
-		if c, err := jig.ReadChecked(text); err == nil {
-			l.compiled = jig.Compile(c)
+		if c, err := config.ReadChecked(text); err == nil {
+			l.compiled = config.Compile(c)
 		}
 	}
 	return l.compiled
@@ -30,14 +30,14 @@
 
 // cluster gives a service as configured. The caller has the node's lock for
 // writing.
-func (l *Lathe) cluster(name string) (jig.Cluster, bool) {
+func (l *Lathe) cluster(name string) (config.Cluster, bool) {
 	t := l.table()
 	if t == nil {
-		return jig.Cluster{}, false
+		return config.Cluster{}, false
 	}
 	i := t.Service(name)
 	if i < 0 {
-		return jig.Cluster{}, false
+		return config.Cluster{}, false
 	}
 	return t.Services[i], true
 }
--- a/internal/plane/forward.go
+++ b/internal/plane/forward.go
@@ -16,8 +16,8 @@
 
 	"lichentray/audit"
 	"lichentray/balance"
+	"lichentray/config"
 	"lichentray/internal/notch"
-	"lichentray/jig"
 )
 
 // Answers are counted by route in these kinds.
@@ -35,7 +35,7 @@
 // request is one client's try on its way.
 type request struct {
 	ctx    *fasthttp.RequestCtx
-	route  *jig.Route
+	route  *config.Route
 	homes  uint64 // a bit for each region that may serve it; 0 for all
 	stats  *routeStats
 	svc    *service
--- a/internal/plane/fuzz_test.go
+++ b/internal/plane/fuzz_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/config"
 	"lichentray/internal/hatch"
-	"lichentray/jig"
 )
 
 // said is a client's connection that says some bytes and ends.
@@ -42,11 +42,11 @@
 	f.Add([]byte("POST /once/a HTTP/1.0\r\nHost: h\r\nContent-Length: 3\r\nX-Target-Instance: evil\r\n\r\nabcGET /safe/b HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("HEAD /safe/a HTTP/1.1\r\nHost: h\r\nX-Deadline: 1e3\r\nContent-Length : 3\r\n\r\n"))
 	f.Add([]byte("GET /safe/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\n\r\n"))
-	c, err := jig.ReadChecked([]byte(routes))
+	c, err := config.ReadChecked([]byte(routes))
 	if err != nil {
 		f.Fatal(err)
 	}
-	r := &routing{table: jig.Compile(c)}
+	r := &routing{table: config.Compile(c)}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		srv := hatch.Server(func(ctx *fasthttp.RequestCtx) {
 			q := request{ctx: ctx, began: ctx.Time(), isHead: ctx.IsHead()}
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"lichentray/balance"
+	"lichentray/config"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/plumb"
-	"lichentray/jig"
 	"lichentray/registry"
 	"lichentray/rollout"
 	"lichentray/watchcache"
@@ -99,7 +99,7 @@
 
 // routing is what one request is handled by, swapped whole.
 type routing struct {
-	table    *jig.Table
+	table    *config.Table
 	services []*service
 	routes   []*routeStats
 	homes    []uint64 // by route: a bit for each region that may serve it; 0 for all
@@ -422,7 +422,7 @@
 	if !ok {
 		return
 	}
-	c, err := jig.ReadChecked(text)
+	c, err := config.ReadChecked(text)
 	if err != nil {
 		p.log.Error("configuration cannot be read, the old one stays", "error", err)
 		return
@@ -431,7 +431,7 @@
 	if old != nil && old.table.Version >= c.Version {
 		return // never back
 	}
-	r := &routing{table: jig.Compile(c)}
+	r := &routing{table: config.Compile(c)}
 	stats := map[string]*routeStats{}
 	if old != nil {
 		for _, s := range old.routes {
--- a/internal/plane/server.go
+++ b/internal/plane/server.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/config"
 	"lichentray/internal/caliper"
 	"lichentray/internal/hatch"
-	"lichentray/jig"
 )
 
 // Front serves clients. The limits of the configuration in force when a
@@ -21,7 +21,7 @@
 	ln   net.Listener
 	mu   sync.Mutex
 	srv  *fasthttp.Server
-	held jig.Limits
+	held config.Limits
 	// open holds every client connection; true while a request is on it.
 	open map[net.Conn]bool
 	done chan struct{}
@@ -41,7 +41,7 @@
 
 // server gives the server that fits the present limits.
 func (f *Front) server() *fasthttp.Server {
-	var limits jig.Limits
+	var limits config.Limits
 	if r := f.p.routing.Load(); r != nil {
 		limits = r.table.Limits
 	}
