--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -30,8 +30,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"lichentray/balance"
 	"lichentray/internal/dowel"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 )
 
@@ -264,9 +264,9 @@
 		if f.Bookmark != nil && time.Since(report) > 400*time.Millisecond {
 			report = time.Now()
 			seq++
-			loads := map[string]balance.Load{}
+			loads := map[string]loadbalance.Load{}
 			for s := range *services {
-				loads[fmt.Sprint("s", s)] = balance.Load{Rate: 1, Inflight: 0.3}
+				loads[fmt.Sprint("s", s)] = loadbalance.Load{Rate: 1, Inflight: 0.3}
 			}
 			r := &dowel.Report{Seq: seq, Loads: loads}
 			if p.reports.Load() == 0 {
--- a/internal/dowel/dowel.go
+++ b/internal/dowel/dowel.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"lichentray/audit"
-	"lichentray/balance"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -136,10 +136,10 @@
 	Revision uint64
 	Control  []ControlNode
 	Proxies  int
-	Loads    map[string]balance.Load // by service, over all proxies
+	Loads    map[string]loadbalance.Load // by service, over all proxies
 	Round    *Round
 	Judged   bool // Verdicts are told
-	Verdicts []balance.Verdict
+	Verdicts []loadbalance.Verdict
 	// Diskless tells that the sender keeps its log in memory: no machine of the
 	// core has a disk.
 	Diskless bool
@@ -149,9 +149,9 @@
 // are granted in answer.
 type Report struct {
 	Seq   uint64
-	Loads map[string]balance.Load
-	Seen  map[string]balance.Seen // by endpoint, since the last report
-	Self  *registry.Proxy         // its entry in the registry, where proxies are members
+	Loads map[string]loadbalance.Load
+	Seen  map[string]loadbalance.Seen // by endpoint, since the last report
+	Self  *registry.Proxy             // its entry in the registry, where proxies are members
 	// Trials are the roll-outs under way, by service.
 	Trials map[string]Trial
 	// Account is what goes into the account of failures.
@@ -180,7 +180,7 @@
 // Round is what the leader granted one proxy, in answer to the report Seq.
 type Round struct {
 	Seq    uint64
-	Grants []balance.Grant
+	Grants []loadbalance.Grant
 }
 
 // Frame is one message. Only what is set is sent.
@@ -217,14 +217,14 @@
 type ProxyCount struct {
 	Here   map[string]uint64 // by name, the newest report's sequence
 	Sum    int
-	Loads  map[string]balance.Load
-	Seen   map[string]balance.Seen // to the leader
-	Rounds map[string]Round        // by proxy
+	Loads  map[string]loadbalance.Load
+	Seen   map[string]loadbalance.Seen // to the leader
+	Rounds map[string]Round            // by proxy
 	// Trials are told to the leader, under the life of the node that tells.
 	Trials map[string]Trial
 	Life   uint64
 	// Verdicts are the leader's on all endpoints.
-	Verdicts []balance.Verdict
+	Verdicts []loadbalance.Verdict
 }
 
 // writePiece is what must be taken within WriteTimeout, in bytes.
--- a/internal/dowel/golden_test.go
+++ b/internal/dowel/golden_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"lichentray/audit"
-	"lichentray/balance"
 	"lichentray/coordination"
 	"lichentray/internal/goldentest"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -337,24 +337,24 @@
 		{Bookmark: &Bookmark{
 			Revision: 121, Proxies: 122, Judged: true, Diskless: true,
 			Control:  []ControlNode{{Addr: "127.0.0.1:7123", API: "127.0.0.1:8123", Zone: "zone-d"}},
-			Loads:    map[string]balance.Load{"payments": {Rate: 124.5, Inflight: 125.5}, "invoices": {Rate: 126.5, Inflight: 127.5}},
-			Round:    &Round{Seq: 128, Grants: []balance.Grant{{Endpoint: "e1", Rate: 129.5}}},
-			Verdicts: []balance.Verdict{{Endpoint: "e1", Pace: 130, Sick: true}},
+			Loads:    map[string]loadbalance.Load{"payments": {Rate: 124.5, Inflight: 125.5}, "invoices": {Rate: 126.5, Inflight: 127.5}},
+			Round:    &Round{Seq: 128, Grants: []loadbalance.Grant{{Endpoint: "e1", Rate: 129.5}}},
+			Verdicts: []loadbalance.Verdict{{Endpoint: "e1", Pace: 130, Sick: true}},
 		}},
 		{Gone: true},
 		{Proxies: &ProxyCount{
 			Here: map[string]uint64{"p1": 151, "p2": 152}, Sum: 153, Life: 154,
-			Loads:    map[string]balance.Load{"payments": {Rate: 155.5, Inflight: 156.5}},
-			Seen:     map[string]balance.Seen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
-			Rounds:   map[string]Round{"p1": {Seq: 161, Grants: []balance.Grant{{Endpoint: "e2", Rate: 162.5}}}},
+			Loads:    map[string]loadbalance.Load{"payments": {Rate: 155.5, Inflight: 156.5}},
+			Seen:     map[string]loadbalance.Seen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
+			Rounds:   map[string]Round{"p1": {Seq: 161, Grants: []loadbalance.Grant{{Endpoint: "e2", Rate: 162.5}}}},
 			Trials:   map[string]Trial{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: rollout.Evidence{"pay": {Base: rollout.Count{Answers: 167}}}}},
-			Verdicts: []balance.Verdict{{Endpoint: "e3", Pace: 168}},
+			Verdicts: []loadbalance.Verdict{{Endpoint: "e3", Pace: 168}},
 		}},
 		{Ack: 171},
 		{Report: &Report{
 			Seq:   181,
-			Loads: map[string]balance.Load{"payments": {Rate: 182.5, Inflight: 183.5}},
-			Seen:  map[string]balance.Seen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
+			Loads: map[string]loadbalance.Load{"payments": {Rate: 182.5, Inflight: 183.5}},
+			Seen:  map[string]loadbalance.Seen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
 			Self:  &registry.Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
 			Trials: map[string]Trial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: rollout.Evidence{"pay": {
 				Base:   rollout.Count{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
--- a/internal/dowel/size_test.go
+++ b/internal/dowel/size_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"lichentray/balance"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 )
 
 // fleet makes what a node of a large deployment holds: a thousand endpoints and a
 // configuration of 680 routes.
-func fleet() (objects []registry.Object, verdicts []balance.Verdict) {
+func fleet() (objects []registry.Object, verdicts []loadbalance.Verdict) {
 	for i := range 1000 {
 		e := registry.Endpoint{
 			ID: fmt.Sprintf("i-%010x", uint64(i)*2654435761%(1<<40)), Service: fmt.Sprintf("service-%d", i%2), Address: fmt.Sprintf("10.%d.64.%d:8369", i%7+1, i%250),
@@ -22,7 +22,7 @@
 		}
 		objects = append(objects, registry.Object{Key: e.Key(), Value: e.Encode(), CreateRevision: uint64(i), ModRevision: uint64(i)})
 		if i%4 != 0 {
-			verdicts = append(verdicts, balance.Verdict{Endpoint: e.ID, Pace: uint8(20 + i*7%40)})
+			verdicts = append(verdicts, loadbalance.Verdict{Endpoint: e.ID, Pace: uint8(20 + i*7%40)})
 		}
 	}
 	text := `{"config_version":7,"listeners":[{"hostname":"h.example","rules":[`
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bookmark := &Bookmark{Revision: 5000, Proxies: 300, Loads: map[string]balance.Load{"service-0": {Rate: 4000, Inflight: 1500}, "service-1": {Rate: 400, Inflight: 120}}}
+	bookmark := &Bookmark{Revision: 5000, Proxies: 300, Loads: map[string]loadbalance.Load{"service-0": {Rate: 4000, Inflight: 1500}, "service-1": {Rate: 400, Inflight: 120}}}
 	for range 7 {
 		bookmark.Control = append(bookmark.Control, ControlNode{Addr: "10.1.0.10:7720", API: "10.1.0.10:8166", Zone: "zone-1"})
 	}
@@ -125,9 +125,9 @@
 // BenchmarkServices is what a bookmark and a report take by the number of services.
 func BenchmarkServices(b *testing.B) {
 	for _, n := range []int{2, 150, 1500} {
-		loads := map[string]balance.Load{}
+		loads := map[string]loadbalance.Load{}
 		for i := range n {
-			loads[fmt.Sprint("service-", i)] = balance.Load{Rate: 600 + float64(i)/7, Inflight: 200 + float64(i)/3}
+			loads[fmt.Sprint("service-", i)] = loadbalance.Load{Rate: 600 + float64(i)/7, Inflight: 200 + float64(i)/3}
 		}
 		for what, f := range map[string]*Frame{"bookmark": {Bookmark: &Bookmark{Revision: 1, Loads: loads}}, "report": {Report: &Report{Seq: 1, Loads: loads}}} {
 			b.Run(fmt.Sprint(what, " of ", n), func(b *testing.B) {
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -7,11 +7,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"lichentray/balance"
 	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -121,7 +121,7 @@
 // countProxies lets every node know how many proxies there are, and what they
 // ask of each service together.
 func (l *Lathe) countProxies(now time.Duration) {
-	loads := map[string]balance.Load{}
+	loads := map[string]loadbalance.Load{}
 	here := map[string]uint64{}
 	trials := map[string]dowel.Trial{}
 	l.mu.Lock()
@@ -146,7 +146,7 @@
 		trials[service] = t
 	}
 	seen := l.seen
-	l.seen = map[string]balance.Seen{}
+	l.seen = map[string]loadbalance.Seen{}
 	l.mu.Unlock()
 	if l.node.Role() != raft.Leader {
 		l.links.tell(l.links.addr(l.node.Leader()), &dowel.Frame{Proxies: &dowel.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
@@ -189,13 +189,13 @@
 	return out
 }
 
-func addSeen(to, from map[string]balance.Seen) {
+func addSeen(to, from map[string]loadbalance.Seen) {
 	for id, x := range from {
 		to[id] = to[id].Add(x)
 	}
 }
 
-func addLoads(to, from map[string]balance.Load) {
+func addLoads(to, from map[string]loadbalance.Load) {
 	for name, x := range from {
 		to[name] = to[name].Add(x)
 	}
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -14,7 +14,6 @@
 	"sync/atomic"
 	"time"
 
-	"lichentray/balance"
 	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/caliper"
@@ -22,6 +21,7 @@
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/watchcache"
@@ -113,10 +113,10 @@
 	counts    map[uint64]proxyCount
 	proxies   map[string]time.Duration // when the leader last heard of each
 	returning map[string]mark          // since when a zone is being taken back
-	granter   *balance.Granter
+	granter   *loadbalance.Granter
 	guides    map[string]*guide      // of the roll-outs under way, at the leader
 	trials    map[string]dowel.Trial // where all proxies together stand
-	judge     *balance.Judge
+	judge     *loadbalance.Judge
 
 	// Shared behind a short lock.
 	mu       sync.RWMutex
@@ -133,12 +133,12 @@
 	sessions map[*session]struct{}
 	beats    map[string]time.Duration
 	sum      int
-	loads    map[string]balance.Load // replaced whole
-	rounds   map[string]dowel.Round  // replaced whole
-	seen     map[string]balance.Seen // of endpoints, to be told to the leader
-	verdicts []balance.Verdict       // replaced whole
+	loads    map[string]loadbalance.Load // replaced whole
+	rounds   map[string]dowel.Round      // replaced whole
+	seen     map[string]loadbalance.Seen // of endpoints, to be told to the leader
+	verdicts []loadbalance.Verdict       // replaced whole
 	// What is kept decoded of the registry, by key; the actor alone writes it.
-	places    map[string]balance.Place
+	places    map[string]loadbalance.Place
 	endpoints map[string]registry.Endpoint
 	rollouts  map[string]*rolloutRecord
 	tryOuts   tryOuts
@@ -163,7 +163,7 @@
 
 type proxyCount struct {
 	here  map[string]uint64
-	loads map[string]balance.Load
+	loads map[string]loadbalance.Load
 	// trials by service, life the one of the node that told them.
 	trials map[string]dowel.Trial
 	life   uint64
@@ -206,9 +206,9 @@
 		mail: make(chan func(), 1024), disk: make(chan diskJob, 4096), ctx: ctx, stop: stop, diskDone: make(chan struct{}), portDone: make(chan struct{}),
 		pending: map[uint64]waiter{}, reads: map[uint64]chan outcome{},
 		alive: map[string]time.Duration{}, probing: map[string]bool{}, counts: map[uint64]proxyCount{},
-		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]balance.Place{}, endpoints: map[string]registry.Endpoint{},
+		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]loadbalance.Place{}, endpoints: map[string]registry.Endpoint{},
 		rollouts: map[string]*rolloutRecord{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
-		seen:  map[string]balance.Seen{},
+		seen:  map[string]loadbalance.Seen{},
 		store: registry.New(), locks: map[string]lockTimer{},
 		wake: map[chan struct{}]struct{}{}, groups: map[string]map[chan struct{}]struct{}{},
 		applied: map[chan struct{}]uint64{}, sessions: map[*session]struct{}{}, beats: map[string]time.Duration{},
@@ -387,8 +387,8 @@
 			l.alive, l.counts = map[string]time.Duration{}, map[uint64]proxyCount{}
 			l.proxies, l.returning = map[string]time.Duration{}, map[string]mark{}
 			l.guides = map[string]*guide{}
-			l.judge = balance.NewJudge(l.timing.Dead / 2)
-			l.granter = balance.NewGranter(now, l.set.GrantLasts())
+			l.judge = loadbalance.NewJudge(l.timing.Dead / 2)
+			l.granter = loadbalance.NewGranter(now, l.set.GrantLasts())
 			l.log.Info("leading", "term", n.Term())
 		} else if role != raft.Leader && (l.role == raft.Leader || leader != l.leader && leader != 0) {
 			l.log.Info("following", "term", n.Term(), "leader", hexID(leader))
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 	"time"
 
-	"lichentray/balance"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/watchcache"
 )
@@ -20,7 +20,7 @@
 	node  string
 	acked atomic.Uint64
 	// Under the node's lock.
-	loads  map[string]balance.Load
+	loads  map[string]loadbalance.Load
 	trials map[string]dowel.Trial // of the newest report
 	seq    uint64
 	at     time.Duration // of the newest report
--- a/internal/lathe/world.go
+++ b/internal/lathe/world.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
-	"lichentray/balance"
 	"lichentray/config"
 	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 )
 
@@ -100,7 +100,7 @@
 		return
 	}
 	if p, err := registry.DecodeProxy(e.Object); err == nil {
-		l.places[e.Object.Key] = balance.Place{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Leaving: p.Leaving}
+		l.places[e.Object.Key] = loadbalance.Place{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Leaving: p.Leaving}
 	}
 }
 
@@ -123,11 +123,11 @@
 	if known, ok := l.set.Zones[zone]; ok {
 		region = known
 	}
-	all := make([]balance.Place, 0, len(l.places))
+	all := make([]loadbalance.Place, 0, len(l.places))
 	for _, p := range l.places {
 		all = append(all, p)
 	}
-	out := balance.Direct(all, client, zone, region, func(z string) string { return l.set.Zones[z] }, resolveMost)
+	out := loadbalance.Direct(all, client, zone, region, func(z string) string { return l.set.Zones[z] }, resolveMost)
 	if len(out) == 0 {
 		return nil, 0, notch.New(notch.Unavailable, "no proxy node is registered")
 	}
@@ -278,8 +278,8 @@
 // cold lists the cold endpoints, and which of the proxies told of may send to
 // each: those of its zone, else of its region, else all. The caller has the
 // node's lock for writing.
-func (l *Lathe) cold(told map[string]uint64) []balance.Cold {
-	var out []balance.Cold
+func (l *Lathe) cold(told map[string]uint64) []loadbalance.Cold {
+	var out []loadbalance.Cold
 	evac := l.evacuations()
 	var byZone, byRegion map[string][]string
 	var all []string
@@ -312,9 +312,9 @@
 			near = all
 		}
 		b := l.set.Bounds
-		out = append(out, balance.Cold{ID: e.ID, Rate: c.ColdRateS, Bound: 0.9 * (c.ColdRateS*b.ColdOvershoot + b.ColdSlack), Near: near})
+		out = append(out, loadbalance.Cold{ID: e.ID, Rate: c.ColdRateS, Bound: 0.9 * (c.ColdRateS*b.ColdOvershoot + b.ColdSlack), Near: near})
 	}
-	slices.SortFunc(out, func(a, b balance.Cold) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b loadbalance.Cold) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
--- a/internal/plane/forward.go
+++ b/internal/plane/forward.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/audit"
-	"lichentray/balance"
 	"lichentray/config"
 	"lichentray/internal/notch"
+	"lichentray/loadbalance"
 )
 
 // Answers are counted by route in these kinds.
@@ -52,7 +52,7 @@
 	arrived bool // an endpoint may have got it
 	ran     bool // an endpoint may have run it
 	fed     bool // feed was touched: the body cannot be sent twice
-	tried   []*balance.Endpoint
+	tried   []*loadbalance.Endpoint
 }
 
 var heads = sync.Pool{New: func() any { b := make([]byte, 0, 2048); return &b }}
@@ -332,7 +332,7 @@
 
 // exchange sends the request to one endpoint and reads its answer, and settles what
 // becomes of the connection.
-func (p *Plane) exchange(q *request, e *balance.Endpoint, sh *shelf) outcome {
+func (p *Plane) exchange(q *request, e *loadbalance.Endpoint, sh *shelf) outcome {
 	now := time.Now()
 	left := q.until.Sub(now)
 	if left <= 0 {
@@ -370,7 +370,7 @@
 }
 
 // talk is the hop on a connection, up to its end or to a long body.
-func (p *Plane) talk(q *request, e *balance.Endpoint, u *upstream, now time.Time) (o outcome) {
+func (p *Plane) talk(q *request, e *loadbalance.Endpoint, u *upstream, now time.Time) (o outcome) {
 	buf := heads.Get().(*[]byte)
 	defer heads.Put(buf)
 	b := q.framed((*buf)[:0], e.ID, q.until.Sub(now))
@@ -552,7 +552,7 @@
 	svc := q.svc
 	rank := svc.arrive(string(q.ctx.RemoteIP()), q.route.Priority)
 	arm := svc.arm(p, q.route.Index)
-	skip := func(e *balance.Endpoint) bool {
+	skip := func(e *loadbalance.Endpoint) bool {
 		if !svc.takes(e, arm) {
 			return true
 		}
@@ -585,7 +585,7 @@
 		return d.next
 	}
 	for {
-		var e *balance.Endpoint
+		var e *loadbalance.Endpoint
 		var sh *shelf
 		if left := time.Until(q.until); left > 0 {
 			e, sh = svc.acquireArm(p, rank, min(q.route.Aim/6, left/4), skip, &arm)
@@ -638,7 +638,7 @@
 			ok := o.answer.status < 500
 			watch.answered(took, ok)
 			if ok {
-				ratio = q.stats.learn(took.Seconds(), to == balance.Base)
+				ratio = q.stats.learn(took.Seconds(), to == loadbalance.Base)
 			} else {
 				svc.mu.Lock()
 				svc.pool.Bad(e)
@@ -676,7 +676,7 @@
 }
 
 // turnedAway takes an endpoint's word that it did not run a request.
-func (s *service) turnedAway(p *Plane, e *balance.Endpoint, status int) {
+func (s *service) turnedAway(p *Plane, e *loadbalance.Endpoint, status int) {
 	if status == 421 {
 		s.release(p, e, false, 0)
 		return
@@ -722,7 +722,7 @@
 }
 
 // pass gives an endpoint's answer to the client.
-func (p *Plane) pass(q *request, svc *service, e *balance.Endpoint, sh *shelf, o outcome, ratio float64) {
+func (p *Plane) pass(q *request, svc *service, e *loadbalance.Endpoint, sh *shelf, o outcome, ratio float64) {
 	a := o.answer
 	status := passed(a.status, q.route.Repeatable)
 	q.stats.answer[max(0, min(2, status/200-1+status/500))].Inc()
@@ -786,7 +786,7 @@
 	p   *Plane
 	q   *request
 	svc *service
-	e   *balance.Endpoint
+	e   *loadbalance.Endpoint
 	sh  *shelf
 	u   *upstream
 	a   *answer
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	"lichentray/balance"
 	"lichentray/config"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/dowel"
 	"lichentray/internal/plumb"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
 	"lichentray/watchcache"
@@ -76,8 +76,8 @@
 	// Owned by the follower goroutine.
 	mirror   *watchcache.Mirror
 	services map[string]*service
-	zones    map[string]balance.Zone  // those that are not in ordinary use
-	sentAt   map[uint64]time.Duration // of the latest reports
+	zones    map[string]loadbalance.Zone // those that are not in ordinary use
+	sentAt   map[uint64]time.Duration    // of the latest reports
 	seq      uint64
 	// movedOnce tells that a nearer control-plane node has been sought.
 	movedOnce bool
@@ -116,15 +116,15 @@
 type service struct {
 	name    string
 	mu      sync.Mutex
-	pool    *balance.Pool
-	budget  *balance.Budget
-	shelves map[*balance.Endpoint]*shelf
+	pool    *loadbalance.Pool
+	budget  *loadbalance.Budget
+	shelves map[*loadbalance.Endpoint]*shelf
 	queue   []*queued
 	arrived int // requests since the last report
 	// recent counts them by client, so that in a queue those who ask often
 	// stand behind those who do not.
 	recent map[string]int
-	share  *balance.Admission
+	share  *loadbalance.Admission
 	trial  trial
 	// Connections that have rested for longer than restMost are not used until
 	// restUntil: endpoints have been seen to forget such.
@@ -173,7 +173,7 @@
 func New(set *caliper.Settings, log *slog.Logger, board *dial.Board) *Plane {
 	p := &Plane{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
-		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]balance.Zone{},
+		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.Zone{},
 		line: plumb.New(set), sentAt: map[uint64]time.Duration{}, region: map[string]int{},
 		// A later life of this node begins above the sequences of an earlier one.
 		seq: uint64(time.Now().UnixMilli()), pacer: newPacer(set.Limits.BandwidthMbps),
@@ -251,10 +251,10 @@
 	s := p.services[name]
 	if s == nil {
 		s = &service{
-			name: name, shelves: map[*balance.Endpoint]*shelf{}, recent: map[string]int{},
-			pool:   balance.NewPool(balance.Config{Zone: p.set.Zone, EjectBase: p.timing.EjectBase, EjectMost: p.timing.EjectMost, Bias: 0.6, Region: p.here, RegionBias: 1.5}),
-			share:  balance.NewAdmission(8 * p.timing.Silence / 3),
-			budget: balance.NewBudget(p.set.Bounds.RetryBudgetRatio*0.95, 1),
+			name: name, shelves: map[*loadbalance.Endpoint]*shelf{}, recent: map[string]int{},
+			pool:   loadbalance.NewPool(loadbalance.Config{Zone: p.set.Zone, EjectBase: p.timing.EjectBase, EjectMost: p.timing.EjectMost, Bias: 0.6, Region: p.here, RegionBias: 1.5}),
+			share:  loadbalance.NewAdmission(8 * p.timing.Silence / 3),
+			budget: loadbalance.NewBudget(p.set.Bounds.RetryBudgetRatio*0.95, 1),
 		}
 		for zone, z := range p.zones {
 			s.pool.SetZone(zone, z)
@@ -298,7 +298,7 @@
 	}
 	for zone := range p.zones {
 		if !have[registry.EvacPrefix+zone] {
-			p.setZone(zone, balance.Used)
+			p.setZone(zone, loadbalance.Used)
 		}
 	}
 	for name, s := range p.services {
@@ -344,9 +344,9 @@
 		return
 	}
 	if zone, ok := strings.CutPrefix(o.Key, registry.EvacPrefix); ok {
-		z := balance.Emptied
+		z := loadbalance.Emptied
 		if registry.DecodeEvacuation(o).State() == registry.Returning {
-			z = balance.Back
+			z = loadbalance.Back
 		}
 		p.setZone(zone, z)
 		return
@@ -366,7 +366,7 @@
 	}
 	s := p.service(e.Service)
 	s.mu.Lock()
-	ep := s.pool.Set(p.now(), balance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, Cold: e.Cold, Region: p.regionOf(e.Zone)}, cold)
+	ep := s.pool.Set(p.now(), loadbalance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, Cold: e.Cold, Region: p.regionOf(e.Zone)}, cold)
 	sh := s.shelves[ep]
 	if sh == nil {
 		sh = new(shelf)
@@ -379,11 +379,11 @@
 }
 
 // setZone takes how a zone is used.
-func (p *Plane) setZone(zone string, z balance.Zone) {
+func (p *Plane) setZone(zone string, z loadbalance.Zone) {
 	if p.zones[zone] == z {
 		return
 	}
-	if z == balance.Used {
+	if z == loadbalance.Used {
 		delete(p.zones, zone)
 	} else {
 		p.zones[zone] = z
@@ -406,7 +406,7 @@
 		return nil
 	}
 	if zone, ok := strings.CutPrefix(e.Object.Key, registry.EvacPrefix); ok {
-		p.setZone(zone, balance.Used)
+		p.setZone(zone, loadbalance.Used)
 	}
 	if id, ok := strings.CutPrefix(e.Object.Key, registry.EndpointPrefix); ok {
 		for _, s := range p.services {
@@ -495,7 +495,7 @@
 }
 
 // pick chooses an endpoint within this node's share.
-func (s *service) pick(p *Plane, skip func(*balance.Endpoint) bool) (*balance.Endpoint, int) {
+func (s *service) pick(p *Plane, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, int) {
 	now := p.now()
 	slots, inflight := s.pool.Slots(now)
 	limit, limited := s.share.Limit(now, slots)
@@ -524,7 +524,7 @@
 
 // acquire picks an endpoint, waiting for a free place up to wait, in the order
 // of ranks; a wait that cannot end in time is not begun.
-func (s *service) acquire(p *Plane, r rank, wait time.Duration, skip func(*balance.Endpoint) bool) (*balance.Endpoint, *shelf) {
+func (s *service) acquire(p *Plane, r rank, wait time.Duration, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, *shelf) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ahead := 0
@@ -535,7 +535,7 @@
 	}
 	limit := 0
 	if ahead == 0 {
-		var e *balance.Endpoint
+		var e *loadbalance.Endpoint
 		if e, limit = s.pick(p, skip); e != nil {
 			return e, s.shelves[e]
 		}
@@ -584,7 +584,7 @@
 }
 
 // release gives an endpoint's place back and wakes the first in the queue.
-func (s *service) release(p *Plane, e *balance.Endpoint, ok bool, took float64) {
+func (s *service) release(p *Plane, e *loadbalance.Endpoint, ok bool, took float64) {
 	s.mu.Lock()
 	if sh := s.shelves[e]; sh != nil {
 		e.Idle = sh.count()
@@ -603,14 +603,14 @@
 // report gives what this node asks of each service, for the sum over all; with
 // more than one region, for each zone as well.
 func (p *Plane) report(span time.Duration) *dowel.Report {
-	out := map[string]balance.Load{}
-	seen := map[string]balance.Seen{}
+	out := map[string]loadbalance.Load{}
+	seen := map[string]loadbalance.Seen{}
 	for name, s := range p.services {
 		s.mu.Lock()
 		s.pool.Collect(seen)
 		_, inflight := s.pool.Slots(p.now())
 		if span > p.timing.Silence/3 { // else too short to tell a rate
-			s.share.Observe(balance.Load{Rate: float64(s.arrived) / span.Seconds(), Inflight: float64(inflight)})
+			s.share.Observe(loadbalance.Load{Rate: float64(s.arrived) / span.Seconds(), Inflight: float64(inflight)})
 			s.arrived = 0
 			clear(s.recent)
 		}
@@ -619,7 +619,7 @@
 			for _, e := range s.pool.Endpoints() {
 				if n := e.Inflight(); n > 0 {
 					key := inZone(name, e.Zone)
-					out[key] = out[key].Add(balance.Load{Inflight: float64(n)})
+					out[key] = out[key].Add(loadbalance.Load{Inflight: float64(n)})
 				}
 			}
 		}
@@ -670,8 +670,8 @@
 }
 
 // judged takes what all proxy nodes together make of the endpoints.
-func (p *Plane) judged(verdicts []balance.Verdict) {
-	of := make(map[string]balance.Verdict, len(verdicts))
+func (p *Plane) judged(verdicts []loadbalance.Verdict) {
+	of := make(map[string]loadbalance.Verdict, len(verdicts))
 	for _, v := range verdicts {
 		of[v.Endpoint] = v
 	}
@@ -684,7 +684,7 @@
 }
 
 // told takes the sums over all proxy nodes.
-func (p *Plane) told(loads map[string]balance.Load) {
+func (p *Plane) told(loads map[string]loadbalance.Load) {
 	now := p.now()
 	for name, sum := range loads {
 		if s := p.services[name]; s != nil {
--- a/internal/plane/trial.go
+++ b/internal/plane/trial.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"lichentray/balance"
 	"lichentray/internal/dowel"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
 )
@@ -36,7 +36,7 @@
 	if was.Order != r.Order || r.State != rollout.InProgress {
 		s.trial.seen = nil
 	}
-	s.pool.SetVersions(balance.Versions{Told: r.Base != "" || r.Order > 0, Base: r.Base, Target: r.Target, Share: r.Share()})
+	s.pool.SetVersions(loadbalance.Versions{Told: r.Base != "" || r.Order > 0, Base: r.Base, Target: r.Target, Share: r.Share()})
 	s.wakeFirst()
 	s.mu.Unlock()
 	if r.State != was.State && r.State != "" {
@@ -72,38 +72,38 @@
 
 // arm draws which version a request goes to. A node that has not heard for a while
 // of how the roll-out stands sends to the version in use.
-func (s *service) arm(p *Plane, route int) balance.Arm {
+func (s *service) arm(p *Plane, route int) loadbalance.Arm {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	share := s.pool.Versions().Share
 	if share <= 0 {
-		return balance.Base
+		return loadbalance.Base
 	}
 	s.trial.strata.Arrive(route)
 	share = s.trial.strata.Share(share, route)
 	if share < 1 && rand.Float64() >= share || p.now()-time.Duration(p.heard.Load()) > p.timing.Lease {
-		return balance.Base
+		return loadbalance.Base
 	}
-	return balance.Target
+	return loadbalance.Target
 }
 
 // elsewhere is where a request goes that an endpoint failed: from the version under
 // trial to the one in use. sent tells that the endpoint may have got it; where it
 // was not even reached and all should have moved, the version in use has been
 // stopped and this node has not heard of it.
-func (s *service) elsewhere(arm balance.Arm, sent bool) balance.Arm {
+func (s *service) elsewhere(arm loadbalance.Arm, sent bool) loadbalance.Arm {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if arm == balance.Base && !sent && s.trial.Final() {
-		return balance.Target
+	if arm == loadbalance.Base && !sent && s.trial.Final() {
+		return loadbalance.Target
 	}
-	return balance.Base
+	return loadbalance.Base
 }
 
 // acquireArm picks an endpoint of the version drawn. Nobody waits for the one under
 // trial while the other can be had.
-func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*balance.Endpoint) bool, arm *balance.Arm) (*balance.Endpoint, *shelf) {
-	if *arm == balance.Target {
+func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*loadbalance.Endpoint) bool, arm *loadbalance.Arm) (*loadbalance.Endpoint, *shelf) {
+	if *arm == loadbalance.Target {
 		s.mu.Lock()
 		final, over := s.trial.Final(), s.trial.State != rollout.InProgress
 		s.mu.Unlock()
@@ -113,11 +113,11 @@
 			}
 		}
 		if !final {
-			*arm = balance.Base
+			*arm = loadbalance.Base
 		}
 	}
 	e, sh := s.acquire(p, r, wait, skip)
-	if e != nil && *arm == balance.Target {
+	if e != nil && *arm == loadbalance.Target {
 		s.mu.Lock()
 		*arm = e.Arm // a roll-out may have ended meanwhile
 		s.mu.Unlock()
@@ -127,18 +127,18 @@
 
 // takes tells whether an endpoint takes a request that goes to a version. The
 // caller has the service's lock.
-func (s *service) takes(e *balance.Endpoint, arm balance.Arm) bool {
-	if arm == balance.Target && s.trial.State == rollout.InProgress {
-		return e.Arm == balance.Target && e.Front
+func (s *service) takes(e *loadbalance.Endpoint, arm loadbalance.Arm) bool {
+	if arm == loadbalance.Target && s.trial.State == rollout.InProgress {
+		return e.Arm == loadbalance.Target && e.Front
 	}
-	return e.Arm == balance.Base
+	return e.Arm == loadbalance.Base
 }
 
 // watch notes how one attempt ends while a roll-out is under way. Nil notes
 // nothing.
 type watch struct {
 	s     *service
-	arm   balance.Arm
+	arm   loadbalance.Arm
 	order uint64
 	route string
 	// endpoint is where the attempt was made.
@@ -151,7 +151,7 @@
 
 // watch begins to watch an attempt. One at the version under trial counts as slow
 // when it is, not when it ends.
-func (s *service) watch(p *Plane, q *request, e *balance.Endpoint, arm balance.Arm) *watch {
+func (s *service) watch(p *Plane, q *request, e *loadbalance.Endpoint, arm loadbalance.Arm) *watch {
 	s.mu.Lock()
 	trial, fresh := s.trial.Rollout, e.Fresh(p.now())
 	s.mu.Unlock()
@@ -162,7 +162,7 @@
 	if !fresh {
 		w.usual = q.stats.ordinary()
 	}
-	if w.usual > 0 && arm == balance.Target {
+	if w.usual > 0 && arm == loadbalance.Target {
 		w.timer = time.AfterFunc(rollout.Slow*w.usual, func() {
 			if w.late.CompareAndSwap(false, true) {
 				w.note(rollout.Count{Timed: 1, Slow: 1})
@@ -217,7 +217,7 @@
 		t.seen = rollout.Evidence{}
 	}
 	a := rollout.OfBase(c)
-	if w.arm == balance.Target {
+	if w.arm == loadbalance.Target {
 		a = rollout.OfTarget(w.endpoint, c)
 	}
 	t.seen.Add(rollout.Evidence{w.route: a})
--- a/internal/plane/trial_test.go
+++ b/internal/plane/trial_test.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"testing"
 
-	"lichentray/balance"
+	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
 )
@@ -126,7 +126,7 @@
 			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
 			var front []string
 			for _, e := range pool.Endpoints() {
-				if e.Arm != balance.Target {
+				if e.Arm != loadbalance.Target {
 					t.Fatalf("%s is not under trial", e.ID)
 				}
 				if e.Front {
--- a/balance/budget.go
+++ b/loadbalance/budget.go
@@ -1,4 +1,4 @@
-package balance
+package loadbalance
 
 // Budget is one node's share of a retry budget that is summed over all nodes.
 //
--- a/balance/direct.go
+++ b/loadbalance/direct.go
@@ -1,4 +1,4 @@
-package balance
+package loadbalance
 
 import (
 	"hash/fnv"
--- a/balance/balance.go
+++ b/loadbalance/loadbalance.go
@@ -1,7 +1,7 @@
-// Package balance chooses endpoints and bounds what is tried (load balancing,
+// Package loadbalance chooses endpoints and bounds what is tried (load balancing,
 // outlier detection, retry budget, admission). It is pure: the present moment
 // and every random number come in as arguments.
-package balance
+package loadbalance
 
 import (
 	"sort"
--- a/balance/balance_test.go
+++ b/loadbalance/loadbalance_test.go
@@ -1,4 +1,4 @@
-package balance_test
+package loadbalance_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lichentray/balance"
+	"lichentray/loadbalance"
 )
 
 // TestBudgetOverNodes: whatever the nodes do, in every window the extra
@@ -15,9 +15,9 @@
 	const window, ratio, slack = 10 * time.Second, 0.2, 64.0
 	for seed := int64(0); seed < 12; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		nodes := make([]*balance.Budget, 1+r.Intn(16))
+		nodes := make([]*loadbalance.Budget, 1+r.Intn(16))
 		for i := range nodes {
-			nodes[i] = balance.NewBudget(ratio, slack/float64(len(nodes)))
+			nodes[i] = loadbalance.NewBudget(ratio, slack/float64(len(nodes)))
 		}
 		type arrival struct {
 			at    time.Duration
@@ -65,10 +65,10 @@
 	}
 }
 
-func pool(n int) *balance.Pool {
-	p := balance.NewPool(balance.Config{Zone: "a", EjectBase: time.Second, EjectMost: 8 * time.Second, Bias: 0.25})
+func pool(n int) *loadbalance.Pool {
+	p := loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: 8 * time.Second, Bias: 0.25})
 	for i := range n {
-		p.Set(0, balance.Spec{ID: fmt.Sprint(i), Zone: "a", Capacity: 2}, 0)
+		p.Set(0, loadbalance.Spec{ID: fmt.Sprint(i), Zone: "a", Capacity: 2}, 0)
 	}
 	return p
 }
@@ -79,19 +79,19 @@
 	r := rand.New(rand.NewSource(3))
 	p := pool(8)
 	draining, until := map[string]bool{}, map[string]time.Duration{}
-	var out []*balance.Endpoint
+	var out []*loadbalance.Endpoint
 	for step := range 20000 {
 		now := time.Duration(step) * 5 * time.Millisecond
 		if r.Intn(200) == 0 {
 			id := fmt.Sprint(r.Intn(8))
 			draining[id] = !draining[id] && len(draining) < 3
-			p.Set(now, balance.Spec{ID: id, Zone: "a", Capacity: 2, Draining: draining[id]}, 0)
+			p.Set(now, loadbalance.Spec{ID: id, Zone: "a", Capacity: 2, Draining: draining[id]}, 0)
 		}
-		tried := map[*balance.Endpoint]bool{}
+		tried := map[*loadbalance.Endpoint]bool{}
 		if r.Intn(3) == 0 && len(out) > 0 {
 			tried[out[r.Intn(len(out))]] = true
 		}
-		e := p.Pick(now, r.Float64, func(e *balance.Endpoint) bool { return tried[e] })
+		e := p.Pick(now, r.Float64, func(e *loadbalance.Endpoint) bool { return tried[e] })
 		if e != nil {
 			if draining[e.ID] || tried[e] {
 				t.Fatalf("picked %s: draining %v, tried %v", e.ID, draining[e.ID], tried[e])
@@ -166,11 +166,11 @@
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		n, slots := 1+r.Intn(20), 20+r.Intn(300)
-		nodes := make([]*balance.Admission, n)
-		var sum balance.Load
+		nodes := make([]*loadbalance.Admission, n)
+		var sum loadbalance.Load
 		for i := range nodes {
-			nodes[i] = balance.NewAdmission(2 * time.Second)
-			l := balance.Load{Rate: 1 + 200*r.Float64(), Inflight: 2 * float64(slots) / float64(n) * r.Float64()}
+			nodes[i] = loadbalance.NewAdmission(2 * time.Second)
+			l := loadbalance.Load{Rate: 1 + 200*r.Float64(), Inflight: 2 * float64(slots) / float64(n) * r.Float64()}
 			for range 30 {
 				nodes[i].Observe(l)
 			}
@@ -193,7 +193,7 @@
 			if _, on := a.Limit(4*time.Second, slots); on {
 				t.Fatal("an old sum still limits")
 			}
-			a.Told(5*time.Second, balance.Load{Rate: sum.Rate, Inflight: 0.5 * float64(slots)})
+			a.Told(5*time.Second, loadbalance.Load{Rate: sum.Rate, Inflight: 0.5 * float64(slots)})
 			if _, on := a.Limit(5*time.Second, slots); on {
 				t.Fatal("limited although half of the slots are free")
 			}
--- a/balance/world_test.go
+++ b/loadbalance/world_test.go
@@ -1,4 +1,4 @@
-package balance_test
+package loadbalance_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lichentray/balance"
+	"lichentray/loadbalance"
 )
 
 // TestColdEndpointOverNodes: nodes that are cut off, frozen or started anew, a
@@ -20,35 +20,35 @@
 		bound := 0.9 * (1.5*rate + 8)
 		type node struct {
 			name   string
-			pool   *balance.Pool
+			pool   *loadbalance.Pool
 			sent   map[int]time.Duration // reports by sequence
 			seq    int
 			frozen time.Duration
 			cut    time.Duration
 		}
 		fresh := func(name string) *node {
-			p := balance.NewPool(balance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
+			p := loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
 			p.SetColdRate(rate)
-			p.Set(0, balance.Spec{ID: "e", Zone: "a", Capacity: 100, Cold: true}, 0)
+			p.Set(0, loadbalance.Spec{ID: "e", Zone: "a", Capacity: 100, Cold: true}, 0)
 			return &node{name: name, pool: p, sent: map[int]time.Duration{}}
 		}
 		var nodes []*node
 		for i := range 3 + r.Intn(12) {
 			nodes = append(nodes, fresh(fmt.Sprint("n", i)))
 		}
-		g := balance.NewGranter(0, lasts)
+		g := loadbalance.NewGranter(0, lasts)
 		type late struct {
 			at     time.Duration
 			to     *node
 			seq    int
-			grants []balance.Grant
+			grants []loadbalance.Grant
 		}
 		var post []late
 		var arrivals []time.Duration
 		for now := time.Duration(0); now < 60*time.Second; now += 10 * time.Millisecond {
 			if now%(500*time.Millisecond) == 0 {
 				if r.Intn(40) == 0 {
-					g = balance.NewGranter(now, lasts) // another leads now
+					g = loadbalance.NewGranter(now, lasts) // another leads now
 				}
 				told := map[string]*node{}
 				var near []string
@@ -61,7 +61,7 @@
 					told[n.name] = n
 					near = append(near, n.name)
 				}
-				for name, grants := range g.Share(now, []balance.Cold{{ID: "e", Rate: rate, Bound: bound, Near: near}}) {
+				for name, grants := range g.Share(now, []loadbalance.Cold{{ID: "e", Rate: rate, Bound: bound, Near: near}}) {
 					n := told[name]
 					post = append(post, late{now + time.Duration(r.Intn(2500))*time.Millisecond, n, n.seq, grants})
 				}
@@ -113,11 +113,11 @@
 // TestEmptiedZone: nothing goes to an evacuated zone, not even when all else is
 // ejected, and to one taken back only what is granted.
 func TestEmptiedZone(t *testing.T) {
-	p := balance.NewPool(balance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
+	p := loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
 	p.SetColdRate(5)
-	p.SetZone("a", balance.Emptied)
+	p.SetZone("a", loadbalance.Emptied)
 	for i, zone := range []string{"a", "a", "b"} {
-		p.Set(0, balance.Spec{ID: fmt.Sprint(i), Zone: zone, Capacity: 4, Region: 0}, 0)
+		p.Set(0, loadbalance.Spec{ID: fmt.Sprint(i), Zone: zone, Capacity: 4, Region: 0}, 0)
 	}
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		if e := p.Pick(now, rand.Float64, nil); e != nil {
@@ -127,16 +127,16 @@
 			p.Done(now, e, false, 0)
 		}
 	}
-	p.SetZone("a", balance.Back)
+	p.SetZone("a", loadbalance.Back)
 	for range 50 {
 		if e := p.Pick(30*time.Second, rand.Float64, nil); e != nil && e.Zone == "a" {
 			t.Fatal("a request went to an endpoint that may be cold, without a grant")
 		}
 	}
-	p.Grant(30*time.Second, balance.Grant{Endpoint: "0", Rate: 5}, 40*time.Second)
+	p.Grant(30*time.Second, loadbalance.Grant{Endpoint: "0", Rate: 5}, 40*time.Second)
 	n := 0
 	for now := 30 * time.Second; now < 42*time.Second; now += 10 * time.Millisecond {
-		if e := p.Pick(now, rand.Float64, func(e *balance.Endpoint) bool { return e.ID == "2" }); e != nil {
+		if e := p.Pick(now, rand.Float64, func(e *loadbalance.Endpoint) bool { return e.ID == "2" }); e != nil {
 			n++
 			p.Done(now, e, true, 1)
 		}
@@ -150,20 +150,20 @@
 // told the same again, and are told of others when the zone is short.
 func TestDirect(t *testing.T) {
 	region := func(zone string) string { return zone[:1] }
-	var all []balance.Place
+	var all []loadbalance.Place
 	for _, zone := range []string{"a1", "a2", "b1"} {
 		for i := range 9 {
 			w := 4.0
 			if i == 0 {
 				w = 100
 			}
-			all = append(all, balance.Place{Address: fmt.Sprint(zone, "-", i), Zone: zone, Weight: w})
+			all = append(all, loadbalance.Place{Address: fmt.Sprint(zone, "-", i), Zone: zone, Weight: w})
 		}
 	}
 	load := map[string]float64{}
 	for c := range 4000 {
-		out := balance.Direct(all, fmt.Sprint("client", c), "a1", "a", region, 64)
-		if again := balance.Direct(all, fmt.Sprint("client", c), "a1", "a", region, 64); fmt.Sprint(again) != fmt.Sprint(out) || len(out) < 2 {
+		out := loadbalance.Direct(all, fmt.Sprint("client", c), "a1", "a", region, 64)
+		if again := loadbalance.Direct(all, fmt.Sprint("client", c), "a1", "a", region, 64); fmt.Sprint(again) != fmt.Sprint(out) || len(out) < 2 {
 			t.Fatalf("told %v, then %v", out, again)
 		}
 		for _, a := range out {
@@ -177,13 +177,13 @@
 		all[i].Leaving = i != 3
 	}
 	for _, c := range []struct{ zone, region, in string }{{"a1", "a", "a"}, {"zz", "b", "b"}, {"zz", "z", "ab"}} {
-		for _, a := range balance.Direct(all, "k", c.zone, c.region, region, 64) {
+		for _, a := range loadbalance.Direct(all, "k", c.zone, c.region, region, 64) {
 			if a[0] != c.in[0] && a[0] != c.in[len(c.in)-1] {
 				t.Errorf("a client of %v was sent to %s", c, a)
 			}
 		}
 	}
-	if out := balance.Direct(all[:2], "k", "a1", "a", region, 64); len(out) != 2 {
+	if out := loadbalance.Direct(all[:2], "k", "a1", "a", region, 64); len(out) != 2 {
 		t.Errorf("where all leave, %v are named", out)
 	}
 }
@@ -191,34 +191,34 @@
 // TestJudge: a slow endpoint and one that fails at several nodes are told of; one
 // node's own trouble condemns nobody, and never is more than a part condemned.
 func TestJudge(t *testing.T) {
-	j := balance.NewJudge(time.Second)
+	j := loadbalance.NewJudge(time.Second)
 	ids := make([]string, 20)
 	for i := range ids {
 		ids[i] = fmt.Sprint("e", i)
 	}
 	for step := range 20 {
-		seen := map[string]balance.Seen{}
+		seen := map[string]loadbalance.Seen{}
 		for _, id := range ids {
-			seen[id] = balance.Seen{Answers: 4, Times: 4}
+			seen[id] = loadbalance.Seen{Answers: 4, Times: 4}
 		}
-		seen["e1"] = balance.Seen{Answers: 4, Times: 12}
-		seen["e2"] = balance.Seen{Answers: 4, Times: 4, Bad: 4, Nodes: 3}
+		seen["e1"] = loadbalance.Seen{Answers: 4, Times: 12}
+		seen["e2"] = loadbalance.Seen{Answers: 4, Times: 4, Bad: 4, Nodes: 3}
 		if step == 19 {
-			seen["e3"] = balance.Seen{Answers: 1, Times: 1, Bad: 6, Nodes: 1}
+			seen["e3"] = loadbalance.Seen{Answers: 1, Times: 1, Bad: 6, Nodes: 1}
 		}
 		j.See(seen)
 		j.Verdicts(time.Duration(step)*400*time.Millisecond, nil)
 	}
-	got := map[string]balance.Verdict{}
+	got := map[string]loadbalance.Verdict{}
 	for _, v := range j.Verdicts(20*400*time.Millisecond, map[string][]string{"s": ids}) {
 		got[v.Endpoint] = v
 	}
 	if !got["e2"].Sick || got["e1"].Sick || got["e3"].Sick || got["e1"].Pace < 70 || got["e1"].Pace > 100 || len(got) != 2 {
 		t.Errorf("verdicts %v", got)
 	}
-	seen := map[string]balance.Seen{}
+	seen := map[string]loadbalance.Seen{}
 	for _, id := range ids {
-		seen[id] = balance.Seen{Bad: 20, Nodes: 5}
+		seen[id] = loadbalance.Seen{Bad: 20, Nodes: 5}
 	}
 	j.See(seen)
 	n := 0
@@ -236,15 +236,15 @@
 // endpoint gets far more than the others, though some are faster.
 func TestManyNodesDoNotCrowd(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
-	pools := make([]*balance.Pool, 60)
+	pools := make([]*loadbalance.Pool, 60)
 	for i := range pools {
-		pools[i] = balance.NewPool(balance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
+		pools[i] = loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
 		for k := range 40 {
-			pools[i].Set(0, balance.Spec{ID: fmt.Sprint(k), Zone: "a", Capacity: 4}, 0)
+			pools[i].Set(0, loadbalance.Spec{ID: fmt.Sprint(k), Zone: "a", Capacity: 4}, 0)
 		}
-		verdicts := map[string]balance.Verdict{}
+		verdicts := map[string]loadbalance.Verdict{}
 		for k := range 10 {
-			verdicts[fmt.Sprint(k)] = balance.Verdict{Endpoint: fmt.Sprint(k), Pace: 24}
+			verdicts[fmt.Sprint(k)] = loadbalance.Verdict{Endpoint: fmt.Sprint(k), Pace: 24}
 		}
 		pools[i].SetVerdicts(time.Hour, verdicts)
 	}
