--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -17,10 +17,10 @@
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
 	"lichentray/internal/hatch"
 	"lichentray/internal/notch"
 	"lichentray/internal/plumb"
+	"lichentray/internal/transport"
 )
 
 // relay is a control-plane node on a machine without a disk beside a core that
@@ -112,12 +112,12 @@
 // point tells a process that takes this relay for a core node where the core is.
 func (r *relay) point(raw net.Conn, silence time.Duration) {
 	defer raw.Close()
-	conn, _, err := dowel.Accept(raw, silence)
+	conn, _, err := transport.Accept(raw, silence)
 	if err != nil {
 		return
 	}
 	known := r.line.Known()
-	if len(known) == 0 || conn.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: known}}) != nil {
+	if len(known) == 0 || conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: known}}) != nil {
 		return
 	}
 	for err == nil { // to close with unread bytes would take back what was said
@@ -126,7 +126,7 @@
 }
 
 func (r *relay) hold(ctx context.Context, addr string, silence time.Duration, set *caliper.Settings, log *slog.Logger) (held bool) {
-	conn, err := dowel.Dial(ctx, addr, silence/2, dowel.Hello{Role: dowel.Relay, Node: set.NodeName})
+	conn, err := transport.Dial(ctx, addr, silence/2, transport.Hello{Role: transport.Relay, Node: set.NodeName})
 	if err != nil {
 		return false
 	}
@@ -162,7 +162,7 @@
 					if err != nil {
 						return nil, errors.Join(errDial, err)
 					}
-					dowel.SetSilence(c, silence)
+					transport.SetSilence(c, silence)
 					rc, err := c.(*net.TCPConn).SyscallConn()
 					if err != nil {
 						c.Close()
@@ -262,7 +262,7 @@
 }
 
 func (c *once) Write(b []byte) (int, error) {
-	if c.heard && !dowel.Quiet(c.rc) {
+	if c.heard && !transport.Quiet(c.rc) {
 		return 0, errEnded
 	}
 	c.heard = false
--- a/cmd/vise/relay_test.go
+++ b/cmd/vise/relay_test.go
@@ -15,7 +15,7 @@
 
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
 )
 
@@ -23,9 +23,9 @@
 // and answers calls by script.
 func core(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
 	addr := fmt.Sprintf("%s:%d", ip, internal)
-	vicetest.Listen(t, addr, func(c *dowel.Conn) {
+	vicetest.Listen(t, addr, func(c *transport.Conn) {
 		for {
-			if c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: []dowel.ControlNode{{Addr: addr, API: api}}, Diskless: diskless.Load()}}) != nil {
+			if c.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: []transport.ControlNode{{Addr: addr, API: api}}, Diskless: diskless.Load()}}) != nil {
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -94,12 +94,12 @@
 		}
 	}
 	// Whoever takes the relay for a core node is told where the core is.
-	c, err := dowel.Dial(context.Background(), fmt.Sprintf("%s:%d", ips[1], internal), 5*time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
+	c, err := transport.Dial(context.Background(), fmt.Sprintf("%s:%d", ips[1], internal), 5*time.Second, transport.Hello{Role: transport.Proxy, Node: "p"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, List: true}}); err != nil {
+	if err := c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: true}}); err != nil {
 		t.Fatal(err)
 	}
 	if f, err := c.Receive(5 * time.Second); err != nil || f.Bookmark == nil || len(f.Bookmark.Control) != 1 || f.Bookmark.Control[0].Addr != fmt.Sprintf("%s:%d", ips[0], internal) {
--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -30,7 +30,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 )
@@ -226,13 +226,13 @@
 }
 
 func (p *proxy) follow(ctx context.Context, name, node string) error {
-	c, err := dowel.Dial(ctx, node, 5*time.Second, dowel.Hello{Role: dowel.Proxy, Node: name})
+	c, err := transport.Dial(ctx, node, 5*time.Second, transport.Hello{Role: transport.Proxy, Node: name})
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, c.Close)()
-	if err := c.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, List: true, Packs: true}}); err != nil {
+	if err := c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: true, Packs: true}}); err != nil {
 		return err
 	}
 	report, seq := time.Now(), uint64(time.Now().UnixMilli())
@@ -268,11 +268,11 @@
 			for s := range *services {
 				loads[fmt.Sprint("s", s)] = loadbalance.Load{Rate: 1, Inflight: 0.3}
 			}
-			r := &dowel.Report{Seq: seq, Loads: loads}
+			r := &transport.Report{Seq: seq, Loads: loads}
 			if p.reports.Load() == 0 {
 				p.reports.Store(size(r))
 			}
-			if err := c.Send(&dowel.Frame{Ack: f.Bookmark.Revision, Report: r}); err != nil {
+			if err := c.Send(&transport.Frame{Ack: f.Bookmark.Revision, Report: r}); err != nil {
 				return err
 			}
 		}
--- a/internal/hatch/hatch.go
+++ b/internal/hatch/hatch.go
@@ -17,8 +17,8 @@
 	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
 )
@@ -268,7 +268,7 @@
 		return true // not a socket
 	}
 	raw, err := c.SyscallConn()
-	return err == nil && dowel.Quiet(raw)
+	return err == nil && transport.Quiet(raw)
 }
 
 func (a *API) evacuations(string, []byte) (any, error) {
--- a/internal/lathe/account.go
+++ b/internal/lathe/account.go
@@ -2,14 +2,14 @@
 
 import (
 	"lichentray/audit"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/registry"
 )
 
 // takeAccount takes a proxy's batch into the account and lets it know. What does not
 // come through, or whose answer does not, the proxy sends again.
-func (l *Lathe) takeAccount(conn *dowel.Conn, b *audit.Batch) {
+func (l *Lathe) takeAccount(conn *transport.Conn, b *audit.Batch) {
 	b.Most = l.set.Account.MostEntries
 	r, err := l.Do(registry.Command{Account: b})
 	if err != nil {
@@ -17,7 +17,7 @@
 		return
 	}
 	l.board.Counter("account_batches_total").Inc()
-	_ = conn.Send(&dowel.Frame{Account: &dowel.AccountAck{Life: b.Life, Seq: r.Account, Closed: b.Closed}})
+	_ = conn.Send(&transport.Frame{Account: &transport.AccountAck{Life: b.Life, Seq: r.Account, Closed: b.Closed}})
 }
 
 // Account reads the account of failures.
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -9,8 +9,8 @@
 
 	"lichentray/config"
 	"lichentray/coordination"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -111,11 +111,11 @@
 		}
 		return
 	}
-	var out []dowel.Beat
+	var out []transport.Beat
 	for id, at := range beats {
-		out = append(out, dowel.Beat{ID: id, AgoMS: uint32((now - at).Milliseconds())})
+		out = append(out, transport.Beat{ID: id, AgoMS: uint32((now - at).Milliseconds())})
 	}
-	l.links.tell(l.links.addr(l.node.Leader()), &dowel.Frame{Beats: out})
+	l.links.tell(l.links.addr(l.node.Leader()), &transport.Frame{Beats: out})
 }
 
 // countProxies lets every node know how many proxies there are, and what they
@@ -123,7 +123,7 @@
 func (l *Lathe) countProxies(now time.Duration) {
 	loads := map[string]loadbalance.Load{}
 	here := map[string]uint64{}
-	trials := map[string]dowel.Trial{}
+	trials := map[string]transport.Trial{}
 	l.mu.Lock()
 	for s := range l.sessions {
 		if now-s.at > l.timing.Dead {
@@ -149,7 +149,7 @@
 	l.seen = map[string]loadbalance.Seen{}
 	l.mu.Unlock()
 	if l.node.Role() != raft.Leader {
-		l.links.tell(l.links.addr(l.node.Leader()), &dowel.Frame{Proxies: &dowel.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
+		l.links.tell(l.links.addr(l.node.Leader()), &transport.Frame{Proxies: &transport.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
 		return
 	}
 	for name := range here {
@@ -176,7 +176,7 @@
 	l.sum, l.loads, l.rounds, l.verdicts = len(here), loads, rounds, verdicts
 	l.mu.Unlock()
 	for _, m := range l.node.Members().All() {
-		l.links.tell(m.Addr, &dowel.Frame{Proxies: &dowel.ProxyCount{Sum: len(here), Loads: loads, Rounds: rounds, Verdicts: verdicts}})
+		l.links.tell(m.Addr, &transport.Frame{Proxies: &transport.ProxyCount{Sum: len(here), Loads: loads, Rounds: rounds, Verdicts: verdicts}})
 	}
 }
 
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -19,8 +19,8 @@
 	"lichentray/internal/caliper"
 	"lichentray/internal/chest"
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -114,8 +114,8 @@
 	proxies   map[string]time.Duration // when the leader last heard of each
 	returning map[string]mark          // since when a zone is being taken back
 	granter   *loadbalance.Granter
-	guides    map[string]*guide      // of the roll-outs under way, at the leader
-	trials    map[string]dowel.Trial // where all proxies together stand
+	guides    map[string]*guide          // of the roll-outs under way, at the leader
+	trials    map[string]transport.Trial // where all proxies together stand
 	judge     *loadbalance.Judge
 
 	// Shared behind a short lock.
@@ -126,15 +126,15 @@
 	view     view
 	wake     map[chan struct{}]struct{}
 	groups   map[string]map[chan struct{}]struct{}
-	watchers int                 // waiting, over all groups
-	pointed  []dowel.ControlNode // where a relay said that the core is
+	watchers int                     // waiting, over all groups
+	pointed  []transport.ControlNode // where a relay said that the core is
 	applied  map[chan struct{}]uint64
 	index    uint64
 	sessions map[*session]struct{}
 	beats    map[string]time.Duration
 	sum      int
 	loads    map[string]loadbalance.Load // replaced whole
-	rounds   map[string]dowel.Round      // replaced whole
+	rounds   map[string]transport.Round  // replaced whole
 	seen     map[string]loadbalance.Seen // of endpoints, to be told to the leader
 	verdicts []loadbalance.Verdict       // replaced whole
 	// What is kept decoded of the registry, by key; the actor alone writes it.
@@ -165,7 +165,7 @@
 	here  map[string]uint64
 	loads map[string]loadbalance.Load
 	// trials by service, life the one of the node that told them.
-	trials map[string]dowel.Trial
+	trials map[string]transport.Trial
 	life   uint64
 	at     time.Duration
 }
@@ -707,7 +707,7 @@
 			if data == nil {
 				data = registry.EncodeCommand(cmd)
 			}
-			ans, sent, err := l.links.ask(to, &dowel.Ask{Command: data}, time.Until(end))
+			ans, sent, err := l.links.ask(to, &transport.Ask{Command: data}, time.Until(end))
 			if err == nil && !ans.Failed {
 				return ans.Result, nil
 			}
@@ -791,7 +791,7 @@
 			l.nUnread.Inc()
 		case "":
 		default:
-			ans, _, err := l.links.ask(to, &dowel.Ask{Read: true}, min(time.Until(end), l.timing.Answer))
+			ans, _, err := l.links.ask(to, &transport.Ask{Read: true}, min(time.Until(end), l.timing.Answer))
 			if err == nil && !ans.Failed {
 				return l.waitApplied(ans.Index, time.Until(end))
 			}
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -17,8 +17,8 @@
 	"lichentray/coordination"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -235,13 +235,13 @@
 }
 
 // follow lists or resumes at a node as a proxy does, up to the newest revision.
-func follow(t *testing.T, addr string, m *watchcache.Mirror) (*dowel.Conn, *watchcache.Mirror) {
+func follow(t *testing.T, addr string, m *watchcache.Mirror) (*transport.Conn, *watchcache.Mirror) {
 	t.Helper()
-	c, err := dowel.Dial(context.Background(), addr, 5*time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
+	c, err := transport.Dial(context.Background(), addr, 5*time.Second, transport.Hello{Role: transport.Proxy, Node: "p"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision(), Packs: true}}); err != nil {
+	if err := c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision(), Packs: true}}); err != nil {
 		t.Fatal(err)
 	}
 	target := uint64(0)
@@ -298,7 +298,7 @@
 	until(t, "a thousand endpoints are known", func() bool { _, err := l.Do(registry.Command{Txn: &all}); return err == nil })
 
 	type copyOf struct {
-		conn *dowel.Conn
+		conn *transport.Conn
 		m    *watchcache.Mirror
 	}
 	copies := make(chan copyOf, proxies)
@@ -384,7 +384,7 @@
 	// Who does not know the packed form, as an earlier version, gets the same list,
 	// and a list after a change is a new one.
 	_, m := follow(t, l.self.Addr, watchcache.NewMirror())
-	plain, _ := l.list(&dowel.Ask{ID: 1, List: true})
+	plain, _ := l.list(&transport.Ask{ID: 1, List: true})
 	if len(plain.Objects) != endpoints+1 || l.nPacked.Value() != 2 {
 		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.nPacked.Value())
 	}
@@ -438,8 +438,8 @@
 	})
 	l := g.nodes
 	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(fmt.Sprintf(text, 1))) == nil })
-	ask := func(zone string) *dowel.Answer {
-		a, _ := l[0].open(&dowel.Ask{ID: 1, List: true, Packs: true, Zone: zone})
+	ask := func(zone string) *transport.Answer {
+		a, _ := l[0].open(&transport.Ask{ID: 1, List: true, Packs: true, Zone: zone})
 		return a
 	}
 	until(t, "a proxy of another zone is sent there", func() bool {
@@ -476,7 +476,7 @@
 	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(8 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	peer, err := dowel.Dial(context.Background(), l.self.Addr, time.Second, dowel.Hello{Role: dowel.Peer, Node: "peer", ID: 7, Addr: addr})
+	peer, err := transport.Dial(context.Background(), l.self.Addr, time.Second, transport.Hello{Role: transport.Peer, Node: "peer", ID: 7, Addr: addr})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -519,7 +519,7 @@
 		return notch.Of(err) == notch.NoRoute
 	})
 	report := func() {
-		if err := stream.Send(&dowel.Frame{Report: &dowel.Report{Seq: 1, Self: self}}); err != nil {
+		if err := stream.Send(&transport.Frame{Report: &transport.Report{Seq: 1, Self: self}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -677,7 +677,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if a, _ := l.open(&dowel.Ask{ID: 1, List: true}); !a.Failed || l.fresh() {
+	if a, _ := l.open(&transport.Ask{ID: 1, List: true}); !a.Failed || l.fresh() {
 		t.Errorf("a list: %+v; in touch: %v", a, l.fresh())
 	}
 	// What is committed stays true.
@@ -730,7 +730,7 @@
 		return follower != nil
 	})
 	const relay, joins = "127.0.0.28", "127.0.0.29"
-	vicetest.Relay(t, fmt.Sprintf("%s:%d", relay, g.internal), dowel.ControlNode{Addr: follower.self.Addr})
+	vicetest.Relay(t, fmt.Sprintf("%s:%d", relay, g.internal), transport.ControlNode{Addr: follower.self.Addr})
 	set := vicetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
 	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	if err != nil {
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/raft"
 	"lichentray/registry"
 )
@@ -19,7 +19,7 @@
 // not fit is dropped, and consensus sends it again.
 type link struct {
 	addr  string
-	queue chan *dowel.Frame
+	queue chan *transport.Frame
 	mu    sync.Mutex
 	calls map[uint64]*call
 	up    bool
@@ -109,7 +109,7 @@
 }
 
 func (s *linkSet) begin(ctx context.Context, addr string, forTheLog bool) *link {
-	k := &link{addr: addr, queue: make(chan *dowel.Frame, 256), calls: map[uint64]*call{}, kick: make(chan struct{}, 1), forTheLog: forTheLog}
+	k := &link{addr: addr, queue: make(chan *transport.Frame, 256), calls: map[uint64]*call{}, kick: make(chan struct{}, 1), forTheLog: forTheLog}
 	k.ctx, k.stop = context.WithCancel(ctx)
 	go s.l.turnLink(k)
 	return k
@@ -119,16 +119,16 @@
 
 // call is one that waits for its answer.
 type call struct {
-	answer chan *dowel.Answer
+	answer chan *transport.Answer
 	sent   bool // it may have left
 }
 
 // ask sends a call to a peer and waits for its answer, until another leads. sent tells
 // whether the peer may have got it; if not, it never will.
-func (s *linkSet) ask(to aim, a *dowel.Ask, left time.Duration) (ans *dowel.Answer, sent bool, err error) {
+func (s *linkSet) ask(to aim, a *transport.Ask, left time.Duration) (ans *transport.Answer, sent bool, err error) {
 	k := s.get(to.leader)
 	a.ID = s.l.askSeq.Add(1)
-	c := &call{answer: make(chan *dowel.Answer, 1)}
+	c := &call{answer: make(chan *transport.Answer, 1)}
 	k.mu.Lock()
 	if !k.up {
 		k.mu.Unlock()
@@ -143,7 +143,7 @@
 		return c.sent
 	}
 	select {
-	case k.queue <- &dowel.Frame{Ask: a}:
+	case k.queue <- &transport.Frame{Ask: a}:
 	default:
 		forget()
 		return nil, false, errNotSent
@@ -166,7 +166,7 @@
 
 // leaves tells whether a frame is still to be sent: a call that nobody waits for any
 // more is not.
-func (k *link) leaves(f *dowel.Frame) bool {
+func (k *link) leaves(f *transport.Frame) bool {
 	if f.Ask == nil {
 		return true
 	}
@@ -180,7 +180,7 @@
 }
 
 // tell queues a frame without waiting.
-func (s *linkSet) tell(addr string, f *dowel.Frame) {
+func (s *linkSet) tell(addr string, f *transport.Frame) {
 	if addr == "" || addr == s.l.self.Addr {
 		return
 	}
@@ -227,7 +227,7 @@
 
 // dial makes one attempt. shown tells that it was given up because the peer has
 // shown itself meanwhile.
-func (l *Lathe) dial(k *link) (conn *dowel.Conn, shown bool, err error) {
+func (l *Lathe) dial(k *link) (conn *transport.Conn, shown bool, err error) {
 	ctx, cancel := context.WithCancel(k.ctx)
 	done := make(chan struct{})
 	go func() {
@@ -239,7 +239,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	conn, err = dowel.Dial(ctx, k.addr, l.timing.Silence/2, dowel.Hello{Role: dowel.Peer, Node: l.set.NodeName, ID: l.self.ID, Addr: l.self.Addr, Zone: l.set.Zone})
+	conn, err = transport.Dial(ctx, k.addr, l.timing.Silence/2, transport.Hello{Role: transport.Peer, Node: l.set.NodeName, ID: l.self.ID, Addr: l.self.Addr, Zone: l.set.Zone})
 	cancel()
 	<-done
 	return conn, shown, err
@@ -344,7 +344,7 @@
 
 // serve speaks with one process that connected.
 func (l *Lathe) serve(raw net.Conn) {
-	conn, hello, err := dowel.Accept(raw, l.timing.Silence)
+	conn, hello, err := transport.Accept(raw, l.timing.Silence)
 	if err != nil {
 		raw.Close()
 		l.refusePeer(raw, err)
@@ -353,11 +353,11 @@
 	defer conn.Close()
 	defer context.AfterFunc(l.ctx, conn.Close)()
 	switch hello.Role {
-	case dowel.Peer:
+	case transport.Peer:
 		l.servePeer(conn, hello)
-	case dowel.Proxy:
+	case transport.Proxy:
 		l.serveProxy(conn, hello)
-	case dowel.Relay:
+	case transport.Relay:
 		l.serveRelay(conn)
 	}
 }
@@ -373,7 +373,7 @@
 	}
 }
 
-func (l *Lathe) servePeer(conn *dowel.Conn, h dowel.Hello) {
+func (l *Lathe) servePeer(conn *transport.Conn, h transport.Hello) {
 	l.links.note(h.ID, h.Addr)
 	l.links.noteZone(h.Addr, h.Zone)
 	l.links.shows(h.Addr)
@@ -424,18 +424,18 @@
 	}
 }
 
-func failed(id uint64, err error) *dowel.Answer {
+func failed(id uint64, err error) *transport.Answer {
 	var e *notch.Error
 	if errors.As(err, &e) {
-		return &dowel.Answer{ID: id, Failed: true, Kind: e.Kind, Detail: e.Detail}
+		return &transport.Answer{ID: id, Failed: true, Kind: e.Kind, Detail: e.Detail}
 	}
-	return &dowel.Answer{ID: id, Failed: true, Kind: notch.Internal, Detail: err.Error()}
+	return &transport.Answer{ID: id, Failed: true, Kind: notch.Internal, Detail: err.Error()}
 }
 
 // serveAsk answers a call that a peer forwarded. It does not forward again, but for
 // a node that wants to join.
-func (l *Lathe) serveAsk(conn *dowel.Conn, a *dowel.Ask) {
-	ans := &dowel.Answer{ID: a.ID}
+func (l *Lathe) serveAsk(conn *transport.Conn, a *transport.Ask) {
+	ans := &transport.Answer{ID: a.ID}
 	done := make(chan outcome, 1)
 	switch {
 	case a.Command != nil:
@@ -460,19 +460,19 @@
 			l.mu.RUnlock()
 			if errors.Is(err, errNotLeader) && !a.Passed && leader != "" && leader != l.self.Addr {
 				// None of the nodes that a new one knows may be the leader.
-				if x, _, err := l.links.ask(aim{leader: leader}, &dowel.Ask{Join: a.Join, Passed: true}, l.timing.Election); err == nil {
+				if x, _, err := l.links.ask(aim{leader: leader}, &transport.Ask{Join: a.Join, Passed: true}, l.timing.Election); err == nil {
 					ans = x
 					ans.ID = a.ID
 				}
 			}
 		}
 	}
-	_ = conn.Send(&dowel.Frame{Answer: ans}) // a broken connection ends at its reader
+	_ = conn.Send(&transport.Frame{Answer: ans}) // a broken connection ends at its reader
 }
 
 // await answers a call that only a leader carries out: f starts it and gives the
 // leader's address.
-func (l *Lathe) await(id uint64, f func() string, done chan outcome) *dowel.Answer {
+func (l *Lathe) await(id uint64, f func() string, done chan outcome) *transport.Answer {
 	end := time.Now().Add(l.timing.Answer)
 	to, err := l.ask(f)
 	if err != nil || to.leader != l.self.Addr {
@@ -485,5 +485,5 @@
 	if err != nil {
 		return failed(id, err)
 	}
-	return &dowel.Answer{ID: id, Result: r}
+	return &transport.Answer{ID: id, Result: r}
 }
--- a/internal/lathe/members.go
+++ b/internal/lathe/members.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"lichentray/internal/caliper"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/raft"
 )
 
@@ -376,7 +376,7 @@
 		asked[a] = true
 		go func() {
 			// Refused or unheard, it is asked again at the next duty.
-			_, _, _ = l.links.ask(aim{leader: a}, &dowel.Ask{Join: &self}, l.timing.Election)
+			_, _, _ = l.links.ask(aim{leader: a}, &transport.Ask{Join: &self}, l.timing.Election)
 		}()
 	}
 }
@@ -426,7 +426,7 @@
 				l.post(func() { l.node.Transfer() })
 			}
 		case v.leaderAt != "":
-			if a, _, err := l.links.ask(aim{leader: v.leaderAt}, &dowel.Ask{Leave: l.self.ID}, l.timing.Election); err == nil && !a.Failed {
+			if a, _, err := l.links.ask(aim{leader: v.leaderAt}, &transport.Ask{Leave: l.self.ID}, l.timing.Election); err == nil && !a.Failed {
 				return
 			}
 		}
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
 )
@@ -25,18 +25,18 @@
 }
 
 // tryOuts is what a node was told of each roll-out since its start, by service.
-type tryOuts map[string]dowel.Trial
+type tryOuts map[string]transport.Trial
 
 // add takes what one proxy saw since its last report. The caller has the node's
 // lock.
-func (t tryOuts) add(told map[string]dowel.Trial) {
+func (t tryOuts) add(told map[string]transport.Trial) {
 	for service, n := range told {
 		x := t[service]
 		if n.Order < x.Order {
 			continue
 		}
 		if n.Order > x.Order {
-			x = dowel.Trial{Order: n.Order, Evidence: rollout.Evidence{}}
+			x = transport.Trial{Order: n.Order, Evidence: rollout.Evidence{}}
 		}
 		x.Evidence.Add(n.Evidence)
 		t[service] = x
@@ -45,13 +45,13 @@
 
 // gauge sums where proxies stand: the least stage taken and all requests at the
 // base. A node that no proxy follows any more has evidence, but nobody stands there.
-func gauge(to, from map[string]dowel.Trial) {
+func gauge(to, from map[string]transport.Trial) {
 	for service, n := range from {
 		x := to[service]
 		switch {
 		case n.Proxies == 0 || n.Order < x.Order:
 		case x.Proxies == 0 || n.Order > x.Order:
-			to[service] = dowel.Trial{Order: n.Order, Proxies: n.Proxies, Stage: n.Stage, AtBase: n.AtBase}
+			to[service] = transport.Trial{Order: n.Order, Proxies: n.Proxies, Stage: n.Stage, AtBase: n.AtBase}
 		default:
 			x.Proxies, x.Stage, x.AtBase = x.Proxies+n.Proxies, min(x.Stage, n.Stage), x.AtBase+n.AtBase
 			to[service] = x
@@ -72,7 +72,7 @@
 
 // takeTrials takes what a node was told since its start. What a node told that has
 // ended since stays.
-func (l *Lathe) takeTrials(life uint64, told map[string]dowel.Trial) {
+func (l *Lathe) takeTrials(life uint64, told map[string]transport.Trial) {
 	for service, t := range told {
 		g := l.guides[service]
 		if g == nil || g.order < t.Order {
@@ -99,7 +99,7 @@
 		}
 		g := l.guides[service]
 		if g == nil || g.order != r.Order {
-			l.takeTrials(l.life, map[string]dowel.Trial{service: {Order: r.Order}})
+			l.takeTrials(l.life, map[string]transport.Trial{service: {Order: r.Order}})
 			if g = l.guides[service]; g.order != r.Order {
 				continue // proxies know of an order that this node has still to apply
 			}
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lichentray/internal/caliper"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
 	"lichentray/watchcache"
@@ -20,15 +20,15 @@
 func proxy(ctx context.Context, nodes []string, bad *atomic.Bool) {
 	m := watchcache.NewMirror()
 	for i := 0; ctx.Err() == nil; i++ {
-		c, err := dowel.Dial(ctx, nodes[i%len(nodes)], time.Second, dowel.Hello{Role: dowel.Proxy, Node: "p"})
+		c, err := transport.Dial(ctx, nodes[i%len(nodes)], time.Second, transport.Hello{Role: transport.Proxy, Node: "p"})
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
 		stop := context.AfterFunc(ctx, c.Close)
-		err = c.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision()}})
+		err = c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision()}})
 		for seq := uint64(1); err == nil; seq++ {
-			var f *dowel.Frame
+			var f *transport.Frame
 			if f, err = c.Receive(2 * time.Second); err != nil {
 				break
 			}
@@ -41,7 +41,7 @@
 					m.Forget()
 				}
 			}
-			report := &dowel.Report{Seq: seq}
+			report := &transport.Report{Seq: seq}
 			if o, ok := m.Objects()[registry.RolloutPrefix+"s"]; ok {
 				if r, _ := rollout.Decode(o.Value); r.State == rollout.InProgress {
 					e := rollout.Evidence{}
@@ -53,11 +53,11 @@
 						e.Add(rollout.Evidence{"r": rollout.OfTarget(fmt.Sprint("new-", id), n)})
 						e.Add(rollout.Evidence{"r": rollout.OfBase(rollout.Count{Answers: 30})})
 					}
-					report.Trials = map[string]dowel.Trial{"s": {Order: r.Order, Proxies: 1, Stage: r.Stage, Evidence: e}}
+					report.Trials = map[string]transport.Trial{"s": {Order: r.Order, Proxies: 1, Stage: r.Stage, Evidence: e}}
 				}
 			}
 			if err == nil {
-				err = c.Send(&dowel.Frame{Ack: 1, Report: report})
+				err = c.Send(&transport.Frame{Ack: 1, Report: report})
 			}
 		}
 		stop()
@@ -68,9 +68,9 @@
 // TestGauge: where proxies of several nodes stand together; a node that nobody
 // follows any more holds nothing up.
 func TestGauge(t *testing.T) {
-	to := map[string]dowel.Trial{}
-	for _, n := range []dowel.Trial{{Order: 1, Proxies: 1, Stage: 3, AtBase: 9}, {Order: 2, Proxies: 2, Stage: 3}, {Order: 2, Stage: 0}, {Order: 2, Proxies: 1, Stage: 2, AtBase: 4}, {Order: 1, Proxies: 1}} {
-		gauge(to, map[string]dowel.Trial{"s": n})
+	to := map[string]transport.Trial{}
+	for _, n := range []transport.Trial{{Order: 1, Proxies: 1, Stage: 3, AtBase: 9}, {Order: 2, Proxies: 2, Stage: 3}, {Order: 2, Stage: 0}, {Order: 2, Proxies: 1, Stage: 2, AtBase: 4}, {Order: 1, Proxies: 1}} {
+		gauge(to, map[string]transport.Trial{"s": n})
 	}
 	if x := to["s"]; x.Order != 2 || x.Proxies != 3 || x.Stage != 2 || x.AtBase != 4 {
 		t.Errorf("they stand at %+v", x)
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/watchcache"
@@ -21,7 +21,7 @@
 	acked atomic.Uint64
 	// Under the node's lock.
 	loads  map[string]loadbalance.Load
-	trials map[string]dowel.Trial // of the newest report
+	trials map[string]transport.Trial // of the newest report
 	seq    uint64
 	at     time.Duration // of the newest report
 	// At most one write of its entry is on its way.
@@ -35,7 +35,7 @@
 
 // serveProxy answers a proxy's list and then streams to it. A proxy too slow
 // to take its stream is cut off and lists again.
-func (l *Lathe) serveProxy(conn *dowel.Conn, h dowel.Hello) {
+func (l *Lathe) serveProxy(conn *transport.Conn, h transport.Hello) {
 	s := &session{node: h.Node, at: l.now()}
 	l.mu.Lock()
 	l.sessions[s] = struct{}{}
@@ -82,7 +82,7 @@
 			continue
 		}
 		ans, after := l.open(f.Ask)
-		if conn.Send(&dowel.Frame{Answer: ans}) != nil || ans.Failed {
+		if conn.Send(&transport.Frame{Answer: ans}) != nil || ans.Failed {
 			return
 		}
 		if !ans.Gone && ans.Nearer == nil {
@@ -94,10 +94,10 @@
 
 // open answers the first call of a proxy: a list behind a read point, or a
 // watch from a revision that this node must have reached.
-func (l *Lathe) open(a *dowel.Ask) (*dowel.Answer, uint64) {
+func (l *Lathe) open(a *transport.Ask) (*transport.Answer, uint64) {
 	// At the first moment not every node's zone may be known, so it is looked twice.
 	if n := l.nearer(a); n != nil {
-		return &dowel.Answer{ID: a.ID, Nearer: n}, 0
+		return &transport.Answer{ID: a.ID, Nearer: n}, 0
 	}
 	// A proxy waits for this answer while it asks others. After a loss of power a leader
 	// comes soon, and to be sent away to ask again takes as long as that.
@@ -105,14 +105,14 @@
 		return failed(a.ID, err), 0
 	}
 	if n := l.nearer(a); n != nil {
-		return &dowel.Answer{ID: a.ID, Nearer: n}, 0
+		return &transport.Answer{ID: a.ID, Nearer: n}, 0
 	}
 	if !a.Watch {
 		return l.list(a)
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	ans := &dowel.Answer{ID: a.ID, Revision: l.store.Revision()}
+	ans := &transport.Answer{ID: a.ID, Revision: l.store.Revision()}
 	if ans.Revision < a.Least {
 		return l.behind(a, ans.Revision), 0
 	}
@@ -124,7 +124,7 @@
 // nearer names the core to a proxy that would list here while a node of its own
 // zone is up. A proxy that has just started knows the seeds alone; after a loss of
 // power all of them would list at the seed that is back first.
-func (l *Lathe) nearer(a *dowel.Ask) []dowel.ControlNode {
+func (l *Lathe) nearer(a *transport.Ask) []transport.ControlNode {
 	if !a.List || a.Zone == "" || a.Zone == l.set.Zone {
 		return nil
 	}
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func (l *Lathe) behind(a *dowel.Ask, rev uint64) *dowel.Answer {
+func (l *Lathe) behind(a *transport.Ask, rev uint64) *transport.Answer {
 	return failed(a.ID, notch.New(notch.Unavailable, "this node is at revision %d, behind %d", rev, a.Least))
 }
 
@@ -158,12 +158,12 @@
 
 // events lets a frame of large events be encoded once for all watchers. Each that
 // encodes 400 KB of configuration for itself holds a megabyte while it does.
-func (p *packed) events(f *dowel.Frame) {
+func (p *packed) events(f *transport.Frame) {
 	size := 0
 	for _, e := range f.Events {
 		size += len(e.Object.Value) + len(e.Patch)
 	}
-	if size < dowel.PackFrom {
+	if size < transport.PackFrom {
 		return
 	}
 	first, last, n := f.Events[0].Revision, f.Events[len(f.Events)-1].Revision, uint64(len(f.Events))
@@ -171,7 +171,7 @@
 	defer p.eventsMu.Unlock()
 	if p.eventsData == nil || p.first != first || p.last != last || p.count != n {
 		p.encoded.Inc()
-		data, err := dowel.Pack(f.Events)
+		data, err := transport.Pack(f.Events)
 		if err != nil {
 			return // it goes as it is
 		}
@@ -182,7 +182,7 @@
 
 // list answers with all watched objects. After a loss of power every proxy asks at
 // the same moment; whoever comes while the list is encoded waits for it.
-func (l *Lathe) list(a *dowel.Ask) (*dowel.Answer, uint64) {
+func (l *Lathe) list(a *transport.Ask) (*transport.Answer, uint64) {
 	if a.Packs {
 		l.packed.mu.Lock()
 		defer l.packed.mu.Unlock()
@@ -201,13 +201,13 @@
 		return l.behind(a, rev), 0
 	}
 	l.nRelist.Inc()
-	ans := &dowel.Answer{ID: a.ID, Revision: rev}
+	ans := &transport.Answer{ID: a.ID, Revision: rev}
 	if !a.Packs {
 		ans.Objects = objects
 		return ans, rev
 	}
 	if !held {
-		data, err := dowel.Pack(objects)
+		data, err := transport.Pack(objects)
 		if err != nil {
 			return failed(a.ID, err), 0
 		}
@@ -232,18 +232,18 @@
 
 // control lists the members of the core for whoever follows one of them. The
 // caller has the node's lock.
-func (l *Lathe) control() []dowel.ControlNode {
-	var out []dowel.ControlNode
+func (l *Lathe) control() []transport.ControlNode {
+	var out []transport.ControlNode
 	for _, m := range l.view.members.All() {
-		out = append(out, dowel.ControlNode{Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr)})
+		out = append(out, transport.ControlNode{Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr)})
 	}
 	return out
 }
 
-func (l *Lathe) bookmark(s *session) *dowel.Bookmark {
+func (l *Lathe) bookmark(s *session) *transport.Bookmark {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	b := &dowel.Bookmark{Revision: l.store.Revision(), Proxies: l.sum, Loads: l.loads, Control: l.control()}
+	b := &transport.Bookmark{Revision: l.store.Revision(), Proxies: l.sum, Loads: l.loads, Control: l.control()}
 	if r, ok := l.rounds[s.node]; ok {
 		b.Round = &r
 	}
@@ -252,14 +252,14 @@
 
 // serveRelay lets a relay know, for as long as this node is in touch, that it
 // may send callers here.
-func (l *Lathe) serveRelay(conn *dowel.Conn) {
+func (l *Lathe) serveRelay(conn *transport.Conn) {
 	mark := time.NewTicker(l.timing.Bookmark)
 	defer mark.Stop()
 	for !l.closing.Load() && l.fresh() {
 		l.mu.RLock()
-		b := &dowel.Bookmark{Control: l.control(), Diskless: l.set.DataDirectory == ""}
+		b := &transport.Bookmark{Control: l.control(), Diskless: l.set.DataDirectory == ""}
 		l.mu.RUnlock()
-		if conn.Send(&dowel.Frame{Bookmark: b}) != nil {
+		if conn.Send(&transport.Frame{Bookmark: b}) != nil {
 			return
 		}
 		select {
@@ -275,7 +275,7 @@
 
 // stream sends events as they come and bookmarks while this node is in touch
 // with the newest state; without them the proxy looks for another node.
-func (l *Lathe) stream(conn *dowel.Conn, s *session, after uint64, packs bool, gone chan struct{}) {
+func (l *Lathe) stream(conn *transport.Conn, s *session, after uint64, packs bool, gone chan struct{}) {
 	defer conn.Close()
 	wake := make(chan struct{}, 1)
 	l.mu.Lock()
@@ -292,7 +292,7 @@
 	// still to be sent.
 	first := l.bookmark(s)
 	first.Revision = after
-	if conn.Send(&dowel.Frame{Bookmark: first}) != nil {
+	if conn.Send(&transport.Frame{Bookmark: first}) != nil {
 		return
 	}
 	round := 0
@@ -301,7 +301,7 @@
 		events, err := l.cache.Since(after, eventsAFrame)
 		l.mu.RUnlock()
 		if err != nil {
-			_ = conn.Send(&dowel.Frame{Gone: true}) // it lists again either way
+			_ = conn.Send(&transport.Frame{Gone: true}) // it lists again either way
 			return
 		}
 		if n := len(events); n > 0 {
@@ -312,7 +312,7 @@
 				}
 			}
 			after = events[n-1].Revision
-			f := &dowel.Frame{Events: out, Bookmark: &dowel.Bookmark{Revision: after}}
+			f := &transport.Frame{Events: out, Bookmark: &transport.Bookmark{Revision: after}}
 			if packs {
 				l.packed.events(f)
 			}
@@ -345,7 +345,7 @@
 				poke(wake)
 				continue
 			}
-			if conn.Send(&dowel.Frame{Bookmark: b}) != nil {
+			if conn.Send(&transport.Frame{Bookmark: b}) != nil {
 				return
 			}
 			after = max(after, b.Revision)
--- a/internal/lathe/transfer.go
+++ b/internal/lathe/transfer.go
@@ -1,7 +1,7 @@
 package lathe
 
 import (
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/raft"
 	"lichentray/registry"
 )
@@ -26,15 +26,15 @@
 // one peer in one frame.
 func (s *linkSet) send(ms []raft.Message) {
 	var order []uint64
-	frames := map[uint64]*dowel.Frame{}
+	frames := map[uint64]*transport.Frame{}
 	for _, m := range ms {
 		addr := s.addr(m.To)
 		switch {
 		case addr == "" || addr == s.l.self.Addr:
 		case m.Type == raft.MsgAppend || m.Type == raft.MsgSnapshot:
-			offer(s.logLink(addr), &dowel.Frame{Raft: []raft.Message{m}})
+			offer(s.logLink(addr), &transport.Frame{Raft: []raft.Message{m}})
 		case frames[m.To] == nil:
-			frames[m.To] = &dowel.Frame{}
+			frames[m.To] = &transport.Frame{}
 			order = append(order, m.To)
 			fallthrough
 		default:
@@ -47,7 +47,7 @@
 }
 
 // offer queues a frame, or drops it.
-func offer(k *link, f *dowel.Frame) {
+func offer(k *link, f *transport.Frame) {
 	select {
 	case k.queue <- f:
 	default:
--- a/internal/lathe/transfer_test.go
+++ b/internal/lathe/transfer_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lichentray/internal/chest"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/raft"
 	"lichentray/registry"
 )
@@ -89,9 +89,9 @@
 			}
 			go func() {
 				defer raw.Close()
-				c, _, err := dowel.Accept(straitConn{raw, s}, 30*time.Second)
+				c, _, err := transport.Accept(straitConn{raw, s}, 30*time.Second)
 				for err == nil {
-					var f *dowel.Frame
+					var f *transport.Frame
 					if f, err = c.Receive(0); err == nil {
 						for _, m := range f.Raft {
 							got <- m
@@ -102,12 +102,12 @@
 		}
 	}()
 	self := raft.Member{ID: 1<<63 | 5, Addr: addr}
-	out, err := dowel.Dial(t.Context(), l.self.Addr, 5*time.Second, dowel.Hello{Role: dowel.Peer, Node: "late", ID: self.ID, Addr: addr})
+	out, err := transport.Dial(t.Context(), l.self.Addr, 5*time.Second, transport.Hello{Role: transport.Peer, Node: "late", ID: self.ID, Addr: addr})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(out.Close)
-	if err := out.Send(&dowel.Frame{Ask: &dowel.Ask{ID: 1, Join: &self}}); err != nil {
+	if err := out.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, Join: &self}}); err != nil {
 		t.Fatal(err)
 	}
 
@@ -159,7 +159,7 @@
 			}
 		}
 		if len(send) > 0 {
-			if err := out.Send(&dowel.Frame{Raft: send}); err != nil {
+			if err := out.Send(&transport.Frame{Raft: send}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/lathe/world.go
+++ b/internal/lathe/world.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"lichentray/config"
-	"lichentray/internal/dowel"
 	"lichentray/internal/notch"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 )
@@ -319,16 +319,16 @@
 }
 
 // share grants what cold endpoints may get to the proxies told of.
-func (l *Lathe) share(now time.Duration, told map[string]uint64) map[string]dowel.Round {
+func (l *Lathe) share(now time.Duration, told map[string]uint64) map[string]transport.Round {
 	if l.set.Bounds.ColdOvershoot <= 0 || !l.node.InTouch(l.timing.Election) {
 		return nil // nothing is bounded, or another may lead by now
 	}
 	l.mu.Lock()
 	cold := l.cold(told)
 	l.mu.Unlock()
-	rounds := map[string]dowel.Round{}
+	rounds := map[string]transport.Round{}
 	for name, grants := range l.granter.Share(now, cold) {
-		rounds[name] = dowel.Round{Seq: told[name], Grants: grants}
+		rounds[name] = transport.Round{Seq: told[name], Grants: grants}
 	}
 	return rounds
 }
--- a/internal/plane/account.go
+++ b/internal/plane/account.go
@@ -13,7 +13,7 @@
 	"lichentray/audit"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 )
 
 // account is this node's side of the account of failures. Nil notes nothing.
@@ -140,7 +140,7 @@
 }
 
 // acked takes that records have been taken in.
-func (a *account) acked(k *dowel.AccountAck) {
+func (a *account) acked(k *transport.AccountAck) {
 	if a == nil || k.Life != a.life {
 		return
 	}
@@ -168,7 +168,7 @@
 		b := a.batch(time.Now(), true, 0)
 		a.mu.Unlock()
 		if c := p.stream.Load(); c != nil {
-			_ = c.Send(&dowel.Frame{Report: &dowel.Report{Account: b}}) // tried again
+			_ = c.Send(&transport.Frame{Report: &transport.Report{Account: b}}) // tried again
 		}
 		time.Sleep(p.timing.Dial)
 	}
--- a/internal/plane/follow.go
+++ b/internal/plane/follow.go
@@ -6,19 +6,19 @@
 	"math/rand"
 	"time"
 
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/registry"
 )
 
 // stream is an open stream of one control-plane node.
 type stream struct {
 	addr   string
-	conn   *dowel.Conn
+	conn   *transport.Conn
 	list   bool // the answer is a list, else the watch went on
-	answer *dowel.Answer
+	answer *transport.Answer
 	began  time.Time
 	told   bool // a report has been sent
-	frames chan *dowel.Frame
+	frames chan *transport.Frame
 	broken chan error
 	ended  chan struct{}
 }
@@ -71,7 +71,7 @@
 		sctx, cancel = context.WithCancel(ctx)
 		to := make(chan *stream)
 		found = to
-		want := dowel.Ask{ID: 1, Least: p.mirror.Revision(), Watch: p.mirror.Listed(), List: !p.mirror.Listed(), Packs: true}
+		want := transport.Ask{ID: 1, Least: p.mirror.Revision(), Watch: p.mirror.Listed(), List: !p.mirror.Listed(), Packs: true}
 		if !p.movedOnce {
 			want.Zone = p.set.Zone
 		}
@@ -111,7 +111,7 @@
 	sweep := time.Now()
 	seek("", false)
 	for {
-		var frames chan *dowel.Frame
+		var frames chan *transport.Frame
 		var broken chan error
 		if cur != nil {
 			frames, broken = cur.frames, cur.broken
@@ -175,7 +175,7 @@
 // search asks one candidate after the other until one opens a stream. A next one is
 // asked when one has failed or is slow to answer; those asked before may answer
 // still.
-func (p *Plane) search(ctx context.Context, avoid string, want dowel.Ask) *stream {
+func (p *Plane) search(ctx context.Context, avoid string, want transport.Ask) *stream {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type result struct {
@@ -222,7 +222,7 @@
 			}
 			if out < openMost {
 				out++
-				go func(want dowel.Ask) {
+				go func(want transport.Ask) {
 					s, err := p.open(ctx, addr, want, dial)
 					select {
 					case results <- result{addr, s, err}:
@@ -267,7 +267,7 @@
 }
 
 // approach asks the nodes that lie nearer than one that is followed, once.
-func (p *Plane) approach(ctx context.Context, addr string, want dowel.Ask) *stream {
+func (p *Plane) approach(ctx context.Context, addr string, want transport.Ask) *stream {
 	for _, a := range p.line.NearerThan(addr) {
 		if s, _ := p.open(ctx, a, want, p.timing.Open); s != nil {
 			return s
@@ -280,15 +280,15 @@
 const openMost = 4
 
 // open asks one node for a list or for the watch to go on.
-func (p *Plane) open(ctx context.Context, addr string, want dowel.Ask, wait time.Duration) (*stream, error) {
-	conn, err := dowel.Dial(ctx, addr, wait, dowel.Hello{Role: dowel.Proxy, Node: p.set.NodeName})
+func (p *Plane) open(ctx context.Context, addr string, want transport.Ask, wait time.Duration) (*stream, error) {
+	conn, err := transport.Dial(ctx, addr, wait, transport.Hello{Role: transport.Proxy, Node: p.set.NodeName})
 	if err != nil {
 		return nil, err
 	}
 	conn.WriteTimeout = p.timing.Silence
 	release := context.AfterFunc(ctx, conn.Close)
 	for {
-		if err := conn.Send(&dowel.Frame{Ask: &want}); err != nil {
+		if err := conn.Send(&transport.Frame{Ask: &want}); err != nil {
 			conn.Close()
 			return nil, err
 		}
@@ -308,7 +308,7 @@
 			p.line.Learn(a.Nearer)
 			err = errNearer
 		case a.Gone:
-			want = dowel.Ask{ID: want.ID + 1, Least: want.Least, List: true, Packs: true}
+			want = transport.Ask{ID: want.ID + 1, Least: want.Least, List: true, Packs: true}
 			continue
 		}
 		if err != nil || !release() {
@@ -316,7 +316,7 @@
 			return nil, errors.Join(err, ctx.Err())
 		}
 		s := &stream{addr: addr, conn: conn, list: want.List, answer: a, began: time.Now(),
-			frames: make(chan *dowel.Frame), broken: make(chan error, 1), ended: make(chan struct{})}
+			frames: make(chan *transport.Frame), broken: make(chan error, 1), ended: make(chan struct{})}
 		go s.read()
 		return s, nil
 	}
@@ -344,7 +344,7 @@
 }
 
 // take takes one frame and reports when it is time to.
-func (p *Plane) take(s *stream, f *dowel.Frame, sweep *time.Time) error {
+func (p *Plane) take(s *stream, f *transport.Frame, sweep *time.Time) error {
 	events, err := f.TakeEvents()
 	if err != nil {
 		return err
@@ -389,7 +389,7 @@
 		if r := p.routing.Load(); r != nil {
 			p.sweep(r.services)
 		}
-		return s.conn.Send(&dowel.Frame{Ack: rev, Report: p.report(span)})
+		return s.conn.Send(&transport.Frame{Ack: rev, Report: p.report(span)})
 	}
 	return nil
 }
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
 	"lichentray/registry"
 )
@@ -18,17 +18,17 @@
 // what it is told to.
 type control struct {
 	opened atomic.Int64
-	say    chan *dowel.Frame
-	answer func(*dowel.Ask) *dowel.Answer
+	say    chan *transport.Frame
+	answer func(*transport.Ask) *transport.Answer
 }
 
-func newControl(t *testing.T, addr string, answer func(*dowel.Ask) *dowel.Answer) *control {
-	c := &control{say: make(chan *dowel.Frame), answer: answer}
+func newControl(t *testing.T, addr string, answer func(*transport.Ask) *transport.Answer) *control {
+	c := &control{say: make(chan *transport.Frame), answer: answer}
 	vicetest.Listen(t, addr, c.serve)
 	return c
 }
 
-func (c *control) serve(conn *dowel.Conn) {
+func (c *control) serve(conn *transport.Conn) {
 	gone, open := make(chan struct{}), make(chan struct{}, 1)
 	go func() {
 		defer close(gone)
@@ -45,14 +45,14 @@
 				if !a.Failed {
 					c.opened.Add(1)
 				}
-				if conn.Send(&dowel.Frame{Answer: a}) != nil {
+				if conn.Send(&transport.Frame{Answer: a}) != nil {
 					return
 				}
 				open <- struct{}{}
 			}
 		}
 	}()
-	var say chan *dowel.Frame // only once a stream is open
+	var say chan *transport.Frame // only once a stream is open
 	for {
 		select {
 		case <-open:
@@ -74,17 +74,19 @@
 	set := vicetest.Settings(t, "127.0.0.23", "", 1, port, []string{"127.0.0.21", "127.0.0.22"}, false)
 	set.Bounds.Drain, set.Bounds.ConfigApply = 1, 1
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
-	list := func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: max(1, a.Least)} }
+	list := func(a *transport.Ask) *transport.Answer {
+		return &transport.Answer{ID: a.ID, Revision: max(1, a.Least)}
+	}
 	var deaf atomic.Bool
 	deaf.Store(true)
 	asked := make(chan struct{}, 100)
-	first := newControl(t, address("127.0.0.21"), func(a *dowel.Ask) *dowel.Answer {
+	first := newControl(t, address("127.0.0.21"), func(a *transport.Ask) *transport.Answer {
 		if a.Watch {
 			return nil
 		}
 		return list(a)
 	})
-	second := newControl(t, address("127.0.0.22"), func(a *dowel.Ask) *dowel.Answer {
+	second := newControl(t, address("127.0.0.22"), func(a *transport.Ask) *transport.Answer {
 		if a.Watch { // only a stream that is sought anew asks to go on
 			asked <- struct{}{}
 		}
@@ -109,14 +111,14 @@
 	until("a list", func() bool { return p.n.lists.Value() == 1 })
 	<-asked // the first has been quiet: the second is asked, and does not answer
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "a"}
-	first.say <- &dowel.Frame{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &dowel.Bookmark{Revision: 2}}
+	first.say <- &transport.Frame{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &transport.Bookmark{Revision: 2}}
 	until("what the quiet stream said", func() bool { return p.n.revision.Value() == 2 })
 	if p.n.streamLost.Value() != 0 || first.opened.Load() != 1 {
 		t.Errorf("the stream was broken off: %d lost, opened %d times", p.n.streamLost.Value(), first.opened.Load())
 	}
 	deaf.Store(false)
 	until("the other node is followed", func() bool { return second.opened.Load() > 0 && p.n.watches.Value() > 0 })
-	second.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: 7}}
+	second.say <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 7}}
 	until("what the other node said", func() bool { return p.n.revision.Value() == 7 })
 }
 
@@ -126,8 +128,8 @@
 	port := vicetest.FreePort(t, "127.0.0.24", "127.0.0.25")
 	set := vicetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
 	core := set.InternalAddr("127.0.0.25:1")
-	newControl(t, core, func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: 1} })
-	vicetest.Relay(t, set.InternalAddr("127.0.0.24:1"), dowel.ControlNode{Addr: core})
+	newControl(t, core, func(a *transport.Ask) *transport.Answer { return &transport.Answer{ID: a.ID, Revision: 1} })
+	vicetest.Relay(t, set.InternalAddr("127.0.0.24:1"), transport.ControlNode{Addr: core})
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -147,16 +149,18 @@
 	set := vicetest.Settings(t, "127.0.0.43", "", 1, port, []string{"127.0.0.41"}, false)
 	set.Bounds.Contact = 0.2
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
-	list := func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: max(1, a.Least)} }
+	list := func(a *transport.Ask) *transport.Answer {
+		return &transport.Answer{ID: a.ID, Revision: max(1, a.Least)}
+	}
 	far := newControl(t, address("127.0.0.41"), list)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.Follow(ctx) }()
 	defer func() { stop(); <-done }()
-	control := []dowel.ControlNode{{Addr: address("127.0.0.41"), Zone: "b"}, {Addr: address("127.0.0.42"), Zone: "a"}}
+	control := []transport.ControlNode{{Addr: address("127.0.0.41"), Zone: "b"}, {Addr: address("127.0.0.42"), Zone: "a"}}
 	for rev := uint64(2); rev < 12; rev++ {
-		far.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: rev, Control: control}}
+		far.say <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: rev, Control: control}}
 		time.Sleep(set.Bounds.Contact.D() / 4) // what is nearer is sought at each span of contact
 	}
 	if far.opened.Load() != 1 {
@@ -168,7 +172,7 @@
 			t.Fatal("the nearer node was never followed")
 		}
 		select {
-		case far.say <- &dowel.Frame{Bookmark: &dowel.Bookmark{Revision: 20, Control: control}}:
+		case far.say <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 20, Control: control}}:
 		default:
 		}
 	}
@@ -183,18 +187,20 @@
 	set := vicetest.Settings(t, own, "", 1, port, []string{own, core}, false)
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
 	var asked atomic.Int64
-	vicetest.Listen(t, address(own), func(conn *dowel.Conn) {
+	vicetest.Listen(t, address(own), func(conn *transport.Conn) {
 		asked.Add(1)
-		known := []dowel.ControlNode{{Addr: address(core), API: core + ":1", Zone: set.Zone}}
-		for err := conn.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: known}}); err == nil; {
+		known := []transport.ControlNode{{Addr: address(core), API: core + ":1", Zone: set.Zone}}
+		for err := conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: known}}); err == nil; {
 			_, err = conn.Receive(0)
 		}
 	})
-	newControl(t, address(core), func(a *dowel.Ask) *dowel.Answer { return &dowel.Answer{ID: a.ID, Revision: max(1, a.Least)} })
+	newControl(t, address(core), func(a *transport.Ask) *transport.Answer {
+		return &transport.Answer{ID: a.ID, Revision: max(1, a.Least)}
+	})
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
-	s := p.search(ctx, "", dowel.Ask{ID: 1, List: true, Packs: true})
+	s := p.search(ctx, "", transport.Ask{ID: 1, List: true, Packs: true})
 	if s == nil {
 		t.Fatalf("the core was never followed, the relay was asked %d times", asked.Load())
 	}
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -17,8 +17,8 @@
 	"lichentray/config"
 	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
-	"lichentray/internal/dowel"
 	"lichentray/internal/plumb"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -85,7 +85,7 @@
 	// region gives each region a dense index; this node's is here.
 	region  map[string]int
 	here    int
-	stream  atomic.Pointer[dowel.Conn]
+	stream  atomic.Pointer[transport.Conn]
 	pacer   *pacer
 	account *account
 
@@ -602,7 +602,7 @@
 
 // report gives what this node asks of each service, for the sum over all; with
 // more than one region, for each zone as well.
-func (p *Plane) report(span time.Duration) *dowel.Report {
+func (p *Plane) report(span time.Duration) *transport.Report {
 	out := map[string]loadbalance.Load{}
 	seen := map[string]loadbalance.Seen{}
 	for name, s := range p.services {
@@ -633,7 +633,7 @@
 			delete(p.sentAt, seq)
 		}
 	}
-	return &dowel.Report{Seq: p.seq, Loads: out, Seen: seen, Self: p.self(), Trials: p.trials(), Account: p.account.report()}
+	return &transport.Report{Seq: p.seq, Loads: out, Seen: seen, Self: p.self(), Trials: p.trials(), Account: p.account.report()}
 }
 
 // self is this node's entry in the registry, where clients find proxies there.
@@ -648,13 +648,13 @@
 func (p *Plane) leave() {
 	p.stopping.Store(true)
 	if c, self := p.stream.Load(), p.self(); c != nil && self != nil {
-		_ = c.Send(&dowel.Frame{Report: &dowel.Report{Self: self}}) // the next report tells it again
+		_ = c.Send(&transport.Frame{Report: &transport.Report{Self: self}}) // the next report tells it again
 	}
 }
 
 // granted takes this node's shares of cold endpoints. They hold from when the
 // report went out that they answer.
-func (p *Plane) granted(r *dowel.Round) {
+func (p *Plane) granted(r *transport.Round) {
 	sent, ok := p.sentAt[r.Seq]
 	if !ok {
 		return
--- a/internal/plane/trial.go
+++ b/internal/plane/trial.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -45,11 +45,11 @@
 }
 
 // trials reports the roll-outs under way.
-func (p *Plane) trials() map[string]dowel.Trial {
+func (p *Plane) trials() map[string]transport.Trial {
 	if !p.set.RollsOut() {
 		return nil
 	}
-	var out map[string]dowel.Trial
+	var out map[string]transport.Trial
 	for name, s := range p.services {
 		s.mu.Lock()
 		p.board.Counter("endpoints_barred", "service", name).Set(int64(s.pool.Barred()))
@@ -59,9 +59,9 @@
 				p.board.Counter("rollout_requests_total", "service", name, "version", "target").Add(int64(a.Target.Answers + a.Target.Broken))
 			}
 			if out == nil {
-				out = map[string]dowel.Trial{}
+				out = map[string]transport.Trial{}
 			}
-			out[name] = dowel.Trial{Order: s.trial.Order, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
+			out[name] = transport.Trial{Order: s.trial.Order, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
 			s.trial.seen = nil
 			s.trial.strata.Fade()
 		}
--- a/internal/plumb/plumb.go
+++ b/internal/plumb/plumb.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"lichentray/internal/caliper"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 )
 
 // Line knows which control-plane nodes there are. It is safe for use from
@@ -17,7 +17,7 @@
 	set   *caliper.Settings
 	mu    sync.Mutex
 	seeds []string
-	known []dowel.ControlNode
+	known []transport.ControlNode
 }
 
 // New makes a line that knows the seeds alone.
@@ -31,7 +31,7 @@
 }
 
 // Learn takes the nodes that a bookmark names; none changes nothing.
-func (l *Line) Learn(nodes []dowel.ControlNode) {
+func (l *Line) Learn(nodes []transport.ControlNode) {
 	if len(nodes) == 0 {
 		return
 	}
@@ -41,10 +41,10 @@
 }
 
 // Known gives the nodes that were told of.
-func (l *Line) Known() []dowel.ControlNode {
+func (l *Line) Known() []transport.ControlNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]dowel.ControlNode(nil), l.known...)
+	return append([]transport.ControlNode(nil), l.known...)
 }
 
 // API gives the address at which callers reach a node, or nothing.
@@ -61,7 +61,7 @@
 
 // distance ranks a node: 0 on this machine, 1 in this zone, 2 in this region,
 // 3 elsewhere, 4 unknown.
-func (l *Line) distance(n dowel.ControlNode) int {
+func (l *Line) distance(n transport.ControlNode) int {
 	home := l.set.Zones[l.set.Zone]
 	switch {
 	case n.Addr == l.set.InternalAddr(l.set.IP):
@@ -80,7 +80,7 @@
 // comes last.
 func (l *Line) Candidates(avoid string) []string {
 	l.mu.Lock()
-	nodes := append([]dowel.ControlNode(nil), l.known...)
+	nodes := append([]transport.ControlNode(nil), l.known...)
 	seen := map[string]bool{}
 	for _, n := range nodes {
 		seen[n.Addr] = true
@@ -88,7 +88,7 @@
 	for _, s := range l.seeds {
 		if a := l.set.InternalAddr(s); !seen[a] {
 			seen[a] = true
-			nodes = append(nodes, dowel.ControlNode{Addr: a})
+			nodes = append(nodes, transport.ControlNode{Addr: a})
 		}
 	}
 	l.mu.Unlock()
--- a/internal/plumb/plumb_test.go
+++ b/internal/plumb/plumb_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"lichentray/internal/caliper"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 )
 
 // TestNearestFirst: own machine, zone, region, elsewhere, unknown; the one that
@@ -17,7 +17,7 @@
 	if got := l.Candidates(""); len(got) != 2 || l.Nearer(got[0]) {
 		t.Errorf("with seeds alone: %v", got)
 	}
-	l.Learn([]dowel.ControlNode{{Addr: "10.0.0.4:77", Zone: "b1"}, {Addr: "10.0.0.3:77", API: "10.0.0.3:1", Zone: "a2"}, {Addr: "10.0.0.2:77", Zone: "a1"}, {Addr: "10.0.0.1:77", Zone: "a1"}})
+	l.Learn([]transport.ControlNode{{Addr: "10.0.0.4:77", Zone: "b1"}, {Addr: "10.0.0.3:77", API: "10.0.0.3:1", Zone: "a2"}, {Addr: "10.0.0.2:77", Zone: "a1"}, {Addr: "10.0.0.1:77", Zone: "a1"}})
 	l.Learn(nil) // tells nothing
 	if got := fmt.Sprint(l.Candidates("10.0.0.2:77")); got != "[10.0.0.1:77 10.0.0.3:77 10.0.0.4:77 10.0.0.9:77 10.0.0.2:77]" {
 		t.Errorf("in order: %s", got)
--- a/internal/dowel/quiet.go
+++ b/internal/transport/quiet.go
@@ -1,4 +1,4 @@
-package dowel
+package transport
 
 import (
 	"errors"
--- a/internal/dowel/dowel.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package dowel joins the system's own processes (the internal wire): gob in
+// Package transport joins the system's own processes (the internal wire): gob in
 // bounded frames over TCP, with a hello that tells version and role.
-package dowel
+package transport
 
 import (
 	"bufio"
@@ -110,7 +110,7 @@
 		err = w.Close()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("dowel: pack: %w", err)
+		return nil, fmt.Errorf("transport: pack: %w", err)
 	}
 	return b.Bytes(), nil
 }
@@ -121,7 +121,7 @@
 		_, err = io.Copy(io.Discard, r) // to its very end, or it was cut
 	}
 	if err != nil {
-		return nil, fmt.Errorf("dowel: unpack: %w", err)
+		return nil, fmt.Errorf("transport: unpack: %w", err)
 	}
 	return out, nil
 }
@@ -284,7 +284,7 @@
 	d := net.Dialer{Timeout: silence, KeepAlive: -1}
 	raw, err := d.DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return nil, fmt.Errorf("dowel: %w", err)
+		return nil, fmt.Errorf("transport: %w", err)
 	}
 	c := NewConn(raw, silence)
 	h.Version = Version
@@ -296,7 +296,7 @@
 }
 
 // ErrHello says that the other end does not speak this wire.
-var ErrHello = errors.New("dowel: no hello of this version")
+var ErrHello = errors.New("transport: no hello of this version")
 
 // Accept reads the hello of an incoming connection.
 func Accept(raw net.Conn, silence time.Duration) (*Conn, Hello, error) {
@@ -318,11 +318,11 @@
 	c.out.Reset()
 	c.out.Write([]byte{0, 0, 0, 0})
 	if err := c.enc.Encode(f); err != nil {
-		return fmt.Errorf("dowel: encode: %w", err)
+		return fmt.Errorf("transport: encode: %w", err)
 	}
 	b := c.out.Bytes()
 	if len(b)-4 > MaxFrame {
-		return fmt.Errorf("dowel: frame of %d bytes is too large", len(b)-4)
+		return fmt.Errorf("transport: frame of %d bytes is too large", len(b)-4)
 	}
 	head := uint32(len(b) - 4)
 	if len(b) > PackFrom && f.PackedEvents == nil && (f.Answer == nil || f.Answer.Packed == nil) {
@@ -336,7 +336,7 @@
 		}
 		packers.Put(w)
 		if err != nil {
-			return fmt.Errorf("dowel: pack: %w", err)
+			return fmt.Errorf("transport: pack: %w", err)
 		}
 		b = c.packed.Bytes()
 		head = uint32(len(b)-4) | packedBit
@@ -346,11 +346,11 @@
 		piece := b[:min(len(b), writePiece)]
 		b = b[len(piece):]
 		if err := c.raw.SetWriteDeadline(time.Now().Add(c.WriteTimeout)); err != nil {
-			return fmt.Errorf("dowel: %w", err)
+			return fmt.Errorf("transport: %w", err)
 		}
 		if _, err := c.raw.Write(piece); err != nil {
 			c.raw.Close()
-			return fmt.Errorf("dowel: send: %w", err)
+			return fmt.Errorf("transport: send: %w", err)
 		}
 	}
 	if c.out.Cap() > 16*PackFrom { // a list or a large configuration; not kept
@@ -367,29 +367,29 @@
 		until = time.Now().Add(wait)
 	}
 	if err := c.raw.SetReadDeadline(until); err != nil {
-		return nil, fmt.Errorf("dowel: %w", err)
+		return nil, fmt.Errorf("transport: %w", err)
 	}
 	var head [4]byte
 	if _, err := io.ReadFull(c.rd, head[:]); err != nil {
-		return nil, fmt.Errorf("dowel: receive: %w", err)
+		return nil, fmt.Errorf("transport: receive: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	packed := n&packedBit != 0
 	if n &^= packedBit; n > MaxFrame {
-		return nil, fmt.Errorf("dowel: frame of %d bytes is too large", n)
+		return nil, fmt.Errorf("transport: frame of %d bytes is too large", n)
 	}
 	c.in.Reset()
 	body := io.LimitReader(c.rd, int64(n))
 	if packed {
 		if m, err := io.Copy(&c.in, io.LimitReader(flate.NewReader(bufio.NewReader(body)), MaxFrame+1)); err != nil || m > MaxFrame {
-			return nil, fmt.Errorf("dowel: unpack %d bytes: %w", m, err)
+			return nil, fmt.Errorf("transport: unpack %d bytes: %w", m, err)
 		}
 	} else if m, err := io.Copy(&c.in, body); err != nil || m != int64(n) {
-		return nil, fmt.Errorf("dowel: receive: %w", errors.Join(err, io.ErrUnexpectedEOF))
+		return nil, fmt.Errorf("transport: receive: %w", errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	f := new(Frame)
 	if err := c.dec.Decode(f); err != nil {
-		return nil, fmt.Errorf("dowel: decode: %w", err)
+		return nil, fmt.Errorf("transport: decode: %w", err)
 	}
 	return f, nil
 }
--- a/internal/vicetest/vicetest.go
+++ b/internal/vicetest/vicetest.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lichentray/internal/caliper"
-	"lichentray/internal/dowel"
+	"lichentray/internal/transport"
 )
 
 // FreePort finds a port that is free on every one of the addresses.
@@ -99,7 +99,7 @@
 
 // Listen stands in for a control-plane node or a relay at an internal address: serve
 // speaks with whoever connects, until it returns.
-func Listen(t testing.TB, addr string, serve func(*dowel.Conn)) {
+func Listen(t testing.TB, addr string, serve func(*transport.Conn)) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -114,7 +114,7 @@
 			}
 			go func() {
 				defer raw.Close()
-				if c, _, err := dowel.Accept(raw, 5*time.Second); err == nil {
+				if c, _, err := transport.Accept(raw, 5*time.Second); err == nil {
 					serve(c)
 				}
 			}()
@@ -123,10 +123,10 @@
 }
 
 // Relay stands in for a relay that tells where the core is.
-func Relay(t testing.TB, addr string, core ...dowel.ControlNode) {
+func Relay(t testing.TB, addr string, core ...transport.ControlNode) {
 	t.Helper()
-	Listen(t, addr, func(c *dowel.Conn) {
-		err := c.Send(&dowel.Frame{Bookmark: &dowel.Bookmark{Control: core}})
+	Listen(t, addr, func(c *transport.Conn) {
+		err := c.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: core}})
 		for err == nil {
 			_, err = c.Receive(5 * time.Second)
 		}
