--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -17,9 +17,9 @@
 	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/caliper"
-	"lichentray/internal/chest"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
+	"lichentray/internal/storage"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/raft"
@@ -81,7 +81,7 @@
 	start  time.Time
 	life   uint64 // drawn at each start
 	self   raft.Member
-	chest  *chest.Chest
+	chest  *storage.Chest
 
 	mail chan func()
 	disk chan diskJob
@@ -250,12 +250,12 @@
 	if set.Bootstrap && isSeed {
 		first = memberID(addr)
 	}
-	ch, id, saved, err := chest.Open(set.DataDirectory, first, l.restore)
+	ch, id, saved, err := storage.Open(set.DataDirectory, first, l.restore)
 	for tries := 0; err != nil && tries < 20; tries++ {
 		// A disk in trouble refuses for seconds; a start waits for it.
 		l.nDiskFail.Inc()
 		time.Sleep(l.timing.Election / 2)
-		ch, id, saved, err = chest.Open(set.DataDirectory, first, l.restore)
+		ch, id, saved, err = storage.Open(set.DataDirectory, first, l.restore)
 	}
 	if err != nil {
 		stop()
--- a/internal/lathe/transfer_test.go
+++ b/internal/lathe/transfer_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/chest"
+	"lichentray/internal/storage"
 	"lichentray/internal/transport"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -184,7 +184,7 @@
 	until(t, "a configuration", func() bool { return g.nodes[0].Replace(fmt.Appendf(nil, text, 5)) == nil })
 	old := g.nodes[2].self.ID
 	g.nodes[2].Close()
-	c, _, saved, err := chest.Open(g.disk(2), 0, nil)
+	c, _, saved, err := storage.Open(g.disk(2), 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/chest/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -1,4 +1,4 @@
-package chest
+package storage
 
 import (
 	"bytes"
--- a/internal/chest/chest.go
+++ b/internal/storage/storage.go
@@ -1,7 +1,7 @@
-// Package chest keeps a control-plane node's log on disk (durable log store)
+// Package storage keeps a control-plane node's log on disk (durable log store)
 // in SQLite. One process owns the file: the journal is a WAL under an exclusive
 // lock, so no shared memory is used, and every Save is one durable sync.
-package chest
+package storage
 
 import (
 	"bytes"
@@ -108,7 +108,7 @@
 			}
 		}
 		if err != nil {
-			return fmt.Errorf("chest: set aside: %w", err)
+			return fmt.Errorf("storage: set aside: %w", err)
 		}
 	}
 	return nil
@@ -118,11 +118,11 @@
 var syncFolder = func(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
-		return fmt.Errorf("chest: folder: %w", err)
+		return fmt.Errorf("storage: folder: %w", err)
 	}
 	defer d.Close()
 	if err := d.Sync(); err != nil {
-		return fmt.Errorf("chest: sync folder: %w", err)
+		return fmt.Errorf("storage: sync folder: %w", err)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	}
 	d, err := (&sqlite3.SQLiteDriver{}).Open(path)
 	if err != nil {
-		return fmt.Errorf("chest: open: %w", err)
+		return fmt.Errorf("storage: open: %w", err)
 	}
 	c.conn = d.(*sqlite3.SQLiteConn)
 	for _, q := range []string{
@@ -161,7 +161,7 @@
 		"CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value BLOB NOT NULL, sum INTEGER) WITHOUT ROWID",
 	} {
 		if _, err := c.conn.Exec(q, nil); err != nil {
-			return fmt.Errorf("chest: %s: %w", q, err)
+			return fmt.Errorf("storage: %s: %w", q, err)
 		}
 	}
 	// Stores of before had no checksums.
@@ -172,7 +172,7 @@
 		}
 		if !has {
 			if _, err := c.conn.Exec("ALTER TABLE "+table+" ADD COLUMN sum INTEGER", nil); err != nil {
-				return fmt.Errorf("chest: add checksums: %w", err)
+				return fmt.Errorf("storage: add checksums: %w", err)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	} {
 		st, err := c.conn.Prepare(p.sql)
 		if err != nil {
-			return fmt.Errorf("chest: prepare: %w", err)
+			return fmt.Errorf("storage: prepare: %w", err)
 		}
 		*p.to = st
 	}
@@ -250,7 +250,7 @@
 	for name, to := range map[string]any{"hard": &saved.Hard, "snapshot": &saved.Snapshot} {
 		if raw, ok := meta[name]; ok {
 			if err = gob.NewDecoder(bytes.NewReader(raw)).Decode(to); err != nil {
-				return id, saved, fmt.Errorf("chest: %s: %w", name, err)
+				return id, saved, fmt.Errorf("storage: %s: %w", name, err)
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 			return nil
 		}
 		if e.Index != next {
-			return fmt.Errorf("chest: log has a gap before %d", e.Index)
+			return fmt.Errorf("storage: log has a gap before %d", e.Index)
 		}
 		next++
 		saved.Entries = append(saved.Entries, e)
@@ -280,7 +280,7 @@
 func (c *Chest) rows(q string, each func([]driver.Value) error) error {
 	rows, err := c.conn.Query(q, nil)
 	if err != nil {
-		return fmt.Errorf("chest: %s: %w", q, err)
+		return fmt.Errorf("storage: %s: %w", q, err)
 	}
 	defer rows.Close()
 	v := make([]driver.Value, len(rows.Columns()))
@@ -293,13 +293,13 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		default:
-			return fmt.Errorf("chest: %s: %w", q, err)
+			return fmt.Errorf("storage: %s: %w", q, err)
 		}
 	}
 }
 
 // errSum tells damage that SQLite does not notice.
-var errSum = errors.New("chest: checksum does not match")
+var errSum = errors.New("storage: checksum does not match")
 
 // sumOf is the checksum of a row: of its data and of what names it.
 func sumOf(data []byte, names ...any) int64 {
@@ -345,7 +345,7 @@
 		// After a refused write or sync nothing that the connection holds is
 		// trusted: the next try opens the file anew.
 		c.Close()
-		return fmt.Errorf("chest: save: %w", err)
+		return fmt.Errorf("storage: save: %w", err)
 	}
 	return nil
 }
