--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -11,10 +11,10 @@
 	"runtime"
 	"runtime/debug"
 
+	"lichentray/internal/api"
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
-	"lichentray/internal/hatch"
 	"lichentray/internal/plane"
 )
 
@@ -31,16 +31,16 @@
 	p := plane.New(set, log, board)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	readiness, err := hatch.Listen(set.Listen.Readiness, board)
+	readiness, err := api.Listen(set.Listen.Readiness, board)
 	if err != nil {
 		return fmt.Errorf("readiness: %w", err)
 	}
-	frontend, err := hatch.Listen(set.Listen.Frontend, board)
+	frontend, err := api.Listen(set.Listen.Frontend, board)
 	if err != nil {
 		return fmt.Errorf("frontend: %w", err)
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- hatch.Server(p.Readiness, 64<<10).Serve(readiness) }()
+	go func() { failed <- api.Server(p.Readiness, 64<<10).Serve(readiness) }()
 	front := plane.NewFront(p, frontend)
 	go front.Run()
 	go p.Follow(ctx)
--- a/cmd/vise/main.go
+++ b/cmd/vise/main.go
@@ -15,10 +15,10 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/config"
+	"lichentray/internal/api"
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
-	"lichentray/internal/hatch"
 	"lichentray/internal/lathe"
 )
 
@@ -54,20 +54,20 @@
 		return err
 	}
 	defer node.Close()
-	server := hatch.NewAPI(apiNode{node}, board, set.Bounds.HistoryRetention.D())
-	srv := hatch.Server(server.Serve, 16<<20)
-	ln, err := hatch.Listen(set.Listen.Control, board)
+	server := api.NewAPI(apiNode{node}, board, set.Bounds.HistoryRetention.D())
+	srv := api.Server(server.Serve, 16<<20)
+	ln, err := api.Listen(set.Listen.Control, board)
 	if err != nil {
 		return fmt.Errorf("control_plane: %w", err)
 	}
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(ln) }()
 	if set.Listen.Directory != "" {
-		dir, err := hatch.Listen(set.Listen.Directory, board)
+		dir, err := api.Listen(set.Listen.Directory, board)
 		if err != nil {
 			return fmt.Errorf("directory: %w", err)
 		}
-		go func() { failed <- hatch.Server(hatch.NewDirectory(node, board).Serve, 64<<10).Serve(dir) }()
+		go func() { failed <- api.Server(api.NewDirectory(node, board).Serve, 64<<10).Serve(dir) }()
 	}
 	for {
 		select {
--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -14,10 +14,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/internal/api"
 	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
-	"lichentray/internal/hatch"
 	"lichentray/internal/notch"
 	"lichentray/internal/plumb"
 	"lichentray/internal/transport"
@@ -46,7 +46,7 @@
 		line: plumb.New(set), noDisks: make(chan struct{}), wait: b.Contact.D(), poll: b.HistoryRetention.D() + b.Contact.D(),
 		passed: board.Counter("relayed_total"), sentOn: board.Counter("relayed_by_redirect_total"), lost: board.Counter("relayed_without_target_total"), failed: board.Counter("relayed_unclear_total"),
 	}
-	ln, err := hatch.Listen(set.Listen.Control, board)
+	ln, err := api.Listen(set.Listen.Control, board)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.follow(ctx, set, log)
-	srv := hatch.Server(r.handler(board), 16<<20)
+	srv := api.Server(r.handler(board), 16<<20)
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(ln) }()
 	for {
@@ -186,7 +186,7 @@
 		switch string(ctx.Path()) {
 		case "/metrics":
 			ctx.SetContentType("text/plain; version=0.0.4")
-			ctx.SetBody(hatch.Metrics(board))
+			ctx.SetBody(api.Metrics(board))
 			return
 		case "/api/readiness":
 			return
@@ -194,7 +194,7 @@
 		to := r.to.Load()
 		if to == nil {
 			r.lost.Inc()
-			hatch.Fail(ctx, notch.New(notch.Unavailable, "no core node is in touch"))
+			api.Fail(ctx, notch.New(notch.Unavailable, "no core node is in touch"))
 			return
 		}
 		if len(ctx.PostBody()) > passedMost || string(ctx.QueryArgs().Peek("call")) == "configuration.read" {
@@ -218,10 +218,10 @@
 			r.passed.Inc()
 		case errors.Is(err, errDial) || errors.Is(err, errEnded) || errors.Is(err, fasthttp.ErrNoFreeConns):
 			r.lost.Inc() // not one byte of it left
-			hatch.Fail(ctx, notch.New(notch.Unavailable, "core node cannot be reached"))
+			api.Fail(ctx, notch.New(notch.Unavailable, "core node cannot be reached"))
 		default:
 			r.failed.Inc()
-			hatch.Fail(ctx, notch.New(notch.Unknown, "core node did not answer"))
+			api.Fail(ctx, notch.New(notch.Unknown, "core node did not answer"))
 		}
 	}
 }
--- a/internal/hatch/hatch.go
+++ b/internal/api/api.go
@@ -1,7 +1,7 @@
-// Package hatch is the HTTP side of the control plane (the API server): it
+// Package api is the HTTP side of the control plane (the API server): it
 // reads calls, hands them to the control-plane node and answers from the one
 // table of error kinds.
-package hatch
+package api
 
 import (
 	"encoding/json"
--- a/internal/hatch/hatch_test.go
+++ b/internal/api/api_test.go
@@ -1,4 +1,4 @@
-package hatch
+package api
 
 import (
 	"net"
--- a/internal/plane/fuzz_test.go
+++ b/internal/plane/fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/config"
-	"lichentray/internal/hatch"
+	"lichentray/internal/api"
 )
 
 // said is a client's connection that says some bytes and ends.
@@ -48,7 +48,7 @@
 	}
 	r := &routing{table: config.Compile(c)}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		srv := hatch.Server(func(ctx *fasthttp.RequestCtx) {
+		srv := api.Server(func(ctx *fasthttp.RequestCtx) {
 			q := request{ctx: ctx, began: ctx.Time(), isHead: ctx.IsHead()}
 			if q.read(r, nil) != nil {
 				ctx.SetConnectionClose()
--- a/internal/plane/server.go
+++ b/internal/plane/server.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/config"
+	"lichentray/internal/api"
 	"lichentray/internal/caliper"
-	"lichentray/internal/hatch"
 )
 
 // Front serves clients. The limits of the configuration in force when a
@@ -50,7 +50,7 @@
 	if f.srv != nil && f.held == limits {
 		return f.srv
 	}
-	s := hatch.Server(f.p.Serve, prefetch)
+	s := api.Server(f.p.Serve, prefetch)
 	s.StreamRequestBody = true
 	s.ReadBufferSize = int(max(4<<10, min(limits.MaxHeaderBytes, 256<<10))) + 1<<10
 	s.ReadTimeout = orElse(limits.HeaderTimeoutS, f.p.set.Bounds.Contact.D())
@@ -173,7 +173,7 @@
 		ctx.SetBodyString("{}")
 	case "/metrics":
 		ctx.SetContentType("text/plain; version=0.0.4")
-		ctx.SetBody(hatch.Metrics(p.board))
+		ctx.SetBody(api.Metrics(p.board))
 	default:
 		ctx.SetStatusCode(404)
 	}
