--- a/cmd/gauge/main.go
+++ b/cmd/gauge/main.go
@@ -23,9 +23,9 @@
 
 	"lichentray/audit"
 	"lichentray/config"
-	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/lathe"
+	"lichentray/internal/settings"
 )
 
 // Exit codes.
@@ -211,14 +211,14 @@
 }
 
 func (t *tool) settingsCheck(io.Reader) error {
-	path := caliper.Path(t.set)
+	path := settings.Path(t.set)
 	if len(t.args) > 1 {
 		return fail(exitUsage, "settings check takes one file")
 	}
 	if len(t.args) == 1 {
 		path = t.args[0]
 	}
-	s, err := caliper.Load(path)
+	s, err := settings.Load(path)
 	if err != nil {
 		return fail(exitInvalid, "%v", err)
 	}
@@ -272,7 +272,7 @@
 	if len(t.nodes) > 0 {
 		return t.nodes, nil
 	}
-	s, err := caliper.Load(caliper.Path(t.set))
+	s, err := settings.Load(settings.Path(t.set))
 	if err != nil {
 		return nil, fail(exitUsage, "no --nodes given, and the settings do not help: %v", err)
 	}
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -12,15 +12,15 @@
 	"runtime/debug"
 
 	"lichentray/internal/api"
-	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
 	"lichentray/internal/plane"
+	"lichentray/internal/settings"
 )
 
 func main() { os.Exit(daemon.Main("router", "the proxy node", run)) }
 
-func run(path string, set *caliper.Settings, log *slog.Logger, sig *daemon.Signals) error {
+func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Frontend == "" || set.Listen.Readiness == "" {
 		return errors.New("listen_addresses: frontend or readiness missing, router serves edge")
 	}
--- a/cmd/vise/main.go
+++ b/cmd/vise/main.go
@@ -16,10 +16,10 @@
 
 	"lichentray/config"
 	"lichentray/internal/api"
-	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
 	"lichentray/internal/lathe"
+	"lichentray/internal/settings"
 )
 
 func main() { os.Exit(daemon.Main("vise", "the control-plane node", run)) }
@@ -29,7 +29,7 @@
 
 func (n apiNode) Status() any { return n.Lathe.Status() }
 
-func run(path string, set *caliper.Settings, log *slog.Logger, sig *daemon.Signals) error {
+func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Control == "" {
 		return errors.New("listen_addresses.control_plane: missing, vise serves control")
 	}
--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -15,11 +15,11 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/internal/api"
-	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
 	"lichentray/internal/plumb"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
@@ -37,7 +37,7 @@
 	passed, sentOn, lost, failed *dial.Counter
 }
 
-func runRelay(set *caliper.Settings, log *slog.Logger, sig *daemon.Signals) error {
+func runRelay(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(50)
 	board := dial.NewBoard()
@@ -90,7 +90,7 @@
 
 // follow holds one core node and takes its bookmarks as proof that it is in
 // touch.
-func (r *relay) follow(ctx context.Context, set *caliper.Settings, log *slog.Logger) {
+func (r *relay) follow(ctx context.Context, set *settings.Settings, log *slog.Logger) {
 	silence := set.Soonest() * 3 / 10
 	avoid := ""
 	for ctx.Err() == nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (r *relay) hold(ctx context.Context, addr string, silence time.Duration, set *caliper.Settings, log *slog.Logger) (held bool) {
+func (r *relay) hold(ctx context.Context, addr string, silence time.Duration, set *settings.Settings, log *slog.Logger) (held bool) {
 	conn, err := transport.Dial(ctx, addr, silence/2, transport.Hello{Role: transport.Relay, Node: set.NodeName})
 	if err != nil {
 		return false
--- a/cmd/vise/relay_test.go
+++ b/cmd/vise/relay_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
 )
@@ -50,13 +50,13 @@
 	defer api.Close()
 	var diskless atomic.Bool
 	core(t, ips[0], internal, strings.TrimPrefix(api.URL, "http://"), &diskless)
-	set := func(seed string) *caliper.Settings {
+	set := func(seed string) *settings.Settings {
 		s := vicetest.Settings(t, ips[1], "", control, internal, []string{seed}, false)
 		s.QuorumMember = false
 		return s
 	}
-	start := func(s *caliper.Settings) (chan error, *daemon.Signals) {
-		sig := &daemon.Signals{Stop: make(chan struct{}), Changed: make(chan *caliper.Settings)}
+	start := func(s *settings.Settings) (chan error, *daemon.Signals) {
+		sig := &daemon.Signals{Stop: make(chan struct{}), Changed: make(chan *settings.Settings)}
 		ended := make(chan error, 1)
 		go func() { ended <- runRelay(s, slog.New(slog.NewTextHandler(io.Discard, nil)), sig) }()
 		return ended, sig
--- a/cmd/vise/relayhop_test.go
+++ b/cmd/vise/relayhop_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/caliper"
 	"lichentray/internal/daemon"
+	"lichentray/internal/settings"
 	"lichentray/internal/vicetest"
 )
 
@@ -91,8 +91,8 @@
 	core(t, ips[0], internal, r.ln.Addr().String(), &diskless)
 	s := vicetest.Settings(t, ips[1], "", control, internal, []string{ips[0]}, false)
 	s.QuorumMember = false
-	s.Bounds.Contact = caliper.Seconds(contactS)
-	sig := &daemon.Signals{Stop: make(chan struct{}), Changed: make(chan *caliper.Settings)}
+	s.Bounds.Contact = settings.Seconds(contactS)
+	sig := &daemon.Signals{Stop: make(chan struct{}), Changed: make(chan *settings.Settings)}
 	ended := make(chan error, 1)
 	go func() { ended <- runRelay(s, slog.New(slog.NewTextHandler(io.Discard, nil)), sig) }()
 	t.Cleanup(func() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
+	"lichentray/internal/settings"
 )
 
 // Exit codes.
@@ -33,11 +33,11 @@
 // Signals are what the platform tells a running process.
 type Signals struct {
 	Stop    chan struct{}
-	Changed chan *caliper.Settings
+	Changed chan *settings.Settings
 }
 
 // Run is a program's body.
-type Run func(path string, set *caliper.Settings, log *slog.Logger, sig *Signals) error
+type Run func(path string, set *settings.Settings, log *slog.Logger, sig *Signals) error
 
 // VersionLine tells program, version and the source it was built from.
 func VersionLine(program string) string {
@@ -52,7 +52,7 @@
 func Main(program, what string, run Run) int {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
-	path := fs.String("config", "", "path of the settings file (default $"+caliper.EnvPath+" or "+caliper.DefaultPath+")")
+	path := fs.String("config", "", "path of the settings file (default $"+settings.EnvPath+" or "+settings.DefaultPath+")")
 	version := fs.Bool("version", false, "print the version and end")
 	usage := func(w io.Writer) {
 		fmt.Fprintf(w, "%s is %s of lichentray.\n\nUsage: %s [flags]\n\nFlags:\n", program, what, program)
@@ -76,20 +76,20 @@
 		fmt.Println(VersionLine(program))
 		return ExitOK
 	}
-	file := caliper.Path(*path)
+	file := settings.Path(*path)
 	text, err := os.ReadFile(file)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: settings: %v\n", program, err)
 		return ExitSettings
 	}
-	set, err := caliper.Parse(text)
+	set, err := settings.Parse(text)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: settings %s: %v\n", program, file, err)
 		return ExitSettings
 	}
 	log := dial.Log(set.NodeName, program)
 	log.Info("starting", "version", Version)
-	sig := &Signals{Stop: make(chan struct{}), Changed: make(chan *caliper.Settings, 1)}
+	sig := &Signals{Stop: make(chan struct{}), Changed: make(chan *settings.Settings, 1)}
 	term, hup := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -141,7 +141,7 @@
 			continue
 		}
 		last = text
-		set, err := caliper.Parse(text)
+		set, err := settings.Parse(text)
 		if err != nil {
 			log.Error("settings are invalid, the old ones stay", "error", err)
 			continue
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/caliper"
+	"lichentray/internal/settings"
 )
 
 // TestSettingsReadAgain: a changed file is taken on the signal; an invalid one
 // is reported and leaves the old settings.
 func TestSettingsReadAgain(t *testing.T) {
-	b, err := os.ReadFile("../caliper/testdata/node.toml")
+	b, err := os.ReadFile("../settings/testdata/node.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	}()
 
 	hup := make(chan os.Signal, 1)
-	sig := &Signals{Stop: make(chan struct{}), Changed: make(chan *caliper.Settings, 1)}
+	sig := &Signals{Stop: make(chan struct{}), Changed: make(chan *settings.Settings, 1)}
 	go watchSettings(file, b, time.Hour, hup, slog.New(slog.NewTextHandler(pw, nil)), sig)
 	write(strings.Replace(string(b), "10.2.0.40:8166", "10.9.0.9:8166", 1))
 	hup <- syscall.SIGHUP
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -16,9 +16,9 @@
 
 	"lichentray/config"
 	"lichentray/coordination"
-	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
+	"lichentray/internal/settings"
 	"lichentray/internal/storage"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
@@ -44,7 +44,7 @@
 }
 
 // TimingOf derives the figures.
-func TimingOf(s *caliper.Settings) Timing {
+func TimingOf(s *settings.Settings) Timing {
 	contact := s.Bounds.Contact.D()
 	return Timing{
 		Tick:      contact / 150,
@@ -74,7 +74,7 @@
 
 // Lathe is a running control-plane node.
 type Lathe struct {
-	set    *caliper.Settings
+	set    *settings.Settings
 	timing Timing
 	log    *slog.Logger
 	board  *dial.Board
@@ -199,7 +199,7 @@
 }
 
 // Start opens the disk and begins to turn.
-func Start(set *caliper.Settings, log *slog.Logger, board *dial.Board) (*Lathe, error) {
+func Start(set *settings.Settings, log *slog.Logger, board *dial.Board) (*Lathe, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Lathe{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(),
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"lichentray/coordination"
-	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/notch"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
 	"lichentray/raft"
@@ -33,10 +33,10 @@
 	control, internal int
 	ips               []string
 	nodes             []*Lathe
-	tune              func(*caliper.Settings)
+	tune              func(*settings.Settings)
 }
 
-func newGroup(t *testing.T, n int, tune func(*caliper.Settings)) *group {
+func newGroup(t *testing.T, n int, tune func(*settings.Settings)) *group {
 	g := &group{t: t, dir: t.TempDir(), tune: tune}
 	for i := range n {
 		g.ips = append(g.ips, fmt.Sprint("127.0.0.", 11+i))
@@ -433,7 +433,7 @@
 // the one of its own while that is up, and lists where it is otherwise.
 func TestListsAreSpread(t *testing.T) {
 	zones := map[string]string{"z1": "r", "z2": "r", "z3": "r"}
-	g := newGroup(t, 3, func(s *caliper.Settings) {
+	g := newGroup(t, 3, func(s *settings.Settings) {
 		s.Zones, s.Zone = zones, fmt.Sprint("z", s.IP[len(s.IP)-1:])
 	})
 	l := g.nodes
@@ -463,7 +463,7 @@
 // TestPeerThatShowsItself: a link that waits before its next attempt dials at once
 // when the peer connects here, as after a loss of power.
 func TestPeerThatShowsItself(t *testing.T) {
-	g := newGroup(t, 1, func(s *caliper.Settings) { s.Bounds.Contact = 1200 }) // an attempt every 12 s and more
+	g := newGroup(t, 1, func(s *settings.Settings) { s.Bounds.Contact = 1200 }) // an attempt every 12 s and more
 	l := g.nodes[0]
 	addr := fmt.Sprintf("127.0.0.50:%d", vicetest.FreePort(t, "127.0.0.50"))
 	k := l.links.get(addr) // refused
@@ -492,7 +492,7 @@
 // TestWorld drives three nodes of a global tier: directory, leases of proxies,
 // cold marks, evacuations that outlive the loss of all processes.
 func TestWorld(t *testing.T) {
-	g := newGroup(t, 3, func(s *caliper.Settings) {
+	g := newGroup(t, 3, func(s *settings.Settings) {
 		s.Zones = map[string]string{"a": "r1", "b": "r2"}
 		s.Bounds.ColdOvershoot, s.Bounds.ColdSlack, s.Bounds.TTLMax = 1.5, 8, 5
 		s.Bounds.AckTimeout = 8
@@ -612,7 +612,7 @@
 // majority of them, and no zone more than one.
 func TestVotersAreSpread(t *testing.T) {
 	zones := map[string]string{"0": "r0", "1": "r0", "2": "r0", "3": "r1", "4": "r1", "5": "r2", "6": "r2"}
-	g := newGroup(t, 7, func(s *caliper.Settings) {
+	g := newGroup(t, 7, func(s *settings.Settings) {
 		s.Zones, s.Zone = zones, fmt.Sprint(s.IP[len(s.IP)-1]-'1')
 		s.Tolerance.Machines, s.Tolerance.Regions = 2, 1
 	})
--- a/internal/lathe/members.go
+++ b/internal/lathe/members.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"lichentray/internal/caliper"
 	"lichentray/internal/notch"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/raft"
 )
@@ -248,7 +248,7 @@
 	commit uint64        // when it asked first
 }
 
-func newRoster(set *caliper.Settings, t Timing, place func(raft.Member) string) *roster {
+func newRoster(set *settings.Settings, t Timing, place func(raft.Member) string) *roster {
 	f := set.Tolerance
 	return &roster{
 		tol:  tolerance{f.Machines, max(f.Zones, f.Regions)},
--- a/internal/lathe/members_test.go
+++ b/internal/lathe/members_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/caliper"
+	"lichentray/internal/settings"
 	"lichentray/raft"
 	"lichentray/raft/rafttest"
 )
@@ -461,7 +461,7 @@
 // lost at once, the first returns and has its vote; the lost one is away until it is
 // no member any more, and by its disk, on which it votes, finds back in.
 func TestLeaveAndReturn(t *testing.T) {
-	g := newGroup(t, 4, func(s *caliper.Settings) {
+	g := newGroup(t, 4, func(s *settings.Settings) {
 		s.Bounds.Recovery, s.Bounds.CatchUp = 1, 1
 	})
 	voters := func(without string) (n, members int) {
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/caliper"
 	"lichentray/internal/notch"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -81,7 +81,7 @@
 // success although its leader is lost on the way, one that is rolled back, and the
 // loss of all processes after that.
 func TestRollout(t *testing.T) {
-	g := newGroup(t, 3, func(s *caliper.Settings) {
+	g := newGroup(t, 3, func(s *settings.Settings) {
 		s.Guarantees = []string{"rollout"}
 		s.Bounds.ConfigApply, s.Bounds.Drain = 1, 1
 	})
--- a/internal/plane/account.go
+++ b/internal/plane/account.go
@@ -11,14 +11,14 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/audit"
-	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
 // account is this node's side of the account of failures. Nil notes nothing.
 type account struct {
-	set *caliper.Account
+	set *settings.Account
 	// known tells that this life is in the book. Until then the node takes no
 	// requests, so that no life can carry some unseen.
 	known atomic.Bool
@@ -41,7 +41,7 @@
 	accountIdle  = 5 * time.Second
 )
 
-func newAccount(set *caliper.Settings, board *dial.Board) *account {
+func newAccount(set *settings.Settings, board *dial.Board) *account {
 	if set.Account == nil {
 		return nil
 	}
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"lichentray/config"
-	"lichentray/internal/caliper"
 	"lichentray/internal/dial"
 	"lichentray/internal/plumb"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
@@ -40,7 +40,7 @@
 }
 
 // TimingOf derives the figures.
-func TimingOf(s *caliper.Settings) Timing {
+func TimingOf(s *settings.Settings) Timing {
 	contact := s.Bounds.Contact.D()
 	fast := s.Soonest()
 	return Timing{
@@ -59,7 +59,7 @@
 
 // Plane is a running proxy node.
 type Plane struct {
-	set    *caliper.Settings
+	set    *settings.Settings
 	timing Timing
 	log    *slog.Logger
 	board  *dial.Board
@@ -170,7 +170,7 @@
 }
 
 // New makes a proxy node that knows nothing yet.
-func New(set *caliper.Settings, log *slog.Logger, board *dial.Board) *Plane {
+func New(set *settings.Settings, log *slog.Logger, board *dial.Board) *Plane {
 	p := &Plane{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
 		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.Zone{},
@@ -222,7 +222,7 @@
 // ends. Relays run on machines that hold no disk of the core; they take
 // connections at the internal port as a core node would.
 func (p *Plane) LookForRelay(ctx context.Context) {
-	if p.set.QuorumMember || p.set.Entry == caliper.EntryDirectory {
+	if p.set.QuorumMember || p.set.Entry == settings.EntryDirectory {
 		return
 	}
 	for {
@@ -638,7 +638,7 @@
 
 // self is this node's entry in the registry, where clients find proxies there.
 func (p *Plane) self() *registry.Proxy {
-	if p.set.Entry != caliper.EntryDirectory || (!p.Ready() && !p.stopping.Load()) {
+	if p.set.Entry != settings.EntryDirectory || (!p.Ready() && !p.stopping.Load()) {
 		return nil
 	}
 	return &registry.Proxy{Name: p.set.NodeName, Address: p.set.Listen.Frontend, Zone: p.set.Zone, Leaving: p.stopping.Load(), Weight: p.set.Limits.BandwidthMbps}
--- a/internal/plane/server.go
+++ b/internal/plane/server.go
@@ -11,7 +11,7 @@
 
 	"lichentray/config"
 	"lichentray/internal/api"
-	"lichentray/internal/caliper"
+	"lichentray/internal/settings"
 )
 
 // Front serves clients. The limits of the configuration in force when a
@@ -150,7 +150,7 @@
 	// The platform needs two missed calls to hand out no new connections; those
 	// whom the directory sent here may hold its answer for three times its time.
 	wait := grace * 2 / 5
-	if f.p.set.Entry == caliper.EntryDirectory {
+	if f.p.set.Entry == settings.EntryDirectory {
 		wait = grace * 3 / 5
 	}
 	time.Sleep(wait)
--- a/internal/plumb/plumb.go
+++ b/internal/plumb/plumb.go
@@ -7,21 +7,21 @@
 	"math/rand"
 	"sync"
 
-	"lichentray/internal/caliper"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
 // Line knows which control-plane nodes there are. It is safe for use from
 // several goroutines.
 type Line struct {
-	set   *caliper.Settings
+	set   *settings.Settings
 	mu    sync.Mutex
 	seeds []string
 	known []transport.ControlNode
 }
 
 // New makes a line that knows the seeds alone.
-func New(set *caliper.Settings) *Line { return &Line{set: set, seeds: set.Seeds} }
+func New(set *settings.Settings) *Line { return &Line{set: set, seeds: set.Seeds} }
 
 // SetSeeds takes the seeds of a settings file that has changed.
 func (l *Line) SetSeeds(seeds []string) {
--- a/internal/plumb/plumb_test.go
+++ b/internal/plumb/plumb_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"testing"
 
-	"lichentray/internal/caliper"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
 // TestNearestFirst: own machine, zone, region, elsewhere, unknown; the one that
 // is avoided comes last, and seeds that are known are not asked twice.
 func TestNearestFirst(t *testing.T) {
-	set := &caliper.Settings{IP: "10.0.0.1", Zone: "a1", PortRange: []int{77, 79}, Zones: map[string]string{"a1": "a", "a2": "a", "b1": "b"},
+	set := &settings.Settings{IP: "10.0.0.1", Zone: "a1", PortRange: []int{77, 79}, Zones: map[string]string{"a1": "a", "a2": "a", "b1": "b"},
 		Seeds: []string{"10.0.0.3:1", "10.0.0.9:1"}}
 	l := New(set)
 	if got := l.Candidates(""); len(got) != 2 || l.Nearer(got[0]) {
--- a/internal/caliper/caliper.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package caliper reads and checks a process's settings (configuration
+// Package settings reads and checks a process's settings (configuration
 // loading and validation).
-package caliper
+package settings
 
 import (
 	"bytes"
--- a/internal/caliper/caliper_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package caliper
+package settings
 
 import (
 	"os"
--- a/internal/vicetest/vicetest.go
+++ b/internal/vicetest/vicetest.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/caliper"
+	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
@@ -41,9 +41,9 @@
 }
 
 // Settings gives the settings of one node, parsed.
-func Settings(t testing.TB, ip, dir string, control, internal int, seeds []string, bootstrap bool) *caliper.Settings {
+func Settings(t testing.TB, ip, dir string, control, internal int, seeds []string, bootstrap bool) *settings.Settings {
 	t.Helper()
-	s, err := caliper.Parse([]byte(Text(ip, dir, control, internal, seeds, bootstrap)))
+	s, err := settings.Parse([]byte(Text(ip, dir, control, internal, seeds, bootstrap)))
 	if err != nil {
 		t.Fatal(err)
 	}
