--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/internal/api"
+	"lichentray/internal/apierror"
 	"lichentray/internal/daemon"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 	"lichentray/internal/plumb"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
@@ -194,7 +194,7 @@
 		to := r.to.Load()
 		if to == nil {
 			r.lost.Inc()
-			api.Fail(ctx, notch.New(notch.Unavailable, "no core node is in touch"))
+			api.Fail(ctx, apierror.New(apierror.Unavailable, "no core node is in touch"))
 			return
 		}
 		if len(ctx.PostBody()) > passedMost || string(ctx.QueryArgs().Peek("call")) == "configuration.read" {
@@ -218,10 +218,10 @@
 			r.passed.Inc()
 		case errors.Is(err, errDial) || errors.Is(err, errEnded) || errors.Is(err, fasthttp.ErrNoFreeConns):
 			r.lost.Inc() // not one byte of it left
-			api.Fail(ctx, notch.New(notch.Unavailable, "core node cannot be reached"))
+			api.Fail(ctx, apierror.New(apierror.Unavailable, "core node cannot be reached"))
 		default:
 			r.failed.Inc()
-			api.Fail(ctx, notch.New(notch.Unknown, "core node did not answer"))
+			api.Fail(ctx, apierror.New(apierror.Unknown, "core node did not answer"))
 		}
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -16,8 +16,8 @@
 
 	"lichentray/audit"
 	"lichentray/coordination"
+	"lichentray/internal/apierror"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -79,7 +79,7 @@
 	call, answer, err := a.call(ctx)
 	if err != nil {
 		Fail(ctx, err)
-		a.board.Counter("calls_total", "call", call, "answer", notch.Of(err).String()).Inc()
+		a.board.Counter("calls_total", "call", call, "answer", apierror.Of(err).String()).Inc()
 	} else {
 		a.board.Counter("calls_total", "call", call, "answer", "ok").Inc()
 	}
@@ -109,7 +109,7 @@
 
 // Fail answers with an error, by its kind.
 func Fail(ctx *fasthttp.RequestCtx, err error) {
-	kind := notch.Of(err)
+	kind := apierror.Of(err)
 	status := kind.Status()
 	ctx.SetStatusCode(status)
 	if status == 503 || status == 429 {
@@ -130,10 +130,10 @@
 		h, ok := calls[name]
 		order := name == "evacuations.begin" || name == "evacuations.finish"
 		if !ok && !order {
-			return "other", nil, notch.New(notch.NoRoute, "no call %q", name)
+			return "other", nil, apierror.New(apierror.NoRoute, "no call %q", name)
 		}
 		if !ctx.IsPost() {
-			return name, nil, notch.New(notch.BadRequest, "call %s is a POST", name)
+			return name, nil, apierror.New(apierror.BadRequest, "call %s is a POST", name)
 		}
 		if order {
 			return name, nil, a.evacuate(ctx, string(ctx.QueryArgs().Peek("of")), name == "evacuations.begin")
@@ -160,7 +160,7 @@
 	case path == "/metrics" && ctx.IsGet():
 		return "metrics", text(Metrics(a.board)), nil
 	}
-	return "other", nil, notch.New(notch.NoRoute, "no call at %s", path)
+	return "other", nil, apierror.New(apierror.NoRoute, "no call at %s", path)
 }
 
 // Metrics prints a board.
@@ -190,14 +190,14 @@
 
 func decode(body []byte, to any) error {
 	if err := json.Unmarshal(body, to); err != nil {
-		return notch.New(notch.BadRequest, "body: %v", err)
+		return apierror.New(apierror.BadRequest, "body: %v", err)
 	}
 	return nil
 }
 
 func needName(of string) error {
 	if of == "" || len(of) > longestName {
-		return notch.New(notch.BadRequest, "of: name is missing or over %d bytes", longestName)
+		return apierror.New(apierror.BadRequest, "of: name is missing or over %d bytes", longestName)
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 		return nil, err
 	}
 	if b.Address == "" || b.Info.Service == "" || (b.Status.State != "ready" && b.Status.State != "draining") {
-		return nil, notch.New(notch.BadRequest, "address, info.backend_service or status.state is missing or wrong")
+		return nil, apierror.New(apierror.BadRequest, "address, info.backend_service or status.state is missing or wrong")
 	}
 	return nil, a.node.Beat(registry.Endpoint{
 		ID: of, Service: b.Info.Service, Version: b.Info.Version, Address: b.Address, Zone: b.Info.Zone, Capacity: int(b.Info.Capacity),
@@ -293,11 +293,11 @@
 	}
 	switch {
 	case b.Service == "":
-		return nil, notch.New(notch.BadRequest, "backend_service: missing")
+		return nil, apierror.New(apierror.BadRequest, "backend_service: missing")
 	case b.Target == "":
-		return nil, notch.New(notch.BadRequest, "target_version: missing")
+		return nil, apierror.New(apierror.BadRequest, "target_version: missing")
 	case b.Deadline == nil || *b.Deadline <= 0 || *b.Deadline > longestRollout.Seconds():
-		return nil, notch.New(notch.BadRequest, "deadline_s: missing, not above 0 or above %g", longestRollout.Seconds())
+		return nil, apierror.New(apierror.BadRequest, "deadline_s: missing, not above 0 or above %g", longestRollout.Seconds())
 	}
 	return nil, a.node.BeginRollout(b.Service, b.Target, time.Duration(*b.Deadline*float64(time.Second)))
 }
@@ -326,13 +326,13 @@
 	}
 	switch {
 	case f.Kind != "" && !slices.Contains(audit.Kinds(), f.Kind):
-		return nil, notch.New(notch.BadRequest, "kind: %q is none of %v", f.Kind, audit.Kinds())
+		return nil, apierror.New(apierror.BadRequest, "kind: %q is none of %v", f.Kind, audit.Kinds())
 	case f.SinceMS < 0:
-		return nil, notch.New(notch.BadRequest, "since_ms: below 0")
+		return nil, apierror.New(apierror.BadRequest, "since_ms: below 0")
 	case f.UntilMS < 0 || f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
-		return nil, notch.New(notch.BadRequest, "until_ms: not after since_ms")
+		return nil, apierror.New(apierror.BadRequest, "until_ms: not after since_ms")
 	case f.Most < 0:
-		return nil, notch.New(notch.BadRequest, "most: below 0")
+		return nil, apierror.New(apierror.BadRequest, "most: below 0")
 	}
 	answer, err := a.node.Account(f)
 	if err != nil {
@@ -364,9 +364,9 @@
 	}
 	switch {
 	case b.Holder == "" || len(b.Holder) > longestName:
-		return coordination.Result{}, notch.New(notch.BadRequest, "holder: missing or over %d bytes", longestName)
+		return coordination.Result{}, apierror.New(apierror.BadRequest, "holder: missing or over %d bytes", longestName)
 	case op != coordination.Finish && (b.HoldS <= 0 || b.HoldS > longestHold.Seconds()):
-		return coordination.Result{}, notch.New(notch.BadRequest, "hold_s: missing, not above 0 or above %g", longestHold.Seconds())
+		return coordination.Result{}, apierror.New(apierror.BadRequest, "hold_s: missing, not above 0 or above %g", longestHold.Seconds())
 	}
 	r, err := a.node.Do(registry.Command{Latch: &coordination.Command{
 		Op: op, Name: of, Holder: b.Holder, Fence: b.Fence, HoldMS: uint64(b.HoldS*1000 + 0.999),
@@ -375,7 +375,7 @@
 		return coordination.Result{}, err
 	}
 	if r.Latch.Code != coordination.OK {
-		return coordination.Result{}, notch.New(notch.Held, "%s", of)
+		return coordination.Result{}, apierror.New(apierror.Held, "%s", of)
 	}
 	return r.Latch, nil
 }
@@ -410,10 +410,10 @@
 		return nil, err
 	}
 	if b.Value == nil {
-		return nil, notch.New(notch.BadRequest, "value: missing")
+		return nil, apierror.New(apierror.BadRequest, "value: missing")
 	}
 	if len(*b.Value) > longestValue {
-		return nil, notch.New(notch.BodyTooLarge, "value: over %d bytes", longestValue)
+		return nil, apierror.New(apierror.BodyTooLarge, "value: over %d bytes", longestValue)
 	}
 	c := coordination.Command{Op: coordination.Put, Name: of, Value: *b.Value}
 	if b.Enabled != nil {
@@ -425,7 +425,7 @@
 	}
 	answer := map[string]uint64{"revision": r.Latch.Revision}
 	if r.Latch.Code == coordination.Mismatch {
-		return answer, notch.New(notch.Mismatch, "%s", of)
+		return answer, apierror.New(apierror.Mismatch, "%s", of)
 	}
 	return answer, nil
 }
@@ -477,7 +477,7 @@
 	}
 	v, err := strconv.ParseFloat(string(q.Peek(name)), 64)
 	if err != nil || v < 0 || v > 1<<53 {
-		return 0, notch.New(notch.BadRequest, "%s", fmt.Sprintf("%s: not a number", name))
+		return 0, apierror.New(apierror.BadRequest, "%s", fmt.Sprintf("%s: not a number", name))
 	}
 	return uint64(v), nil
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -11,8 +11,8 @@
 
 	"lichentray/audit"
 	"lichentray/coordination"
+	"lichentray/internal/apierror"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 	"lichentray/registry"
 	"lichentray/rollout"
 )
@@ -84,9 +84,9 @@
 		{"beat cut short", "POST", "/api/rpc?call=instances.heartbeat&of=i-1", beat[:40], fence, nil, 400, "body"},
 		{"sign-off", "POST", "/api/rpc?call=instances.deregister&of=i-1", "", fence, nil, 200, "{}"},
 		{"read", "POST", "/api/rpc?call=configuration.read", "", fence, nil, 200, `{"config_version":1}`},
-		{"replace that is invalid", "POST", "/api/rpc?call=configuration.replace", "x", fence, notch.New(notch.Invalid, "f"), 400, "invalid"},
-		{"replace without a clear outcome", "POST", "/api/rpc?call=configuration.replace", "x", fence, notch.New(notch.Unknown, ""), 504, "unknown"},
-		{"replace refused", "POST", "/api/rpc?call=configuration.replace", "x", fence, notch.New(notch.Unavailable, ""), 503, "unavailable"},
+		{"replace that is invalid", "POST", "/api/rpc?call=configuration.replace", "x", fence, apierror.New(apierror.Invalid, "f"), 400, "invalid"},
+		{"replace without a clear outcome", "POST", "/api/rpc?call=configuration.replace", "x", fence, apierror.New(apierror.Unknown, ""), 504, "unknown"},
+		{"replace refused", "POST", "/api/rpc?call=configuration.replace", "x", fence, apierror.New(apierror.Unavailable, ""), 503, "unavailable"},
 		{"begin", "POST", "/api/rpc?call=locks.begin&of=l", `{"holder":"a","hold_s":3}`, fence, nil, 200, `{"fence":41}`},
 		{"begin held", "POST", "/api/rpc?call=locks.begin&of=l", `{"holder":"a","hold_s":3}`, held, nil, 409, "held"},
 		{"begin without a time", "POST", "/api/rpc?call=locks.begin&of=l", `{"holder":"a"}`, fence, nil, 400, "hold_s"},
@@ -98,7 +98,7 @@
 		{"number of no name", "POST", "/api/numbers/", "{}", fence, nil, 400, "of"},
 		{"put too large", "POST", "/api/rpc?call=cells.replace&of=g.a", `{"value":"` + strings.Repeat("v", 70000) + `"}`, fence, nil, 413, "value"},
 		{"watch of no group", "GET", "/api/watch/?after=1", "", fence, nil, 400, "of"},
-		{"watch put off", "GET", "/api/watch/g.?after=1", "", fence, notch.New(notch.Overloaded, ""), 429, "overloaded"},
+		{"watch put off", "GET", "/api/watch/g.?after=1", "", fence, apierror.New(apierror.Overloaded, ""), 429, "overloaded"},
 		{"finish", "POST", "/api/rpc?call=locks.finish&of=l", `{"holder":"a","fence":41}`, fence, nil, 200, "{}"},
 		{"number", "POST", "/api/numbers/n2", "{}", fence, nil, 200, `{"value":7}`},
 		{"put", "POST", "/api/rpc?call=cells.replace&of=g.a", `{"value":"v","enabled":907}`, fence, nil, 200, `{"revision":931}`},
@@ -106,11 +106,11 @@
 		{"put without a value", "POST", "/api/rpc?call=cells.replace&of=g.a", `{"enabled":907}`, fence, nil, 400, "value"},
 		{"cell", "POST", "/api/rpc?call=cells.read&of=g.a", "", fence, nil, 200, `"revision":4`},
 		{"watch", "GET", "/api/watch/g.?after=930&wait_ms=20", "", fence, nil, 200, `"revision":931`},
-		{"watch too old", "GET", "/api/watch/g.?after=1", "", fence, notch.New(notch.Expired, ""), 410, "expired"},
+		{"watch too old", "GET", "/api/watch/g.?after=1", "", fence, apierror.New(apierror.Expired, ""), 410, "expired"},
 		{"watch of no number", "GET", "/api/watch/g.?after=x", "", fence, nil, 400, "after"},
 		{"evacuate", "POST", "/api/rpc?call=evacuations.begin&of=z", "", fence, nil, 200, "{}"},
 		{"evacuate nothing", "POST", "/api/rpc?call=evacuations.begin", "", fence, nil, 400, "of"},
-		{"take back", "POST", "/api/rpc?call=evacuations.finish&of=z", "", fence, notch.New(notch.BadRequest, "zone"), 400, "zone"},
+		{"take back", "POST", "/api/rpc?call=evacuations.finish&of=z", "", fence, apierror.New(apierror.BadRequest, "zone"), 400, "zone"},
 		{"evacuations", "POST", "/api/rpc?call=evacuations.read", "", fence, nil, 200, `{"zones":{"z":"evacuated"}}`},
 		{"roll-out", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, fence, nil, 200, "{}"},
 		{"roll-out of no service", "POST", "/api/rpc?call=rollouts.begin", `{"target_version":"v2","deadline_s":12}`, fence, nil, 400, "backend_service"},
@@ -118,14 +118,14 @@
 		{"roll-out without a term", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2"}`, fence, nil, 400, "deadline_s"},
 		{"roll-out with a term of 0", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":0}`, fence, nil, 400, "deadline_s"},
 		{"roll-out with a term that is no number", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":"12"}`, fence, nil, 400, "deadline_s"},
-		{"roll-out against another", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, fence, notch.New(notch.Conflict, ""), 409, "conflict"},
+		{"roll-out against another", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, fence, apierror.New(apierror.Conflict, ""), 409, "conflict"},
 		{"roll-out read", "POST", "/api/rpc?call=rollouts.read&of=s", "", fence, nil, 200, `"state":"rolled_back","target_version":"v2"`},
-		{"no roll-out read", "POST", "/api/rpc?call=rollouts.read&of=s", "", fence, notch.New(notch.NoKey, ""), 404, "no_key"},
+		{"no roll-out read", "POST", "/api/rpc?call=rollouts.read&of=s", "", fence, apierror.New(apierror.NoKey, ""), 404, "no_key"},
 		{"account", "POST", "/api/rpc?call=accounts.read", `{"tenant":"museum"}`, fence, nil, 200, `"tenant":"museum","request":"","kind":"late"`},
 		{"whole account", "POST", "/api/rpc?call=accounts.read", "", fence, nil, 200, `"failures"`},
 		{"account of an odd kind", "POST", "/api/rpc?call=accounts.read", `{"kind":"slow"}`, fence, nil, 400, "kind"},
 		{"account of an odd time", "POST", "/api/rpc?call=accounts.read", `{"since_ms":5,"until_ms":4}`, fence, nil, 400, "until_ms"},
-		{"account that is not kept", "POST", "/api/rpc?call=accounts.read", "", fence, notch.New(notch.NoRoute, "no account"), 404, "no account"},
+		{"account that is not kept", "POST", "/api/rpc?call=accounts.read", "", fence, apierror.New(apierror.NoRoute, "no account"), 404, "no account"},
 		{"no such call", "POST", "/api/rpc?call=locks.steal&of=l", "", fence, nil, 404, "no_route"},
 		{"wrong method", "GET", "/api/rpc?call=locks.begin&of=l", "", fence, nil, 400, "POST"},
 		{"metrics", "GET", "/metrics", "", fence, nil, 200, "lichentray_"},
@@ -159,8 +159,8 @@
 		{"without a place", "/api/resolve?name=h", nil, 200, `"h--"`},
 		{"without a name", "/api/resolve?zone=z", nil, 400, "name: missing"},
 		{"two zones", "/api/resolve?name=h&zone=z&zone=y", nil, 400, "zone"},
-		{"unknown host", "/api/resolve?name=h", notch.New(notch.NoRoute, "name"), 404, "no_route"},
-		{"not yet", "/api/resolve?name=h", notch.New(notch.Unavailable, ""), 503, "unavailable"},
+		{"unknown host", "/api/resolve?name=h", apierror.New(apierror.NoRoute, "name"), 404, "no_route"},
+		{"not yet", "/api/resolve?name=h", apierror.New(apierror.Unavailable, ""), 503, "unavailable"},
 		{"elsewhere", "/api/rpc", nil, 404, "no_route"},
 	} {
 		var ctx fasthttp.RequestCtx
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"lichentray/internal/apierror"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 )
 
 // Resolver is what the directory needs of the control-plane node.
@@ -29,7 +29,7 @@
 	answer, err := d.resolve(ctx)
 	what := "ok"
 	if err != nil {
-		what = notch.Of(err).String()
+		what = apierror.Of(err).String()
 		Fail(ctx, err)
 	}
 	d.board.Counter("resolves_total", "answer", what).Inc()
@@ -47,19 +47,19 @@
 
 func (d *Directory) resolve(ctx *fasthttp.RequestCtx) (any, error) {
 	if string(ctx.Path()) != "/api/resolve" {
-		return nil, notch.New(notch.NoRoute, "no call at %s", ctx.Path())
+		return nil, apierror.New(apierror.NoRoute, "no call at %s", ctx.Path())
 	}
 	if !ctx.IsGet() {
-		return nil, notch.New(notch.BadRequest, "resolve is a GET")
+		return nil, apierror.New(apierror.BadRequest, "resolve is a GET")
 	}
 	q := ctx.QueryArgs()
 	name := string(q.Peek("name"))
 	if name == "" {
-		return nil, notch.New(notch.BadRequest, "name: missing")
+		return nil, apierror.New(apierror.BadRequest, "name: missing")
 	}
 	for _, k := range [...]string{"name", "region", "zone"} {
 		if len(q.Peek(k)) > 255 || len(q.PeekMulti(k)) > 1 {
-			return nil, notch.New(notch.BadRequest, "%s: too long or given twice", k)
+			return nil, apierror.New(apierror.BadRequest, "%s: too long or given twice", k)
 		}
 	}
 	addrs, ttl, err := d.node.Resolve(ctx.RemoteIP().String(), name, string(q.Peek("region")), string(q.Peek("zone")))
--- a/internal/notch/notch.go
+++ b/internal/apierror/apierror.go
@@ -1,6 +1,6 @@
-// Package notch is the closed list of error kinds and the one table from kind
+// Package apierror is the closed list of error kinds and the one table from kind
 // to answer (error taxonomy and status mapping).
-package notch
+package apierror
 
 import (
 	"errors"
--- a/internal/lathe/account.go
+++ b/internal/lathe/account.go
@@ -2,7 +2,7 @@
 
 import (
 	"lichentray/audit"
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/transport"
 	"lichentray/registry"
 )
@@ -23,7 +23,7 @@
 // Account reads the account of failures.
 func (l *Lathe) Account(f audit.Filter) (audit.Answer, error) {
 	if l.set.Account == nil {
-		return audit.Answer{}, notch.New(notch.NoRoute, "this deployment keeps no account of failures")
+		return audit.Answer{}, apierror.New(apierror.NoRoute, "this deployment keeps no account of failures")
 	}
 	if err := l.ReadPoint(); err != nil {
 		return audit.Answer{}, err
--- a/internal/lathe/duties.go
+++ b/internal/lathe/duties.go
@@ -9,7 +9,7 @@
 
 	"lichentray/config"
 	"lichentray/coordination"
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/raft"
@@ -307,7 +307,7 @@
 			return false, err
 		}
 	}
-	return false, notch.New(notch.Unavailable, "the object changes too often")
+	return false, apierror.New(apierror.Unavailable, "the object changes too often")
 }
 
 // Beat takes a heartbeat of an endpoint.
@@ -334,12 +334,12 @@
 		}
 		old, err := registry.DecodeEndpoint(o)
 		if err != nil {
-			return nil, notch.New(notch.Internal, "%v", err)
+			return nil, apierror.New(apierror.Internal, "%v", err)
 		}
 		if old.Draining || (!e.Draining && (old.Cold == e.Cold || e.Sequence < old.Sequence)) {
 			if astray && !old.Draining {
 				// The leader would not hear of it and think the endpoint dead.
-				return nil, notch.New(notch.Unavailable, "this node has lost touch")
+				return nil, apierror.New(apierror.Unavailable, "this node has lost touch")
 			}
 			return nil, nil // an ordinary beat, or a late one: no write
 		}
@@ -384,29 +384,29 @@
 		return config.Read(text)
 	case <-wait.C:
 		l.nBusy.Inc()
-		return nil, notch.New(notch.Unavailable, "too many configurations at once")
+		return nil, apierror.New(apierror.Unavailable, "too many configurations at once")
 	}
 }
 
 // Replace takes a whole configuration.
 func (l *Lathe) Replace(text []byte) error {
 	c, err := l.readConfig(text)
-	if notch.Of(err) == notch.Unavailable {
+	if apierror.Of(err) == apierror.Unavailable {
 		return err
 	}
 	if err != nil {
-		return notch.New(notch.Invalid, "%v", err)
+		return apierror.New(apierror.Invalid, "%v", err)
 	}
 	wrote, err := l.transact(func() (*registry.Txn, error) {
 		// What is judged is committed, if not the newest: that a content was taken
 		// under a version stays true, and to take one asks for the newest.
 		txn, err := l.store.AcceptConfig(c.Version, text)
 		if err != nil {
-			return nil, notch.New(notch.Conflict, "%v", err)
+			return nil, apierror.New(apierror.Conflict, "%v", err)
 		}
 		return txn, nil
 	})
-	if notch.Of(err) == notch.Conflict {
+	if apierror.Of(err) == apierror.Conflict {
 		l.nTaken.Inc()
 	}
 	if wrote {
@@ -424,7 +424,7 @@
 	defer l.mu.RUnlock()
 	_, text, ok := l.configuration()
 	if !ok {
-		return nil, notch.New(notch.NoKey, "no configuration yet")
+		return nil, apierror.New(apierror.NoKey, "no configuration yet")
 	}
 	return text, nil
 }
@@ -438,7 +438,7 @@
 	defer l.mu.RUnlock()
 	c, ok := l.store.Latches().Cells[name]
 	if !ok {
-		return c, notch.New(notch.NoKey, "no cell %q", name)
+		return c, apierror.New(apierror.NoKey, "no cell %q", name)
 	}
 	return c, nil
 }
@@ -458,13 +458,13 @@
 	case after == 0:
 		return nil, newest, nil
 	case after > newest:
-		return nil, 0, notch.New(notch.BadRequest, "after: %d is above %d, the newest revision of %q", after, newest, group)
+		return nil, 0, apierror.New(apierror.BadRequest, "after: %d is above %d, the newest revision of %q", after, newest, group)
 	}
 	ch := make(chan struct{}, 1)
 	l.mu.Lock()
 	if l.watchers >= l.set.Limits.MaxOpenFiles/watchersPart {
 		l.mu.Unlock()
-		return nil, 0, notch.New(notch.Overloaded, "too many watches wait here")
+		return nil, 0, apierror.New(apierror.Overloaded, "too many watches wait here")
 	}
 	l.watchers++
 	if l.groups[group] == nil {
@@ -490,7 +490,7 @@
 		events, rev, ok := l.store.Latches().Since(group, after)
 		l.mu.RUnlock()
 		if !ok {
-			return nil, rev, notch.New(notch.Expired, "after %d", after)
+			return nil, rev, apierror.New(apierror.Expired, "after %d", after)
 		}
 		if len(events) > 0 {
 			return events, rev, nil
@@ -501,10 +501,10 @@
 			return nil, max(rev, after), nil
 		case <-check.C:
 			if !l.fresh() || l.closing.Load() {
-				return nil, 0, notch.New(notch.Unavailable, "this node has lost touch")
+				return nil, 0, apierror.New(apierror.Unavailable, "this node has lost touch")
 			}
 		case <-l.ctx.Done():
-			return nil, 0, notch.New(notch.Unavailable, "node is stopping")
+			return nil, 0, apierror.New(apierror.Unavailable, "node is stopping")
 		}
 	}
 }
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -16,8 +16,8 @@
 
 	"lichentray/config"
 	"lichentray/coordination"
+	"lichentray/internal/apierror"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 	"lichentray/internal/settings"
 	"lichentray/internal/storage"
 	"lichentray/internal/transport"
@@ -370,7 +370,7 @@
 	}
 }
 
-var errNotLeader = notch.New(notch.Unavailable, "this node does not lead")
+var errNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
 
 // publish lets the other goroutines see the consensus state.
 func (l *Lathe) publish() {
@@ -460,7 +460,7 @@
 			w.done <- outcome{result: res}
 		} else {
 			// Another entry stands in its place: it never takes effect.
-			w.done <- outcome{err: notch.New(notch.Unavailable, "leadership changed")}
+			w.done <- outcome{err: apierror.New(apierror.Unavailable, "leadership changed")}
 		}
 	}
 }
@@ -514,7 +514,7 @@
 	for i, w := range l.pending {
 		if i <= s.Index {
 			delete(l.pending, i)
-			w.done <- outcome{err: notch.New(notch.Unknown, "replaced by a snapshot")}
+			w.done <- outcome{err: apierror.New(apierror.Unknown, "replaced by a snapshot")}
 		}
 	}
 	l.log.Info("snapshot installed", "index", s.Index)
@@ -659,7 +659,7 @@
 func (l *Lathe) ask(f func() string) (aim, error) {
 	at := make(chan aim, 1)
 	if !l.post(func() { at <- aim{f(), l.turned} }) {
-		return aim{}, notch.New(notch.Unavailable, "node is stopping")
+		return aim{}, apierror.New(apierror.Unavailable, "node is stopping")
 	}
 	return <-at, nil
 }
@@ -696,10 +696,10 @@
 		switch to.leader {
 		case l.self.Addr:
 			r, err := l.wait(done, to.turned, end)
-			if notch.Of(err) == notch.Unknown {
+			if apierror.Of(err) == apierror.Unknown {
 				l.nUnknown.Inc()
 			}
-			if err == nil || notch.Of(err) != notch.Unavailable {
+			if err == nil || apierror.Of(err) != apierror.Unavailable {
 				return r, err
 			}
 		case "":
@@ -711,9 +711,9 @@
 			if err == nil && !ans.Failed {
 				return ans.Result, nil
 			}
-			unknown = unknown || err != nil && sent || err == nil && ans.Kind == notch.Unknown
-			if err == nil && ans.Kind != notch.Unavailable && ans.Kind != notch.Unknown {
-				return registry.Result{}, &notch.Error{Kind: ans.Kind, Detail: ans.Detail}
+			unknown = unknown || err != nil && sent || err == nil && ans.Kind == apierror.Unknown
+			if err == nil && ans.Kind != apierror.Unavailable && ans.Kind != apierror.Unknown {
+				return registry.Result{}, &apierror.Error{Kind: ans.Kind, Detail: ans.Detail}
 			}
 		}
 		if l.again(end) {
@@ -721,9 +721,9 @@
 		}
 		if unknown {
 			l.nUnknown.Inc()
-			return registry.Result{}, notch.New(notch.Unknown, "the leader did not answer")
+			return registry.Result{}, apierror.New(apierror.Unknown, "the leader did not answer")
 		}
-		return registry.Result{}, notch.New(notch.Unavailable, "no leader")
+		return registry.Result{}, apierror.New(apierror.Unavailable, "no leader")
 	}
 }
 
@@ -740,7 +740,7 @@
 			turned = nil
 			t.Reset(min(time.Until(end), l.timing.Election))
 		case <-t.C:
-			return registry.Result{}, notch.New(notch.Unknown, "no majority in time")
+			return registry.Result{}, apierror.New(apierror.Unknown, "no majority in time")
 		}
 	}
 }
@@ -797,7 +797,7 @@
 			}
 		}
 		if !l.again(end) {
-			return notch.New(notch.Unavailable, "no confirmed read point")
+			return apierror.New(apierror.Unavailable, "no confirmed read point")
 		}
 	}
 }
@@ -830,7 +830,7 @@
 		l.mu.Lock()
 		delete(l.applied, ch)
 		l.mu.Unlock()
-		return notch.New(notch.Unavailable, "this node lags behind")
+		return apierror.New(apierror.Unavailable, "this node lags behind")
 	}
 }
 
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"lichentray/coordination"
+	"lichentray/internal/apierror"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
@@ -106,7 +106,7 @@
 	if err := l[1].Replace([]byte(fmt.Sprintf(text, 4))); err != nil {
 		t.Errorf("older version: %v", err)
 	}
-	if err := l[2].Replace([]byte(`{"config_version":9`)); notch.Of(err) != notch.Invalid {
+	if err := l[2].Replace([]byte(`{"config_version":9`)); apierror.Of(err) != apierror.Invalid {
 		t.Errorf("a cut-short configuration got %v", err)
 	}
 	for i := range l {
@@ -402,7 +402,7 @@
 	l := g.nodes[0]
 	until(t, "a configuration is taken", func() bool { return l.Replace([]byte(fmt.Sprintf(text, 5))) == nil })
 	l.checking <- struct{}{} // somebody's check takes long
-	if err := l.Replace([]byte(fmt.Sprintf(text, 6))); notch.Of(err) != notch.Unavailable {
+	if err := l.Replace([]byte(fmt.Sprintf(text, 6))); apierror.Of(err) != apierror.Unavailable {
 		t.Errorf("while another is checked: %v", err)
 	}
 	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(text, 5) {
@@ -413,7 +413,7 @@
 	for v := range 8 {
 		go func() {
 			err := l.Replace([]byte(fmt.Sprintf(text, 7+v)))
-			for notch.Of(err) == notch.Unavailable { // a slow machine puts it off
+			for apierror.Of(err) == apierror.Unavailable { // a slow machine puts it off
 				err = l.Replace([]byte(fmt.Sprintf(text, 7+v)))
 			}
 			done <- err
@@ -516,7 +516,7 @@
 	// A node that a loaded machine has kept from its leader says that it does not know.
 	until(t, "a host that no configuration has is refused as such", func() bool {
 		_, _, err := l[0].Resolve("10.9.9.9", "other", "r1", "a")
-		return notch.Of(err) == notch.NoRoute
+		return apierror.Of(err) == apierror.NoRoute
 	})
 	report := func() {
 		if err := stream.Send(&transport.Frame{Report: &transport.Report{Seq: 1, Self: self}}); err != nil {
@@ -558,13 +558,13 @@
 
 	// Evacuations: odd orders are harmless, what is acknowledged stays.
 	waits := func() bool { return true }
-	if err := l[1].Evacuate("b", true, func() bool { return false }); notch.Of(err) != notch.Unavailable {
+	if err := l[1].Evacuate("b", true, func() bool { return false }); apierror.Of(err) != apierror.Unavailable {
 		t.Errorf("an order whose caller has gone: %v", err)
 	}
 	if zones, err := l[1].Evacuations(); err != nil || len(zones) != 0 {
 		t.Errorf("after an order whose caller has gone: %v, %v", zones, err)
 	}
-	if err := l[0].Evacuate("nowhere", true, waits); notch.Of(err) != notch.BadRequest {
+	if err := l[0].Evacuate("nowhere", true, waits); apierror.Of(err) != apierror.BadRequest {
 		t.Errorf("an unknown zone: %v", err)
 	}
 	for _, begin := range []bool{false, true, true} {
@@ -673,7 +673,7 @@
 		"a higher configuration":      l.Replace([]byte(fmt.Sprintf(text, 6))),
 		"a lower one that is unknown": l.Replace([]byte(fmt.Sprintf(text, 4))),
 	} {
-		if notch.Of(err) != notch.Unavailable {
+		if apierror.Of(err) != apierror.Unavailable {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -686,7 +686,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if err := l.Replace(append(held, ' ')); notch.Of(err) != notch.Conflict {
+	if err := l.Replace(append(held, ' ')); apierror.Of(err) != apierror.Conflict {
 		t.Errorf("another content under the version held: %v", err)
 	}
 	// It does not count as in touch when it starts anew, from its first moment on.
@@ -697,7 +697,7 @@
 	}
 	// What is committed stays true, but it knows no commit yet.
 	until(t, "the node knows that it has lost touch", func() bool { return !l.again(time.Now().Add(time.Hour)) })
-	if err := l.Replace(held); notch.Of(err) != notch.Unavailable {
+	if err := l.Replace(held); apierror.Of(err) != apierror.Unavailable {
 		t.Errorf("the configuration held, again, before anything is known to be committed: %v", err)
 	}
 }
--- a/internal/lathe/link.go
+++ b/internal/lathe/link.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/transport"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -425,11 +425,11 @@
 }
 
 func failed(id uint64, err error) *transport.Answer {
-	var e *notch.Error
+	var e *apierror.Error
 	if errors.As(err, &e) {
 		return &transport.Answer{ID: id, Failed: true, Kind: e.Kind, Detail: e.Detail}
 	}
-	return &transport.Answer{ID: id, Failed: true, Kind: notch.Internal, Detail: err.Error()}
+	return &transport.Answer{ID: id, Failed: true, Kind: apierror.Internal, Detail: err.Error()}
 }
 
 // serveAsk answers a call that a peer forwarded. It does not forward again, but for
@@ -441,7 +441,7 @@
 	case a.Command != nil:
 		cmd, err := registry.DecodeCommand(a.Command)
 		if err != nil {
-			ans = failed(a.ID, notch.New(notch.BadRequest, "%v", err))
+			ans = failed(a.ID, apierror.New(apierror.BadRequest, "%v", err))
 			break
 		}
 		ans = l.await(a.ID, func() string { return l.propose(cmd, done) }, done)
@@ -479,7 +479,7 @@
 		return failed(id, errNotLeader)
 	}
 	r, err := l.wait(done, to.turned, end)
-	if notch.Of(err) == notch.Unknown {
+	if apierror.Of(err) == apierror.Unknown {
 		l.nUnknown.Inc()
 	}
 	if err != nil {
--- a/internal/lathe/members.go
+++ b/internal/lathe/members.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/raft"
@@ -392,7 +392,7 @@
 			got <- nil
 		default:
 			if err := l.node.ProposeMembers(l.node.Members().WithLearner(m)); err != nil {
-				got <- notch.New(notch.Unavailable, "%v", err)
+				got <- apierror.New(apierror.Unavailable, "%v", err)
 				return
 			}
 			l.log.Info("node joins as a learner", "member", hexID(m.ID), "address", m.Addr)
@@ -445,7 +445,7 @@
 		case l.roster.leave(l.node, now, id):
 			got <- nil
 		default:
-			got <- notch.New(notch.Unavailable, "the group still counts on this member")
+			got <- apierror.New(apierror.Unavailable, "the group still counts on this member")
 		}
 		l.tendNow = true
 	})
--- a/internal/lathe/rollout.go
+++ b/internal/lathe/rollout.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -186,7 +186,7 @@
 	txn.Then = append([]registry.Write{{Key: key, Value: rollout.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
 }
 
-var errNoRollouts = notch.New(notch.NoRoute, "this deployment does not tell versions apart")
+var errNoRollouts = apierror.New(apierror.NoRoute, "this deployment does not tell versions apart")
 
 // BeginRollout takes an order to move a service's traffic to a version.
 func (l *Lathe) BeginRollout(service, target string, deadline time.Duration) error {
@@ -203,15 +203,15 @@
 		if o.ModRevision > 0 {
 			var err error
 			if was, err = rollout.Decode(o.Value); err != nil {
-				return nil, notch.New(notch.Internal, "%v", err)
+				return nil, apierror.New(apierror.Internal, "%v", err)
 			}
 		} else if _, known := l.cluster(service); !known {
-			return nil, notch.New(notch.BadRequest, "backend_service: %q is not known", service)
+			return nil, apierror.New(apierror.BadRequest, "backend_service: %q is not known", service)
 		}
 		next, err := was.Begin(target, deadline)
 		var refused rollout.Refusal
 		if errors.As(err, &refused) {
-			return nil, notch.New(notch.Conflict, "%s", refused)
+			return nil, apierror.New(apierror.Conflict, "%s", refused)
 		}
 		if next == was {
 			return nil, nil
@@ -239,7 +239,7 @@
 	defer l.mu.RUnlock()
 	r := l.rollouts[registry.RolloutPrefix+service]
 	if r == nil || r.State == "" {
-		return rollout.Rollout{}, notch.New(notch.NoKey, "no roll-out of %q", service)
+		return rollout.Rollout{}, apierror.New(apierror.NoKey, "no roll-out of %q", service)
 	}
 	return r.Rollout, nil
 }
--- a/internal/lathe/rollout_test.go
+++ b/internal/lathe/rollout_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/registry"
@@ -87,13 +87,13 @@
 	})
 	l := g.nodes
 	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(fmt.Sprintf(text, 5))) == nil })
-	if _, err := l[0].Rollout("s"); notch.Of(err) != notch.NoKey {
+	if _, err := l[0].Rollout("s"); apierror.Of(err) != apierror.NoKey {
 		t.Errorf("reading before any order: %v", err)
 	}
-	if err := l[0].BeginRollout("other", "v2", time.Minute); notch.Of(err) != notch.BadRequest {
+	if err := l[0].BeginRollout("other", "v2", time.Minute); apierror.Of(err) != apierror.BadRequest {
 		t.Errorf("a service that is not known: %v", err)
 	}
-	if err := l[0].BeginRollout("s", "v2", time.Minute); notch.Of(err) != notch.Conflict {
+	if err := l[0].BeginRollout("s", "v2", time.Minute); apierror.Of(err) != apierror.Conflict {
 		t.Errorf("a service without an endpoint: %v", err)
 	}
 	for id := range 6 {
@@ -123,7 +123,7 @@
 	}
 	begin(l[1], "v2", 14*time.Second)
 	begin(l[2], "v2", 14*time.Second) // once more, to another node
-	if err := l[0].BeginRollout("s", "v3", time.Minute); notch.Of(err) != notch.Conflict {
+	if err := l[0].BeginRollout("s", "v3", time.Minute); apierror.Of(err) != apierror.Conflict {
 		t.Errorf("another version while one is under way: %v", err)
 	}
 	if r := read(l[0]); r.State != rollout.InProgress || r.Base != "v1" || r.Order != 1 {
@@ -161,7 +161,7 @@
 	if err := l[0].BeginRollout("s", "v3", time.Minute); err != nil || read(l[0]).State != rollout.RolledBack {
 		t.Errorf("the order again after its roll-back: %v, %+v", err, read(l[0]))
 	}
-	if err := l[0].BeginRollout("s", "v3", time.Hour); notch.Of(err) != notch.Conflict {
+	if err := l[0].BeginRollout("s", "v3", time.Hour); apierror.Of(err) != apierror.Conflict {
 		t.Errorf("another order for a version that was rolled back: %v", err)
 	}
 }
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"lichentray/internal/apierror"
 	"lichentray/internal/dial"
-	"lichentray/internal/notch"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
@@ -140,7 +140,7 @@
 }
 
 func (l *Lathe) behind(a *transport.Ask, rev uint64) *transport.Answer {
-	return failed(a.ID, notch.New(notch.Unavailable, "this node is at revision %d, behind %d", rev, a.Least))
+	return failed(a.ID, apierror.New(apierror.Unavailable, "this node is at revision %d, behind %d", rev, a.Least))
 }
 
 // packed is what proxies list, encoded once for all that ask while none of its
--- a/internal/lathe/world.go
+++ b/internal/lathe/world.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lichentray/config"
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
@@ -116,9 +116,9 @@
 	defer l.mu.Unlock()
 	if t := l.table(); t == nil || !t.HasHost(host) {
 		if !fresh || t == nil {
-			return nil, 0, notch.New(notch.Unavailable, "name %q is not known here yet", host)
+			return nil, 0, apierror.New(apierror.Unavailable, "name %q is not known here yet", host)
 		}
-		return nil, 0, notch.New(notch.NoRoute, "name: no configuration has host %q", host)
+		return nil, 0, apierror.New(apierror.NoRoute, "name: no configuration has host %q", host)
 	}
 	if known, ok := l.set.Zones[zone]; ok {
 		region = known
@@ -129,7 +129,7 @@
 	}
 	out := loadbalance.Direct(all, client, zone, region, func(z string) string { return l.set.Zones[z] }, resolveMost)
 	if len(out) == 0 {
-		return nil, 0, notch.New(notch.Unavailable, "no proxy node is registered")
+		return nil, 0, apierror.New(apierror.Unavailable, "no proxy node is registered")
 	}
 	return out, l.timing.TTL, nil
 }
@@ -138,7 +138,7 @@
 // still waits; else it is of kind Unavailable.
 func (l *Lathe) Evacuate(zone string, begin bool, waits func() bool) error {
 	if _, known := l.set.Zones[zone]; !known {
-		return notch.New(notch.BadRequest, "of: zone %q is not known", zone)
+		return apierror.New(apierror.BadRequest, "of: zone %q is not known", zone)
 	}
 	// Whether there is anything to write is judged by a state that holds all that
 	// was acknowledged before: a node that is just back knows of no evacuation.
@@ -151,7 +151,7 @@
 	var now registry.Evacuation
 	wrote, err := l.transact(func() (*registry.Txn, error) {
 		if !waits() {
-			return nil, notch.New(notch.Unavailable, "the caller has gone on to another node")
+			return nil, apierror.New(apierror.Unavailable, "the caller has gone on to another node")
 		}
 		o, _ := l.store.Get(key)
 		was := registry.DecodeEvacuation(o)
--- a/internal/plane/forward.go
+++ b/internal/plane/forward.go
@@ -16,7 +16,7 @@
 
 	"lichentray/audit"
 	"lichentray/config"
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/loadbalance"
 )
 
@@ -70,7 +70,7 @@
 	r := p.routing.Load()
 	if r == nil {
 		if r = p.awaitView(ctx); r == nil {
-			p.refuse(ctx, notch.New(notch.Unavailable, "no configuration yet"))
+			p.refuse(ctx, apierror.New(apierror.Unavailable, "no configuration yet"))
 			if ctx.IsGet() || ctx.IsHead() {
 				p.account.note(&ctx.Request.Header, "", audit.Failed, 503, ctx.Time())
 			} else {
@@ -85,7 +85,7 @@
 	defer heads.Put(buf)
 	req := request{ctx: ctx, began: ctx.Time(), isHead: ctx.IsHead()}
 	if err := req.read(r, (*buf)[:0]); err != nil {
-		if notch.Of(err) != notch.NoRoute {
+		if apierror.Of(err) != apierror.NoRoute {
 			ctx.SetConnectionClose()
 		}
 		p.refuse(ctx, err)
@@ -128,10 +128,10 @@
 	raw := h.RawHeaders()
 	uri := h.RequestURI()
 	if limits.MaxHeaderBytes > 0 && float64(len(raw)+len(uri)) > limits.MaxHeaderBytes {
-		return notch.New(notch.HeaderTooLarge, "%d bytes", len(raw)+len(uri))
+		return apierror.New(apierror.HeaderTooLarge, "%d bytes", len(raw)+len(uri))
 	}
 	if len(uri) == 0 || uri[0] != '/' || bytes.IndexByte(uri, '#') >= 0 {
-		return notch.New(notch.BadRequest, "request target")
+		return apierror.New(apierror.BadRequest, "request target")
 	}
 	path := uri
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
@@ -156,7 +156,7 @@
 		}
 		i := bytes.IndexByte(line, ':')
 		if i <= 0 || !tokenChars(line[:i]) || bytes.ContainsAny(line, "\r\x00") {
-			return notch.New(notch.BadRequest, "header line")
+			return apierror.New(apierror.BadRequest, "header line")
 		}
 		name, value := line[:i], bytes.Trim(line[i+1:], " \t")
 		switch {
@@ -165,12 +165,12 @@
 			hosts++
 		case equalFold(name, "content-length"):
 			if lengths++; len(value) == 0 || !digits(value) {
-				return notch.New(notch.BadRequest, "content-length")
+				return apierror.New(apierror.BadRequest, "content-length")
 			}
 			continue
 		case equalFold(name, "transfer-encoding"):
 			if encodings++; !equalFold(value, "chunked") {
-				return notch.New(notch.BadRequest, "transfer-encoding")
+				return apierror.New(apierror.BadRequest, "transfer-encoding")
 			}
 			continue
 		case equalFold(name, "x-deadline"):
@@ -189,13 +189,13 @@
 		head = append(head, "\r\n"...)
 	}
 	if hosts != 1 || lengths+encodings > 1 || ids > 1 {
-		return notch.New(notch.BadRequest, "host, framing or id headers are missing or double")
+		return apierror.New(apierror.BadRequest, "host, framing or id headers are missing or double")
 	}
 	if len(named) > 0 {
 		head = dropNamed(head, named)
 	}
 	if q.route = r.table.Match(host, path); q.route == nil {
-		return notch.New(notch.NoRoute, "")
+		return apierror.New(apierror.NoRoute, "")
 	}
 	if q.route.Timeout > 0 {
 		q.until = q.began.Add(q.route.Timeout)
@@ -205,7 +205,7 @@
 	if len(deadline) > 0 {
 		ms, err := strconv.ParseFloat(string(deadline), 64)
 		if err != nil || ms < 0 {
-			return notch.New(notch.BadRequest, "x-deadline")
+			return apierror.New(apierror.BadRequest, "x-deadline")
 		}
 		if t := q.began.Add(time.Duration(min(ms, 1e9) * float64(time.Millisecond))); t.Before(q.until) {
 			q.until = t
@@ -215,7 +215,7 @@
 	most := limits.MaxBodyBytes
 	q.size = h.ContentLength()
 	if most > 0 && float64(q.size) > most {
-		return notch.New(notch.BodyTooLarge, "%d bytes", q.size)
+		return apierror.New(apierror.BodyTooLarge, "%d bytes", q.size)
 	}
 	if q.ctx.Request.IsBodyStream() {
 		feed := q.ctx.RequestBodyStream()
@@ -227,17 +227,17 @@
 		whole, err := io.ReadAll(io.LimitReader(q.feed, prefetch+1))
 		if err != nil {
 			if errors.Is(err, errTooLong) {
-				return notch.New(notch.BodyTooLarge, "over %d bytes", int64(most))
+				return apierror.New(apierror.BodyTooLarge, "over %d bytes", int64(most))
 			}
 			var ne net.Error
 			if errors.As(err, &ne) && ne.Timeout() {
-				return notch.New(notch.HeaderTimeout, "body")
+				return apierror.New(apierror.HeaderTimeout, "body")
 			}
-			return notch.New(notch.BadRequest, "body")
+			return apierror.New(apierror.BadRequest, "body")
 		}
 		// The library ends a body of a stated length where its client hangs up.
 		if q.size >= 0 && len(whole) < min(q.size, prefetch+1) {
-			return notch.New(notch.BadRequest, "%d bytes of a body of %d", len(whole), q.size)
+			return apierror.New(apierror.BadRequest, "%d bytes of a body of %d", len(whole), q.size)
 		}
 		if len(whole) <= prefetch {
 			q.body, q.feed, q.size = whole, nil, len(whole)
@@ -248,7 +248,7 @@
 	}
 	q.body = q.ctx.Request.Body()
 	if most > 0 && float64(len(q.body)) > most {
-		return notch.New(notch.BodyTooLarge, "%d bytes", len(q.body))
+		return apierror.New(apierror.BodyTooLarge, "%d bytes", len(q.body))
 	}
 	return nil
 }
@@ -665,7 +665,7 @@
 	default:
 		p.noteTry(q, audit.NotRun, d.kind.Status())
 	}
-	p.refuse(q.ctx, notch.New(d.kind, "%s", why))
+	p.refuse(q.ctx, apierror.New(d.kind, "%s", why))
 }
 
 // mayRepeat tells whether the budget would bear another try now.
@@ -710,11 +710,11 @@
 	return time.Duration(s.usual * float64(time.Second))
 }
 
-func (s *routeStats) count(k notch.Kind) {
+func (s *routeStats) count(k apierror.Kind) {
 	switch k {
-	case notch.Unavailable:
+	case apierror.Unavailable:
 		s.answer[3].Inc()
-	case notch.BadGateway:
+	case apierror.BadGateway:
 		s.answer[4].Inc()
 	default:
 		s.answer[5].Inc()
@@ -826,7 +826,7 @@
 
 // refuse answers with an error of this system's own.
 func (p *Plane) refuse(ctx *fasthttp.RequestCtx, err error) {
-	kind := notch.Of(err)
+	kind := apierror.Of(err)
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(kind.Status())
 	if s := kind.Status(); s == 503 || s == 429 {
--- a/internal/plane/hop.go
+++ b/internal/plane/hop.go
@@ -1,6 +1,6 @@
 package plane
 
-import "lichentray/internal/notch"
+import "lichentray/internal/apierror"
 
 // phase is how far a hop came: one try of a request at one endpoint.
 type phase uint8
@@ -35,7 +35,7 @@
 	// own tells that there is an answer of the endpoint that the client may be given.
 	own bool
 	// kind is what the client is told otherwise, if nothing more is tried.
-	kind notch.Kind
+	kind apierror.Kind
 }
 
 type again uint8
@@ -48,15 +48,15 @@
 
 // hops is the table of docs/notes/at-most-once.md.
 var hops = [phases]hopRow{
-	waiting:    {again: nobody, kind: notch.Unavailable},
-	dialling:   {again: anybody, kind: notch.BadGateway},
-	unsent:     {again: anybody, kind: notch.BadGateway},
-	sentPart:   {ran: true, again: repeatable, kind: notch.BadGateway},
-	sentWhole:  {ran: true, again: repeatable, kind: notch.BadGateway},
-	headPart:   {ran: true, again: repeatable, kind: notch.BadGateway},
-	bodyPart:   {ran: true, again: repeatable, kind: notch.BadGateway},
-	foreign:    {ran: true, again: repeatable, kind: notch.BadGateway},
-	turnedAway: {again: anybody, reuse: true, kind: notch.Unavailable},
+	waiting:    {again: nobody, kind: apierror.Unavailable},
+	dialling:   {again: anybody, kind: apierror.BadGateway},
+	unsent:     {again: anybody, kind: apierror.BadGateway},
+	sentPart:   {ran: true, again: repeatable, kind: apierror.BadGateway},
+	sentWhole:  {ran: true, again: repeatable, kind: apierror.BadGateway},
+	headPart:   {ran: true, again: repeatable, kind: apierror.BadGateway},
+	bodyPart:   {ran: true, again: repeatable, kind: apierror.BadGateway},
+	foreign:    {ran: true, again: repeatable, kind: apierror.BadGateway},
+	turnedAway: {again: anybody, reuse: true, kind: apierror.Unavailable},
 	failed:     {ran: true, again: repeatable, reuse: true, own: true},
 	answered:   {ran: true, again: nobody, reuse: true, own: true},
 	streaming:  {ran: true, again: nobody, reuse: true, own: true},
@@ -84,8 +84,8 @@
 // decision is what follows from a hop.
 type decision struct {
 	next step
-	ran  bool       // this hop or an earlier one may have run the request
-	kind notch.Kind // the error, if it is given up now
+	ran  bool          // this hop or an earlier one may have run the request
+	kind apierror.Kind // the error, if it is given up now
 }
 
 // next decides what is done after a hop. A request that may have run is sent again
@@ -95,13 +95,13 @@
 	row := hops[p]
 	d := decision{ran: s.ran || row.ran, kind: row.kind}
 	if !s.inTime {
-		d.kind = notch.Deadline
+		d.kind = apierror.Deadline
 	}
 	switch {
 	case !d.ran:
-		d.kind = notch.Unavailable
-	case d.kind == notch.Unavailable:
-		d.kind = notch.BadGateway
+		d.kind = apierror.Unavailable
+	case d.kind == apierror.Unavailable:
+		d.kind = apierror.BadGateway
 	}
 	may := row.again == anybody || row.again == repeatable && s.repeatable
 	switch {
--- a/internal/plane/hop_test.go
+++ b/internal/plane/hop_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 )
 
 // TestHops holds the table against the rules for every phase and every state of a
@@ -16,7 +16,7 @@
 			d := p.next(s)
 			left := p >= sentPart && p != turnedAway
 			whole := p >= turnedAway
-			promise := d.kind == notch.Unavailable || d.kind.Status() == 408 || d.kind.Status() == 429
+			promise := d.kind == apierror.Unavailable || d.kind.Status() == 408 || d.kind.Status() == 429
 			switch {
 			case d.ran != (s.ran || left):
 				t.Errorf("%d %+v: ran %v", p, s, d.ran)
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -15,8 +15,8 @@
 
 	"lichentray/audit"
 	"lichentray/coordination"
+	"lichentray/internal/apierror"
 	"lichentray/internal/goldentest"
-	"lichentray/internal/notch"
 	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -316,7 +316,7 @@
 		{Ask: &Ask{ID: 67, List: true, Least: 68, Packs: true, Zone: "zone-b"}},
 		{Ask: &Ask{ID: 69, Watch: true, Least: 70}},
 		{Answer: &Answer{
-			ID: 81, Failed: true, Kind: notch.Conflict, Detail: "detail", Index: 82, Revision: 83, Gone: true,
+			ID: 81, Failed: true, Kind: apierror.Conflict, Detail: "detail", Index: 82, Revision: 83, Gone: true,
 			Result: registry.Result{
 				Revision: 84, Conflict: true, Account: 85,
 				Current: []registry.Object{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
@@ -369,9 +369,9 @@
 		{Account: &AccountAck{Life: "life-1", Seq: 221, Closed: true}},
 		{PackedEvents: []byte("packed")},
 	}
-	for i, kind := range []notch.Kind{
-		notch.Internal, notch.BadRequest, notch.Invalid, notch.NoRoute, notch.NoKey, notch.HeaderTimeout, notch.Held, notch.Conflict, notch.Expired,
-		notch.Mismatch, notch.BodyTooLarge, notch.HeaderTooLarge, notch.Overloaded, notch.BadGateway, notch.Unavailable, notch.Unknown, notch.Deadline,
+	for i, kind := range []apierror.Kind{
+		apierror.Internal, apierror.BadRequest, apierror.Invalid, apierror.NoRoute, apierror.NoKey, apierror.HeaderTimeout, apierror.Held, apierror.Conflict, apierror.Expired,
+		apierror.Mismatch, apierror.BodyTooLarge, apierror.HeaderTooLarge, apierror.Overloaded, apierror.BadGateway, apierror.Unavailable, apierror.Unknown, apierror.Deadline,
 	} {
 		frames = append(frames, Frame{Answer: &Answer{ID: 300 + uint64(i), Failed: true, Kind: kind}})
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"lichentray/audit"
-	"lichentray/internal/notch"
+	"lichentray/internal/apierror"
 	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
@@ -76,7 +76,7 @@
 type Answer struct {
 	ID       uint64
 	Failed   bool
-	Kind     notch.Kind
+	Kind     apierror.Kind
 	Detail   string
 	Result   registry.Result
 	Index    uint64
