--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -13,7 +13,7 @@
 
 	"lichentray/internal/api"
 	"lichentray/internal/daemon"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/plane"
 	"lichentray/internal/settings"
 )
@@ -27,7 +27,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(75)
-	board := dial.NewBoard()
+	board := metrics.NewBoard()
 	p := plane.New(set, log, board)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/cmd/vise/main.go
+++ b/cmd/vise/main.go
@@ -17,8 +17,8 @@
 	"lichentray/config"
 	"lichentray/internal/api"
 	"lichentray/internal/daemon"
-	"lichentray/internal/dial"
 	"lichentray/internal/lathe"
+	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 )
 
@@ -48,7 +48,7 @@
 	if err := config.Warm(); err != nil {
 		return err
 	}
-	board := dial.NewBoard()
+	board := metrics.NewBoard()
 	node, err := lathe.Start(set, log, board)
 	if err != nil {
 		return err
--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -17,7 +17,7 @@
 	"lichentray/internal/api"
 	"lichentray/internal/apierror"
 	"lichentray/internal/daemon"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/plumb"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
@@ -34,13 +34,13 @@
 	noDisks    chan struct{}
 	// sentOn counts callers that were told to go to the core with a large body, or for
 	// one.
-	passed, sentOn, lost, failed *dial.Counter
+	passed, sentOn, lost, failed *metrics.Counter
 }
 
 func runRelay(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(50)
-	board := dial.NewBoard()
+	board := metrics.NewBoard()
 	b := set.Bounds
 	r := &relay{
 		line: plumb.New(set), noDisks: make(chan struct{}), wait: b.Contact.D(), poll: b.HistoryRetention.D() + b.Contact.D(),
@@ -181,7 +181,7 @@
 	return held
 }
 
-func (r *relay) handler(board *dial.Board) fasthttp.RequestHandler {
+func (r *relay) handler(board *metrics.Board) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
 		case "/metrics":
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -17,7 +17,7 @@
 	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/internal/apierror"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/transport"
 	"lichentray/registry"
 	"lichentray/rollout"
@@ -43,12 +43,12 @@
 // API serves the control plane's calls.
 type API struct {
 	node  Node
-	board *dial.Board
+	board *metrics.Board
 	wait  time.Duration // longest long poll
 }
 
 // NewAPI makes the handler's owner.
-func NewAPI(node Node, board *dial.Board, wait time.Duration) *API {
+func NewAPI(node Node, board *metrics.Board, wait time.Duration) *API {
 	return &API{node: node, board: board, wait: wait}
 }
 
@@ -164,7 +164,7 @@
 }
 
 // Metrics prints a board.
-func Metrics(b *dial.Board) []byte {
+func Metrics(b *metrics.Board) []byte {
 	var sb strings.Builder
 	_ = b.Write(&sb) // a strings.Builder takes everything
 	return []byte(sb.String())
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,7 +12,7 @@
 	"lichentray/audit"
 	"lichentray/coordination"
 	"lichentray/internal/apierror"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/registry"
 	"lichentray/rollout"
 )
@@ -131,7 +131,7 @@
 		{"metrics", "GET", "/metrics", "", fence, nil, 200, "lichentray_"},
 	} {
 		n := &node{err: c.err, result: c.result}
-		board := dial.NewBoard()
+		board := metrics.NewBoard()
 		board.Counter("x").Inc()
 		var ctx fasthttp.RequestCtx
 		ctx.Request.Header.SetMethod(c.method)
@@ -165,7 +165,7 @@
 	} {
 		var ctx fasthttp.RequestCtx
 		ctx.Request.SetRequestURI(c.uri)
-		NewDirectory(&node{err: c.err}, dial.NewBoard()).Serve(&ctx)
+		NewDirectory(&node{err: c.err}, metrics.NewBoard()).Serve(&ctx)
 		if got := string(ctx.Response.Body()); ctx.Response.StatusCode() != c.status || !strings.Contains(got, c.says) {
 			t.Errorf("%s: answered %d %s, want %d with %q", c.what, ctx.Response.StatusCode(), got, c.status, c.says)
 		}
@@ -180,7 +180,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := Server(NewAPI(n, dial.NewBoard(), time.Second).Serve, 1<<20)
+	srv := Server(NewAPI(n, metrics.NewBoard(), time.Second).Serve, 1<<20)
 	go func() { _ = srv.Serve(ln) }() // ends with its listener
 	defer srv.Shutdown()
 	c, err := net.Dial("tcp4", ln.Addr().String())
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/internal/apierror"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 )
 
 // Resolver is what the directory needs of the control-plane node.
@@ -18,11 +18,11 @@
 // Directory tells clients which proxy nodes to go to.
 type Directory struct {
 	node  Resolver
-	board *dial.Board
+	board *metrics.Board
 }
 
 // NewDirectory makes the handler's owner.
-func NewDirectory(node Resolver, board *dial.Board) *Directory { return &Directory{node, board} }
+func NewDirectory(node Resolver, board *metrics.Board) *Directory { return &Directory{node, board} }
 
 // Serve handles one question.
 func (d *Directory) Serve(ctx *fasthttp.RequestCtx) {
--- a/internal/api/listen.go
+++ b/internal/api/listen.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 )
 
 // patient is a listener that outlives a lack of descriptors, memory or buffers: what
@@ -14,13 +14,13 @@
 // such an error ends, and its process with it.
 type patient struct {
 	net.Listener
-	failures *dial.Counter
+	failures *metrics.Counter
 	pause    time.Duration
 }
 
 // Listen opens a TCP listener at address (IP:port) whose Accept fails only once it is
 // closed.
-func Listen(address string, board *dial.Board) (net.Listener, error) {
+func Listen(address string, board *metrics.Board) (net.Listener, error) {
 	ln, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
--- a/internal/api/listen_test.go
+++ b/internal/api/listen_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 )
 
 // short is a listener that lacks descriptors a few times before each connection.
@@ -26,7 +26,7 @@
 // TestOutOfDescriptors: a server goes on when its process lacks descriptors for a
 // while, and ends when its listener is closed.
 func TestOutOfDescriptors(t *testing.T) {
-	board := dial.NewBoard()
+	board := metrics.NewBoard()
 	ln, err := Listen("127.0.0.1:0", board)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 )
 
@@ -87,7 +87,7 @@
 		fmt.Fprintf(os.Stderr, "%s: settings %s: %v\n", program, file, err)
 		return ExitSettings
 	}
-	log := dial.Log(set.NodeName, program)
+	log := metrics.Log(set.NodeName, program)
 	log.Info("starting", "version", Version)
 	sig := &Signals{Stop: make(chan struct{}), Changed: make(chan *settings.Settings, 1)}
 	term, hup := make(chan os.Signal, 1), make(chan os.Signal, 1)
--- a/internal/lathe/lathe.go
+++ b/internal/lathe/lathe.go
@@ -17,7 +17,7 @@
 	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/apierror"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 	"lichentray/internal/storage"
 	"lichentray/internal/transport"
@@ -77,7 +77,7 @@
 	set    *settings.Settings
 	timing Timing
 	log    *slog.Logger
-	board  *dial.Board
+	board  *metrics.Board
 	start  time.Time
 	life   uint64 // drawn at each start
 	self   raft.Member
@@ -158,7 +158,7 @@
 	askSeq   atomic.Uint64
 	closing  atomic.Bool
 
-	nProposals, nUnknown, nUnread, nElections, nSync, nSyncUS, nDiskFail, nBadPeer, nRelist, nPacked, nMoved, nBusy, nTaken, nBeats, nRemoved, nApplied *dial.Counter
+	nProposals, nUnknown, nUnread, nElections, nSync, nSyncUS, nDiskFail, nBadPeer, nRelist, nPacked, nMoved, nBusy, nTaken, nBeats, nRemoved, nApplied *metrics.Counter
 }
 
 type proxyCount struct {
@@ -199,7 +199,7 @@
 }
 
 // Start opens the disk and begins to turn.
-func Start(set *settings.Settings, log *slog.Logger, board *dial.Board) (*Lathe, error) {
+func Start(set *settings.Settings, log *slog.Logger, board *metrics.Board) (*Lathe, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Lathe{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(),
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -16,7 +16,7 @@
 
 	"lichentray/coordination"
 	"lichentray/internal/apierror"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
@@ -67,7 +67,7 @@
 	}
 	var err error
 	for range 100 { // the port may still be held by the life before
-		if g.nodes[i], err = Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard()); err == nil {
+		if g.nodes[i], err = Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard()); err == nil {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -732,7 +732,7 @@
 	const relay, joins = "127.0.0.28", "127.0.0.29"
 	vicetest.Relay(t, fmt.Sprintf("%s:%d", relay, g.internal), transport.ControlNode{Addr: follower.self.Addr})
 	set := vicetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
-	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lathe/session.go
+++ b/internal/lathe/session.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lichentray/internal/apierror"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
@@ -153,7 +153,7 @@
 	eventsMu           sync.Mutex
 	first, last, count uint64 // of the events
 	eventsData         []byte
-	encoded            *dial.Counter
+	encoded            *metrics.Counter
 }
 
 // events lets a frame of large events be encoded once for all watchers. Each that
--- a/internal/dial/dial.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package dial holds counters and the log (metrics and structured logging).
+// Package metrics holds counters and the log (metrics and structured logging).
 // Counters come first; a log line is written only when a state changes.
-package dial
+package metrics
 
 import (
 	"fmt"
--- a/internal/plane/account.go
+++ b/internal/plane/account.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/audit"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
@@ -32,7 +32,7 @@
 	out    int
 	closed bool // handed over with everything
 
-	noted, held, dropped *dial.Counter
+	noted, held, dropped *metrics.Counter
 }
 
 // How much is handed over at a time, and how often when there is nothing to tell.
@@ -41,7 +41,7 @@
 	accountIdle  = 5 * time.Second
 )
 
-func newAccount(set *settings.Settings, board *dial.Board) *account {
+func newAccount(set *settings.Settings, board *metrics.Board) *account {
 	if set.Account == nil {
 		return nil
 	}
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/transport"
 	"lichentray/internal/vicetest"
 	"lichentray/registry"
@@ -95,7 +95,7 @@
 		}
 		return list(a)
 	})
-	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.Follow(ctx) }()
@@ -130,7 +130,7 @@
 	core := set.InternalAddr("127.0.0.25:1")
 	newControl(t, core, func(a *transport.Ask) *transport.Answer { return &transport.Answer{ID: a.ID, Revision: 1} })
 	vicetest.Relay(t, set.InternalAddr("127.0.0.24:1"), transport.ControlNode{Addr: core})
-	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.Follow(ctx) }()
@@ -153,7 +153,7 @@
 		return &transport.Answer{ID: a.ID, Revision: max(1, a.Least)}
 	}
 	far := newControl(t, address("127.0.0.41"), list)
-	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.Follow(ctx) }()
@@ -197,7 +197,7 @@
 	newControl(t, address(core), func(a *transport.Ask) *transport.Answer {
 		return &transport.Answer{ID: a.ID, Revision: max(1, a.Least)}
 	})
-	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
 	s := p.search(ctx, "", transport.Ask{ID: 1, List: true, Packs: true})
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"lichentray/config"
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/plumb"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
@@ -62,7 +62,7 @@
 	set    *settings.Settings
 	timing Timing
 	log    *slog.Logger
-	board  *dial.Board
+	board  *metrics.Board
 	start  time.Time
 	line   *plumb.Line
 
@@ -93,8 +93,8 @@
 }
 
 type counters struct {
-	requests, retries, budgetOut, ejected, refused, streamLost, lists, watches, badAnswers, dialFailed, stale *dial.Counter
-	revision, config                                                                                          *dial.Counter
+	requests, retries, budgetOut, ejected, refused, streamLost, lists, watches, badAnswers, dialFailed, stale *metrics.Counter
+	revision, config                                                                                          *metrics.Counter
 }
 
 // routing is what one request is handled by, swapped whole.
@@ -109,7 +109,7 @@
 	name   string
 	mu     sync.Mutex
 	usual  float64 // seconds of an ordinary answer
-	answer [6]*dial.Counter
+	answer [6]*metrics.Counter
 }
 
 // service is the pool of one service and what this node keeps beside it.
@@ -170,7 +170,7 @@
 }
 
 // New makes a proxy node that knows nothing yet.
-func New(set *settings.Settings, log *slog.Logger, board *dial.Board) *Plane {
+func New(set *settings.Settings, log *slog.Logger, board *metrics.Board) *Plane {
 	p := &Plane{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
 		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.Zone{},
--- a/internal/plane/plane_test.go
+++ b/internal/plane/plane_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"lichentray/internal/dial"
+	"lichentray/internal/metrics"
 	"lichentray/internal/vicetest"
 	"lichentray/registry"
 )
@@ -101,7 +101,7 @@
 
 func newFront(t *testing.T, endpoints ...*endpoint) (*Plane, *Front) {
 	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
-	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
 	for i, e := range endpoints {
 		x := registry.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Address: e.ln.Addr().String(), Zone: "a", Capacity: 4}
@@ -133,7 +133,7 @@
 	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	set.Bounds.Contact, set.Bounds.ConfigApply, set.Bounds.Drain = 6, 40, 40 // a view within 10 s of the start
 	open := func(began time.Duration) (*Plane, string) {
-		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), dial.NewBoard())
+		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 		p.start = p.start.Add(-began)
 		return p, openFront(t, p).ln.Addr().String()
 	}
