--- a/cmd/vise/relay.go
+++ b/cmd/vise/relay.go
@@ -17,8 +17,8 @@
 	"lichentray/internal/api"
 	"lichentray/internal/apierror"
 	"lichentray/internal/daemon"
+	"lichentray/internal/discovery"
 	"lichentray/internal/metrics"
-	"lichentray/internal/plumb"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
@@ -27,7 +27,7 @@
 // has disks: it holds nothing and passes calls on to a core node that is in
 // touch, the nearest if it can.
 type relay struct {
-	line *plumb.Line
+	line *discovery.Line
 	to   atomic.Pointer[fasthttp.HostClient] // nil: no core node is in touch
 	// wait bounds an ordinary call, poll a watch.
 	wait, poll time.Duration
@@ -43,7 +43,7 @@
 	board := metrics.NewBoard()
 	b := set.Bounds
 	r := &relay{
-		line: plumb.New(set), noDisks: make(chan struct{}), wait: b.Contact.D(), poll: b.HistoryRetention.D() + b.Contact.D(),
+		line: discovery.New(set), noDisks: make(chan struct{}), wait: b.Contact.D(), poll: b.HistoryRetention.D() + b.Contact.D(),
 		passed: board.Counter("relayed_total"), sentOn: board.Counter("relayed_by_redirect_total"), lost: board.Counter("relayed_without_target_total"), failed: board.Counter("relayed_unclear_total"),
 	}
 	ln, err := api.Listen(set.Listen.Control, board)
--- a/internal/plumb/plumb.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package plumb finds a control-plane node to follow (service discovery of the
+// Package discovery finds a control-plane node to follow (service discovery of the
 // control plane): the one on the same machine, else one in the same zone, else
 // in the same region, from what the stream told and the seeds.
-package plumb
+package discovery
 
 import (
 	"math/rand"
--- a/internal/plumb/plumb_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package plumb
+package discovery
 
 import (
 	"fmt"
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"lichentray/config"
+	"lichentray/internal/discovery"
 	"lichentray/internal/metrics"
-	"lichentray/internal/plumb"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
@@ -64,7 +64,7 @@
 	log    *slog.Logger
 	board  *metrics.Board
 	start  time.Time
-	line   *plumb.Line
+	line   *discovery.Line
 
 	routing  atomic.Pointer[routing]
 	viewed   chan struct{} // closed once there is a first view
@@ -174,7 +174,7 @@
 	p := &Plane{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
 		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.Zone{},
-		line: plumb.New(set), sentAt: map[uint64]time.Duration{}, region: map[string]int{},
+		line: discovery.New(set), sentAt: map[uint64]time.Duration{}, region: map[string]int{},
 		// A later life of this node begins above the sequences of an earlier one.
 		seq: uint64(time.Now().UnixMilli()), pacer: newPacer(set.Limits.BandwidthMbps),
 	}
