--- a/cmd/vise/relay_test.go
+++ b/cmd/vise/relay_test.go
@@ -13,17 +13,17 @@
 	"testing"
 	"time"
 
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/daemon"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
-	"lichentray/internal/vicetest"
 )
 
 // core is a stand-in for a core node: it sends bookmarks to whoever follows it,
 // and answers calls by script.
 func core(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
 	addr := fmt.Sprintf("%s:%d", ip, internal)
-	vicetest.Listen(t, addr, func(c *transport.Conn) {
+	controlplanetest.Listen(t, addr, func(c *transport.Conn) {
 		for {
 			if c.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: []transport.ControlNode{{Addr: addr, API: api}}, Diskless: diskless.Load()}}) != nil {
 				return
@@ -38,7 +38,7 @@
 // the node joins the core instead.
 func TestRelay(t *testing.T) {
 	ips := []string{"127.0.0.31", "127.0.0.32"}
-	control, internal := vicetest.FreePort(t, ips...), vicetest.FreePort(t, ips...)
+	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
 	api := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Query().Get("of") == "break" {
@@ -51,7 +51,7 @@
 	var diskless atomic.Bool
 	core(t, ips[0], internal, strings.TrimPrefix(api.URL, "http://"), &diskless)
 	set := func(seed string) *settings.Settings {
-		s := vicetest.Settings(t, ips[1], "", control, internal, []string{seed}, false)
+		s := controlplanetest.Settings(t, ips[1], "", control, internal, []string{seed}, false)
 		s.QuorumMember = false
 		return s
 	}
--- a/cmd/vise/relayhop_test.go
+++ b/cmd/vise/relayhop_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/daemon"
 	"lichentray/internal/settings"
-	"lichentray/internal/vicetest"
 )
 
 // rawCore is a core node's API that answers by script, and keeps what it read.
@@ -86,10 +86,10 @@
 
 // relayTo starts a relay to a core node on the loopback and gives its address.
 func relayTo(t *testing.T, r *rawCore, ips []string, contactS int) string {
-	control, internal := vicetest.FreePort(t, ips...), vicetest.FreePort(t, ips...)
+	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
 	var diskless atomic.Bool
 	core(t, ips[0], internal, r.ln.Addr().String(), &diskless)
-	s := vicetest.Settings(t, ips[1], "", control, internal, []string{ips[0]}, false)
+	s := controlplanetest.Settings(t, ips[1], "", control, internal, []string{ips[0]}, false)
 	s.QuorumMember = false
 	s.Bounds.Contact = settings.Seconds(contactS)
 	sig := &daemon.Signals{Stop: make(chan struct{}), Changed: make(chan *settings.Settings)}
--- a/internal/vicetest/vicetest.go
+++ b/internal/controlplanetest/controlplanetest.go
@@ -1,6 +1,6 @@
-// Package vicetest holds what tests of several packages need: settings for
+// Package controlplanetest holds what tests of several packages need: settings for
 // nodes on the loopback (test fixtures).
-package vicetest
+package controlplanetest
 
 import (
 	"fmt"
--- a/internal/lathe/lathe_test.go
+++ b/internal/lathe/lathe_test.go
@@ -16,10 +16,10 @@
 
 	"lichentray/coordination"
 	"lichentray/internal/apierror"
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
-	"lichentray/internal/vicetest"
 	"lichentray/raft"
 	"lichentray/registry"
 	"lichentray/watchcache"
@@ -41,7 +41,7 @@
 	for i := range n {
 		g.ips = append(g.ips, fmt.Sprint("127.0.0.", 11+i))
 	}
-	g.control, g.internal = vicetest.FreePort(t, g.ips...), vicetest.FreePort(t, g.ips...)
+	g.control, g.internal = controlplanetest.FreePort(t, g.ips...), controlplanetest.FreePort(t, g.ips...)
 	for i := range n {
 		g.nodes = append(g.nodes, nil)
 		g.start(i, true)
@@ -61,7 +61,7 @@
 	if err := os.MkdirAll(g.disk(i), 0o700); err != nil {
 		g.t.Fatal(err)
 	}
-	set := vicetest.Settings(g.t, g.ips[i], g.disk(i), g.control, g.internal, g.ips[:min(3, len(g.ips))], bootstrap)
+	set := controlplanetest.Settings(g.t, g.ips[i], g.disk(i), g.control, g.internal, g.ips[:min(3, len(g.ips))], bootstrap)
 	if g.tune != nil {
 		g.tune(set)
 	}
@@ -465,7 +465,7 @@
 func TestPeerThatShowsItself(t *testing.T) {
 	g := newGroup(t, 1, func(s *settings.Settings) { s.Bounds.Contact = 1200 }) // an attempt every 12 s and more
 	l := g.nodes[0]
-	addr := fmt.Sprintf("127.0.0.50:%d", vicetest.FreePort(t, "127.0.0.50"))
+	addr := fmt.Sprintf("127.0.0.50:%d", controlplanetest.FreePort(t, "127.0.0.50"))
 	k := l.links.get(addr) // refused
 	time.Sleep(200 * time.Millisecond)
 	ln, err := net.Listen("tcp4", addr)
@@ -730,8 +730,8 @@
 		return follower != nil
 	})
 	const relay, joins = "127.0.0.28", "127.0.0.29"
-	vicetest.Relay(t, fmt.Sprintf("%s:%d", relay, g.internal), transport.ControlNode{Addr: follower.self.Addr})
-	set := vicetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
+	controlplanetest.Relay(t, fmt.Sprintf("%s:%d", relay, g.internal), transport.ControlNode{Addr: follower.self.Addr})
+	set := controlplanetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
 	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/plane/bench_test.go
+++ b/internal/plane/bench_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/metrics"
-	"lichentray/internal/vicetest"
 	"lichentray/registry"
 )
 
@@ -23,7 +23,7 @@
 		return float64(m.HeapAlloc)
 	}
 	for _, n := range []int{11000, 44000} {
-		set := vicetest.Settings(b, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
+		set := controlplanetest.Settings(b, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 		before := heap()
 		for i := range n {
@@ -47,7 +47,7 @@
 		})
 	}
 	for _, n := range []int{2000, 40000} {
-		set := vicetest.Settings(b, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
+		set := controlplanetest.Settings(b, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 		text := func(version uint64) []byte {
 			var sb strings.Builder
--- a/internal/plane/byte_test.go
+++ b/internal/plane/byte_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/metrics"
-	"lichentray/internal/vicetest"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 )
@@ -354,7 +354,7 @@
 func playBytes(t *testing.T, seed int64) *ledger {
 	const endpoints, callers, each = 4, 6, 8
 	book := &ledger{seen: map[string]map[int]int{}, ran: map[string]int{}, answers: map[string]int{}, acts: map[string]int{}}
-	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
+	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	p.timing.EjectBase, p.timing.EjectMost = 1, 1 // or the worst would soon be left alone
 	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
--- a/internal/plane/follow_test.go
+++ b/internal/plane/follow_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/metrics"
 	"lichentray/internal/transport"
-	"lichentray/internal/vicetest"
 	"lichentray/registry"
 )
 
@@ -24,7 +24,7 @@
 
 func newControl(t *testing.T, addr string, answer func(*transport.Ask) *transport.Answer) *control {
 	c := &control{say: make(chan *transport.Frame), answer: answer}
-	vicetest.Listen(t, addr, c.serve)
+	controlplanetest.Listen(t, addr, c.serve)
 	return c
 }
 
@@ -70,8 +70,8 @@
 // TestQuietStreamIsKept: a stream that falls quiet is followed on if it speaks
 // before another is open, with nothing lost; and left for another that opens.
 func TestQuietStreamIsKept(t *testing.T) {
-	port := vicetest.FreePort(t, "127.0.0.21", "127.0.0.22")
-	set := vicetest.Settings(t, "127.0.0.23", "", 1, port, []string{"127.0.0.21", "127.0.0.22"}, false)
+	port := controlplanetest.FreePort(t, "127.0.0.21", "127.0.0.22")
+	set := controlplanetest.Settings(t, "127.0.0.23", "", 1, port, []string{"127.0.0.21", "127.0.0.22"}, false)
 	set.Bounds.Drain, set.Bounds.ConfigApply = 1, 1
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
 	list := func(a *transport.Ask) *transport.Answer {
@@ -125,11 +125,11 @@
 // TestSeedsAreRelays: a proxy whose seeds are all relays is told where the core is
 // and follows it.
 func TestSeedsAreRelays(t *testing.T) {
-	port := vicetest.FreePort(t, "127.0.0.24", "127.0.0.25")
-	set := vicetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
+	port := controlplanetest.FreePort(t, "127.0.0.24", "127.0.0.25")
+	set := controlplanetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
 	core := set.InternalAddr("127.0.0.25:1")
 	newControl(t, core, func(a *transport.Ask) *transport.Answer { return &transport.Answer{ID: a.ID, Revision: 1} })
-	vicetest.Relay(t, set.InternalAddr("127.0.0.24:1"), transport.ControlNode{Addr: core})
+	controlplanetest.Relay(t, set.InternalAddr("127.0.0.24:1"), transport.ControlNode{Addr: core})
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -145,8 +145,8 @@
 // TestNearerThatIsDead: a nearer node that is named and does not answer costs the
 // stream that is followed nothing; one that answers takes over.
 func TestNearerThatIsDead(t *testing.T) {
-	port := vicetest.FreePort(t, "127.0.0.41", "127.0.0.42")
-	set := vicetest.Settings(t, "127.0.0.43", "", 1, port, []string{"127.0.0.41"}, false)
+	port := controlplanetest.FreePort(t, "127.0.0.41", "127.0.0.42")
+	set := controlplanetest.Settings(t, "127.0.0.43", "", 1, port, []string{"127.0.0.41"}, false)
 	set.Bounds.Contact = 0.2
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
 	list := func(a *transport.Ask) *transport.Answer {
@@ -183,11 +183,11 @@
 // before the core is.
 func TestRelayIsAskedOnce(t *testing.T) {
 	own, core := "127.0.0.26", "127.0.0.27"
-	port := vicetest.FreePort(t, own, core)
-	set := vicetest.Settings(t, own, "", 1, port, []string{own, core}, false)
+	port := controlplanetest.FreePort(t, own, core)
+	set := controlplanetest.Settings(t, own, "", 1, port, []string{own, core}, false)
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
 	var asked atomic.Int64
-	vicetest.Listen(t, address(own), func(conn *transport.Conn) {
+	controlplanetest.Listen(t, address(own), func(conn *transport.Conn) {
 		asked.Add(1)
 		known := []transport.ControlNode{{Addr: address(core), API: core + ":1", Zone: set.Zone}}
 		for err := conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: known}}); err == nil; {
--- a/internal/plane/plane_test.go
+++ b/internal/plane/plane_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"lichentray/internal/controlplanetest"
 	"lichentray/internal/metrics"
-	"lichentray/internal/vicetest"
 	"lichentray/registry"
 )
 
@@ -100,7 +100,7 @@
 }
 
 func newFront(t *testing.T, endpoints ...*endpoint) (*Plane, *Front) {
-	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
+	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
 	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
 	for i, e := range endpoints {
@@ -130,7 +130,7 @@
 // time to come back.
 func TestFirstView(t *testing.T) {
 	e := newEndpoint(t, func(int, string) string { return ok("x") })
-	set := vicetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
+	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	set.Bounds.Contact, set.Bounds.ConfigApply, set.Bounds.Drain = 6, 40, 40 // a view within 10 s of the start
 	open := func(began time.Duration) (*Plane, string) {
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewBoard())
--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"lichentray/audit"
-	"lichentray/internal/vicetest"
+	"lichentray/internal/controlplanetest"
 )
 
 // stand is one control-plane node and two proxy nodes as processes.
@@ -40,7 +40,7 @@
 	ports := map[int]bool{}
 	free := func() int {
 		for {
-			if p := vicetest.FreePort(t, ips...); !ports[p] {
+			if p := controlplanetest.FreePort(t, ips...); !ports[p] {
 				ports[p] = true
 				return p
 			}
@@ -60,7 +60,7 @@
 		}
 	}
 	path := filepath.Join(s.dir, program+ip+".toml")
-	text := vicetest.Text(ip, data, s.control, s.internal, []string{"127.0.0.31"}, true)
+	text := controlplanetest.Text(ip, data, s.control, s.internal, []string{"127.0.0.31"}, true)
 	text = strings.Replace(text, "[listen_addresses]", fmt.Sprintf("[listen_addresses]\nfrontend = \"%s:%d\"\nreadiness = \"%s:%d\"", ip, s.front, ip, s.readiness), 1)
 	text = strings.Replace(text, "machines = 1", "machines = 0", 1)
 	if program == "router" {
