--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -14,7 +14,7 @@
 	"lichentray/internal/api"
 	"lichentray/internal/daemon"
 	"lichentray/internal/metrics"
-	"lichentray/internal/plane"
+	"lichentray/internal/proxy"
 	"lichentray/internal/settings"
 )
 
@@ -28,7 +28,7 @@
 	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(75)
 	board := metrics.NewBoard()
-	p := plane.New(set, log, board)
+	p := proxy.New(set, log, board)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	readiness, err := api.Listen(set.Listen.Readiness, board)
@@ -41,7 +41,7 @@
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- api.Server(p.Readiness, 64<<10).Serve(readiness) }()
-	front := plane.NewFront(p, frontend)
+	front := proxy.NewFront(p, frontend)
 	go front.Run()
 	go p.Follow(ctx)
 	go p.LookForRelay(ctx)
--- a/internal/plane/byte_test.go
+++ b/internal/proxy/byte_test.go
@@ -1,4 +1,4 @@
-package plane
+package proxy
 
 import (
 	"bufio"
--- a/internal/plane/follow.go
+++ b/internal/proxy/follow.go
@@ -1,4 +1,4 @@
-package plane
+package proxy
 
 import (
 	"context"
@@ -164,13 +164,13 @@
 	}
 }
 
-var errNearer = errors.New("plane: a nearer control-plane node is known")
+var errNearer = errors.New("proxy: a nearer control-plane node is known")
 
-var errPointed = errors.New("plane: a relay told where the core is")
+var errPointed = errors.New("proxy: a relay told where the core is")
 
-var errQuiet = errors.New("plane: quiet, and another control-plane node answered")
+var errQuiet = errors.New("proxy: quiet, and another control-plane node answered")
 
-var errRefused = errors.New("plane: refused by the control-plane node")
+var errRefused = errors.New("proxy: refused by the control-plane node")
 
 // search asks one candidate after the other until one opens a stream. A next one is
 // asked when one has failed or is slow to answer; those asked before may answer
@@ -379,7 +379,7 @@
 	rev := p.mirror.Revision()
 	p.n.revision.Set(int64(rev))
 	if f.Gone {
-		return errors.New("plane: cut off as too slow")
+		return errors.New("proxy: cut off as too slow")
 	}
 	if span := time.Since(*sweep); span > 2*p.timing.Silence/3 || (!s.told && f.Bookmark != nil) {
 		s.told = true
--- a/internal/plane/forward.go
+++ b/internal/proxy/forward.go
@@ -1,4 +1,4 @@
-package plane
+package proxy
 
 import (
 	"bytes"
@@ -253,7 +253,7 @@
 	return nil
 }
 
-var errTooLong = errors.New("plane: body is too long")
+var errTooLong = errors.New("proxy: body is too long")
 
 // bounded fails when a body is longer than it may be.
 type bounded struct {
@@ -504,9 +504,9 @@
 type onlyWriter struct{ io.Writer }
 
 var (
-	errDeadline = errors.New("plane: deadline reached")
+	errDeadline = errors.New("proxy: deadline reached")
 	// errClient says that the client, not the endpoint, broke the request off.
-	errClient = errors.New("plane: client broke its request off")
+	errClient = errors.New("proxy: client broke its request off")
 )
 
 // feeder marks the errors of the client's side of a body.
--- a/internal/plane/plane.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package plane is the proxy node: it keeps an exact copy of the registry,
+// Package proxy is the proxy node: it keeps an exact copy of the registry,
 // takes requests from clients and forwards them to endpoints.
-package plane
+package proxy
 
 import (
 	"context"
