--- a/cmd/gauge/main.go
+++ b/cmd/gauge/main.go
@@ -23,8 +23,8 @@
 
 	"lichentray/audit"
 	"lichentray/config"
+	"lichentray/internal/controlplane"
 	"lichentray/internal/daemon"
-	"lichentray/internal/lathe"
 	"lichentray/internal/settings"
 )
 
@@ -571,7 +571,7 @@
 		return err
 	}
 	asked := map[string]bool{}
-	var all []lathe.Status
+	var all []controlplane.Status
 	type unheard struct {
 		Node  string `json:"control_plane"`
 		Error string `json:"error"`
@@ -585,7 +585,7 @@
 		}
 		asked[n] = true
 		code, body, _, err := t.call(n, "GET", "/api/status", nil)
-		var s lathe.Status
+		var s controlplane.Status
 		if err == nil && code == 200 {
 			err = json.Unmarshal(body, &s)
 		} else if err == nil {
@@ -608,7 +608,7 @@
 		return t.print("", map[string]any{"nodes": all, "unheard": missing})
 	}
 	w := tabwriter.NewWriter(t.out, 2, 4, 2, ' ', 0)
-	var lead *lathe.Status
+	var lead *controlplane.Status
 	newest := uint64(0)
 	for i := range all {
 		newest = max(newest, all[i].Revision)
--- a/cmd/vise/main.go
+++ b/cmd/vise/main.go
@@ -16,8 +16,8 @@
 
 	"lichentray/config"
 	"lichentray/internal/api"
+	"lichentray/internal/controlplane"
 	"lichentray/internal/daemon"
-	"lichentray/internal/lathe"
 	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 )
@@ -25,7 +25,7 @@
 func main() { os.Exit(daemon.Main("vise", "the control-plane node", run)) }
 
 // apiNode lets the API print the node's state without knowing its shape.
-type apiNode struct{ *lathe.Lathe }
+type apiNode struct{ *controlplane.Lathe }
 
 func (n apiNode) Status() any { return n.Lathe.Status() }
 
@@ -49,7 +49,7 @@
 		return err
 	}
 	board := metrics.NewBoard()
-	node, err := lathe.Start(set, log, board)
+	node, err := controlplane.Start(set, log, board)
 	if err != nil {
 		return err
 	}
--- a/internal/lathe/lathe.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
-// Package lathe is the control-plane node: an actor that turns consensus,
+// Package controlplane is the control-plane node: an actor that turns consensus,
 // the registry and its cacher, with disk, peers and timers round it.
-package lathe
+package controlplane
 
 import (
 	"context"
--- a/internal/lathe/link.go
+++ b/internal/controlplane/link.go
@@ -1,4 +1,4 @@
-package lathe
+package controlplane
 
 import (
 	"context"
@@ -115,7 +115,7 @@
 	return k
 }
 
-var errNotSent = errors.New("lathe: peer is not connected")
+var errNotSent = errors.New("controlplane: peer is not connected")
 
 // call is one that waits for its answer.
 type call struct {
@@ -150,15 +150,15 @@
 	}
 	t := time.NewTimer(left)
 	defer t.Stop()
-	err = errors.New("lathe: peer did not answer")
+	err = errors.New("controlplane: peer did not answer")
 	select {
 	case ans := <-c.answer:
 		if ans != nil {
 			return ans, true, nil
 		}
-		err = errors.New("lathe: connection to the peer broke")
+		err = errors.New("controlplane: connection to the peer broke")
 	case <-to.turned:
-		err = errors.New("lathe: another leads, or none")
+		err = errors.New("controlplane: another leads, or none")
 	case <-t.C:
 	}
 	return nil, forget(), err
--- a/internal/lathe/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -1,4 +1,4 @@
-package lathe
+package controlplane
 
 import (
 	"context"
