--- a/cmd/vise/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -1,4 +1,4 @@
-// Command vise is the control-plane node: it holds the registry and serves the
+// Command lichentray-controlplane is the control-plane node: it holds the registry and serves the
 // operator, the endpoints, the applications and the proxy nodes.
 package main
 
@@ -22,7 +22,7 @@
 	"lichentray/internal/settings"
 )
 
-func main() { os.Exit(daemon.Main("vise", "the control-plane node", run)) }
+func main() { os.Exit(daemon.Main("lichentray-controlplane", "the control-plane node", run)) }
 
 // apiNode lets the API print the node's state without knowing its shape.
 type apiNode struct{ *controlplane.Lathe }
@@ -31,7 +31,7 @@
 
 func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Control == "" {
-		return errors.New("listen_addresses.control_plane: missing, vise serves control")
+		return errors.New("listen_addresses.control_plane: missing, lichentray-controlplane serves control")
 	}
 	// Beside a core that has disks, a node without one holds nothing. Whether the
 	// core has, a node learns from whom it follows; at the very first start the
--- a/cmd/router/main.go
+++ b/cmd/lichentray-proxy/main.go
@@ -1,4 +1,4 @@
-// Command router is the proxy node: it takes requests from clients and sends
+// Command lichentray-proxy is the proxy node: it takes requests from clients and sends
 // them to the endpoints that the registry knows.
 package main
 
@@ -18,11 +18,11 @@
 	"lichentray/internal/settings"
 )
 
-func main() { os.Exit(daemon.Main("router", "the proxy node", run)) }
+func main() { os.Exit(daemon.Main("lichentray-proxy", "the proxy node", run)) }
 
 func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Frontend == "" || set.Listen.Readiness == "" {
-		return errors.New("listen_addresses: frontend or readiness missing, router serves edge")
+		return errors.New("listen_addresses: frontend or readiness missing, lichentray-proxy serves edge")
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
--- a/cmd/gauge/main.go
+++ b/cmd/lichentrayctl/main.go
@@ -1,4 +1,4 @@
-// Command gauge is the operator's command line: it checks settings and
+// Command lichentrayctl is the operator's command line: it checks settings and
 // configurations, reads and replaces the configuration, and shows the state of
 // the control plane.
 package main
@@ -40,19 +40,19 @@
 const help = `gauge is the operator's command line of lichentray.
 
 Usage:
-  gauge settings check [FILE]     check a settings file
-  gauge config check FILE         check a configuration ("-" is standard input)
-  gauge config read               print the newest configuration
-  gauge config replace FILE       put a configuration in force
-  gauge evac list                 show the zones that are not in ordinary use
-  gauge evac begin ZONE           let nothing more go to a zone's endpoints
-  gauge evac finish ZONE          take a zone back
-  gauge rollout begin SERVICE VERSION TERM
+  lichentrayctl settings check [FILE]     check a settings file
+  lichentrayctl config check FILE         check a configuration ("-" is standard input)
+  lichentrayctl config read               print the newest configuration
+  lichentrayctl config replace FILE       put a configuration in force
+  lichentrayctl evac list                 show the zones that are not in ordinary use
+  lichentrayctl evac begin ZONE           let nothing more go to a zone's endpoints
+  lichentrayctl evac finish ZONE          take a zone back
+  lichentrayctl rollout begin SERVICE VERSION TERM
                                   move a service to a version within a time (12s)
-  gauge rollout read SERVICE      show how the newest roll-out stands
-  gauge account                   list what went wrong for the tenants, and the sums
-  gauge status                    show members, leader, revisions, proxies and zones
-  gauge version
+  lichentrayctl rollout read SERVICE      show how the newest roll-out stands
+  lichentrayctl account                   list what went wrong for the tenants, and the sums
+  lichentrayctl status                    show members, leader, revisions, proxies and zones
+  lichentrayctl version
 
 Flags, after the command:
   --nodes A,B      control_plane addresses to ask (default: seed_nodes of the settings)
@@ -111,7 +111,7 @@
 		return exitOK
 	}
 	if args[0] == "version" || args[0] == "--version" {
-		fmt.Fprintln(out, daemon.VersionLine("gauge"))
+		fmt.Fprintln(out, daemon.VersionLine("lichentrayctl"))
 		return exitOK
 	}
 	t := &tool{out: out}
@@ -156,7 +156,7 @@
 	if do == nil {
 		return fail(exitUsage, "no command %q", strings.Join(args, " "))
 	}
-	fs := flag.NewFlagSet("gauge", flag.ContinueOnError)
+	fs := flag.NewFlagSet("lichentrayctl", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	nodes := fs.String("nodes", "", "")
 	fs.StringVar(&t.set, "config", "", "")
--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -403,7 +403,7 @@
 		seeds = append(seeds, addr(i)+":8166")
 	}
 	for i := range *nodes {
-		if err := f.start("vise", fmt.Sprint("core-", i), addr(i), "control", true, seeds); err != nil {
+		if err := f.start("lichentray-controlplane", fmt.Sprint("core-", i), addr(i), "control", true, seeds); err != nil {
 			return err
 		}
 	}
@@ -423,7 +423,7 @@
 	out := result{Nodes: *nodes, Routers: *routers, Hollow: *hollow, Endpoints: *endpoints, Services: *services, Routes: *routes,
 		BeatS: beat.Seconds(), RegisterS: time.Since(began).Seconds()}
 	for i := range *routers {
-		if err := f.start("router", fmt.Sprint("edge-", i), addr(1000+i), "edge", false, seeds); err != nil {
+		if err := f.start("lichentray-proxy", fmt.Sprint("edge-", i), addr(1000+i), "edge", false, seeds); err != nil {
 			return err
 		}
 	}
--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -53,7 +53,7 @@
 func (s *stand) start(program, ip string) *exec.Cmd {
 	s.t.Helper()
 	data := ""
-	if program == "vise" {
+	if program == "lichentray-controlplane" {
 		data = filepath.Join(s.dir, "data")
 		if err := os.MkdirAll(data, 0o700); err != nil {
 			s.t.Fatal(err)
@@ -63,7 +63,7 @@
 	text := controlplanetest.Text(ip, data, s.control, s.internal, []string{"127.0.0.31"}, true)
 	text = strings.Replace(text, "[listen_addresses]", fmt.Sprintf("[listen_addresses]\nfrontend = \"%s:%d\"\nreadiness = \"%s:%d\"", ip, s.front, ip, s.readiness), 1)
 	text = strings.Replace(text, "machines = 1", "machines = 0", 1)
-	if program == "router" {
+	if program == "lichentray-proxy" {
 		text = strings.Replace(text, "quorum_member = true", "quorum_member = false", 1)
 	}
 	text += `[account]
@@ -120,16 +120,16 @@
 	return r.StatusCode == 200
 }
 
-// account asks gauge.
+// account asks lichentrayctl.
 func (s *stand) account(flags ...string) (a audit.Answer) {
 	s.t.Helper()
 	args := append([]string{"account", "--output", "json", "--nodes", fmt.Sprintf("127.0.0.31:%d", s.control)}, flags...)
-	out, err := exec.Command(filepath.Join(s.bin, "gauge"), args...).Output()
+	out, err := exec.Command(filepath.Join(s.bin, "lichentrayctl"), args...).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &a)
 	}
 	if err != nil {
-		s.t.Fatalf("gauge %v: %v\n%s", args, err, out)
+		s.t.Fatalf("lichentrayctl %v: %v\n%s", args, err, out)
 	}
 	return a
 }
@@ -180,13 +180,13 @@
 
 // TestAccount causes failures of each kind on purpose at two proxy nodes, for three
 // tenants, each try of a commitment at another node; ends one proxy in order and
-// kills the other; and finds all of them with gauge, under the right tenant and
+// kills the other; and finds all of them with lichentrayctl, under the right tenant and
 // request, once, and the killed life named as a gap.
 func TestAccount(t *testing.T) {
 	s := newStand(t)
-	s.start("vise", "127.0.0.31")
-	a := s.start("router", "127.0.0.32")
-	b := s.start("router", "127.0.0.33")
+	s.start("lichentray-controlplane", "127.0.0.31")
+	a := s.start("lichentray-proxy", "127.0.0.32")
+	b := s.start("lichentray-proxy", "127.0.0.33")
 	s.until("a configuration", func() bool {
 		return s.post("configuration.replace", `{"config_version":1,"clusters":[{"name":"s","health_check_path":"/health"}],"listeners":[`+
 			`{"hostname":"museum.example","rules":[`+
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	_ = b.Wait()
-	s.start("router", pb)
+	s.start("lichentray-proxy", pb)
 	s.until("the new life is in the book", func() bool { return s.ready(pb) })
 	if g := got(); !reflect.DeepEqual(g, want) {
 		t.Errorf("after the ends: %v, want %v", g, want)
