--- a/cmd/lichentrayctl/main_test.go
+++ b/cmd/lichentrayctl/main_test.go
@@ -58,7 +58,7 @@
 		says   string
 	}{
 		{"--help", 200, exitOK, "Exit codes"},
-		{"version", 200, exitOK, "gauge "},
+		{"version", 200, exitOK, "lichentrayctl "},
 		{"config check " + cfg, 200, exitOK, "valid: version 3"},
 		{"config check " + bad, 200, exitInvalid, "clusters.0"},
 		{"config check " + cfg + " --output json", 200, exitOK, `"valid": true`},
@@ -101,7 +101,7 @@
 		status, calls = c.status, 0
 		var out bytes.Buffer
 		if code := run(strings.Fields(c.args), nil, &out, &out); code != c.code || !strings.Contains(out.String(), c.says) {
-			t.Errorf("gauge %s (node answers %d): exit %d, want %d; printed %q", c.args, c.status, code, c.code, out.String())
+			t.Errorf("lichentrayctl %s (node answers %d): exit %d, want %d; printed %q", c.args, c.status, code, c.code, out.String())
 		}
 		if strings.Contains(c.args, bad) && calls > 0 {
 			t.Errorf("gauge %s asked a node although its input was wrong", c.args)
