--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -240,7 +240,7 @@
 	for _, s := range set.Seeds {
 		m := raft.Member{Addr: set.InternalAddr(s), API: s}
 		m.ID = memberID(m.Addr)
-		if initial.Has(m.ID) {
+		if initial.IsMember(m.ID) {
 			continue
 		}
 		initial.Voters = append(initial.Voters, m)
@@ -265,7 +265,7 @@
 		log.Error("store set aside as unreadable, joining as a new member", "cause", id.Discarded)
 	}
 	l.chest = ch
-	blank := saved.Hard.Term == 0 && len(saved.Entries) == 0 && len(saved.Snapshot.Members.All()) == 0
+	blank := saved.HardState.Term == 0 && len(saved.Entries) == 0 && len(saved.Snapshot.Members.AllMembers()) == 0
 	if blank && first != 0 && id.ID == first {
 		saved.Snapshot.Members = initial
 		if err := ch.Save(nil, &saved.Snapshot, false, nil); err != nil {
@@ -282,17 +282,17 @@
 	for _, e := range saved.Entries {
 		l.logBytes += len(e.Data)
 	}
-	l.node = raft.New(raft.Config{ID: id.ID, Heartbeat: l.timing.Heartbeat, Election: l.timing.Election, Rand: rand.Int63n, Check: l.checkSnapshot}, 0, saved)
+	l.node = raft.New(raft.Config{ID: id.ID, HeartbeatInterval: l.timing.Heartbeat, ElectionTimeout: l.timing.Election, RandInt63n: rand.Int63n, ValidateSnapshot: l.checkSnapshot}, 0, saved)
 	l.links = linkSet{l: l, byAddr: map[string]*link{}, addrOf: map[uint64]string{}, zoneOf: map[string]string{addr: set.Zone}}
-	l.membersAt = l.node.MembersIndex()
-	l.links.learn(l.node.Members())
+	l.membersAt = l.node.MembershipIndex()
+	l.links.learn(l.node.Membership())
 
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		stop()
 		return nil, fmt.Errorf("internal port: %w", err)
 	}
-	log.Info("started", "member", hexID(id.ID), "fresh", id.Fresh, "last", l.node.Last())
+	log.Info("started", "member", hexID(id.ID), "fresh", id.Fresh, "last", l.node.LastIndex())
 	go l.accept(ln)
 	go l.writeDisk()
 	go l.run()
@@ -343,24 +343,24 @@
 	for {
 		e := l.node.Ready()
 		l.publish()
-		if len(e.Send) == 0 && e.Write == nil && len(e.Committed) == 0 && len(e.Reads) == 0 {
+		if len(e.Messages) == 0 && e.Write == nil && len(e.CommittedEntries) == 0 && len(e.ReadStates) == 0 {
 			return
 		}
-		l.links.send(e.Send)
+		l.links.send(e.Messages)
 		if e.Write != nil {
-			l.disk <- diskJob{hard: e.Write.Hard, install: e.Write.Snapshot, entries: e.Write.Entries, after: e.Write.After}
+			l.disk <- diskJob{hard: e.Write.HardState, install: e.Write.Snapshot, entries: e.Write.Entries, after: e.Write.MessagesAfterAppend}
 		}
-		if e.Install != nil {
-			l.installSnapshot(e.Install)
+		if e.SnapshotToInstall != nil {
+			l.installSnapshot(e.SnapshotToInstall)
 		}
-		for _, en := range e.Committed {
+		for _, en := range e.CommittedEntries {
 			l.apply(en)
 		}
-		for _, r := range e.Reads {
-			if ch := l.reads[r.Context]; ch != nil {
-				delete(l.reads, r.Context)
+		for _, r := range e.ReadStates {
+			if ch := l.reads[r.RequestID]; ch != nil {
+				delete(l.reads, r.RequestID)
 				o := outcome{result: registry.Result{Revision: r.Index}}
-				if !r.OK {
+				if !r.Confirmed {
 					o.err = errNotLeader
 				}
 				ch <- o
@@ -376,7 +376,7 @@
 func (l *Lathe) publish() {
 	n := l.node
 	now := l.now()
-	role, leader := n.Role(), n.Leader()
+	role, leader := n.Role(), n.LeaderID()
 	if role != l.role || leader != l.leader {
 		// Whoever waits for the old leader's answer waits in vain.
 		close(l.turned)
@@ -395,14 +395,14 @@
 		}
 		l.role, l.leader = role, leader
 	}
-	ms := n.Members()
-	if at := n.MembersIndex(); at != l.membersAt {
+	ms := n.Membership()
+	if at := n.MembershipIndex(); at != l.membersAt {
 		l.membersAt = at
 		l.links.learn(ms)
 	}
-	v := view{role: role, leader: leader, term: n.Term(), members: ms, commit: n.Commit(), stable: n.Stable()}
+	v := view{role: role, leader: leader, term: n.Term(), members: ms, commit: n.CommitIndex(), stable: n.StableIndex()}
 	v.leaderAt = l.links.addr(leader)
-	v.touchedAt = n.TouchedAt()
+	v.touchedAt = n.LastQuorumContact()
 	l.mu.Lock()
 	l.view = v
 	l.mu.Unlock()
@@ -411,7 +411,7 @@
 func (l *Lathe) apply(en raft.Entry) {
 	var res registry.Result
 	var events []registry.Event
-	if en.Type == raft.Normal && len(en.Data) > 0 {
+	if en.Type == raft.EntryNormal && len(en.Data) > 0 {
 		cmd, err := registry.DecodeCommand(en.Data)
 		if err != nil {
 			// Every replica skips it alike.
@@ -439,9 +439,9 @@
 			}
 			l.mu.Unlock()
 		}
-	} else if en.Type == raft.Change {
+	} else if en.Type == raft.EntryConfChange {
 		l.tendNow = true // a replacement takes two
-		l.log.Info("membership changed", "index", en.Index, "voters", len(l.node.Members().Voters), "learners", len(l.node.Members().Learners))
+		l.log.Info("membership changed", "index", en.Index, "voters", len(l.node.Membership().Voters), "learners", len(l.node.Membership().Learners))
 	}
 	l.logBytes += len(en.Data)
 	l.nApplied.Set(int64(en.Index))
@@ -526,7 +526,7 @@
 	if mb := l.set.Limits.DiskMB; mb > 0 {
 		most = min(most, int(mb*(1<<20))/16) // the write-ahead log holds as much again
 	}
-	if l.node.LogSize() < 6000 && l.logBytes < most {
+	if l.node.CompactableEntries() < 6000 && l.logBytes < most {
 		return
 	}
 	data, err := l.store.Snapshot()
@@ -535,7 +535,7 @@
 		l.logBytes = 0
 		return
 	}
-	s, ok := l.node.Compact(l.node.Applied(), data)
+	s, ok := l.node.Compact(l.node.AppliedIndex(), data)
 	l.logBytes = 0
 	if ok {
 		l.disk <- diskJob{compact: &s}
@@ -644,7 +644,7 @@
 	l.links.send(j.after)
 	if n := len(j.entries); n > 0 {
 		last := j.entries[n-1]
-		l.post(func() { l.node.Persisted(last.Index, last.Term) })
+		l.post(func() { l.node.ReportPersisted(last.Index, last.Term) })
 	}
 }
 
@@ -748,7 +748,7 @@
 // propose runs in the actor. It gives the leader's address.
 func (l *Lathe) propose(cmd registry.Command, done chan outcome) string {
 	if l.node.Role() != raft.Leader {
-		return l.links.addr(l.node.Leader())
+		return l.links.addr(l.node.LeaderID())
 	}
 	if c := cmd.Latch; c != nil && c.Op == coordination.Begin {
 		// Name the grant that has run out by this leader's steady clock.
@@ -804,7 +804,7 @@
 
 func (l *Lathe) readIndex(done chan outcome) string {
 	if l.node.Role() != raft.Leader {
-		return l.links.addr(l.node.Leader())
+		return l.links.addr(l.node.LeaderID())
 	}
 	l.readSeq++
 	l.reads[l.readSeq] = done
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -29,10 +29,10 @@
 	l.noteTime(now)
 	l.reportBeats(now)
 	l.countProxies(now)
-	ms := l.node.Members()
+	ms := l.node.Membership()
 	if l.node.Role() != raft.Leader {
 		// A voter without a leader for long may have been replaced meanwhile.
-		if !ms.Has(l.self.ID) || (l.node.Leader() == 0 && (!ms.Voter(l.self.ID) || now-l.node.TouchedAt() > l.timing.Dead)) {
+		if !ms.IsMember(l.self.ID) || (l.node.LeaderID() == 0 && (!ms.IsVoter(l.self.ID) || now-l.node.LastQuorumContact() > l.timing.Dead)) {
 			l.join(ms)
 		}
 		return
@@ -115,7 +115,7 @@
 	for id, at := range beats {
 		out = append(out, transport.Beat{ID: id, AgoMS: uint32((now - at).Milliseconds())})
 	}
-	l.links.tell(l.links.addr(l.node.Leader()), &transport.Frame{Beats: out})
+	l.links.tell(l.links.addr(l.node.LeaderID()), &transport.Frame{Beats: out})
 }
 
 // countProxies lets every node know how many proxies there are, and what they
@@ -149,7 +149,7 @@
 	l.seen = map[string]loadbalance.Seen{}
 	l.mu.Unlock()
 	if l.node.Role() != raft.Leader {
-		l.links.tell(l.links.addr(l.node.Leader()), &transport.Frame{Proxies: &transport.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
+		l.links.tell(l.links.addr(l.node.LeaderID()), &transport.Frame{Proxies: &transport.ProxyCount{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
 		return
 	}
 	for name := range here {
@@ -175,7 +175,7 @@
 	l.mu.Lock()
 	l.sum, l.loads, l.rounds, l.verdicts = len(here), loads, rounds, verdicts
 	l.mu.Unlock()
-	for _, m := range l.node.Members().All() {
+	for _, m := range l.node.Membership().AllMembers() {
 		l.links.tell(m.Addr, &transport.Frame{Proxies: &transport.ProxyCount{Sum: len(here), Loads: loads, Rounds: rounds, Verdicts: verdicts}})
 	}
 }
@@ -205,7 +205,7 @@
 // health probe either. Only a leader that a majority still hears judges, and
 // every endpoint has a fresh grace after a change of leader.
 func (l *Lathe) findCrashed(now time.Duration) {
-	if !l.node.InTouch(l.timing.Election) || now-l.leadSince < l.timing.Missed {
+	if !l.node.HasQuorumContact(l.timing.Election) || now-l.leadSince < l.timing.Missed {
 		return
 	}
 	for _, e := range l.endpoints {
--- a/internal/controlplane/link.go
+++ b/internal/controlplane/link.go
@@ -43,7 +43,7 @@
 // learn takes the addresses of a membership and ends links to those who left.
 func (s *linkSet) learn(ms raft.Membership) {
 	member := map[string]bool{}
-	for _, m := range ms.All() {
+	for _, m := range ms.AllMembers() {
 		member[m.Addr] = true
 	}
 	s.mu.Lock()
@@ -54,7 +54,7 @@
 		}
 	}
 	s.mu.Unlock()
-	for _, m := range ms.All() {
+	for _, m := range ms.AllMembers() {
 		s.note(m.ID, m.Addr)
 		if m.ID != s.l.self.ID && m.Addr != s.l.self.Addr {
 			s.logLink(m.Addr) // begins to connect ahead of the first message
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -210,7 +210,7 @@
 	if serving <= n/2 {
 		return false
 	}
-	if !ms.Voter(id) || serving-(n/2+1) >= tol.machines {
+	if !ms.IsVoter(id) || serving-(n/2+1) >= tol.machines {
 		return true
 	}
 	if _, why := nextMembership(ms, self, tol, of); why != "" {
@@ -263,7 +263,7 @@
 	if r.term != n.Term() {
 		r.term, r.marks, r.leaving = n.Term(), nil, map[uint64]leave{}
 	}
-	r.marks = append(r.marks, logMark{now, n.Last()})
+	r.marks = append(r.marks, logMark{now, n.LastIndex()})
 	for len(r.marks) > 1 && now-r.marks[1].at >= r.recent {
 		r.marks = r.marks[1:]
 	}
@@ -276,29 +276,29 @@
 
 // standings gives what n, which leads, knows of each member.
 func (r *roster) standings(n *raft.Node, now time.Duration) func(raft.Member) standing {
-	ms := n.Members()
+	ms := n.Membership()
 	// Of two lives at one address the one heard last counts. Just after an election
 	// both may have been heard at the same moment; then neither is judged by it.
 	newest := map[string]time.Duration{}
-	for _, m := range ms.All() {
-		newest[m.Addr] = max(newest[m.Addr], n.Heard(m.ID))
+	for _, m := range ms.AllMembers() {
+		newest[m.Addr] = max(newest[m.Addr], n.LastContact(m.ID))
 		if m.ID == n.ID() {
 			newest[m.Addr] = now + 1
 		}
 	}
 	return func(m raft.Member) standing {
 		if m.ID == n.ID() {
-			return standing{alive: true, caughtUp: true, match: n.Match(m.ID), place: r.place(m)}
+			return standing{alive: true, caughtUp: true, match: n.MatchIndex(m.ID), place: r.place(m)}
 		}
-		heard := n.Heard(m.ID)
+		heard := n.LastContact(m.ID)
 		_, leaving := r.leaving[m.ID]
 		return standing{
-			alive:    now-heard < r.dead && (!ms.Voter(m.ID) || n.Stalled(m.ID) < r.dead),
+			alive:    now-heard < r.dead && (!ms.IsVoter(m.ID) || n.StalledFor(m.ID) < r.dead),
 			leaving:  leaving,
 			replaced: heard < newest[m.Addr],
-			caughtUp: len(r.marks) > 0 && n.Match(m.ID) >= r.marks[0].last,
+			caughtUp: len(r.marks) > 0 && n.MatchIndex(m.ID) >= r.marks[0].last,
 			unheard:  now-heard > r.forget,
-			match:    n.Match(m.ID),
+			match:    n.MatchIndex(m.ID),
 			place:    r.place(m),
 		}
 	}
@@ -307,10 +307,10 @@
 // next gives the membership to be proposed now, and why, or why is empty.
 func (r *roster) next(n *raft.Node, now time.Duration) (raft.Membership, string) {
 	r.note(n, now)
-	if n.Changing() {
+	if n.HasPendingConfChange() {
 		return raft.Membership{}, ""
 	}
-	return nextMembership(n.Members(), n.ID(), r.tol, r.standings(n, now))
+	return nextMembership(n.Membership(), n.ID(), r.tol, r.standings(n, now))
 }
 
 // leave takes a member's wish to leave and tells whether its process may end.
@@ -318,11 +318,11 @@
 	r.note(n, now)
 	x, known := r.leaving[id]
 	if !known {
-		x.commit = n.Commit()
+		x.commit = n.CommitIndex()
 	}
 	x.asked = now
 	r.leaving[id] = x
-	return !n.Changing() && mayLeave(n.Members(), n.ID(), id, r.tol, x.commit, r.standings(n, now))
+	return !n.HasPendingConfChange() && mayLeave(n.Membership(), n.ID(), id, r.tol, x.commit, r.standings(n, now))
 }
 
 // tendMembers takes one step towards a full set of voters that can be counted on.
@@ -335,7 +335,7 @@
 	if why == "" {
 		return
 	}
-	if err := l.node.ProposeMembers(next); err == nil {
+	if err := l.node.ProposeConfChange(next); err == nil {
 		l.log.Info("changing the membership", "why", why, "voters", len(next.Voters), "learners", len(next.Learners))
 	}
 }
@@ -357,7 +357,7 @@
 func (l *Lathe) join(ms raft.Membership) {
 	asked := map[string]bool{l.self.Addr: true}
 	var addrs []string
-	for _, m := range ms.All() {
+	for _, m := range ms.AllMembers() {
 		addrs = append(addrs, m.Addr)
 	}
 	for _, s := range l.seeds() {
@@ -388,10 +388,10 @@
 		switch {
 		case l.node.Role() != raft.Leader:
 			got <- errNotLeader
-		case l.node.Members().Has(m.ID):
+		case l.node.Membership().IsMember(m.ID):
 			got <- nil
 		default:
-			if err := l.node.ProposeMembers(l.node.Members().WithLearner(m)); err != nil {
+			if err := l.node.ProposeConfChange(l.node.Membership().WithLearner(m)); err != nil {
 				got <- apierror.New(apierror.Unavailable, "%v", err)
 				return
 			}
@@ -423,7 +423,7 @@
 			}
 			if time.Since(handed) > 2*l.timing.Election {
 				handed = time.Now()
-				l.post(func() { l.node.Transfer() })
+				l.post(func() { l.node.TransferLeadership() })
 			}
 		case v.leaderAt != "":
 			if a, _, err := l.links.ask(aim{leader: v.leaderAt}, &transport.Ask{Leave: l.self.ID}, l.timing.Election); err == nil && !a.Failed {
--- a/internal/controlplane/members_test.go
+++ b/internal/controlplane/members_test.go
@@ -65,15 +65,15 @@
 				break
 			}
 			moved := 0
-			for _, m := range append(ms.All(), next.All()...) {
-				if ms.Voter(m.ID) != next.Voter(m.ID) {
+			for _, m := range append(ms.AllMembers(), next.AllMembers()...) {
+				if ms.IsVoter(m.ID) != next.IsVoter(m.ID) {
 					moved++
-					if m.Uncounted && next.Voter(m.ID) && len(ms.Voters) >= tol.least() {
+					if m.Uncounted && next.IsVoter(m.ID) && len(ms.Voters) >= tol.least() {
 						t.Fatalf("seed %d: an uncounted node votes without need", seed)
 					}
 				}
 			}
-			if _, alive := acks(next); alive <= len(next.Voters)/2 || !next.Voter(1) || moved > 2 || step > 30 {
+			if _, alive := acks(next); alive <= len(next.Voters)/2 || !next.IsVoter(1) || moved > 2 || step > 30 {
 				t.Fatalf("seed %d: %s: from %+v to %+v", seed, why, ms, next)
 			}
 			ms = next
@@ -81,8 +81,8 @@
 		// The model: any odd set that a leader could choose from those that serve.
 		best := -1
 		var ids []uint64
-		for _, m := range start.All() {
-			if s := of[m.ID]; s.serves() && (start.Voter(m.ID) || (s.caughtUp && !m.Uncounted)) {
+		for _, m := range start.AllMembers() {
+			if s := of[m.ID]; s.serves() && (start.IsVoter(m.ID) || (s.caughtUp && !m.Uncounted)) {
 				ids = append(ids, m.ID)
 			}
 		}
@@ -183,7 +183,7 @@
 )
 
 func newCore(t *testing.T, seed int64, n int) *core {
-	c := &core{Cluster: rafttest.New(seed, 3, func() rafttest.Machine { return set{} }), t: t, seed: seed, roster: map[uint64]*roster{}, api: map[uint64]string{}}
+	c := &core{Cluster: rafttest.NewCluster(seed, 3, func() rafttest.StateMachine { return set{} }), t: t, seed: seed, roster: map[uint64]*roster{}, api: map[uint64]string{}}
 	for id := uint64(1); id <= uint64(n); id++ {
 		if id > 3 {
 			c.Add(id)
@@ -206,7 +206,7 @@
 // pass lets time pass under load; a node that is no member asks to be one.
 func (c *core) pass(span time.Duration) {
 	for end := c.Now + span; c.Now < end; {
-		c.Run(c.Step)
+		c.Run(c.StepInterval)
 		lead := c.Leader()
 		if lead == nil {
 			continue
@@ -220,12 +220,12 @@
 		c.tendAt = c.Now
 		n := lead.Raft
 		if next, why := c.of(n).next(n, c.Now); why != "" {
-			_ = n.ProposeMembers(next)
+			_ = n.ProposeConfChange(next)
 			continue
 		}
 		for _, id := range c.IDs() {
-			if c.Up(id) && !n.Members().Has(id) {
-				_ = n.ProposeMembers(n.Members().WithLearner(raft.Member{ID: id, Addr: c.api[id]}))
+			if c.IsUp(id) && !n.Membership().IsMember(id) {
+				_ = n.ProposeConfChange(n.Membership().WithLearner(raft.Member{ID: id, Addr: c.api[id]}))
 				break
 			}
 		}
@@ -264,7 +264,7 @@
 		if c.Now > end {
 			for _, id := range c.IDs() {
 				n := c.Nodes[id].Raft
-				c.t.Logf("%d up %v, %v of term %d for %d, last %d, %+v", id, c.Up(id), n.Role(), n.Term(), n.Leader(), n.Last(), n.Members())
+				c.t.Logf("%d up %v, %v of term %d for %d, last %d, %+v", id, c.IsUp(id), n.Role(), n.Term(), n.LeaderID(), n.LastIndex(), n.Membership())
 			}
 			c.t.Fatalf("seed %d: after %s nothing is acknowledged within %v", c.seed, after, within)
 		}
@@ -276,7 +276,7 @@
 func (c *core) leave(id uint64) (letGo bool) {
 	for end := c.Now + 2*simCatchUp; c.Now < end && !letGo; {
 		if lead := c.Leader(); lead != nil && lead.ID == id {
-			lead.Raft.Transfer()
+			lead.Raft.TransferLeadership()
 		} else if lead != nil {
 			letGo = c.of(lead.Raft).leave(lead.Raft, c.Now, id)
 		}
@@ -292,7 +292,7 @@
 	}
 	for {
 		ids := c.IDs()
-		if id := ids[c.Rand.Intn(len(ids))]; id != but && c.Up(id) {
+		if id := ids[c.Rand.Intn(len(ids))]; id != but && c.IsUp(id) {
 			return id
 		}
 	}
@@ -315,7 +315,7 @@
 			case 0, 1, 2: // crash; the disk stays, or is lost, or another machine comes
 				c.Crash(id)
 			case 3:
-				c.Freeze(id, true)
+				c.SetFrozen(id, true)
 			case 4:
 				c.HangDisk(id, down)
 				hanging = true
@@ -337,19 +337,19 @@
 				}
 				c.join(addr)
 			case 3:
-				c.Freeze(id, false)
+				c.SetFrozen(id, false)
 			}
 			c.pass(simCatchUp)
 		}
 		c.serves(simElection, "the last repair")
 		c.pass(simDead)
 		for _, x := range c.acked {
-			if !c.Leader().Machine.(set)[x] {
+			if !c.Leader().StateMachine.(set)[x] {
 				t.Fatalf("seed %d: %d was acknowledged and is forgotten", seed, x)
 			}
 		}
-		if c.Broken != "" {
-			t.Fatalf("seed %d: %s", seed, c.Broken)
+		if c.Violation != "" {
+			t.Fatalf("seed %d: %s", seed, c.Violation)
 		}
 	}
 }
@@ -362,16 +362,16 @@
 		n := 3 + int(seed%4)
 		c := newCore(t, seed, n)
 		id := c.any(0)
-		commit, changed := c.Leader().Raft.Commit(), c.Leader().Raft.MembersIndex()
+		commit, changed := c.Leader().Raft.CommitIndex(), c.Leader().Raft.MembershipIndex()
 		if !c.leave(id) {
 			t.Fatalf("seed %d: one of %d is not let go", seed, n)
 		}
-		for _, m := range c.Leader().Raft.Members().Voters {
-			if m.ID != id && c.Nodes[m.ID].Raft.Stable() < commit {
+		for _, m := range c.Leader().Raft.Membership().Voters {
+			if m.ID != id && c.Nodes[m.ID].Raft.StableIndex() < commit {
 				t.Fatalf("seed %d: %d has left, and %d lacks what was committed", seed, id, m.ID)
 			}
 		}
-		if now := c.Leader().Raft.MembersIndex(); n%2 == 1 && now != changed {
+		if now := c.Leader().Raft.MembershipIndex(); n%2 == 1 && now != changed {
 			t.Fatalf("seed %d: a leave of one of %d changes the membership", seed, n)
 		}
 		if n > 3 {
@@ -382,7 +382,7 @@
 			c.Restart(id)
 		}
 		c.pass(2 * simCatchUp)
-		if ms := c.Leader().Raft.Members(); len(ms.Voters) != n-1+n%2 || len(ms.Learners) != 1-n%2 {
+		if ms := c.Leader().Raft.Membership(); len(ms.Voters) != n-1+n%2 || len(ms.Learners) != 1-n%2 {
 			t.Fatalf("seed %d: %d voters and %d learners of %d", seed, len(ms.Voters), len(ms.Learners), n)
 		}
 	}
@@ -394,7 +394,7 @@
 func TestHangingDisk(t *testing.T) {
 	for seed := range int64(16) {
 		c := newCore(t, seed, 4)
-		ms := c.Leader().Raft.Members()
+		ms := c.Leader().Raft.Membership()
 		spare, hangs := ms.Learners[0].ID, ms.Voters[0].ID
 		if seed%2 == 1 {
 			hangs = spare
@@ -420,25 +420,25 @@
 	c.Crash(1)
 	c.serves(10*simElection, "the loss")
 	life := c.join("node-1")
-	for end := c.Now + simElection; c.Now < end && !c.Leader().Raft.Members().Has(life); {
-		c.pass(c.Step)
+	for end := c.Now + simElection; c.Now < end && !c.Leader().Raft.Membership().IsMember(life); {
+		c.pass(c.StepInterval)
 	}
 	old := c.Leader()
 	for _, id := range c.IDs() {
-		c.Cut(life, id, true)
+		c.SetLinkCut(life, id, true)
 	}
-	old.Raft.Transfer()
+	old.Raft.TransferLeadership()
 	c.Run(simElection)
 	if c.Leader() == nil || c.Leader() == old {
 		t.Fatal("leadership was not handed on")
 	}
 	c.pass(3 * simElection)
-	if !c.Leader().Raft.Members().Has(life) {
+	if !c.Leader().Raft.Membership().IsMember(life) {
 		t.Error("the new life was given up for the old one")
 	}
 	c.Heal()
 	c.pass(simDead)
-	if ms := c.Leader().Raft.Members(); ms.Has(1) || !ms.Voter(life) {
+	if ms := c.Leader().Raft.Membership(); ms.IsMember(1) || !ms.IsVoter(life) {
 		t.Errorf("the new life does not take the old one's place: %+v", ms)
 	}
 }
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -89,7 +89,7 @@
 // step is written under the condition that the state read still stands, so that
 // of two leaders, or two steps, one holds.
 func (l *Lathe) guideRollouts(now time.Duration) {
-	if !l.node.InTouch(l.timing.Election) || now-l.leadSince < l.timing.Silence {
+	if !l.node.HasQuorumContact(l.timing.Election) || now-l.leadSince < l.timing.Silence {
 		return
 	}
 	for key, r := range l.rollouts {
--- a/internal/controlplane/session.go
+++ b/internal/controlplane/session.go
@@ -130,7 +130,7 @@
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	for _, m := range l.view.members.All() {
+	for _, m := range l.view.members.AllMembers() {
 		if l.links.zone(m.Addr) == a.Zone && l.links.isUp(m.Addr) {
 			l.nMoved.Inc()
 			return l.control()
@@ -234,7 +234,7 @@
 // caller has the node's lock.
 func (l *Lathe) control() []transport.ControlNode {
 	var out []transport.ControlNode
-	for _, m := range l.view.members.All() {
+	for _, m := range l.view.members.AllMembers() {
 		out = append(out, transport.ControlNode{Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr)})
 	}
 	return out
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -67,14 +67,14 @@
 	l.post(func() {
 		n := l.node
 		now := l.now()
-		s := &Status{Node: l.set.NodeName, ID: hexID(l.self.ID), Role: n.Role().String(), Term: n.Term(), Leader: hexID(n.Leader()), Commit: n.Commit(), Stable: n.Stable()}
-		ms := n.Members()
-		for _, m := range ms.All() {
-			st := MemberStatus{ID: hexID(m.ID), Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr), Voter: ms.Voter(m.ID), AgoMS: -1}
+		s := &Status{Node: l.set.NodeName, ID: hexID(l.self.ID), Role: n.Role().String(), Term: n.Term(), Leader: hexID(n.LeaderID()), Commit: n.CommitIndex(), Stable: n.StableIndex()}
+		ms := n.Membership()
+		for _, m := range ms.AllMembers() {
+			st := MemberStatus{ID: hexID(m.ID), Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr), Voter: ms.IsVoter(m.ID), AgoMS: -1}
 			if n.Role() == raft.Leader {
-				st.Match, st.AgoMS = n.Match(m.ID), 0
+				st.Match, st.AgoMS = n.MatchIndex(m.ID), 0
 				if m.ID != l.self.ID {
-					st.AgoMS = (now - n.Heard(m.ID)).Milliseconds()
+					st.AgoMS = (now - n.LastContact(m.ID)).Milliseconds()
 				}
 			}
 			s.Members = append(s.Members, st)
--- a/internal/controlplane/transfer.go
+++ b/internal/controlplane/transfer.go
@@ -61,16 +61,16 @@
 		<-k.queue
 	}
 	l.post(func() {
-		for _, m := range l.node.Members().All() {
+		for _, m := range l.node.Membership().AllMembers() {
 			if m.Addr == k.addr {
-				l.node.Reconnected(m.ID)
+				l.node.ReportReconnected(m.ID)
 			}
 		}
 	})
 }
 
 // restore takes the state that the disk holds.
-func (l *Lathe) restore(saved raft.Saved) error {
+func (l *Lathe) restore(saved raft.PersistentState) error {
 	if saved.Snapshot.Data == nil {
 		return nil
 	}
--- a/internal/controlplane/transfer_test.go
+++ b/internal/controlplane/transfer_test.go
@@ -68,7 +68,7 @@
 			return false // a disk that others use as well may be late
 		}
 		first := make(chan int, 1)
-		l.post(func() { first <- l.node.LogSize() })
+		l.post(func() { first <- l.node.CompactableEntries() })
 		return <-first < 3
 	})
 
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 
-	n := raft.New(raft.Config{ID: self.ID, Heartbeat: l.timing.Heartbeat, Election: l.timing.Election, Rand: rand.Int63n}, 0, raft.Saved{})
+	n := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: l.timing.Heartbeat, ElectionTimeout: l.timing.Election, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
 	start := time.Now()
 	installed := 0
 	tick := time.NewTicker(l.timing.Tick)
@@ -121,9 +121,9 @@
 	var last uint64
 	var during time.Duration
 	size := 1 << 20
-	for n.Applied() == 0 || n.Applied() < last {
+	for n.AppliedIndex() == 0 || n.AppliedIndex() < last {
 		if time.Since(start) > time.Minute {
-			t.Fatalf("at %d of %d after %v, %d bytes were sent", n.Applied(), last, time.Since(start), s.sent())
+			t.Fatalf("at %d of %d after %v, %d bytes were sent", n.AppliedIndex(), last, time.Since(start), s.sent())
 		}
 		select {
 		case m := <-got:
@@ -144,17 +144,17 @@
 			}
 		}
 		e := n.Ready()
-		send := e.Send
+		send := e.Messages
 		if e.Write != nil {
-			send = append(send, e.Write.After...)
+			send = append(send, e.Write.MessagesAfterAppend...)
 			if k := len(e.Write.Entries); k > 0 {
-				n.Persisted(e.Write.Entries[k-1].Index, e.Write.Entries[k-1].Term)
+				n.ReportPersisted(e.Write.Entries[k-1].Index, e.Write.Entries[k-1].Term)
 			}
 		}
-		if e.Install != nil {
+		if e.SnapshotToInstall != nil {
 			installed++
 			during = time.Since(start)
-			if err := registry.New().Restore(e.Install.Data); err != nil {
+			if err := registry.New().Restore(e.SnapshotToInstall.Data); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -189,7 +189,7 @@
 		t.Fatal(err)
 	}
 	last := saved.Snapshot.Index + uint64(len(saved.Entries))
-	if err := c.Save(nil, &raft.Snapshot{Index: last, Term: saved.Hard.Term, Members: saved.Snapshot.Members, Data: []byte("no state")}, false, nil); err != nil {
+	if err := c.Save(nil, &raft.Snapshot{Index: last, Term: saved.HardState.Term, Members: saved.Snapshot.Members, Data: []byte("no state")}, false, nil); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
--- a/internal/controlplane/world.go
+++ b/internal/controlplane/world.go
@@ -253,7 +253,7 @@
 // dropProxies removes entries of proxies whose lease has run out. Every proxy
 // has a fresh one after a change of leader.
 func (l *Lathe) dropProxies(now time.Duration) {
-	if !l.node.InTouch(l.timing.Election) || now-l.leadSince < l.timing.Lease {
+	if !l.node.HasQuorumContact(l.timing.Election) || now-l.leadSince < l.timing.Lease {
 		return
 	}
 	for _, o := range l.store.List(registry.ProxyPrefix) {
@@ -320,7 +320,7 @@
 
 // share grants what cold endpoints may get to the proxies told of.
 func (l *Lathe) share(now time.Duration, told map[string]uint64) map[string]transport.Round {
-	if l.set.Bounds.ColdOvershoot <= 0 || !l.node.InTouch(l.timing.Election) {
+	if l.set.Bounds.ColdOvershoot <= 0 || !l.node.HasQuorumContact(l.timing.Election) {
 		return nil // nothing is bounded, or another may lead by now
 	}
 	l.mu.Lock()
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -121,7 +121,7 @@
 		{Index: 41, Term: 5},
 		{Index: 42, Term: 5, Data: registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "endpoints/e1", ModRevision: 3}}, Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
 		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "orders"}})},
-		{Index: 44, Term: 5, Type: raft.Change, Data: goldenMembersLater().Encode()},
+		{Index: 44, Term: 5, Type: raft.EntryConfChange, Data: goldenMembersLater().Encode()},
 	}
 }
 
@@ -197,7 +197,7 @@
 	if id != (Identity{ID: goldenIdentity}) {
 		t.Errorf("identity %+v", id)
 	}
-	goldentest.Same(t, "hard state", saved.Hard, goldenHard())
+	goldentest.Same(t, "hard state", saved.HardState, goldenHard())
 	goldentest.Same(t, "snapshot", saved.Snapshot, raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: goldenState(t)})
 	goldentest.Complete(t, saved)
 	if len(saved.Entries) != 4 {
@@ -213,7 +213,7 @@
 		{Index: 41, Term: 5, Data: []byte(goldenLogTexts[0])},
 		{Index: 42, Term: 5, Data: []byte(goldenLogTexts[1])},
 		{Index: 43, Term: 5, Data: []byte(goldenLogTexts[2])},
-		{Index: 44, Term: 5, Type: raft.Change},
+		{Index: 44, Term: 5, Type: raft.EntryConfChange},
 	})
 	command, err := registry.DecodeCommand(saved.Entries[1].Data)
 	if err != nil {
--- a/internal/storage/power_test.go
+++ b/internal/storage/power_test.go
@@ -120,7 +120,7 @@
 	// completes, once alone, as when that was just renamed.
 	killed := look(t, dir)
 	c.Close()
-	refuse := func(s raft.Saved) error {
+	refuse := func(s raft.PersistentState) error {
 		if string(s.Snapshot.Data) == "unreadable" {
 			return errUnreadable
 		}
@@ -137,12 +137,12 @@
 		}
 		var fresh Identity
 		everyPowerLoss(t, dir, func() {
-			var saved raft.Saved
+			var saved raft.PersistentState
 			if c, fresh, saved, err = Open(dir, 42, refuse); err != nil {
 				t.Fatal(err)
 			}
 			if whole != errors.Is(fresh.Discarded, errUnreadable) || fresh.ID == 42 || len(saved.Entries) != 0 {
-				t.Errorf("whole %v: opened as %+v with %+v", whole, fresh, saved.Hard)
+				t.Errorf("whole %v: opened as %+v with %+v", whole, fresh, saved.HardState)
 			}
 		}, func(lost string, ended bool) {
 			again, id, saved, err := Open(lost, 42, nil)
@@ -150,8 +150,8 @@
 				t.Fatal(err)
 			}
 			again.Close()
-			if id.ID == 42 && saved.Hard != hard {
-				t.Errorf("whole %v: the old identity came back with %+v of %+v", whole, saved.Hard, hard)
+			if id.ID == 42 && saved.HardState != hard {
+				t.Errorf("whole %v: the old identity came back with %+v of %+v", whole, saved.HardState, hard)
 			}
 			if ended && id.ID != fresh.ID {
 				t.Errorf("whole %v: the new identity %x was lost: %+v", whole, fresh.ID, id)
@@ -169,14 +169,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var want raft.Saved
+	var want raft.PersistentState
 	save := func(n uint64) {
 		t.Helper()
 		for range n {
 			i := uint64(len(want.Entries)) + 1
 			e := raft.Entry{Index: i, Term: i, Data: fmt.Appendf(make([]byte, 0, 5000), "entry %d", i)}
-			want.Hard, want.Entries = raft.HardState{Term: i, Vote: 7}, append(want.Entries, e)
-			if err := c.Save(&want.Hard, nil, false, []raft.Entry{e}); err != nil {
+			want.HardState, want.Entries = raft.HardState{Term: i, Vote: 7}, append(want.Entries, e)
+			if err := c.Save(&want.HardState, nil, false, []raft.Entry{e}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -272,7 +272,7 @@
 			}
 		}
 		c.Close()
-		c, _, _, err = Open(dir, 42, func(s raft.Saved) error {
+		c, _, _, err = Open(dir, 42, func(s raft.PersistentState) error {
 			if s.Snapshot.Index > 0 {
 				return errUnreadable
 			}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -52,13 +52,13 @@
 //
 // When it returns, the identity is durable, and nothing that was set aside can come
 // back under its name after a loss of power.
-func Open(dir string, first uint64, check func(raft.Saved) error) (*Chest, Identity, raft.Saved, error) {
+func Open(dir string, first uint64, check func(raft.PersistentState) error) (*Chest, Identity, raft.PersistentState, error) {
 	c := &Chest{dir: dir}
 	if dir != "" {
 		if _, err := os.Stat(filepath.Join(dir, file)); errors.Is(err, os.ErrNotExist) {
 			// A write-ahead log left by itself is not to be played into a new store.
 			if err := c.setAside(); err != nil {
-				return c, Identity{}, raft.Saved{}, err
+				return c, Identity{}, raft.PersistentState{}, err
 			}
 		}
 		if bad, err := filepath.Glob(filepath.Join(dir, file+"*.bad")); err != nil || len(bad) > 0 {
@@ -214,7 +214,7 @@
 	return b.Bytes()
 }
 
-func (c *Chest) load(first uint64) (id Identity, saved raft.Saved, err error) {
+func (c *Chest) load(first uint64) (id Identity, saved raft.PersistentState, err error) {
 	if err = c.open(); err != nil {
 		return
 	}
@@ -247,7 +247,7 @@
 		err = c.tx(func() error { return c.put("id", raw[:]) })
 		return
 	}
-	for name, to := range map[string]any{"hard": &saved.Hard, "snapshot": &saved.Snapshot} {
+	for name, to := range map[string]any{"hard": &saved.HardState, "snapshot": &saved.Snapshot} {
 		if raw, ok := meta[name]; ok {
 			if err = gob.NewDecoder(bytes.NewReader(raw)).Decode(to); err != nil {
 				return id, saved, fmt.Errorf("storage: %s: %w", name, err)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -19,7 +19,7 @@
 	if err != nil || !id.Fresh || id.ID>>63 != 1 {
 		t.Fatalf("fresh store: %+v, %v", id, err)
 	}
-	var want raft.Saved
+	var want raft.PersistentState
 	for step := range 120 {
 		last := want.Snapshot.Index + uint64(len(want.Entries))
 		switch {
@@ -44,21 +44,21 @@
 				at++
 			}
 			want.Entries = append(want.Entries, batch...)
-			want.Hard = raft.HardState{Term: uint64(step), Vote: 5}
-			err = c.Save(&want.Hard, nil, false, batch)
+			want.HardState = raft.HardState{Term: uint64(step), Vote: 5}
+			err = c.Save(&want.HardState, nil, false, batch)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		if step%10 == 9 {
 			c.Close()
-			var got raft.Saved
+			var got raft.PersistentState
 			var again Identity
 			c, again, got, err = Open(dir, 0, nil)
 			if err != nil || again.Fresh || again.ID != id.ID {
 				t.Fatalf("opened again as %+v, %v", again, err)
 			}
-			if !reflect.DeepEqual(got.Hard, want.Hard) || !reflect.DeepEqual(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
+			if !reflect.DeepEqual(got.HardState, want.HardState) || !reflect.DeepEqual(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
 				t.Fatalf("step %d: found %+v, wrote %+v", step, got, want)
 			}
 			for i := range got.Entries {
@@ -107,8 +107,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if second.Discarded == nil || second.ID == 42 || saved.Hard.Term != 0 {
-			t.Errorf("%s: opened as %+v with %+v", name, second, saved.Hard)
+		if second.Discarded == nil || second.ID == 42 || saved.HardState.Term != 0 {
+			t.Errorf("%s: opened as %+v with %+v", name, second, saved.HardState)
 		}
 		if err := c.Save(&raft.HardState{Term: 1}, nil, false, nil); err != nil {
 			t.Errorf("%s: the new store takes nothing: %v", name, err)
@@ -146,7 +146,7 @@
 	}
 	c.Close()
 	c, _, saved, err := Open(dir, 0, nil)
-	if err != nil || len(saved.Entries) != 2 || saved.Hard.Term != 0 {
+	if err != nil || len(saved.Entries) != 2 || saved.HardState.Term != 0 {
 		t.Errorf("found %+v, %v", saved, err)
 	}
 	c.Close()
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -296,7 +296,7 @@
 			{
 				Type: raft.MsgSnapshot, From: 11, To: 12, Term: 13, Index: 14, LogTerm: 15, Commit: 16, Reject: true, Hint: 17, Context: 18, Force: true,
 				Sent: 19 * time.Nanosecond, Echo: 20 * time.Nanosecond, Touch: true, Offset: 21, Size: 22, Sum: 23,
-				Entries: []raft.Entry{{Index: 24, Term: 25, Type: raft.Change, Data: []byte("entry")}, {Index: 26, Term: 27, Type: raft.Normal}},
+				Entries: []raft.Entry{{Index: 24, Term: 25, Type: raft.EntryConfChange, Data: []byte("entry")}, {Index: 26, Term: 27, Type: raft.EntryNormal}},
 				Snap: &raft.Snapshot{Index: 28, Term: 29, Data: []byte("state"), Members: raft.Membership{
 					Voters:   []raft.Member{{ID: 30, Addr: "127.0.0.1:7030", API: "127.0.0.1:8030", Uncounted: true}, {ID: 31, Addr: "127.0.0.1:7031", API: "127.0.0.1:8031"}},
 					Learners: []raft.Member{{ID: 32, Addr: "127.0.0.1:7032", API: "127.0.0.1:8032"}},
--- a/raft/catchup_test.go
+++ b/raft/catchup_test.go
@@ -12,14 +12,14 @@
 	"lichentray/raft/rafttest"
 )
 
-// slab is a large state: a counter of the commands applied, in so many bytes.
-type slab struct {
+// largeState is a large state: a counter of the commands applied, in so many bytes.
+type largeState struct {
 	size    int
 	applied uint64
 }
 
-func (s *slab) Apply(uint64, []byte) any { s.applied++; return s.applied }
-func (s *slab) Snapshot() []byte {
+func (s *largeState) Apply(uint64, []byte) any { s.applied++; return s.applied }
+func (s *largeState) Snapshot() []byte {
 	b := make([]byte, s.size)
 	for i := range b {
 		b[i] = byte(i * i >> 8)
@@ -27,10 +27,10 @@
 	binary.BigEndian.PutUint64(b, s.applied)
 	return b
 }
-func (s *slab) Restore(b []byte) { s.size, s.applied = len(b), binary.BigEndian.Uint64(b) }
+func (s *largeState) Restore(b []byte) { s.size, s.applied = len(b), binary.BigEndian.Uint64(b) }
 
-// narrow limits all ways to and from a node to so many bytes a second.
-func narrow(c *rafttest.Cluster, id uint64, rate int) {
+// limitBandwidth limits all ways to and from a node to so many bytes a second.
+func limitBandwidth(c *rafttest.Cluster, id uint64, rate int) {
 	for _, o := range c.IDs() {
 		if o != id {
 			c.Bandwidth[[2]uint64{o, id}], c.Bandwidth[[2]uint64{id, o}] = rate, rate
@@ -38,9 +38,9 @@
 	}
 }
 
-// changes lets commands of so many bytes come at ten a second and tells how many
+// proposeWhileCatchingUp lets commands of so many bytes come at ten a second and tells how many
 // were committed. The leader must stay, and go on hearing a majority.
-func changes(t *testing.T, c *rafttest.Cluster, n, bytes int, each func(leader *rafttest.Node) (done bool)) (committed int) {
+func proposeWhileCatchingUp(t *testing.T, c *rafttest.Cluster, n, bytes int, each func(leader *rafttest.Node) (done bool)) (committed int) {
 	t.Helper()
 	first := c.Leader()
 	for range n {
@@ -57,7 +57,7 @@
 			c.Run(10 * time.Millisecond)
 			// Reckoned from the sending, so the way there and back over the narrow link
 			// counts; here that alone takes up to a third of a second.
-			if !l.Raft.InTouch(3 * rafttest.Election) {
+			if !l.Raft.HasQuorumContact(3 * rafttest.ElectionTimeout) {
 				t.Fatalf("%v: the leader is out of touch with its majority", c.Now)
 			}
 		}
@@ -65,8 +65,8 @@
 			break
 		}
 	}
-	if c.Broken != "" {
-		t.Fatal(c.Broken)
+	if c.Violation != "" {
+		t.Fatal(c.Violation)
 	}
 	return committed
 }
@@ -76,7 +76,7 @@
 // while changes go on at ten a second. It has them all in the end, after hardly more
 // than that has crossed once, and the leader, whose majority hangs on that voter
 // alone, keeps its lead.
-func TestCatchUpOnANarrowLink(t *testing.T) {
+func TestCatchUpOverLowBandwidthLink(t *testing.T) {
 	const state = 16 << 20
 	for _, x := range []struct {
 		name   string
@@ -91,35 +91,35 @@
 	} {
 		for _, mbit := range []int{4, 20} {
 			t.Run(fmt.Sprint(x.name, " at ", mbit, " Mbit/s"), func(t *testing.T) {
-				c := rafttest.New(3, 3, func() rafttest.Machine { return &slab{size: state} })
+				c := rafttest.NewCluster(3, 3, func() rafttest.StateMachine { return &largeState{size: state} })
 				c.Run(time.Second)
 				late := c.Leader().ID%3 + 1
 				c.Crash(late)
-				changes(t, c, 500, x.missed, nil)
+				proposeWhileCatchingUp(t, c, 500, x.missed, nil)
 				if x.fresh {
 					c.Remove(late)
 					late = 4
 					c.Add(late)
 					l := c.Leader()
-					if err := l.Raft.ProposeMembers(l.Raft.Members().WithLearner(raft.Member{ID: late, Addr: "node-4"})); err != nil {
+					if err := l.Raft.ProposeConfChange(l.Raft.Membership().WithLearner(raft.Member{ID: late, Addr: "node-4"})); err != nil {
 						t.Fatal(err)
 					}
 				} else {
 					c.Restart(late)
 				}
 				rate := mbit * 1e6 / 8
-				narrow(c, late, rate)
+				limitBandwidth(c, late, rate)
 				began := c.Now
-				changes(t, c, 3*state/rate*10, 2000, func(l *rafttest.Node) bool {
-					if other := 6 - l.ID - late; !x.fresh && c.Up(other) && c.Now-began > time.Second {
+				proposeWhileCatchingUp(t, c, 3*state/rate*10, 2000, func(l *rafttest.Node) bool {
+					if other := 6 - l.ID - late; !x.fresh && c.IsUp(other) && c.Now-began > time.Second {
 						c.Crash(other)
 					}
-					return l.Raft.Match(late)+5 >= l.Raft.Last()
+					return l.Raft.MatchIndex(late)+5 >= l.Raft.LastIndex()
 				})
 				l := c.Leader()
-				carried := c.Carried[[2]uint64{l.ID, late}]
+				carried := c.CarriedBytes[[2]uint64{l.ID, late}]
 				t.Logf("caught up after %v and %.1f MB", c.Now-began, float64(carried)/(1<<20))
-				if lag := l.Raft.Last() - l.Raft.Match(late); lag > 5 {
+				if lag := l.Raft.LastIndex() - l.Raft.MatchIndex(late); lag > 5 {
 					t.Errorf("%d entries behind after %v", lag, c.Now-began)
 				}
 				if carried > x.most {
@@ -133,12 +133,12 @@
 // TestSixHundredChanges: at each hundredth of six hundred changes a node is
 // restarted, in turn, after thirty more have gone by. All ways are narrow. Nothing
 // acknowledged is missing at any node in the end.
-func TestSixHundredChanges(t *testing.T) {
+func TestRestartsDuringSixHundredProposals(t *testing.T) {
 	for seed := int64(1); seed <= 4; seed++ {
-		c := rafttest.New(seed, 3, newList)
+		c := rafttest.NewCluster(seed, 3, newCommandList)
 		c.Run(time.Second)
 		for _, id := range c.IDs() {
-			narrow(c, id, 500_000)
+			limitBandwidth(c, id, 500_000)
 		}
 		var acked []string
 		pad := make([]byte, 3000)
@@ -160,14 +160,14 @@
 			c.Run(100 * time.Millisecond)
 		}
 		c.Run(3 * time.Second)
-		if c.Broken != "" {
-			t.Fatal(c.Broken)
+		if c.Violation != "" {
+			t.Fatal(c.Violation)
 		}
 		if len(acked) < 550 {
 			t.Errorf("seed %d: only %d of 600 changes were acknowledged", seed, len(acked))
 		}
 		for _, id := range c.IDs() {
-			if !holds(c.Nodes[id].Machine.(*list), acked) {
+			if !containsAll(c.Nodes[id].StateMachine.(*commandList), acked) {
 				t.Errorf("seed %d: node %d lacks an acknowledged change", seed, id)
 			}
 		}
@@ -177,18 +177,18 @@
 // TestDamagedPart: a snapshot of which a part was altered is not installed, and
 // comes whole in the end; one that a second leader sends on isn't begun anew. One that
 // the caller cannot restore leaves the node where it was.
-func TestDamagedPart(t *testing.T) {
+func TestDamagedSnapshotChunkIsNotInstalled(t *testing.T) {
 	refused := 0
-	n := raft.New(raft.Config{ID: 2, Heartbeat: time.Millisecond, Election: time.Second, Rand: func(int64) int64 { return 0 }, Check: func(data []byte) error {
+	n := raft.New(raft.Config{ID: 2, HeartbeatInterval: time.Millisecond, ElectionTimeout: time.Second, RandInt63n: func(int64) int64 { return 0 }, ValidateSnapshot: func(data []byte) error {
 		if string(data) == "junk" {
 			refused++
 			return errors.New("junk")
 		}
 		return nil
-	}}, 0, raft.Saved{})
+	}}, 0, raft.PersistentState{})
 	n.Step(0, raft.Message{Type: raft.MsgSnapshot, From: 1, To: 2, Term: 1, Size: 4, Sum: crc32.Checksum([]byte("junk"), crc32.MakeTable(crc32.Castagnoli)),
 		Snap: &raft.Snapshot{Index: 4, Term: 1, Data: []byte("junk")}})
-	if e := n.Ready(); refused != 1 || e.Install != nil || n.Last() != 0 {
+	if e := n.Ready(); refused != 1 || e.SnapshotToInstall != nil || n.LastIndex() != 0 {
 		t.Errorf("junk was installed, or not looked at: %+v", e)
 	}
 	data := []byte("what a state machine holds, in five parts or so")
@@ -206,15 +206,15 @@
 		n.Step(0, raft.Message{Type: raft.MsgSnapshot, From: from, To: 2, Term: from, Offset: at, Size: len(data), Sum: sum,
 			Snap: &raft.Snapshot{Index: 9, Term: 1, Data: part}})
 		e := n.Ready()
-		if e.Install != nil {
-			if !damaged || string(e.Install.Data) != string(data) || step != 9 {
-				t.Errorf("step %d: installed %q", step, e.Install.Data)
+		if e.SnapshotToInstall != nil {
+			if !damaged || string(e.SnapshotToInstall.Data) != string(data) || step != 9 {
+				t.Errorf("step %d: installed %q", step, e.SnapshotToInstall.Data)
 			}
 			return
 		}
-		out := e.Send
+		out := e.Messages
 		if e.Write != nil {
-			out = append(out, e.Write.After...)
+			out = append(out, e.Write.MessagesAfterAppend...)
 		}
 		if len(out) != 1 || out[0].Type != raft.MsgSnapshotResp || out[0].To != from {
 			t.Fatalf("step %d: answered %+v", step, out)
--- a/raft/election.go
+++ b/raft/election.go
@@ -6,75 +6,75 @@
 
 // Leader election: PreVote, votes, CheckQuorum and leadership transfer.
 
-func (n *Node) reset(leader uint64) {
-	n.leader = leader
+func (n *Node) resetElection(leader uint64) {
+	n.leaderID = leader
 	n.votes = nil
-	n.forced = false
-	n.transferTo = 0
-	span := int64(n.cfg.Election)
-	n.deadline = n.now + n.cfg.Election + time.Duration(n.cfg.Rand(span))
+	n.isForcedCampaign = false
+	n.transferTarget = 0
+	span := int64(n.config.ElectionTimeout)
+	n.electionDeadline = n.now + n.config.ElectionTimeout + time.Duration(n.config.RandInt63n(span))
 }
 
-// hurry sets a short election timer. It is for nodes that only ask whether an
+// shortenElectionDeadline sets a short election timer. It is for nodes that only ask whether an
 // election would be welcome, which disturbs nobody.
-func (n *Node) hurry() {
-	n.deadline = n.now + n.cfg.Heartbeat + time.Duration(n.cfg.Rand(int64(n.cfg.Election/2)))
+func (n *Node) shortenElectionDeadline() {
+	n.electionDeadline = n.now + n.config.HeartbeatInterval + time.Duration(n.config.RandInt63n(int64(n.config.ElectionTimeout/2)))
 }
 
-func (n *Node) become(role Role, term, leader uint64) {
-	if term != n.hard.Term {
-		n.hard = HardState{Term: term}
-		n.hardDirty = true
+func (n *Node) becomeRole(role Role, term, leader uint64) {
+	if term != n.hardState.Term {
+		n.hardState = HardState{Term: term}
+		n.hardStateChanged = true
 	}
 	if n.role == Leader && role != Leader {
-		n.dropReads()
+		n.rejectPendingReads()
 	}
 	n.role = role
-	n.reset(leader)
+	n.resetElection(leader)
 }
 
 // Campaign makes a voter stand for election now.
 func (n *Node) Campaign() {
-	if n.role != Leader && n.Members().Voter(n.cfg.ID) {
-		n.campaign(PreCandidate, false)
+	if n.role != Leader && n.Membership().IsVoter(n.config.ID) {
+		n.campaignAs(PreCandidate, false)
 	}
 }
 
-func (n *Node) campaign(role Role, force bool) {
-	term := n.hard.Term
+func (n *Node) campaignAs(role Role, force bool) {
+	term := n.hardState.Term
 	if role == Candidate {
 		term++
-		n.become(Candidate, term, 0)
-		n.hard.Vote = n.cfg.ID
-		n.hardDirty = true
+		n.becomeRole(Candidate, term, 0)
+		n.hardState.Vote = n.config.ID
+		n.hardStateChanged = true
 	} else {
-		n.become(PreCandidate, term, 0)
-		n.hurry()
+		n.becomeRole(PreCandidate, term, 0)
+		n.shortenElectionDeadline()
 		term++
 	}
-	n.forced = force
-	n.votes = map[uint64]bool{n.cfg.ID: true}
-	if n.won() {
-		n.advance()
+	n.isForcedCampaign = force
+	n.votes = map[uint64]bool{n.config.ID: true}
+	if n.hasWonElection() {
+		n.advanceCampaign()
 		return
 	}
-	for _, m := range n.Members().Voters {
-		if m.ID == n.cfg.ID {
+	for _, m := range n.Membership().Voters {
+		if m.ID == n.config.ID {
 			continue
 		}
-		msg := Message{To: m.ID, Term: term, Index: n.last(), LogTerm: n.lastTerm(), Force: force}
+		msg := Message{To: m.ID, Term: term, Index: n.lastIndex(), LogTerm: n.lastTerm(), Force: force}
 		if role == Candidate {
 			msg.Type = MsgVote
-			n.outAfter(msg)
+			n.sendAfterAppend(msg)
 		} else {
 			msg.Type = MsgPreVote
-			n.out(msg)
+			n.send(msg)
 		}
 	}
 }
 
-func (n *Node) won() bool {
-	voters := n.Members().Voters
+func (n *Node) hasWonElection() bool {
+	voters := n.Membership().Voters
 	yes := 0
 	for _, m := range voters {
 		if n.votes[m.ID] {
@@ -84,8 +84,8 @@
 	return yes > len(voters)/2
 }
 
-func (n *Node) lost() bool {
-	voters := n.Members().Voters
+func (n *Node) hasLostElection() bool {
+	voters := n.Membership().Voters
 	no := 0
 	for _, m := range voters {
 		if v, ok := n.votes[m.ID]; ok && !v {
@@ -95,104 +95,104 @@
 	return no > len(voters)/2 || (len(voters)%2 == 0 && no >= len(voters)/2)
 }
 
-func (n *Node) advance() {
+func (n *Node) advanceCampaign() {
 	if n.role == PreCandidate {
-		n.campaign(Candidate, n.forced)
+		n.campaignAs(Candidate, n.isForcedCampaign)
 		return
 	}
-	n.become(Leader, n.hard.Term, n.cfg.ID)
-	n.deadline = n.now + n.cfg.Election
-	n.peers = map[uint64]*progress{}
-	n.seq, n.lagMark = 0, 0
-	for _, m := range n.Members().All() {
-		if m.ID != n.cfg.ID {
-			n.peer(m.ID)
+	n.becomeRole(Leader, n.hardState.Term, n.config.ID)
+	n.electionDeadline = n.now + n.config.ElectionTimeout
+	n.progress = map[uint64]*progress{}
+	n.readRound, n.diskLagIndex = 0, 0
+	for _, m := range n.Membership().AllMembers() {
+		if m.ID != n.config.ID {
+			n.ensureProgress(m.ID)
 		}
 	}
-	n.termStart = n.last() + 1
-	n.push(Entry{Type: Normal}) // commits what earlier terms left behind
-	n.beat()
+	n.termStartIndex = n.lastIndex() + 1
+	n.appendEntry(Entry{Type: EntryNormal}) // commits what earlier terms left behind
+	n.broadcastHeartbeat()
 }
 
-// Transfer hands leadership to the best follower, if there is one.
-func (n *Node) Transfer() bool {
+// TransferLeadership hands leadership to the best follower, if there is one.
+func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
 	}
 	var best uint64
 	var bestMatch uint64
-	for _, m := range n.Members().Voters {
-		p := n.peers[m.ID]
-		if m.ID == n.cfg.ID || p == nil || n.now-p.heardAt > n.cfg.Election {
+	for _, m := range n.Membership().Voters {
+		p := n.progress[m.ID]
+		if m.ID == n.config.ID || p == nil || n.now-p.lastContact > n.config.ElectionTimeout {
 			continue
 		}
-		if best == 0 || p.match > bestMatch {
-			best, bestMatch = m.ID, p.match
+		if best == 0 || p.matchIndex > bestMatch {
+			best, bestMatch = m.ID, p.matchIndex
 		}
 	}
 	if best == 0 {
 		return false
 	}
-	n.transferTo, n.transferAt = best, n.now
-	n.tryTransfer()
+	n.transferTarget, n.transferStartedAt = best, n.now
+	n.maybeSendTimeoutNow()
 	return true
 }
 
-func (n *Node) tryTransfer() {
-	if p := n.peers[n.transferTo]; p != nil && p.match == n.last() {
-		n.out(Message{Type: MsgTimeoutNow, To: n.transferTo})
+func (n *Node) maybeSendTimeoutNow() {
+	if p := n.progress[n.transferTarget]; p != nil && p.matchIndex == n.lastIndex() {
+		n.send(Message{Type: MsgTimeoutNow, To: n.transferTarget})
 	}
 }
 
-// hears tells whether a leader has heard from a majority within span, however old what
+// heardFromMajority tells whether a leader has heard from a majority within span, however old what
 // it heard was: enough to go on leading, as over a slow link, not to count on it.
-func (n *Node) hears(span time.Duration) bool {
+func (n *Node) heardFromMajority(span time.Duration) bool {
 	count := 0
-	voters := n.Members().Voters
+	voters := n.Membership().Voters
 	for _, m := range voters {
-		if p := n.peers[m.ID]; m.ID == n.cfg.ID || p != nil && n.now-p.heardAt <= span {
+		if p := n.progress[m.ID]; m.ID == n.config.ID || p != nil && n.now-p.lastContact <= span {
 			count++
 		}
 	}
 	return count > len(voters)/2
 }
 
-// leased tells whether this node has a living leader, so that a vote asked for
+// inLeaderLease tells whether this node has a living leader, so that a vote asked for
 // by somebody else is not answered.
-func (n *Node) leased() bool {
+func (n *Node) inLeaderLease() bool {
 	if n.role == Leader {
-		return n.hears(n.cfg.Election)
+		return n.heardFromMajority(n.config.ElectionTimeout)
 	}
-	return n.leader != 0 && n.now-n.heardAt < n.cfg.Election
+	return n.leaderID != 0 && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-func (n *Node) upToDate(m Message) bool {
+func (n *Node) isLogUpToDate(m Message) bool {
 	t := n.lastTerm()
-	return m.LogTerm > t || (m.LogTerm == t && m.Index >= n.last())
+	return m.LogTerm > t || (m.LogTerm == t && m.Index >= n.lastIndex())
 }
 
-func (n *Node) stepPreVote(m Message) {
-	ok := m.Term > n.hard.Term && n.upToDate(m) && !n.leased()
+func (n *Node) handlePreVote(m Message) {
+	ok := m.Term > n.hardState.Term && n.isLogUpToDate(m) && !n.inLeaderLease()
 	resp := Message{Type: MsgPreVoteResp, To: m.From, Term: m.Term, Reject: !ok}
 	if !ok {
-		resp.Term = n.hard.Term
+		resp.Term = n.hardState.Term
 	}
-	n.outAfter(resp)
+	n.sendAfterAppend(resp)
 }
 
-func (n *Node) stepVote(m Message) {
-	ok := (n.hard.Vote == 0 || n.hard.Vote == m.From) && n.leader == 0 && n.upToDate(m)
+func (n *Node) handleVote(m Message) {
+	ok := (n.hardState.Vote == 0 || n.hardState.Vote == m.From) && n.leaderID == 0 && n.isLogUpToDate(m)
 	if ok {
-		if n.hard.Vote != m.From {
-			n.hard.Vote = m.From
-			n.hardDirty = true
+		if n.hardState.Vote != m.From {
+			n.hardState.Vote = m.From
+			n.hardStateChanged = true
 		}
-		n.deadline = n.now + n.cfg.Election + time.Duration(n.cfg.Rand(int64(n.cfg.Election)))
+		n.electionDeadline = n.now + n.config.ElectionTimeout + time.Duration(n.config.RandInt63n(int64(n.config.ElectionTimeout)))
 	}
-	n.outAfter(Message{Type: MsgVoteResp, To: m.From, Reject: !ok})
+	n.sendAfterAppend(Message{Type: MsgVoteResp, To: m.From, Reject: !ok})
 }
 
-func (n *Node) stepVoteResp(m Message) {
+func (n *Node) handleVoteResp(m Message) {
 	want := MsgVoteResp
 	if n.role == PreCandidate {
 		want = MsgPreVoteResp
@@ -204,9 +204,9 @@
 		n.votes[m.From] = !m.Reject
 	}
 	switch {
-	case n.won():
-		n.advance()
-	case n.lost():
-		n.become(Follower, n.hard.Term, 0)
+	case n.hasWonElection():
+		n.advanceCampaign()
+	case n.hasLostElection():
+		n.becomeRole(Follower, n.hardState.Term, 0)
 	}
 }
--- a/raft/explore.go
+++ b/raft/explore.go
@@ -17,26 +17,26 @@
 	c.votes = maps.Clone(n.votes)
 	c.entries = slices.Clone(n.entries)
 	c.memberships = slices.Clone(n.memberships)
-	c.reads, c.early = slices.Clone(n.reads), slices.Clone(n.early)
-	c.tail = slices.Clone(n.tail)
-	if n.incoming != nil {
-		in := *n.incoming
-		in.snap.Data = slices.Clone(in.snap.Data)
-		c.incoming = &in
-	}
-	c.unsaved = slices.Clone(n.unsaved)
-	c.send, c.after = slices.Clone(n.send), slices.Clone(n.after)
-	c.done = slices.Clone(n.done)
-	if n.peers != nil {
-		c.peers = make(map[uint64]*progress, len(n.peers))
-		for id, p := range n.peers {
+	c.pendingReads, c.deferredReads = slices.Clone(n.pendingReads), slices.Clone(n.deferredReads)
+	c.compactedTail = slices.Clone(n.compactedTail)
+	if n.incomingSnapshot != nil {
+		in := *n.incomingSnapshot
+		in.snapshot.Data = slices.Clone(in.snapshot.Data)
+		c.incomingSnapshot = &in
+	}
+	c.entriesToWrite = slices.Clone(n.entriesToWrite)
+	c.messages, c.messagesAfterAppend = slices.Clone(n.messages), slices.Clone(n.messagesAfterAppend)
+	c.readStates = slices.Clone(n.readStates)
+	if n.progress != nil {
+		c.progress = make(map[uint64]*progress, len(n.progress))
+		for id, p := range n.progress {
 			q := *p
-			q.flow.flights = slices.Clone(p.flow.flights)
-			if p.transfer != nil {
-				t := *p.transfer
-				q.transfer = &t
+			q.flow.inflights = slices.Clone(p.flow.inflights)
+			if p.pendingSnapshot != nil {
+				t := *p.pendingSnapshot
+				q.pendingSnapshot = &t
 			}
-			c.peers[id] = &q
+			c.progress[id] = &q
 		}
 	}
 	return &c
@@ -44,17 +44,17 @@
 
 // Log gives the snapshot and the entries after it that the node holds in
 // memory, durable or not. They are not to be changed.
-func (n *Node) Log() (Snapshot, []Entry) { return n.snap, n.entries }
+func (n *Node) Log() (Snapshot, []Entry) { return n.snapshot, n.entries }
 
-// InUse gives the memberships whose quorums can decide in the eyes of this
+// ActiveMemberships gives the memberships whose quorums can decide in the eyes of this
 // node: the newest committed one and all that follow it in the log.
-func (n *Node) InUse() []Membership {
+func (n *Node) ActiveMemberships() []Membership {
 	var out []Membership
 	for i, m := range n.memberships {
-		if i+1 < len(n.memberships) && n.memberships[i+1].index <= n.commit {
+		if i+1 < len(n.memberships) && n.memberships[i+1].index <= n.commitIndex {
 			continue
 		}
-		out = append(out, m.members)
+		out = append(out, m.membership)
 	}
 	return out
 }
@@ -64,146 +64,146 @@
 // further back than span count as equal, which is right if span is longer than
 // any patience in Config.
 func (n *Node) Fingerprint(b []byte, span time.Duration) []byte {
-	at := func(t time.Duration) { b = number(b, uint64(span+max(t-n.now, -span))) }
-	b = number(b, n.cfg.ID, n.hard.Term, n.hard.Vote, uint64(n.role), n.leader)
-	at(n.heardAt)
-	at(n.deadline)
-	b = number(b, uint64(len(n.votes)))
-	for _, id := range sorted(n.votes) {
-		b = boolean(number(b, id), n.votes[id])
-	}
-	b = n.snap.fingerprint(boolean(b, n.forced))
+	at := func(t time.Duration) { b = appendUvarints(b, uint64(span+max(t-n.now, -span))) }
+	b = appendUvarints(b, n.config.ID, n.hardState.Term, n.hardState.Vote, uint64(n.role), n.leaderID)
+	at(n.lastLeaderContact)
+	at(n.electionDeadline)
+	b = appendUvarints(b, uint64(len(n.votes)))
+	for _, id := range sortedKeys(n.votes) {
+		b = appendBool(appendUvarints(b, id), n.votes[id])
+	}
+	b = n.snapshot.fingerprint(appendBool(b, n.isForcedCampaign))
 	b = fingerprintEntries(b, n.entries)
-	b = fingerprintEntries(b, n.tail)
-	if b = boolean(b, n.incoming != nil); n.incoming != nil {
-		b = number(n.incoming.snap.fingerprint(b), uint64(n.incoming.size), uint64(n.incoming.sum))
+	b = fingerprintEntries(b, n.compactedTail)
+	if b = appendBool(b, n.incomingSnapshot != nil); n.incomingSnapshot != nil {
+		b = appendUvarints(n.incomingSnapshot.snapshot.fingerprint(b), uint64(n.incomingSnapshot.totalSize), uint64(n.incomingSnapshot.checksum))
 	}
-	at(n.touchedAt)
-	for _, t := range [...]touch{n.touching, n.lastTouch} {
-		at(t.at)
-		b = number(boolean(b, t.at != 0), t.commit)
+	at(n.lastQuorumContact)
+	for _, t := range [...]contactProof{n.pendingProof, n.newestProof} {
+		at(t.asOf)
+		b = appendUvarints(appendBool(b, t.asOf != 0), t.commitIndex)
 	}
-	b = number(b, n.stable, n.commit, n.applied, uint64(len(n.memberships)))
+	b = appendUvarints(b, n.stableIndex, n.commitIndex, n.appliedIndex, uint64(len(n.memberships)))
 	for _, m := range n.memberships {
-		b = m.members.fingerprint(number(b, m.index))
-	}
-	b = number(b, uint64(len(n.peers)))
-	for _, id := range sorted(n.peers) {
-		p := n.peers[id]
-		b = number(b, id, p.match, p.next, p.context, p.anewFrom, p.anewThrough)
-		if b = boolean(b, p.transfer != nil); p.transfer != nil {
-			t := p.transfer
-			b = boolean(number(t.snap.fingerprint(b), uint64(t.sum), uint64(t.offset)), t.waiting)
+		b = m.membership.fingerprint(appendUvarints(b, m.index))
+	}
+	b = appendUvarints(b, uint64(len(n.progress)))
+	for _, id := range sortedKeys(n.progress) {
+		p := n.progress[id]
+		b = appendUvarints(b, id, p.matchIndex, p.nextIndex, p.ackedReadRound, p.resentFrom, p.resentThrough)
+		if b = appendBool(b, p.pendingSnapshot != nil); p.pendingSnapshot != nil {
+			t := p.pendingSnapshot
+			b = appendBool(appendUvarints(t.snapshot.fingerprint(b), uint64(t.checksum), uint64(t.ackedOffset)), t.isAwaitingAck)
 		}
 		f := &p.flow
-		b = number(b, uint64(p.theirs), uint64(f.window), uint64(f.bytes), uint64(f.rtt), uint64(f.tries), uint64(len(f.flights)))
-		for _, x := range f.flights {
-			b = number(b, x.last, uint64(x.size))
-			at(x.at)
+		b = appendUvarints(b, uint64(p.peerClock), uint64(f.windowBytes), uint64(f.inflightBytes), uint64(f.minRTT), uint64(f.consecutiveTimeouts), uint64(len(f.inflights)))
+		for _, x := range f.inflights {
+			b = appendUvarints(b, x.end, uint64(x.size))
+			at(x.sentAt)
 		}
-		at(p.sentAt)
-		at(p.heardAt)
-		at(p.askedAt)
-		at(p.ackedAt)
-		at(p.anewAt)
-	}
-	at(n.beatAt)
-	b = number(b, n.seq, uint64(len(n.reads)))
-	for _, r := range n.reads {
-		b = number(b, r.context, r.seq, r.index)
-	}
-	b = number(number(b, uint64(len(n.early))), n.early...)
-	b = number(b, n.transferTo, n.termStart, n.lagMark)
-	at(n.transferAt)
-	at(n.lagSince)
-	b = boolean(b, n.hardDirty)
-	b = fingerprintEntries(b, n.unsaved)
-	if b = boolean(b, n.install != nil); n.install != nil {
-		b = n.install.fingerprint(b)
-	}
-	b = fingerprintMessages(b, n.send)
-	b = fingerprintMessages(b, n.after)
-	b = number(b, uint64(len(n.done)))
-	for _, r := range n.done {
-		b = boolean(number(b, r.Context, r.Index), r.OK)
+		at(p.lastSentAt)
+		at(p.lastContact)
+		at(p.ackedHeartbeatSentAt)
+		at(p.lastProgressAt)
+		at(p.resentAt)
+	}
+	at(n.lastHeartbeatAt)
+	b = appendUvarints(b, n.readRound, uint64(len(n.pendingReads)))
+	for _, r := range n.pendingReads {
+		b = appendUvarints(b, r.requestID, r.round, r.readIndex)
+	}
+	b = appendUvarints(appendUvarints(b, uint64(len(n.deferredReads))), n.deferredReads...)
+	b = appendUvarints(b, n.transferTarget, n.termStartIndex, n.diskLagIndex)
+	at(n.transferStartedAt)
+	at(n.diskLagSince)
+	b = appendBool(b, n.hardStateChanged)
+	b = fingerprintEntries(b, n.entriesToWrite)
+	if b = appendBool(b, n.snapshotToInstall != nil); n.snapshotToInstall != nil {
+		b = n.snapshotToInstall.fingerprint(b)
+	}
+	b = fingerprintMessages(b, n.messages)
+	b = fingerprintMessages(b, n.messagesAfterAppend)
+	b = appendUvarints(b, uint64(len(n.readStates)))
+	for _, r := range n.readStates {
+		b = appendBool(appendUvarints(b, r.RequestID, r.Index), r.Confirmed)
 	}
 	return b
 }
 
 // Fingerprint appends the whole message to b.
 func (m Message) Fingerprint(b []byte) []byte {
-	b = number(b, uint64(m.Type), m.From, m.To, m.Term, m.Index, m.LogTerm, m.Commit, m.Hint, m.Context)
-	b = number(b, uint64(m.Sent), uint64(m.Echo), uint64(m.Offset), uint64(m.Size), uint64(m.Sum))
-	b = boolean(boolean(boolean(b, m.Reject), m.Force), m.Touch)
+	b = appendUvarints(b, uint64(m.Type), m.From, m.To, m.Term, m.Index, m.LogTerm, m.Commit, m.Hint, m.Context)
+	b = appendUvarints(b, uint64(m.Sent), uint64(m.Echo), uint64(m.Offset), uint64(m.Size), uint64(m.Sum))
+	b = appendBool(appendBool(appendBool(b, m.Reject), m.Force), m.Touch)
 	b = fingerprintEntries(b, m.Entries)
-	if b = boolean(b, m.Snap != nil); m.Snap != nil {
+	if b = appendBool(b, m.Snap != nil); m.Snap != nil {
 		b = m.Snap.fingerprint(b)
 	}
 	return b
 }
 
 // Fingerprint appends the whole write to b.
-func (w *Write) Fingerprint(b []byte) []byte {
-	if b = boolean(b, w.Hard != nil); w.Hard != nil {
-		b = number(b, w.Hard.Term, w.Hard.Vote)
+func (w *StorageWrite) Fingerprint(b []byte) []byte {
+	if b = appendBool(b, w.HardState != nil); w.HardState != nil {
+		b = appendUvarints(b, w.HardState.Term, w.HardState.Vote)
 	}
-	if b = boolean(b, w.Snapshot != nil); w.Snapshot != nil {
+	if b = appendBool(b, w.Snapshot != nil); w.Snapshot != nil {
 		b = w.Snapshot.fingerprint(b)
 	}
-	return fingerprintMessages(fingerprintEntries(b, w.Entries), w.After)
+	return fingerprintMessages(fingerprintEntries(b, w.Entries), w.MessagesAfterAppend)
 }
 
 // Fingerprint appends all that a disk holds to b.
-func (s Saved) Fingerprint(b []byte) []byte {
-	return fingerprintEntries(s.Snapshot.fingerprint(number(b, s.Hard.Term, s.Hard.Vote)), s.Entries)
+func (s PersistentState) Fingerprint(b []byte) []byte {
+	return fingerprintEntries(s.Snapshot.fingerprint(appendUvarints(b, s.HardState.Term, s.HardState.Vote)), s.Entries)
 }
 
 func (s Snapshot) fingerprint(b []byte) []byte {
-	return text(s.Members.fingerprint(number(b, s.Index, s.Term)), s.Data)
+	return appendBytes(s.Members.fingerprint(appendUvarints(b, s.Index, s.Term)), s.Data)
 }
 
 func (m Membership) fingerprint(b []byte) []byte {
 	for _, ms := range [][]Member{m.Voters, m.Learners} {
-		b = number(b, uint64(len(ms)))
+		b = appendUvarints(b, uint64(len(ms)))
 		for _, x := range ms {
-			b = boolean(text(text(number(b, x.ID), x.Addr), x.API), x.Uncounted)
+			b = appendBool(appendBytes(appendBytes(appendUvarints(b, x.ID), x.Addr), x.API), x.Uncounted)
 		}
 	}
 	return b
 }
 
 func fingerprintEntries(b []byte, es []Entry) []byte {
-	b = number(b, uint64(len(es)))
+	b = appendUvarints(b, uint64(len(es)))
 	for _, e := range es {
-		b = text(number(b, e.Index, e.Term, uint64(e.Type)), e.Data)
+		b = appendBytes(appendUvarints(b, e.Index, e.Term, uint64(e.Type)), e.Data)
 	}
 	return b
 }
 
 func fingerprintMessages(b []byte, ms []Message) []byte {
-	b = number(b, uint64(len(ms)))
+	b = appendUvarints(b, uint64(len(ms)))
 	for _, m := range ms {
 		b = m.Fingerprint(b)
 	}
 	return b
 }
 
-func number(b []byte, vs ...uint64) []byte {
+func appendUvarints(b []byte, vs ...uint64) []byte {
 	for _, v := range vs {
 		b = binary.AppendUvarint(b, v)
 	}
 	return b
 }
 
-func boolean(b []byte, v bool) []byte {
+func appendBool(b []byte, v bool) []byte {
 	if v {
 		return append(b, 1)
 	}
 	return append(b, 0)
 }
 
-func text[T string | []byte](b []byte, s T) []byte {
-	return append(number(b, uint64(len(s))), s...)
+func appendBytes[T string | []byte](b []byte, s T) []byte {
+	return append(appendUvarints(b, uint64(len(s))), s...)
 }
 
-func sorted[V any](m map[uint64]V) []uint64 { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[uint64]V) []uint64 { return slices.Sorted(maps.Keys(m)) }
--- a/raft/explore_test.go
+++ b/raft/explore_test.go
@@ -10,25 +10,25 @@
 // it holds, fails this until Clone and Fingerprint know of it.
 func TestFingerprintIsComplete(t *testing.T) {
 	for of, fields := range map[reflect.Type]string{
-		reflect.TypeFor[Node](): "cfg now hard role leader heardAt touchedAt touching lastTouch deadline votes forced snap entries tail incoming stable commit applied memberships " +
-			"peers beatAt seq reads early transferTo transferAt termStart lagMark lagSince hardDirty unsaved install send after done",
-		reflect.TypeFor[progress]():         "match next sentAt heardAt askedAt theirs ackedAt context flow transfer anewFrom anewThrough anewAt",
-		reflect.TypeFor[pendingRead]():      "context seq index",
-		reflect.TypeFor[placedMembership](): "index members",
+		reflect.TypeFor[Node](): "config now hardState role leaderID lastLeaderContact lastQuorumContact pendingProof newestProof electionDeadline votes isForcedCampaign snapshot entries compactedTail incomingSnapshot stableIndex commitIndex appliedIndex memberships " +
+			"progress lastHeartbeatAt readRound pendingReads deferredReads transferTarget transferStartedAt termStartIndex diskLagIndex diskLagSince hardStateChanged entriesToWrite snapshotToInstall messages messagesAfterAppend readStates",
+		reflect.TypeFor[progress]():         "matchIndex nextIndex lastSentAt lastContact ackedHeartbeatSentAt peerClock lastProgressAt ackedReadRound flow pendingSnapshot resentFrom resentThrough resentAt",
+		reflect.TypeFor[pendingRead]():      "requestID round readIndex",
+		reflect.TypeFor[loggedMembership](): "index membership",
 		reflect.TypeFor[Message]():          "Type From To Term Index LogTerm Commit Reject Hint Context Force Sent Echo Touch Entries Snap Offset Size Sum",
-		reflect.TypeFor[Write]():            "Hard Snapshot Entries After",
-		reflect.TypeFor[Saved]():            "Hard Snapshot Entries",
+		reflect.TypeFor[StorageWrite]():     "HardState Snapshot Entries MessagesAfterAppend",
+		reflect.TypeFor[PersistentState]():  "HardState Snapshot Entries",
 		reflect.TypeFor[Snapshot]():         "Index Term Members Data",
 		reflect.TypeFor[HardState]():        "Term Vote",
 		reflect.TypeFor[Entry]():            "Index Term Type Data",
 		reflect.TypeFor[Membership]():       "Voters Learners",
 		reflect.TypeFor[Member]():           "ID Addr API Uncounted",
-		reflect.TypeFor[touch]():            "at commit",
-		reflect.TypeFor[flow]():             "window bytes flights rtt tries",
-		reflect.TypeFor[flight]():           "last size at",
-		reflect.TypeFor[transfer]():         "snap sum offset waiting",
-		reflect.TypeFor[incoming]():         "snap size sum",
-		reflect.TypeFor[Read]():             "Context Index OK",
+		reflect.TypeFor[contactProof]():     "asOf commitIndex",
+		reflect.TypeFor[flowControl]():      "windowBytes inflightBytes inflights minRTT consecutiveTimeouts",
+		reflect.TypeFor[inflight]():         "end size sentAt",
+		reflect.TypeFor[snapshotTransfer](): "snapshot checksum ackedOffset isAwaitingAck",
+		reflect.TypeFor[incomingSnapshot](): "snapshot totalSize checksum",
+		reflect.TypeFor[ReadState]():        "RequestID Index Confirmed",
 	} {
 		var have []string
 		for f := range of.Fields() {
--- a/raft/lease.go
+++ b/raft/lease.go
@@ -10,58 +10,58 @@
 // of one clock is compared with one of another, and the time of day is not used. Whether
 // a leader steps down is asked of what it hears, see hears.
 
-// touch is a leader's word to a follower: whoever holds the log up to commit held
+// contactProof is a leader's word to a follower: whoever holds the log up to commit held
 // all that was acknowledged anywhere before at, by the follower's clock.
-type touch struct {
-	at     time.Duration
-	commit uint64
+type contactProof struct {
+	asOf        time.Duration
+	commitIndex uint64
 }
 
-// TouchedAt is the newest moment, by this node's steady clock, for which it is known
+// LastQuorumContact is the newest moment, by this node's steady clock, for which it is known
 // that all that had been acknowledged by then is applied here; 0 if there is none
 // yet. At a leader a majority has answered a heartbeat sent then; at a follower a
 // leader in touch with a majority has heard what was sent then, and the follower has
 // applied what that leader had committed. It is exact at a leader and may err by one
 // election time-out at a follower, whose leader may have been deposed for so long.
-func (n *Node) TouchedAt() time.Duration { return n.touchedAt }
+func (n *Node) LastQuorumContact() time.Duration { return n.lastQuorumContact }
 
-// InTouch tells whether a majority has answered a heartbeat that this leader sent
+// HasQuorumContact tells whether a majority has answered a heartbeat that this leader sent
 // within span.
-func (n *Node) InTouch(span time.Duration) bool {
-	return n.role == Leader && n.now-n.quorumAt() <= span
+func (n *Node) HasQuorumContact(span time.Duration) bool {
+	return n.role == Leader && n.now-n.quorumContactAt() <= span
 }
 
-// quorumAt is the newest moment for which a majority of the voters has answered a
+// quorumContactAt is the newest moment for which a majority of the voters has answered a
 // heartbeat that this leader sent then or later.
-func (n *Node) quorumAt() time.Duration {
-	return majority(n, n.now, func(p *progress) time.Duration { return p.askedAt })
+func (n *Node) quorumContactAt() time.Duration {
+	return majorityValue(n, n.now, func(p *progress) time.Duration { return p.ackedHeartbeatSentAt })
 }
 
-// noteTouch takes what a heartbeat proves.
-func (n *Node) noteTouch(m Message) {
+// recordContactProof takes what a heartbeat proves.
+func (n *Node) recordContactProof(m Message) {
 	if !m.Touch || m.Echo == 0 {
 		return
 	}
-	n.lastTouch = touch{m.Echo, m.Index}
-	if n.touching.at == 0 {
-		n.touching = n.lastTouch
+	n.newestProof = contactProof{m.Echo, m.Index}
+	if n.pendingProof.asOf == 0 {
+		n.pendingProof = n.newestProof
 	}
 }
 
-// settleTouch counts what is proven by now.
-func (n *Node) settleTouch() {
+// advanceQuorumContact counts what is proven by now.
+func (n *Node) advanceQuorumContact() {
 	if n.role == Leader {
-		if n.commit >= n.termStart && n.applied >= n.commit {
-			n.touchedAt = max(n.touchedAt, n.quorumAt())
+		if n.commitIndex >= n.termStartIndex && n.appliedIndex >= n.commitIndex {
+			n.lastQuorumContact = max(n.lastQuorumContact, n.quorumContactAt())
 		}
 		return
 	}
-	for n.touching.at != 0 && n.applied >= n.touching.commit {
-		n.touchedAt = max(n.touchedAt, n.touching.at)
-		if n.touching == n.lastTouch {
-			n.touching = touch{}
+	for n.pendingProof.asOf != 0 && n.appliedIndex >= n.pendingProof.commitIndex {
+		n.lastQuorumContact = max(n.lastQuorumContact, n.pendingProof.asOf)
+		if n.pendingProof == n.newestProof {
+			n.pendingProof = contactProof{}
 		} else {
-			n.touching = n.lastTouch
+			n.pendingProof = n.newestProof
 		}
 	}
 }
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -11,9 +11,9 @@
 
 // Changes of membership, one voter at a time.
 
-type placedMembership struct {
-	index   uint64
-	members Membership
+type loggedMembership struct {
+	index      uint64
+	membership Membership
 }
 
 // Encode writes a membership as an entry's data.
@@ -32,87 +32,87 @@
 	return m, nil
 }
 
-func (n *Node) noteMembership(e Entry) {
-	if e.Type != Change {
+func (n *Node) trackMembership(e Entry) {
+	if e.Type != EntryConfChange {
 		return
 	}
 	if m, err := DecodeMembership(e.Data); err == nil {
-		n.memberships = append(n.memberships, placedMembership{e.Index, m})
+		n.memberships = append(n.memberships, loggedMembership{e.Index, m})
 	}
 }
 
-// Members is the newest membership in the log, committed or not.
-func (n *Node) Members() Membership { return n.memberships[len(n.memberships)-1].members }
+// Membership is the newest membership in the log, committed or not.
+func (n *Node) Membership() Membership { return n.memberships[len(n.memberships)-1].membership }
 
-// MembersIndex is where the newest membership stands in the log.
-func (n *Node) MembersIndex() uint64 { return n.memberships[len(n.memberships)-1].index }
+// MembershipIndex is where the newest membership stands in the log.
+func (n *Node) MembershipIndex() uint64 { return n.memberships[len(n.memberships)-1].index }
 
-// Changing tells whether a change of membership is still on its way, or the
+// HasPendingConfChange tells whether a change of membership is still on its way, or the
 // leader has not yet committed in its own term.
-func (n *Node) Changing() bool {
-	return n.memberships[len(n.memberships)-1].index > n.commit || n.commit < n.termStart
+func (n *Node) HasPendingConfChange() bool {
+	return n.memberships[len(n.memberships)-1].index > n.commitIndex || n.commitIndex < n.termStartIndex
 }
 
-// Stalled tells for how long a member has lacked entries and acknowledged none: it may
+// StalledFor tells for how long a member has lacked entries and acknowledged none: it may
 // be heard all the same, as one whose disk hangs is.
-func (n *Node) Stalled(id uint64) time.Duration {
-	p := n.peers[id]
-	if p == nil || p.match >= n.last() {
+func (n *Node) StalledFor(id uint64) time.Duration {
+	p := n.progress[id]
+	if p == nil || p.matchIndex >= n.lastIndex() {
 		return 0
 	}
-	return n.now - p.ackedAt
+	return n.now - p.lastProgressAt
 }
 
-// ProposeMembers appends a membership that differs from the present one by at
+// ProposeConfChange appends a membership that differs from the present one by at
 // most one voter.
-func (n *Node) ProposeMembers(m Membership) error {
+func (n *Node) ProposeConfChange(m Membership) error {
 	switch {
-	case n.role != Leader || n.transferTo != 0:
+	case n.role != Leader || n.transferTarget != 0:
 		return fmt.Errorf("raft: not the leader")
-	case n.Changing():
+	case n.HasPendingConfChange():
 		return fmt.Errorf("raft: another change is on its way")
-	case distance(n.Members().Voters, m.Voters) > 1:
+	case voterDifference(n.Membership().Voters, m.Voters) > 1:
 		return fmt.Errorf("raft: more than one voter changed")
-	case !m.Voter(n.cfg.ID):
+	case !m.IsVoter(n.config.ID):
 		return fmt.Errorf("raft: a leader does not remove itself")
 	}
-	n.push(Entry{Type: Change, Data: m.Encode()})
-	for _, x := range m.All() {
-		if x.ID != n.cfg.ID {
-			n.peer(x.ID)
+	n.appendEntry(Entry{Type: EntryConfChange, Data: m.Encode()})
+	for _, x := range m.AllMembers() {
+		if x.ID != n.config.ID {
+			n.ensureProgress(x.ID)
 		}
 	}
 	return nil
 }
 
-func distance(a, b []Member) int {
+func voterDifference(a, b []Member) int {
 	d := 0
 	for _, m := range a {
-		if find(b, m.ID) < 0 {
+		if indexOfMember(b, m.ID) < 0 {
 			d++
 		}
 	}
 	for _, m := range b {
-		if find(a, m.ID) < 0 {
+		if indexOfMember(a, m.ID) < 0 {
 			d++
 		}
 	}
 	return d
 }
 
-// majority gives the largest value that more than half of the voters have reached, own
+// majorityValue gives the largest value that more than half of the voters have reached, own
 // for this node and of for the others; zero where nothing is known of one, or nobody
 // votes.
-func majority[T cmp.Ordered](n *Node, own T, of func(*progress) T) (reached T) {
-	voters := n.Members().Voters
+func majorityValue[T cmp.Ordered](n *Node, own T, of func(*progress) T) (reached T) {
+	voters := n.Membership().Voters
 	if len(voters) == 0 {
 		return reached
 	}
 	all := make([]T, len(voters))
 	for i, m := range voters {
-		if m.ID == n.cfg.ID {
+		if m.ID == n.config.ID {
 			all[i] = own
-		} else if p := n.peers[m.ID]; p != nil {
+		} else if p := n.progress[m.ID]; p != nil {
 			all[i] = of(p)
 		}
 	}
--- a/raft/modelcheck/explore_test.go
+++ b/raft/modelcheck/explore_test.go
@@ -9,10 +9,10 @@
 	. "lichentray/raft/modelcheck"
 )
 
-var deeper = flag.Int("explore.depth", 0, "steps to explore beyond the depth of each exploration")
+var extraDepth = flag.Int("explore.depth", 0, "steps to explore beyond the depth of each exploration")
 
-// then makes a start out of lines, a list of them in each text.
-func then(parts ...string) []string {
+// joinSteps makes a start out of lines, a list of them in each text.
+func joinSteps(parts ...string) []string {
 	var out []string
 	for _, p := range parts {
 		for _, line := range strings.Split(p, ",") {
@@ -23,13 +23,13 @@
 }
 
 const (
-	led     = "tick 1, settle, tick 1, settle"                        // 1 leads, all hold the same
-	deposed = "forget, tick 3, forget, tick 2, elect 2 3, settle 2 3" // 2 leads, 1 does not know
+	leaderElected = "tick 1, settle, tick 1, settle"                        // 1 leads, all hold the same
+	leaderDeposed = "forget, tick 3, forget, tick 2, elect 2 3, settle 2 3" // 2 leads, 1 does not know
 	// 1 has an entry that nobody else has, and 2 leads.
-	tail = "propose 1, settle, tick 1, settle, propose 1, sync 1, forget, tick 3, forget, tick 2, elect 2 3"
+	uncommittedTail = "propose 1, settle, tick 1, settle, propose 1, sync 1, forget, tick 3, forget, tick 2, elect 2 3"
 	// 3 has an entry of term 2 and 1 an older one, with which it leads in term 3. 2
 	// has taken the older one, its answer is on its way, and is asked for its vote by 3.
-	older = "propose 1, sync 1, forget, tick 2, forget, tick 3, elect 3 2, sync 3, forget, " +
+	olderTermEntry = "propose 1, sync 1, forget, tick 2, forget, tick 3, elect 3 2, sync 3, forget, " +
 		"tick 3, tick 3, forget, tick 1, tick 1, forget, tick 1, settle 1 2, forget, tick 1, elect 1 2 3, sync 1, " +
 		"deliver append 1>2 term 3 at 2/1 commit 1 [3/3 ], deliver append-resp 2>1 term 3 at 2/0 hint 1 reject, " +
 		"deliver append 1>2 term 3 at 1/1 commit 1 [2/1 v1], sync 2, tick 2, tick 3, " +
@@ -41,25 +41,25 @@
 	Exploration
 }{
 	{"election", Exploration{Voters: 3, Depth: 8, Budget: Budget{Tick: 3, Crash: 1, Duplicate: 1}}},
-	{"pair", Exploration{Voters: 2, Learners: 1, Start: then(led), Depth: 8, Budget: Budget{Tick: 2, Crash: 1, Propose: 1}}},
-	{"rivals", Exploration{Voters: 3, Start: then("tick 1, tick 2, tick 3, settle 1 3"), Depth: 6, Budget: Budget{Tick: 2, Crash: 1, Propose: 1}}},
-	{"late candidate", Exploration{Voters: 3, Start: then(led, "tick 2, forget, tick 3, settle 2, deliver prevote 3>2 term 2 at 1/1, propose 1, settle 1 2, tick 2"), Depth: 6, Budget: Budget{Tick: 1, Crash: 1}}},
-	{"tail", Exploration{Voters: 3, Start: then(led, tail), Depth: 5, Budget: Budget{Tick: 2, Crash: 1, Propose: 1}}},
-	{"tail behind", Exploration{Voters: 3, Start: then(led, tail, "settle 2 3"), Depth: 5, Budget: Budget{Tick: 2, Crash: 1, ReadIndex: 1}}},
-	{"older term", Exploration{Voters: 3, Start: then(led, older), Depth: 5, Budget: Budget{Tick: 1, Crash: 1}}},
-	{"deposed", Exploration{Voters: 3, Start: then(led, "propose 1, sync 1", deposed), Depth: 5, Budget: Budget{Tick: 1, Crash: 1, Propose: 1, ReadIndex: 2}}},
-	{"members", Exploration{Voters: 3, Learners: 1, Start: then(led, "voter 1 4"), Depth: 6, Budget: Budget{Tick: 2, Crash: 1, MemberStep: 2}}},
-	{"snapshot", Exploration{Voters: 3, Learners: 1, Start: then(led, "voter 1 4, settle 1 2 4, propose 1, settle 1 2 4, compact 1, sync 1, forget, tick 1"), Depth: 5, Budget: Budget{Tick: 2, Crash: 1, Compact: 1, Propose: 1}}},
-	{"lost disk", Exploration{Voters: 3, Start: then(led, "propose 1, settle 1 2, lose 3, learner 1 4"), Depth: 6, Budget: Budget{Tick: 2, Crash: 1, MemberStep: 2, LoseDisk: 1, Compact: 1}}},
-	{"transfer", Exploration{Voters: 3, Start: then(led), Depth: 7, Budget: Budget{Tick: 1, Crash: 1, Propose: 1, Transfer: 1, ReadIndex: 1}}},
-	{"alone", Exploration{Voters: 1, Learners: 1, Depth: 8, Budget: Budget{Tick: 3, Crash: 2, Propose: 2, MemberStep: 1, ReadIndex: 1}}},
+	{"pair", Exploration{Voters: 2, Learners: 1, Start: joinSteps(leaderElected), Depth: 8, Budget: Budget{Tick: 2, Crash: 1, Propose: 1}}},
+	{"rivals", Exploration{Voters: 3, Start: joinSteps("tick 1, tick 2, tick 3, settle 1 3"), Depth: 6, Budget: Budget{Tick: 2, Crash: 1, Propose: 1}}},
+	{"late candidate", Exploration{Voters: 3, Start: joinSteps(leaderElected, "tick 2, forget, tick 3, settle 2, deliver prevote 3>2 term 2 at 1/1, propose 1, settle 1 2, tick 2"), Depth: 6, Budget: Budget{Tick: 1, Crash: 1}}},
+	{"tail", Exploration{Voters: 3, Start: joinSteps(leaderElected, uncommittedTail), Depth: 5, Budget: Budget{Tick: 2, Crash: 1, Propose: 1}}},
+	{"tail behind", Exploration{Voters: 3, Start: joinSteps(leaderElected, uncommittedTail, "settle 2 3"), Depth: 5, Budget: Budget{Tick: 2, Crash: 1, ReadIndex: 1}}},
+	{"older term", Exploration{Voters: 3, Start: joinSteps(leaderElected, olderTermEntry), Depth: 5, Budget: Budget{Tick: 1, Crash: 1}}},
+	{"deposed", Exploration{Voters: 3, Start: joinSteps(leaderElected, "propose 1, sync 1", leaderDeposed), Depth: 5, Budget: Budget{Tick: 1, Crash: 1, Propose: 1, ReadIndex: 2}}},
+	{"members", Exploration{Voters: 3, Learners: 1, Start: joinSteps(leaderElected, "voter 1 4"), Depth: 6, Budget: Budget{Tick: 2, Crash: 1, ConfChange: 2}}},
+	{"snapshot", Exploration{Voters: 3, Learners: 1, Start: joinSteps(leaderElected, "voter 1 4, settle 1 2 4, propose 1, settle 1 2 4, compact 1, sync 1, forget, tick 1"), Depth: 5, Budget: Budget{Tick: 2, Crash: 1, Compact: 1, Propose: 1}}},
+	{"lost disk", Exploration{Voters: 3, Start: joinSteps(leaderElected, "propose 1, settle 1 2, lose 3, learner 1 4"), Depth: 6, Budget: Budget{Tick: 2, Crash: 1, ConfChange: 2, LoseDisk: 1, Compact: 1}}},
+	{"transfer", Exploration{Voters: 3, Start: joinSteps(leaderElected), Depth: 7, Budget: Budget{Tick: 1, Crash: 1, Propose: 1, TransferLeadership: 1, ReadIndex: 1}}},
+	{"alone", Exploration{Voters: 1, Learners: 1, Depth: 8, Budget: Budget{Tick: 3, Crash: 2, Propose: 2, ConfChange: 1, ReadIndex: 1}}},
 }
 
-// TestExplore looks at everything that can happen to the core within bounds.
-func TestExplore(t *testing.T) {
+// TestExplorationsFindNoViolation looks at everything that can happen to the core within bounds.
+func TestExplorationsFindNoViolation(t *testing.T) {
 	for _, x := range explorations {
 		t.Run(x.name, func(t *testing.T) {
-			x.Depth += *deeper
+			x.Depth += *extraDepth
 			begin := time.Now()
 			got, err := x.Run()
 			if err != nil {
@@ -75,8 +75,8 @@
 
 // TestExplorerSeesReusedIdentity: a disk that is lost and comes back under its
 // old identity has forgotten its vote. The trace that shows it plays again.
-func TestExplorerSeesReusedIdentity(t *testing.T) {
-	x := Exploration{Voters: 3, Start: then("tick 1, tick 2, tick 3, settle 1 3"), Depth: 7, Budget: Budget{Tick: 1, ReuseDisk: 1}}
+func TestExplorerDetectsReusedIdentity(t *testing.T) {
+	x := Exploration{Voters: 3, Start: joinSteps("tick 1, tick 2, tick 3, settle 1 3"), Depth: 7, Budget: Budget{Tick: 1, ReuseDisk: 1}}
 	got, err := x.Run()
 	if err != nil || got.Violation == "" {
 		t.Fatalf("%+v %v", got, err)
--- a/raft/rafttest/rafttest.go
+++ b/raft/rafttest/rafttest.go
@@ -16,12 +16,12 @@
 
 // How patient the simulated nodes are.
 const (
-	Heartbeat = 20 * time.Millisecond
-	Election  = 150 * time.Millisecond
+	HeartbeatInterval = 20 * time.Millisecond
+	ElectionTimeout   = 150 * time.Millisecond
 )
 
-// Machine is the state machine that a node feeds.
-type Machine interface {
+// StateMachine is the state machine that a node feeds.
+type StateMachine interface {
 	// Apply takes a committed command; its result goes to the proposer.
 	Apply(index uint64, data []byte) any
 	Snapshot() []byte
@@ -30,123 +30,123 @@
 
 // Faults are the chances of trouble, each per message or write.
 type Faults struct {
-	Drop     float64
-	DelayMax time.Duration
-	SyncMax  time.Duration
+	DropProbability float64
+	MaxDelay        time.Duration
+	MaxSyncDelay    time.Duration
 }
 
-type letter struct {
-	at  time.Duration
-	seq int
-	m   raft.Message
+type inflightMessage struct {
+	deliverAt time.Duration
+	seq       int
+	message   raft.Message
 }
 
-type job struct {
-	at time.Duration
-	w  *raft.Write
+type pendingWrite struct {
+	durableAt time.Duration
+	write     *raft.StorageWrite
 }
 
 // Node is one simulated node.
 type Node struct {
-	ID      uint64
-	Raft    *raft.Node
-	Machine Machine
+	ID           uint64
+	Raft         *raft.Node
+	StateMachine StateMachine
 	// Disk is what would be found after a crash.
-	Disk raft.Saved
+	Disk raft.PersistentState
 
-	up, frozen bool
-	diskUntil  time.Duration
-	jobs       []job
-	waiting    map[uint64]call
-	reads      map[uint64]func(index uint64, ok bool)
+	isUp, isFrozen bool
+	diskHangsUntil time.Duration
+	pendingWrites  []pendingWrite
+	proposals      map[uint64]proposal
+	pendingReads   map[uint64]func(index uint64, ok bool)
 }
 
-type call struct {
+type proposal struct {
 	term uint64
 	done func(result any, ok bool)
 }
 
 // Cluster is the simulated group.
 type Cluster struct {
-	Now    time.Duration
-	Rand   *rand.Rand
-	Faults Faults
-	Nodes  map[uint64]*Node
-	Step   time.Duration
+	Now          time.Duration
+	Rand         *rand.Rand
+	Faults       Faults
+	Nodes        map[uint64]*Node
+	StepInterval time.Duration
 	// Bandwidth is what a way carries, in bytes a second; what is sent beyond it
 	// waits in order. A way that isn't named carries anything.
 	Bandwidth map[[2]uint64]int
-	// Carried is how many bytes each way of those named has taken.
-	Carried map[[2]uint64]int
-
-	free    map[[2]uint64]time.Duration // when a way has carried all
-	fresh   func() Machine
-	letters []letter
-	seq     int
-	cut     map[[2]uint64]bool
-	readSeq uint64
-	chosen  map[uint64]string // what was committed at an index, anywhere
-	// Broken holds the first violation of agreement, or is empty.
-	Broken  string
-	compact int
+	// CarriedBytes is how many bytes each way of those named has taken.
+	CarriedBytes map[[2]uint64]int
+
+	linkFreeAt      map[[2]uint64]time.Duration // when a way has carried all
+	newStateMachine func() StateMachine
+	inflight        []inflightMessage
+	messageSeq      int
+	cutLinks        map[[2]uint64]bool
+	readSeq         uint64
+	committed       map[uint64]string // what was committed at an index, anywhere
+	// Violation holds the first violation of agreement, or is empty.
+	Violation    string
+	compactAfter int
 }
 
-// New makes n voters whose machines come from fresh.
-func New(seed int64, n int, fresh func() Machine) *Cluster {
+// NewCluster makes n voters whose machines come from fresh.
+func NewCluster(seed int64, n int, fresh func() StateMachine) *Cluster {
 	c := &Cluster{
-		Rand: rand.New(rand.NewSource(seed)), Nodes: map[uint64]*Node{}, Step: 5 * time.Millisecond, fresh: fresh,
-		Faults: Faults{DelayMax: 4 * time.Millisecond, SyncMax: 6 * time.Millisecond},
-		cut:    map[[2]uint64]bool{}, chosen: map[uint64]string{}, compact: 200,
-		Bandwidth: map[[2]uint64]int{}, Carried: map[[2]uint64]int{}, free: map[[2]uint64]time.Duration{},
+		Rand: rand.New(rand.NewSource(seed)), Nodes: map[uint64]*Node{}, StepInterval: 5 * time.Millisecond, newStateMachine: fresh,
+		Faults:   Faults{MaxDelay: 4 * time.Millisecond, MaxSyncDelay: 6 * time.Millisecond},
+		cutLinks: map[[2]uint64]bool{}, committed: map[uint64]string{}, compactAfter: 200,
+		Bandwidth: map[[2]uint64]int{}, CarriedBytes: map[[2]uint64]int{}, linkFreeAt: map[[2]uint64]time.Duration{},
 	}
 	var ms raft.Membership
 	for id := uint64(1); id <= uint64(n); id++ {
 		ms.Voters = append(ms.Voters, raft.Member{ID: id, Addr: fmt.Sprint("node-", id)})
 	}
 	for _, m := range ms.Voters {
-		c.add(m.ID, raft.Saved{Snapshot: raft.Snapshot{Members: ms}})
+		c.addWithDisk(m.ID, raft.PersistentState{Snapshot: raft.Snapshot{Members: ms}})
 	}
 	return c
 }
 
-func (c *Cluster) add(id uint64, disk raft.Saved) *Node {
+func (c *Cluster) addWithDisk(id uint64, disk raft.PersistentState) *Node {
 	n := &Node{ID: id, Disk: disk}
 	c.Nodes[id] = n
-	c.start(n)
+	c.startNode(n)
 	return n
 }
 
 // Add starts a node with an empty disk that is no member yet.
-func (c *Cluster) Add(id uint64) *Node { return c.add(id, raft.Saved{}) }
+func (c *Cluster) Add(id uint64) *Node { return c.addWithDisk(id, raft.PersistentState{}) }
 
-func (c *Cluster) start(n *Node) {
-	n.Machine = c.fresh()
+func (c *Cluster) startNode(n *Node) {
+	n.StateMachine = c.newStateMachine()
 	if n.Disk.Snapshot.Data != nil {
-		n.Machine.Restore(n.Disk.Snapshot.Data)
+		n.StateMachine.Restore(n.Disk.Snapshot.Data)
 	}
 	saved := n.Disk
 	saved.Entries = append([]raft.Entry(nil), saved.Entries...)
-	n.Raft = raft.New(raft.Config{ID: n.ID, Heartbeat: Heartbeat, Election: Election, Rand: c.Rand.Int63n}, c.Now, saved)
-	n.jobs, n.waiting, n.reads, n.up, n.frozen, n.diskUntil = nil, map[uint64]call{}, map[uint64]func(uint64, bool){}, true, false, 0
+	n.Raft = raft.New(raft.Config{ID: n.ID, HeartbeatInterval: HeartbeatInterval, ElectionTimeout: ElectionTimeout, RandInt63n: c.Rand.Int63n}, c.Now, saved)
+	n.pendingWrites, n.proposals, n.pendingReads, n.isUp, n.isFrozen, n.diskHangsUntil = nil, map[uint64]proposal{}, map[uint64]func(uint64, bool){}, true, false, 0
 }
 
 // Crash stops a node; what its disk had not synced is lost.
 func (c *Cluster) Crash(id uint64) {
 	n := c.Nodes[id]
-	n.up = false
-	for _, w := range n.waiting {
+	n.isUp = false
+	for _, w := range n.proposals {
 		w.done(nil, false)
 	}
-	for _, r := range n.reads {
+	for _, r := range n.pendingReads {
 		r(0, false)
 	}
-	n.waiting, n.reads = nil, nil
+	n.proposals, n.pendingReads = nil, nil
 }
 
 // Restart starts a crashed node from its disk.
 func (c *Cluster) Restart(id uint64) {
-	if n := c.Nodes[id]; !n.up {
-		c.start(n)
+	if n := c.Nodes[id]; !n.isUp {
+		c.startNode(n)
 	}
 }
 
@@ -156,35 +156,35 @@
 	delete(c.Nodes, id)
 }
 
-// Up tells whether a node runs.
-func (c *Cluster) Up(id uint64) bool { n := c.Nodes[id]; return n != nil && n.up }
+// IsUp tells whether a node runs.
+func (c *Cluster) IsUp(id uint64) bool { n := c.Nodes[id]; return n != nil && n.isUp }
 
-// Freeze makes a node stand still, or go on.
-func (c *Cluster) Freeze(id uint64, on bool) { c.Nodes[id].frozen = on }
+// SetFrozen makes a node stand still, or go on.
+func (c *Cluster) SetFrozen(id uint64, on bool) { c.Nodes[id].isFrozen = on }
 
-// Frozen tells whether a node stands still.
-func (c *Cluster) Frozen(id uint64) bool { n := c.Nodes[id]; return n != nil && n.frozen }
+// IsFrozen tells whether a node stands still.
+func (c *Cluster) IsFrozen(id uint64) bool { n := c.Nodes[id]; return n != nil && n.isFrozen }
 
 // HangDisk makes a node's disk hang for a time.
-func (c *Cluster) HangDisk(id uint64, span time.Duration) { c.Nodes[id].diskUntil = c.Now + span }
+func (c *Cluster) HangDisk(id uint64, span time.Duration) { c.Nodes[id].diskHangsUntil = c.Now + span }
 
-// Cut parts the way from one node to another, in that direction only.
-func (c *Cluster) Cut(from, to uint64, on bool) {
+// SetLinkCut parts the way from one node to another, in that direction only.
+func (c *Cluster) SetLinkCut(from, to uint64, on bool) {
 	if on {
-		c.cut[[2]uint64{from, to}] = true
+		c.cutLinks[[2]uint64{from, to}] = true
 	} else {
-		delete(c.cut, [2]uint64{from, to})
+		delete(c.cutLinks, [2]uint64{from, to})
 	}
 }
 
-// Parted tells whether the way from one node to another is cut.
-func (c *Cluster) Parted(from, to uint64) bool { return c.cut[[2]uint64{from, to}] }
+// IsLinkCut tells whether the way from one node to another is cut.
+func (c *Cluster) IsLinkCut(from, to uint64) bool { return c.cutLinks[[2]uint64{from, to}] }
 
 // Heal joins all ways and thaws all nodes.
 func (c *Cluster) Heal() {
-	c.cut = map[[2]uint64]bool{}
+	c.cutLinks = map[[2]uint64]bool{}
 	for _, n := range c.Nodes {
-		n.frozen = false
+		n.isFrozen = false
 	}
 }
 
@@ -203,7 +203,7 @@
 	var best *Node
 	for _, id := range c.IDs() {
 		n := c.Nodes[id]
-		if n.up && !n.frozen && n.Raft.Role() == raft.Leader && (best == nil || n.Raft.Term() > best.Raft.Term()) {
+		if n.isUp && !n.isFrozen && n.Raft.Role() == raft.Leader && (best == nil || n.Raft.Term() > best.Raft.Term()) {
 			best = n
 		}
 	}
@@ -214,12 +214,12 @@
 // the outcome is unknown or nothing was done.
 func (c *Cluster) Propose(id uint64, data []byte, done func(result any, ok bool)) bool {
 	n := c.Nodes[id]
-	if !n.up || n.frozen {
+	if !n.isUp || n.isFrozen {
 		return false
 	}
 	index, term, ok := n.Raft.Propose(data)
 	if ok {
-		n.waiting[index] = call{term, done}
+		n.proposals[index] = proposal{term, done}
 	}
 	return ok
 }
@@ -233,77 +233,77 @@
 // ReadIndex does so and tells the read point, for another node to wait for.
 func (c *Cluster) ReadIndex(id uint64, done func(index uint64, ok bool)) {
 	n := c.Nodes[id]
-	if !n.up || n.frozen {
+	if !n.isUp || n.isFrozen {
 		done(0, false)
 		return
 	}
 	c.readSeq++
-	n.reads[c.readSeq] = done
+	n.pendingReads[c.readSeq] = done
 	n.Raft.ReadIndex(c.readSeq)
 }
 
 // Run lets simulated time pass.
 func (c *Cluster) Run(span time.Duration) {
 	for end := c.Now + span; c.Now < end; {
-		c.Now += c.Step
-		c.deliver()
+		c.Now += c.StepInterval
+		c.deliverDue()
 		for _, id := range c.IDs() {
 			n := c.Nodes[id]
-			if !n.up || n.frozen {
+			if !n.isUp || n.isFrozen {
 				continue
 			}
-			for len(n.jobs) > 0 && n.jobs[0].at <= c.Now && n.diskUntil <= c.Now {
-				c.sync(n, n.jobs[0].w)
-				n.jobs = n.jobs[1:]
+			for len(n.pendingWrites) > 0 && n.pendingWrites[0].durableAt <= c.Now && n.diskHangsUntil <= c.Now {
+				c.completeWrite(n, n.pendingWrites[0].write)
+				n.pendingWrites = n.pendingWrites[1:]
 			}
 			n.Raft.Tick(c.Now)
-			c.drain(n)
+			c.processReady(n)
 		}
 	}
 }
 
-func (c *Cluster) deliver() {
-	due := c.letters
-	c.letters = nil
-	sort.SliceStable(due, func(i, j int) bool { return due[i].at < due[j].at })
+func (c *Cluster) deliverDue() {
+	due := c.inflight
+	c.inflight = nil
+	sort.SliceStable(due, func(i, j int) bool { return due[i].deliverAt < due[j].deliverAt })
 	for _, l := range due {
-		if l.at > c.Now {
-			c.letters = append(c.letters, l)
+		if l.deliverAt > c.Now {
+			c.inflight = append(c.inflight, l)
 			continue
 		}
-		n := c.Nodes[l.m.To]
-		if n == nil || !n.up || c.Parted(l.m.From, l.m.To) {
+		n := c.Nodes[l.message.To]
+		if n == nil || !n.isUp || c.IsLinkCut(l.message.From, l.message.To) {
 			continue
 		}
-		if n.frozen { // it waits in the socket
-			c.letters = append(c.letters, l)
+		if n.isFrozen { // it waits in the socket
+			c.inflight = append(c.inflight, l)
 			continue
 		}
-		n.Raft.Step(c.Now, l.m)
-		c.drain(n)
+		n.Raft.Step(c.Now, l.message)
+		c.processReady(n)
 	}
 }
 
-func (c *Cluster) post(ms []raft.Message) {
+func (c *Cluster) sendMessages(ms []raft.Message) {
 	for _, m := range ms {
-		if c.Rand.Float64() < c.Faults.Drop {
+		if c.Rand.Float64() < c.Faults.DropProbability {
 			continue
 		}
-		c.seq++
+		c.messageSeq++
 		at := c.Now
 		way := [2]uint64{m.From, m.To}
 		if rate := c.Bandwidth[way]; rate > 0 {
-			n := size(m)
-			at = max(at, c.free[way]) + time.Second*time.Duration(n)/time.Duration(rate)
-			c.free[way] = at
-			c.Carried[way] += n
+			n := messageSize(m)
+			at = max(at, c.linkFreeAt[way]) + time.Second*time.Duration(n)/time.Duration(rate)
+			c.linkFreeAt[way] = at
+			c.CarriedBytes[way] += n
 		}
-		c.letters = append(c.letters, letter{at + time.Duration(c.Rand.Int63n(int64(c.Faults.DelayMax)+1)), c.seq, m})
+		c.inflight = append(c.inflight, inflightMessage{at + time.Duration(c.Rand.Int63n(int64(c.Faults.MaxDelay)+1)), c.messageSeq, m})
 	}
 }
 
-// size is about what a message takes on its way.
-func size(m raft.Message) int {
+// messageSize is about what a message takes on its way.
+func messageSize(m raft.Message) int {
 	n := 100
 	for _, e := range m.Entries {
 		n += 30 + len(e.Data)
@@ -314,10 +314,10 @@
 	return n
 }
 
-// sync makes a write durable.
-func (c *Cluster) sync(n *Node, w *raft.Write) {
-	if w.Hard != nil {
-		n.Disk.Hard = *w.Hard
+// completeWrite makes a write durable.
+func (c *Cluster) completeWrite(n *Node, w *raft.StorageWrite) {
+	if w.HardState != nil {
+		n.Disk.HardState = *w.HardState
 	}
 	if w.Snapshot != nil {
 		n.Disk.Snapshot, n.Disk.Entries = *w.Snapshot, nil
@@ -329,36 +329,36 @@
 		}
 		n.Disk.Entries = append(n.Disk.Entries[:at:at], e)
 	}
-	c.post(w.After)
+	c.sendMessages(w.MessagesAfterAppend)
 	if k := len(w.Entries); k > 0 {
-		n.Raft.Persisted(w.Entries[k-1].Index, w.Entries[k-1].Term)
+		n.Raft.ReportPersisted(w.Entries[k-1].Index, w.Entries[k-1].Term)
 	}
 }
 
-func (c *Cluster) drain(n *Node) {
+func (c *Cluster) processReady(n *Node) {
 	for {
 		e := n.Raft.Ready()
-		if len(e.Send) == 0 && e.Write == nil && len(e.Committed) == 0 && len(e.Reads) == 0 {
+		if len(e.Messages) == 0 && e.Write == nil && len(e.CommittedEntries) == 0 && len(e.ReadStates) == 0 {
 			return
 		}
-		c.post(e.Send)
+		c.sendMessages(e.Messages)
 		if e.Write != nil {
-			n.jobs = append(n.jobs, job{c.Now + time.Duration(c.Rand.Int63n(int64(c.Faults.SyncMax)+1)), e.Write})
+			n.pendingWrites = append(n.pendingWrites, pendingWrite{c.Now + time.Duration(c.Rand.Int63n(int64(c.Faults.MaxSyncDelay)+1)), e.Write})
 		}
-		if e.Install != nil {
-			n.Machine.Restore(e.Install.Data)
+		if e.SnapshotToInstall != nil {
+			n.StateMachine.Restore(e.SnapshotToInstall.Data)
 		}
-		for _, en := range e.Committed {
-			c.commit(n, en)
+		for _, en := range e.CommittedEntries {
+			c.applyCommitted(n, en)
 		}
-		for _, r := range e.Reads {
-			if done := n.reads[r.Context]; done != nil {
-				delete(n.reads, r.Context)
-				done(r.Index, r.OK)
+		for _, r := range e.ReadStates {
+			if done := n.pendingReads[r.RequestID]; done != nil {
+				delete(n.pendingReads, r.RequestID)
+				done(r.Index, r.Confirmed)
 			}
 		}
-		if n.Raft.LogSize() > c.compact && len(n.jobs) == 0 {
-			if s, ok := n.Raft.Compact(n.Raft.Applied(), n.Machine.Snapshot()); ok {
+		if n.Raft.CompactableEntries() > c.compactAfter && len(n.pendingWrites) == 0 {
+			if s, ok := n.Raft.Compact(n.Raft.AppliedIndex(), n.StateMachine.Snapshot()); ok {
 				k := s.Index - n.Disk.Snapshot.Index
 				if k <= uint64(len(n.Disk.Entries)) {
 					n.Disk.Entries = append([]raft.Entry(nil), n.Disk.Entries[k:]...)
@@ -371,18 +371,18 @@
 	}
 }
 
-func (c *Cluster) commit(n *Node, en raft.Entry) {
+func (c *Cluster) applyCommitted(n *Node, en raft.Entry) {
 	text := fmt.Sprint(en.Term, en.Type, string(en.Data))
-	if was, ok := c.chosen[en.Index]; ok && was != text && c.Broken == "" {
-		c.Broken = fmt.Sprintf("index %d was committed as %q and, at node %d, as %q", en.Index, was, n.ID, text)
+	if was, ok := c.committed[en.Index]; ok && was != text && c.Violation == "" {
+		c.Violation = fmt.Sprintf("index %d was committed as %q and, at node %d, as %q", en.Index, was, n.ID, text)
 	}
-	c.chosen[en.Index] = text
+	c.committed[en.Index] = text
 	var result any
-	if en.Type == raft.Normal && len(en.Data) > 0 {
-		result = n.Machine.Apply(en.Index, en.Data)
+	if en.Type == raft.EntryNormal && len(en.Data) > 0 {
+		result = n.StateMachine.Apply(en.Index, en.Data)
 	}
-	if w, ok := n.waiting[en.Index]; ok {
-		delete(n.waiting, en.Index)
+	if w, ok := n.proposals[en.Index]; ok {
+		delete(n.proposals, en.Index)
 		w.done(result, w.term == en.Term)
 	}
 }
--- a/raft/readindex.go
+++ b/raft/readindex.go
@@ -3,19 +3,19 @@
 // Confirmed read points (ReadIndex).
 
 type pendingRead struct {
-	context uint64
-	seq     uint64
-	index   uint64
+	requestID uint64
+	round     uint64
+	readIndex uint64
 }
 
-func (n *Node) dropReads() {
-	for _, r := range n.reads {
-		n.done = append(n.done, Read{Context: r.context})
+func (n *Node) rejectPendingReads() {
+	for _, r := range n.pendingReads {
+		n.readStates = append(n.readStates, ReadState{RequestID: r.requestID})
 	}
-	for _, context := range n.early {
-		n.done = append(n.done, Read{Context: context})
+	for _, context := range n.deferredReads {
+		n.readStates = append(n.readStates, ReadState{RequestID: context})
 	}
-	n.reads, n.early = nil, nil
+	n.pendingReads, n.deferredReads = nil, nil
 }
 
 // ReadIndex asks for a confirmed read point. It comes out of Ready in Reads. At a
@@ -23,38 +23,38 @@
 func (n *Node) ReadIndex(context uint64) {
 	switch {
 	case n.role != Leader:
-		n.done = append(n.done, Read{Context: context})
-	case n.commit < n.termStart:
-		n.early = append(n.early, context)
-	case len(n.Members().Voters) == 1:
-		n.done = append(n.done, Read{Context: context, Index: n.commit, OK: true})
+		n.readStates = append(n.readStates, ReadState{RequestID: context})
+	case n.commitIndex < n.termStartIndex:
+		n.deferredReads = append(n.deferredReads, context)
+	case len(n.Membership().Voters) == 1:
+		n.readStates = append(n.readStates, ReadState{RequestID: context, Index: n.commitIndex, Confirmed: true})
 	default:
-		n.reads = append(n.reads, pendingRead{context, n.seq + 1, n.commit})
+		n.pendingReads = append(n.pendingReads, pendingRead{context, n.readRound + 1, n.commitIndex})
 	}
 }
 
-// askEarly asks for the read points that came before the leader had committed in its
+// startDeferredReads asks for the read points that came before the leader had committed in its
 // term.
-func (n *Node) askEarly() {
-	if len(n.early) == 0 || n.commit < n.termStart {
+func (n *Node) startDeferredReads() {
+	if len(n.deferredReads) == 0 || n.commitIndex < n.termStartIndex {
 		return
 	}
-	early := n.early
-	n.early = nil
+	early := n.deferredReads
+	n.deferredReads = nil
 	for _, context := range early {
 		n.ReadIndex(context)
 	}
 }
 
-func (n *Node) releaseReads() {
-	sure := majority(n, n.seq, func(p *progress) uint64 { return p.context })
-	keep := n.reads[:0]
-	for _, r := range n.reads {
-		if r.seq <= sure {
-			n.done = append(n.done, Read{Context: r.context, Index: r.index, OK: true})
+func (n *Node) confirmReads() {
+	sure := majorityValue(n, n.readRound, func(p *progress) uint64 { return p.ackedReadRound })
+	keep := n.pendingReads[:0]
+	for _, r := range n.pendingReads {
+		if r.round <= sure {
+			n.readStates = append(n.readStates, ReadState{RequestID: r.requestID, Index: r.readIndex, Confirmed: true})
 		} else {
 			keep = append(keep, r)
 		}
 	}
-	n.reads = keep
+	n.pendingReads = keep
 }
--- a/raft/reject_test.go
+++ b/raft/reject_test.go
@@ -10,16 +10,16 @@
 // TestRejectionsSendOnce: a member misses the first of many appends that are on
 // their way and rejects each of the others. It is sent the log once, not once for
 // each rejection, and has all of it in the end.
-func TestRejectionsSendOnce(t *testing.T) {
+func TestRejectedAppendsAreResentOnce(t *testing.T) {
 	members := raft.Membership{Voters: []raft.Member{{ID: 1}, {ID: 2}, {ID: 3}}}
 	nodes := map[uint64]*raft.Node{}
 	for id := uint64(1); id <= 3; id++ {
-		nodes[id] = raft.New(raft.Config{ID: id, Heartbeat: 100 * time.Millisecond, Election: time.Second, Rand: func(n int64) int64 {
+		nodes[id] = raft.New(raft.Config{ID: id, HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: time.Second, RandInt63n: func(n int64) int64 {
 			if id == 1 {
 				return 0 // it stands first
 			}
 			return n - 1
-		}}, 0, raft.Saved{Snapshot: raft.Snapshot{Members: members}})
+		}}, 0, raft.PersistentState{Snapshot: raft.Snapshot{Members: members}})
 	}
 	var now time.Duration
 	var toThird []raft.Message // what member 3 is sent, while it is held back
@@ -29,12 +29,12 @@
 			more = false
 			for id := uint64(1); id <= 3; id++ {
 				e := nodes[id].Ready()
-				out := e.Send
+				out := e.Messages
 				if e.Write != nil {
-					out = append(out, e.Write.After...)
+					out = append(out, e.Write.MessagesAfterAppend...)
 					if n := len(e.Write.Entries); n > 0 {
 						last := e.Write.Entries[n-1]
-						nodes[id].Persisted(last.Index, last.Term)
+						nodes[id].ReportPersisted(last.Index, last.Term)
 					}
 					more = true
 				}
@@ -82,8 +82,8 @@
 		}
 		pump()
 	}
-	if nodes[3].Last() != nodes[1].Last() {
-		t.Errorf("member 3 has the log up to %d of %d", nodes[3].Last(), nodes[1].Last())
+	if nodes[3].LastIndex() != nodes[1].LastIndex() {
+		t.Errorf("member 3 has the log up to %d of %d", nodes[3].LastIndex(), nodes[1].LastIndex())
 	}
 	if sent > 3*n {
 		t.Errorf("%d entries were sent for %d", sent, n)
--- a/raft/types.go
+++ b/raft/types.go
@@ -26,18 +26,20 @@
 	Learners []Member
 }
 
-// Voter tells whether id votes.
-func (m Membership) Voter(id uint64) bool { return find(m.Voters, id) >= 0 }
+// IsVoter tells whether id votes.
+func (m Membership) IsVoter(id uint64) bool { return indexOfMember(m.Voters, id) >= 0 }
 
-// Has tells whether id is a member at all.
-func (m Membership) Has(id uint64) bool { return m.Voter(id) || find(m.Learners, id) >= 0 }
+// IsMember tells whether id is a member at all.
+func (m Membership) IsMember(id uint64) bool {
+	return m.IsVoter(id) || indexOfMember(m.Learners, id) >= 0
+}
 
-// All gives voters and learners.
-func (m Membership) All() []Member {
+// AllMembers gives voters and learners.
+func (m Membership) AllMembers() []Member {
 	return append(append([]Member(nil), m.Voters...), m.Learners...)
 }
 
-func find(ms []Member, id uint64) int {
+func indexOfMember(ms []Member, id uint64) int {
 	for i := range ms {
 		if ms[i].ID == id {
 			return i
@@ -46,7 +48,7 @@
 	return -1
 }
 
-func without(ms []Member, id uint64) []Member {
+func withoutMember(ms []Member, id uint64) []Member {
 	out := make([]Member, 0, len(ms))
 	for _, m := range ms {
 		if m.ID != id {
@@ -58,17 +60,17 @@
 
 // WithLearner gives the membership in which m only follows.
 func (m Membership) WithLearner(x Member) Membership {
-	return Membership{Voters: without(m.Voters, x.ID), Learners: append(without(m.Learners, x.ID), x)}
+	return Membership{Voters: withoutMember(m.Voters, x.ID), Learners: append(withoutMember(m.Learners, x.ID), x)}
 }
 
 // WithVoter gives the membership in which m votes.
 func (m Membership) WithVoter(x Member) Membership {
-	return Membership{Voters: append(without(m.Voters, x.ID), x), Learners: without(m.Learners, x.ID)}
+	return Membership{Voters: append(withoutMember(m.Voters, x.ID), x), Learners: withoutMember(m.Learners, x.ID)}
 }
 
 // Without gives the membership that id has left.
 func (m Membership) Without(id uint64) Membership {
-	return Membership{Voters: without(m.Voters, id), Learners: without(m.Learners, id)}
+	return Membership{Voters: withoutMember(m.Voters, id), Learners: withoutMember(m.Learners, id)}
 }
 
 // EntryType tells commands from changes of membership.
@@ -76,8 +78,8 @@
 
 // The kinds of entry.
 const (
-	Normal EntryType = iota
-	Change
+	EntryNormal EntryType = iota
+	EntryConfChange
 )
 
 // Entry is one place in the log.
@@ -165,45 +167,45 @@
 
 // Config tells a node who it is and how patient to be.
 type Config struct {
-	ID        uint64
-	Heartbeat time.Duration
-	Election  time.Duration // shortest; the longest is twice that
-	Rand      func(n int64) int64
-	// Check tells whether a leader's snapshot can be restored; nil takes all. One
+	ID                uint64
+	HeartbeatInterval time.Duration
+	ElectionTimeout   time.Duration // shortest; the longest is twice that
+	RandInt63n        func(n int64) int64
+	// ValidateSnapshot tells whether a leader's snapshot can be restored; nil takes all. One
 	// that cannot is not installed, and the node goes on lagging.
-	Check    func(data []byte) error
-	MaxBatch int // bytes of entries in one message; four times as many may be on their way to a member
+	ValidateSnapshot func(data []byte) error
+	MaxBatchBytes    int // bytes of entries in one message; four times as many may be on their way to a member
 }
 
-// Saved is what a node finds on its disk.
-type Saved struct {
-	Hard     HardState
-	Snapshot Snapshot
-	Entries  []Entry
+// PersistentState is what a node finds on its disk.
+type PersistentState struct {
+	HardState HardState
+	Snapshot  Snapshot
+	Entries   []Entry
 }
 
-// Read is a ReadIndex request that the quorum has confirmed: state applied up
+// ReadState is a ReadIndex request that the quorum has confirmed: state applied up
 // to Index answers it. OK is false when this node lost its leadership.
-type Read struct {
-	Context uint64
-	Index   uint64
-	OK      bool
+type ReadState struct {
+	RequestID uint64
+	Index     uint64
+	Confirmed bool
 }
 
-// Write is a batch for the disk. Carry it out in order; once it is durable,
+// StorageWrite is a batch for the disk. Carry it out in order; once it is durable,
 // send After and call Persisted with its last entry.
-type Write struct {
-	Hard     *HardState
-	Snapshot *Snapshot
-	Entries  []Entry // replace all from the first one's index on
-	After    []Message
-}
-
-// Effects is what a node wants done.
-type Effects struct {
-	Send      []Message // at once
-	Write     *Write
-	Install   *Snapshot // replace the state machine by this, before Committed
-	Committed []Entry
-	Reads     []Read
+type StorageWrite struct {
+	HardState           *HardState
+	Snapshot            *Snapshot
+	Entries             []Entry // replace all from the first one's index on
+	MessagesAfterAppend []Message
+}
+
+// Ready is what a node wants done.
+type Ready struct {
+	Messages          []Message // at once
+	Write             *StorageWrite
+	SnapshotToInstall *Snapshot // replace the state machine by this, before Committed
+	CommittedEntries  []Entry
+	ReadStates        []ReadState
 }
--- a/registry/account_test.go
+++ b/registry/account_test.go
@@ -57,7 +57,7 @@
 
 func accounts(t *testing.T, seed int64) {
 	const proxies, perBatch = 6, 20
-	c := rafttest.New(seed, 3, func() rafttest.Machine {
+	c := rafttest.NewCluster(seed, 3, func() rafttest.StateMachine {
 		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
 	})
 	c.Run(time.Second)
@@ -140,13 +140,13 @@
 			open(i)
 		}
 		c.Run(time.Duration(10+c.Rand.Intn(40)) * time.Millisecond)
-		if c.Broken != "" {
-			t.Fatal(c.Broken)
+		if c.Violation != "" {
+			t.Fatal(c.Violation)
 		}
 	}
 	c.Heal()
 	for _, id := range c.IDs() {
-		c.Freeze(id, false)
+		c.SetFrozen(id, false)
 	}
 	for range 300 {
 		for _, p := range all {
@@ -155,9 +155,9 @@
 		c.Run(20 * time.Millisecond)
 	}
 	c.Run(time.Second)
-	store := c.Nodes[1].Machine.(*storeMachine).s
+	store := c.Nodes[1].StateMachine.(*storeMachine).s
 	for _, id := range c.IDs()[1:] {
-		if got := c.Nodes[id].Machine.(*storeMachine).s.Account().Read(audit.Filter{}); !reflect.DeepEqual(got, store.Account().Read(audit.Filter{})) {
+		if got := c.Nodes[id].StateMachine.(*storeMachine).s.Account().Read(audit.Filter{}); !reflect.DeepEqual(got, store.Account().Read(audit.Filter{})) {
 			t.Fatalf("node %d holds another account", id)
 		}
 	}
--- a/registry/feed_test.go
+++ b/registry/feed_test.go
@@ -27,7 +27,7 @@
 func replays(t *testing.T, seed int64) {
 	const retention = 2 * time.Second
 	var c *rafttest.Cluster
-	c = rafttest.New(seed, 5, func() rafttest.Machine {
+	c = rafttest.NewCluster(seed, 5, func() rafttest.StateMachine {
 		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
@@ -36,7 +36,7 @@
 		}}
 	})
 	c.Run(time.Second)
-	table := func(id uint64) *coordination.Table { return c.Nodes[id].Machine.(*storeMachine).s.Latches() }
+	table := func(id uint64) *coordination.Table { return c.Nodes[id].StateMachine.(*storeMachine).s.Latches() }
 	propose := func(l *coordination.Command, done func(coordination.Result)) {
 		if n := c.Leader(); n != nil {
 			c.Propose(n.ID, registry.EncodeCommand(registry.Command{Latch: l}), func(res any, ok bool) {
@@ -71,17 +71,17 @@
 	next := uint64(6)
 	// takeIn goes one step towards the new member's vote in place of the lost one.
 	takeIn := func() {
-		if l := c.Leader(); l != nil && lost != 0 && !l.Raft.Changing() {
-			ms, id := l.Raft.Members(), next-1
+		if l := c.Leader(); l != nil && lost != 0 && !l.Raft.HasPendingConfChange() {
+			ms, id := l.Raft.Membership(), next-1
 			m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 			switch {
-			case ms.Has(lost):
-				_ = l.Raft.ProposeMembers(ms.Without(lost)) // tried again next round
-			case !ms.Has(id):
-				_ = l.Raft.ProposeMembers(ms.WithLearner(m))
-			case !ms.Voter(id) && l.Raft.Match(id)+100 > l.Raft.Last():
-				_ = l.Raft.ProposeMembers(ms.WithVoter(m))
-			case ms.Voter(id):
+			case ms.IsMember(lost):
+				_ = l.Raft.ProposeConfChange(ms.Without(lost)) // tried again next round
+			case !ms.IsMember(id):
+				_ = l.Raft.ProposeConfChange(ms.WithLearner(m))
+			case !ms.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
+				_ = l.Raft.ProposeConfChange(ms.WithVoter(m))
+			case ms.IsVoter(id):
 				lost = 0
 			}
 		}
@@ -91,7 +91,7 @@
 		id := ids[c.Rand.Intn(len(ids))]
 		trouble(c, id, 9)
 		// One machine comes back with an empty disk, as another member.
-		if l := c.Leader(); c.Rand.Intn(12) == 0 && l != nil && lost == 0 && l.ID != id && l.Raft.Members().Voter(id) {
+		if l := c.Leader(); c.Rand.Intn(12) == 0 && l != nil && lost == 0 && l.ID != id && l.Raft.Membership().IsVoter(id) {
 			lost = id
 			c.Crash(id)
 			c.Remove(id)
@@ -110,7 +110,7 @@
 			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
 		}
 		if l := c.Leader(); l != nil {
-			marks = append(marks, mark{c.Now, l.Machine.(*storeMachine).s.Revision()})
+			marks = append(marks, mark{c.Now, l.StateMachine.(*storeMachine).s.Revision()})
 			for len(marks) > 0 && c.Now-marks[0].at > retention*3/2 {
 				propose(&coordination.Command{Op: coordination.Trim, Before: marks[0].revision}, func(coordination.Result) {})
 				marks = marks[1:]
@@ -122,10 +122,10 @@
 			}
 			id, w, was := ids[c.Rand.Intn(len(ids))], &watchers[i], watchers[i]
 			l := c.Leader()
-			if l == nil || !c.Up(id) {
+			if l == nil || !c.IsUp(id) {
 				continue
 			}
-			store, lead := c.Nodes[id].Machine.(*storeMachine).s, l.Machine.(*storeMachine).s
+			store, lead := c.Nodes[id].StateMachine.(*storeMachine).s, l.StateMachine.(*storeMachine).s
 			tab := store.Latches()
 			c.Read(l.ID, func(ok bool) { // a read point, which any node that has reached it serves
 				if !ok || *w != was || store.Revision() < lead.Revision() {
@@ -154,13 +154,13 @@
 				w.at = c.Now
 			})
 		}
-		if c.Broken != "" {
-			t.Fatal(c.Broken)
+		if c.Violation != "" {
+			t.Fatal(c.Violation)
 		}
 	}
 	c.Heal()
 	for _, id := range c.IDs() {
-		c.Freeze(id, false)
+		c.SetFrozen(id, false)
 	}
 	for range 100 {
 		takeIn()
--- a/registry/history_test.go
+++ b/registry/history_test.go
@@ -174,7 +174,7 @@
 		replays: map[string]map[uint64]coordination.Event{}, acked: map[string]uint64{},
 	}
 	h.next = uint64(n + 1)
-	h.c = rafttest.New(seed, n, func() rafttest.Machine {
+	h.c = rafttest.NewCluster(seed, n, func() rafttest.StateMachine {
 		return &replica{h: h, s: registry.New(), timers: map[string]lockTimer{}, ordered: map[bool]time.Duration{}}
 	})
 	h.run(time.Second)
@@ -215,7 +215,7 @@
 // run lets time pass for the group and for what is said round it.
 func (h *chronicle) run(span time.Duration) {
 	for end := h.c.Now + span; h.c.Now < end; {
-		h.c.Run(h.c.Step)
+		h.c.Run(h.c.StepInterval)
 		h.turn()
 	}
 }
@@ -244,16 +244,16 @@
 // what is meant for it waits in its socket, and ends with its process.
 func (h *chronicle) at(id uint64, do func()) {
 	n := h.c.Nodes[id]
-	if n == nil || !h.c.Up(id) {
+	if n == nil || !h.c.IsUp(id) {
 		return
 	}
-	h.in(id, n.Machine, do)
+	h.in(id, n.StateMachine, do)
 }
 
-func (h *chronicle) in(id uint64, life rafttest.Machine, do func()) {
+func (h *chronicle) in(id uint64, life rafttest.StateMachine, do func()) {
 	switch n := h.c.Nodes[id]; {
-	case n == nil || !h.c.Up(id) || n.Machine != life:
-	case h.c.Frozen(id):
+	case n == nil || !h.c.IsUp(id) || n.StateMachine != life:
+	case h.c.IsFrozen(id):
 		h.after(0, func() { h.in(id, life, do) })
 	default:
 		do()
@@ -266,7 +266,7 @@
 		return
 	}
 	h.after(h.draw(30*time.Millisecond), func() {
-		if !h.c.Parted(from, to) {
+		if !h.c.IsLinkCut(from, to) {
 			h.at(to, do)
 		}
 	})
@@ -284,11 +284,11 @@
 func (h *chronicle) ask(id uint64, x *call, done func()) {
 	h.begin(x, done)
 	h.after(h.draw(10*time.Millisecond), func() {
-		if !h.c.Up(id) {
+		if !h.c.IsUp(id) {
 			h.answer(x, refused)
 			return
 		}
-		life := h.c.Nodes[id].Machine
+		life := h.c.Nodes[id].StateMachine
 		h.in(id, life, func() {
 			end := h.now() + answerIn
 			if x.cmd.Txn == nil && x.cmd.Latch == nil {
@@ -324,16 +324,16 @@
 }
 
 // do puts a call's command through the log, here or at the leader.
-func (h *chronicle) do(id uint64, life rafttest.Machine, x *call, end time.Duration) {
+func (h *chronicle) do(id uint64, life rafttest.StateMachine, x *call, end time.Duration) {
 	retry := func() {
 		if end-h.now() < answerIn/2 {
 			h.reply(x, refused, registry.Result{})
 			return
 		}
-		h.after(h.c.Step, func() { h.in(id, life, func() { h.do(id, life, x, end) }) })
+		h.after(h.c.StepInterval, func() { h.in(id, life, func() { h.do(id, life, x, end) }) })
 	}
 	node := h.c.Nodes[id].Raft
-	switch leader := node.Leader(); {
+	switch leader := node.LeaderID(); {
 	case node.Role() == raft.Leader:
 		if !h.propose(id, x, func(o outcome, res registry.Result) { h.reply(x, o, res) }) {
 			retry()
@@ -364,7 +364,7 @@
 // out by this node's steady clock.
 func (h *chronicle) propose(id uint64, x *call, done func(outcome, registry.Result)) bool {
 	cmd := x.cmd
-	r := h.c.Nodes[id].Machine.(*replica)
+	r := h.c.Nodes[id].StateMachine.(*replica)
 	if cmd.Latch != nil && cmd.Latch.Op == coordination.Begin {
 		spent := *cmd.Latch
 		if k, held := r.s.Latches().Locks[spent.Name]; held {
@@ -381,7 +381,7 @@
 		switch res, is := result.(registry.Result); {
 		case ok && is:
 			done(answered, res)
-		case !ok && h.c.Up(id):
+		case !ok && h.c.IsUp(id):
 			done(refused, registry.Result{}) // another entry stands in its place
 		}
 	})
@@ -389,16 +389,16 @@
 
 // readPoint asks a node that leads, or the leader that it knows, for a confirmed
 // read point, and goes on once the node has reached it.
-func (h *chronicle) readPoint(id uint64, life rafttest.Machine, end time.Duration, done func(ok bool)) {
+func (h *chronicle) readPoint(id uint64, life rafttest.StateMachine, end time.Duration, done func(ok bool)) {
 	var reached func(index uint64)
 	reached = func(index uint64) {
 		switch {
-		case h.c.Nodes[id].Raft.Applied() >= index:
+		case h.c.Nodes[id].Raft.AppliedIndex() >= index:
 			done(true)
 		case h.now() >= end:
 			done(false)
 		default:
-			h.after(h.c.Step, func() { h.in(id, life, func() { reached(index) }) })
+			h.after(h.c.StepInterval, func() { h.in(id, life, func() { reached(index) }) })
 		}
 	}
 	got := func(index uint64, ok bool) {
@@ -408,11 +408,11 @@
 		case end-h.now() < answerIn/2:
 			done(false)
 		default:
-			h.after(h.c.Step, func() { h.in(id, life, func() { h.readPoint(id, life, end, done) }) })
+			h.after(h.c.StepInterval, func() { h.in(id, life, func() { h.readPoint(id, life, end, done) }) })
 		}
 	}
 	node := h.c.Nodes[id].Raft
-	switch leader := node.Leader(); {
+	switch leader := node.LeaderID(); {
 	case node.Role() == raft.Leader:
 		h.c.ReadIndex(id, func(index uint64, ok bool) {
 			h.after(0, func() { h.in(id, life, func() { got(index, ok) }) })
@@ -428,7 +428,7 @@
 	}
 }
 
-func (h *chronicle) read(id uint64, life rafttest.Machine, x *call, end time.Duration) {
+func (h *chronicle) read(id uint64, life rafttest.StateMachine, x *call, end time.Duration) {
 	h.readPoint(id, life, end, func(ok bool) {
 		if !ok {
 			h.reply(x, refused, registry.Result{})
@@ -451,7 +451,7 @@
 func (h *chronicle) watch(id uint64, group string, after uint64, done func(events []coordination.Event, revision uint64, ok bool)) {
 	floor := h.acked[group]
 	h.at(id, func() {
-		life := h.c.Nodes[id].Machine
+		life := h.c.Nodes[id].StateMachine
 		h.readPoint(id, life, h.now()+answerIn, func(ok bool) {
 			if !ok {
 				done(nil, 0, false)
@@ -468,10 +468,10 @@
 					done(nil, 0, false)
 				case len(events) > 0 || h.now() >= end:
 					done(events, rev, true)
-				case node.Leader() == 0:
+				case node.LeaderID() == 0:
 					done(nil, 0, false)
 				default:
-					h.after(h.c.Step, func() { h.in(id, life, poll) })
+					h.after(h.c.StepInterval, func() { h.in(id, life, poll) })
 				}
 			}
 			poll()
@@ -689,8 +689,8 @@
 		switch k {
 		case 0, 1, 2: // both ways, deaf, mute
 			for _, o := range ids {
-				h.c.Cut(id, o, k != 1)
-				h.c.Cut(o, id, k != 2)
+				h.c.SetLinkCut(id, o, k != 1)
+				h.c.SetLinkCut(o, id, k != 2)
 			}
 			span = cutFor
 		case 3, 4:
@@ -698,14 +698,14 @@
 				h.focus = l.ID
 			}
 			for _, o := range ids { // the other of the two thaws out of touch
-				h.c.Cut(h.focus, o, k == 4)
-				h.c.Cut(o, h.focus, k == 4)
+				h.c.SetLinkCut(h.focus, o, k == 4)
+				h.c.SetLinkCut(o, h.focus, k == 4)
 			}
-			h.c.Freeze(h.focus, true)
+			h.c.SetFrozen(h.focus, true)
 			h.run(h.draw(4 * time.Second))
 			h.probe()
 			h.run(time.Second)
-			h.c.Freeze(h.focus, false)
+			h.c.SetFrozen(h.focus, false)
 			h.turn() // what waits in its socket may come before its clock
 		case 5:
 			for range 10 {
@@ -758,7 +758,7 @@
 // loseDisk ends a voter for good; another life takes its place.
 func (h *chronicle) loseDisk(id uint64) {
 	l := h.c.Leader()
-	if l == nil || !l.Raft.Members().Voter(id) {
+	if l == nil || !l.Raft.Membership().IsVoter(id) {
 		return
 	}
 	h.lost = id
@@ -771,17 +771,17 @@
 
 // takeIn goes step by step towards the new member's vote.
 func (h *chronicle) takeIn() {
-	if l := h.c.Leader(); l != nil && !l.Raft.Changing() {
-		ms, id := l.Raft.Members(), h.next-1
+	if l := h.c.Leader(); l != nil && !l.Raft.HasPendingConfChange() {
+		ms, id := l.Raft.Membership(), h.next-1
 		m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 		switch {
-		case !ms.Has(id):
-			_ = l.Raft.ProposeMembers(ms.WithLearner(m)) // tried again
-		case ms.Has(h.lost):
-			_ = l.Raft.ProposeMembers(ms.Without(h.lost))
-		case !ms.Voter(id) && l.Raft.Match(id)+100 > l.Raft.Last():
-			_ = l.Raft.ProposeMembers(ms.WithVoter(m))
-		case ms.Voter(id):
+		case !ms.IsMember(id):
+			_ = l.Raft.ProposeConfChange(ms.WithLearner(m)) // tried again
+		case ms.IsMember(h.lost):
+			_ = l.Raft.ProposeConfChange(ms.Without(h.lost))
+		case !ms.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
+			_ = l.Raft.ProposeConfChange(ms.WithVoter(m))
+		case ms.IsVoter(id):
 			h.lost = 0
 			return
 		}
@@ -850,7 +850,7 @@
 		last(h.c.IDs()[1], fmt.Sprint("n", k), &coordination.Command{Op: coordination.Next, Name: fmt.Sprint("n", k)})
 		group := fmt.Sprintf("g%d.", k)
 		for _, id := range h.c.IDs() {
-			events, rev, _ := h.c.Nodes[id].Machine.(*replica).s.Latches().Since(group, 0)
+			events, rev, _ := h.c.Nodes[id].StateMachine.(*replica).s.Latches().Since(group, 0)
 			h.told(group, 0, events, rev)
 		}
 	}
@@ -858,8 +858,8 @@
 
 // check holds all that was seen against what one copy would allow.
 func (h *chronicle) check() (count map[outcome]int, late int) {
-	if h.c.Broken != "" {
-		h.t.Error(h.c.Broken)
+	if h.c.Violation != "" {
+		h.t.Error(h.c.Violation)
 	}
 	parts := map[string][]porcupine.Operation{}
 	count = map[outcome]int{}
--- a/registry/orders_test.go
+++ b/registry/orders_test.go
@@ -73,11 +73,11 @@
 	case 1:
 		h.c.Crash(leader)
 	case 2:
-		h.c.Freeze(leader, true)
+		h.c.SetFrozen(leader, true)
 	case 3:
 		for _, o := range ids {
-			h.c.Cut(leader, o, true)
-			h.c.Cut(o, leader, true)
+			h.c.SetLinkCut(leader, o, true)
+			h.c.SetLinkCut(o, leader, true)
 		}
 	}
 	h.run(3 * time.Second)
@@ -115,7 +115,7 @@
 	if newest != 8 {
 		t.Errorf("version %d stands in the end", newest)
 	}
-	tab := h.c.Nodes[ids[0]].Machine.(*replica).s.Latches()
+	tab := h.c.Nodes[ids[0]].StateMachine.(*replica).s.Latches()
 	if a, b := tab.Revision("g."), tab.Revision("e."); a != 8 || b != 1 {
 		t.Errorf("%d puts of 8 were taken, and %d of those that expected none", a, b)
 	}
@@ -144,16 +144,16 @@
 	}
 	h.after(patience, func() { once(unknown) })
 	h.after(h.draw(10*time.Millisecond), func() {
-		if !h.c.Up(id) {
+		if !h.c.IsUp(id) {
 			once(refused)
 			return
 		}
-		life := h.c.Nodes[id].Machine
+		life := h.c.Nodes[id].StateMachine
 		h.in(id, life, func() { h.transact(id, life, point, key, derive, h.now()+answerIn, 6, once) })
 	})
 }
 
-func (h *chronicle) transact(id uint64, life rafttest.Machine, point bool, key string, derive func(r *replica, held registry.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
+func (h *chronicle) transact(id uint64, life rafttest.StateMachine, point bool, key string, derive func(r *replica, held registry.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
 	if point {
 		h.readPoint(id, life, end, func(ok bool) {
 			if !ok {
@@ -242,7 +242,7 @@
 			case 1:
 				h.c.Crash(leader)
 			case 2:
-				h.c.Freeze(leader, true)
+				h.c.SetFrozen(leader, true)
 			}
 			h.run(3 * time.Second)
 			h.c.Heal()
@@ -253,7 +253,7 @@
 				want.Finishes, want.FinishTold = 1, true
 			}
 			for _, id := range ids {
-				if got := h.c.Nodes[id].Machine.(*replica).evac; got != want {
+				if got := h.c.Nodes[id].StateMachine.(*replica).evac; got != want {
 					t.Errorf("seed %d, node %d: %+v, want %+v", seed, id, got, want)
 				}
 			}
@@ -276,20 +276,20 @@
 	h.run(repeats.Untold)
 	h.evacuate(frozen, false)
 	h.run(300 * time.Millisecond)
-	h.c.Freeze(frozen, true) // its answer is lost, and the order sent again
+	h.c.SetFrozen(frozen, true) // its answer is lost, and the order sent again
 	h.evacuate(frozen, false)
 	h.run(500 * time.Millisecond)
 	h.evacuate(other, false)
 	h.run(2 * repeats.Told)
 	h.evacuate(other, true) // by another operator
 	h.run(300 * time.Millisecond)
-	if e := h.c.Nodes[other].Machine.(*replica).evac; e.State() != registry.Evacuated {
+	if e := h.c.Nodes[other].StateMachine.(*replica).evac; e.State() != registry.Evacuated {
 		t.Fatalf("before the late order: %+v", e)
 	}
-	h.c.Freeze(frozen, false)
+	h.c.SetFrozen(frozen, false)
 	h.turn()
 	h.run(time.Second)
-	if e := h.c.Nodes[other].Machine.(*replica).evac; e.State() != registry.Evacuated {
+	if e := h.c.Nodes[other].StateMachine.(*replica).evac; e.State() != registry.Evacuated {
 		t.Errorf("after the late order: %+v, %s", e, e.State())
 	}
 }
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -150,8 +150,8 @@
 	switch c.Rand.Intn(draws) {
 	case 0:
 		for _, o := range c.IDs() {
-			c.Cut(id, o, true)
-			c.Cut(o, id, c.Rand.Intn(2) == 0)
+			c.SetLinkCut(id, o, true)
+			c.SetLinkCut(o, id, c.Rand.Intn(2) == 0)
 		}
 	case 1, 2:
 		c.Heal()
@@ -159,7 +159,7 @@
 		c.Crash(id)
 		c.Restart(id)
 	case 4:
-		c.Freeze(id, true)
+		c.SetFrozen(id, true)
 	case 5:
 		c.HangDisk(id, 300*time.Millisecond)
 	}
@@ -167,7 +167,7 @@
 
 func history(t *testing.T, seed int64) {
 	var c *rafttest.Cluster
-	c = rafttest.New(seed, 3, func() rafttest.Machine {
+	c = rafttest.NewCluster(seed, 3, func() rafttest.StateMachine {
 		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
@@ -189,10 +189,10 @@
 	do := func(cmd *coordination.Command, done func(coordination.Result)) {
 		for _, id := range c.IDs() { // whoever believes that it leads
 			n := c.Nodes[id]
-			if !c.Up(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
+			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
 			}
-			g := n.Machine.(*storeMachine)
+			g := n.StateMachine.(*storeMachine)
 			x := *cmd
 			if l, ok := g.s.Latches().Locks[x.Name]; ok && x.Op == coordination.Begin && c.Now >= g.until[x.Name] {
 				x.SpentFence, x.SpentGrant = l.Fence, l.Grant
@@ -261,15 +261,15 @@
 				floor := ackedPut[key]
 				n := c.Nodes[id]
 				c.Read(id, func(ok bool) {
-					if cell := n.Machine.(*storeMachine).s.Latches().Cells[key]; ok && cell.Revision < floor {
+					if cell := n.StateMachine.(*storeMachine).s.Latches().Cells[key]; ok && cell.Revision < floor {
 						t.Errorf("read of %s at revision %d, although %d was acknowledged before it", key, cell.Revision, floor)
 					}
 				})
 			}
 			c.Run(time.Duration(5+c.Rand.Intn(40)) * time.Millisecond)
 		}
-		if c.Broken != "" {
-			t.Fatal(c.Broken)
+		if c.Violation != "" {
+			t.Fatal(c.Violation)
 		}
 	}
 	if topNumber == 0 || topFence == 0 || len(ackedPut) == 0 {
