--- a/audit/audit.go
+++ b/audit/audit.go
@@ -21,26 +21,26 @@
 // only when all tries of one request are seen together, as they may have gone
 // through several proxies.
 const (
-	Late      Kind = "late"       // answered well, after its aim
-	Failed    Kind = "failed"     // not answered well
-	BrokenOff Kind = "broken_off" // an answer ended early
+	MissedLatencyTarget Kind = "late"       // answered well, after its aim
+	Failed              Kind = "failed"     // not answered well
+	Truncated           Kind = "broken_off" // an answer ended early
 
-	Ran    Kind = "ran"     // a commitment that an endpoint answered well
-	Unsure Kind = "unsure"  // a commitment that an endpoint may have got, and no clear answer
-	NotRun Kind = "not_run" // a commitment that certainly has not run
+	Executed      Kind = "ran"     // a commitment that an endpoint answered well
+	MaybeExecuted Kind = "unsure"  // a commitment that an endpoint may have got, and no clear answer
+	NotExecuted   Kind = "not_run" // a commitment that certainly has not run
 )
 
 // What a commitment's tries amount to.
 const (
-	Doubled      Kind = "doubled"       // recorded twice: two tries ran
-	MaybeDoubled Kind = "maybe_doubled" // one ran, and another may have
-	Unclear      Kind = "unclear"       // none is known to have run, one may have: recorded or lost
-	Lost         Kind = "lost"          // no try has run
+	Duplicated      Kind = "doubled"       // recorded twice: two tries ran
+	MaybeDuplicated Kind = "maybe_doubled" // one ran, and another may have
+	Indeterminate   Kind = "unclear"       // none is known to have run, one may have: recorded or lost
+	Lost            Kind = "lost"          // no try has run
 )
 
-// Kinds lists what an entry of the account may be.
-func Kinds() []Kind {
-	return []Kind{Late, Failed, BrokenOff, Doubled, MaybeDoubled, Unclear, Lost}
+// FailureKinds lists what an entry of the account may be.
+func FailureKinds() []Kind {
+	return []Kind{MissedLatencyTarget, Failed, Truncated, Duplicated, MaybeDuplicated, Indeterminate, Lost}
 }
 
 // Record is one try. Tenant and Request tell whose it is; Attempt is the try's own
@@ -57,10 +57,12 @@
 	TookMS  int64  `json:"took_ms"`
 }
 
-// commitment tells whether the record is a commitment's evidence.
-func (r Record) commitment() bool { return r.Kind == Ran || r.Kind == Unsure || r.Kind == NotRun }
+// isCommitmentEvidence tells whether the record is a commitment's evidence.
+func (r Record) isCommitmentEvidence() bool {
+	return r.Kind == Executed || r.Kind == MaybeExecuted || r.Kind == NotExecuted
+}
 
-// Batch is what a proxy hands over at a time.
+// NextBatch is what a proxy hands over at a time.
 type Batch struct {
 	Life    string   `json:"life"`
 	Node    string   `json:"node"`
@@ -75,60 +77,62 @@
 	Out  int     `json:"out"`
 	// Closed tells that the life ends and has handed over everything.
 	Closed bool `json:"closed"`
-	// Most is the bound of the book, set by the control-plane node that takes the
+	// Limit is the bound of the book, set by the control-plane node that takes the
 	// batch, so that all replicas keep to the same.
 	Most int `json:"most"`
 }
 
-// Stub is a proxy's side. It is not safe for use from several goroutines.
-type Stub struct {
-	life, node string
-	most       int
-	next       uint64
-	held       []Record
-	dropped    uint64
+// Recorder is a proxy's side. It is not safe for use from several goroutines.
+type Recorder struct {
+	incarnation, node string
+	maxPending        int
+	lastSeq           uint64
+	pending           []Record
+	dropped           uint64
 }
 
-// NewStub makes the stub of one life of a node's process, which holds so many
+// NewRecorder makes the stub of one life of a node's process, which holds so many
 // records at the most.
-func NewStub(life, node string, most int) *Stub { return &Stub{life: life, node: node, most: most} }
+func NewRecorder(life, node string, most int) *Recorder {
+	return &Recorder{incarnation: life, node: node, maxPending: most}
+}
 
-// Note numbers a record and keeps it. What passes the bound is dropped and counted.
-func (s *Stub) Note(r Record) {
-	s.next++
-	if len(s.held) >= s.most {
+// Append numbers a record and keeps it. What passes the bound is dropped and counted.
+func (s *Recorder) Append(r Record) {
+	s.lastSeq++
+	if len(s.pending) >= s.maxPending {
 		s.dropped++
 		return
 	}
-	r.Seq = s.next
-	s.held = append(s.held, r)
+	r.Seq = s.lastSeq
+	s.pending = append(s.pending, r)
 }
 
-// Batch gives the oldest records not acknowledged yet, so many at the most.
-func (s *Stub) Batch(atMS int64, most int) Batch {
-	return Batch{Life: s.life, Node: s.node, AtMS: atMS, Dropped: s.dropped, Records: slices.Clone(s.held[:min(most, len(s.held))])}
+// NextBatch gives the oldest records not acknowledged yet, so many at the most.
+func (s *Recorder) NextBatch(atMS int64, most int) Batch {
+	return Batch{Life: s.incarnation, Node: s.node, AtMS: atMS, Dropped: s.dropped, Records: slices.Clone(s.pending[:min(most, len(s.pending))])}
 }
 
-// Acked takes that all records of a life up to a number have been taken in.
-func (s *Stub) Acked(life string, seq uint64) {
-	if life != s.life {
+// Acknowledge takes that all records of a life up to a number have been taken in.
+func (s *Recorder) Acknowledge(life string, seq uint64) {
+	if life != s.incarnation {
 		return
 	}
 	n := 0
-	for n < len(s.held) && s.held[n].Seq <= seq {
+	for n < len(s.pending) && s.pending[n].Seq <= seq {
 		n++
 	}
-	s.held = append(s.held[:0:0], s.held[n:]...)
+	s.pending = append(s.pending[:0:0], s.pending[n:]...)
 }
 
-// Held is how many records wait.
-func (s *Stub) Held() int { return len(s.held) }
+// Pending is how many records wait.
+func (s *Recorder) Pending() int { return len(s.pending) }
 
 // Dropped is how many were dropped.
-func (s *Stub) Dropped() uint64 { return s.dropped }
+func (s *Recorder) Dropped() uint64 { return s.dropped }
 
-// Life is one life of a proxy's process as the book knows it.
-type Life struct {
+// Incarnation is one life of a proxy's process as the book knows it.
+type Incarnation struct {
 	Node    string  `json:"node"`
 	Last    uint64  `json:"last"`
 	LastMS  int64   `json:"last_ms"`
@@ -144,28 +148,28 @@
 	At uint64 `json:"-"`
 }
 
-// unheardMS is after how long a life that has not closed, and that others have been
+// silenceTimeoutMS is after how long a life that has not closed, and that others have been
 // heard of since, counts as ended unseen. Idle lives are heard three times in it.
-const unheardMS = 15000
+const silenceTimeoutMS = 15000
 
-// end marks a life that ended unseen, at the latest when told.
-func (l *Life) end(ms int64) {
+// markGap marks a life that ended unseen, at the latest when told.
+func (l *Incarnation) markGap(ms int64) {
 	l.Gap = true
 	l.MayMiss = int64(l.Out) + int64(l.PerS*float64(max(0, ms-l.LastMS))/1000+0.999)
 }
 
-// Try is a record within its entry.
-type Try struct {
+// Attempt is a record within its entry.
+type Attempt struct {
 	Node string `json:"node"`
 	Record
 }
 
 // Entry is one failure: a try that went wrong, or a commitment with all its tries.
 type Entry struct {
-	Tenant  string `json:"tenant"`
-	Request string `json:"request"`
-	Tries   []Try  `json:"tries"`
-	at      uint64 // the log's number of its newest try
+	Tenant   string    `json:"tenant"`
+	Request  string    `json:"request"`
+	Tries    []Attempt `json:"tries"`
+	revision uint64    // the log's number of its newest try
 }
 
 // Kind is what the tries amount to; empty is no failure.
@@ -173,32 +177,32 @@
 	ran, unsure := 0, 0
 	for _, t := range e.Tries {
 		switch t.Kind {
-		case Ran:
+		case Executed:
 			ran++
-		case Unsure:
+		case MaybeExecuted:
 			unsure++
-		case NotRun:
+		case NotExecuted:
 		default:
 			return t.Kind
 		}
 	}
 	switch {
 	case ran > 1:
-		return Doubled
+		return Duplicated
 	case ran == 1 && unsure > 0:
-		return MaybeDoubled
+		return MaybeDuplicated
 	case ran == 1:
 		return ""
 	case unsure > 0:
-		return Unclear
+		return Indeterminate
 	}
 	return Lost
 }
 
-// Book is the account. It is part of a replicated state: every replica that takes
+// Log is the account. It is part of a replicated state: every replica that takes
 // the same batches in the same order holds the same.
-type Book struct {
-	Lives   map[string]*Life
+type Log struct {
+	Lives   map[string]*Incarnation
 	Entries map[string]*Entry
 	// Dropped counts entries that were given up for the bound, by tenant.
 	Dropped map[string]uint64
@@ -206,41 +210,41 @@
 	Ats map[string]uint64
 }
 
-// NewBook makes an empty account.
-func NewBook() *Book {
-	return &Book{Lives: map[string]*Life{}, Entries: map[string]*Entry{}, Dropped: map[string]uint64{}}
+// NewLog makes an empty account.
+func NewLog() *Log {
+	return &Log{Lives: map[string]*Incarnation{}, Entries: map[string]*Entry{}, Dropped: map[string]uint64{}}
 }
 
-// Seal and Settle go round encoding.
-func (b *Book) Seal() {
+// PrepareEncode and Settle go round encoding.
+func (b *Log) PrepareEncode() {
 	b.Ats = make(map[string]uint64, len(b.Entries))
 	for k, e := range b.Entries {
-		b.Ats[k] = e.at
+		b.Ats[k] = e.revision
 	}
 }
 
-// Settle makes a decoded book ready for use.
-func (b *Book) Settle() {
+// FinishDecode makes a decoded book ready for use.
+func (b *Log) FinishDecode() {
 	for k, at := range b.Ats {
 		if e := b.Entries[k]; e != nil {
-			e.at = at
+			e.revision = at
 		}
 	}
 	b.Ats = nil
 }
 
-// Take takes a batch in under the log's number and gives the number up to which
+// Ingest takes a batch in under the log's number and gives the number up to which
 // the life's records are in.
-func (b *Book) Take(at uint64, batch Batch) uint64 {
+func (b *Log) Ingest(at uint64, batch Batch) uint64 {
 	l := b.Lives[batch.Life]
 	if l == nil {
 		// A new life of the node: one that has not closed has ended unseen.
 		for _, old := range b.Lives {
 			if old.Node == batch.Node && !old.Closed && !old.Gap {
-				old.end(batch.AtMS)
+				old.markGap(batch.AtMS)
 			}
 		}
-		l = &Life{Node: batch.Node}
+		l = &Incarnation{Node: batch.Node}
 		b.Lives[batch.Life] = l
 	}
 	for _, r := range batch.Records {
@@ -248,7 +252,7 @@
 			continue // taken in before
 		}
 		l.Last = r.Seq
-		b.note(at, l.Node, batch.Life, r, batch.Most)
+		b.addRecord(at, l.Node, batch.Life, r, batch.Most)
 	}
 	if batch.AtMS >= l.LastMS {
 		l.LastMS, l.PerS, l.Out = batch.AtMS, batch.PerS, batch.Out
@@ -261,26 +265,26 @@
 	return l.Last
 }
 
-func (b *Book) note(at uint64, node, life string, r Record, most int) {
+func (b *Log) addRecord(at uint64, node, life string, r Record, most int) {
 	key := r.Tenant + "\x00" + r.Request
-	if !r.commitment() {
+	if !r.isCommitmentEvidence() {
 		key += "\x00" + life + "\x00" + r.Attempt + "\x00" + string(r.Kind)
 	}
 	e := b.Entries[key]
 	if e == nil {
 		if most > 0 && len(b.Entries) >= most {
-			b.makeRoom()
+			b.evictEntries()
 		}
 		e = &Entry{Tenant: r.Tenant, Request: r.Request}
 		b.Entries[key] = e
 	}
-	e.Tries = append(e.Tries, Try{node, r})
-	e.at = at
+	e.Tries = append(e.Tries, Attempt{node, r})
+	e.revision = at
 }
 
-// makeRoom gives up a sixteenth of the entries: commitments without a failure
+// evictEntries gives up a sixteenth of the entries: commitments without a failure
 // first, then the oldest.
-func (b *Book) makeRoom() {
+func (b *Log) evictEntries() {
 	keys := make([]string, 0, len(b.Entries))
 	for k := range b.Entries {
 		keys = append(keys, k)
@@ -292,7 +296,7 @@
 		return 1
 	}
 	slices.SortFunc(keys, func(x, y string) int {
-		return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(b.Entries[x].at, b.Entries[y].at), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(b.Entries[x].revision, b.Entries[y].revision), cmp.Compare(x, y))
 	})
 	for _, k := range keys[:max(1, len(keys)/16)] {
 		b.Dropped[b.Entries[k].Tenant]++
@@ -300,11 +304,11 @@
 	}
 }
 
-// Trim forgets what is settled and older than a number of the log: commitments that
+// Compact forgets what is settled and older than a number of the log: commitments that
 // ran once, and lives that closed.
-func (b *Book) Trim(before uint64) {
+func (b *Log) Compact(before uint64) {
 	for k, e := range b.Entries {
-		if e.at <= before && e.Kind() == "" {
+		if e.revision <= before && e.Kind() == "" {
 			delete(b.Entries, k)
 		}
 	}
@@ -322,33 +326,33 @@
 	Request string `json:"request,omitempty"`
 	SinceMS int64  `json:"since_ms,omitempty"`
 	UntilMS int64  `json:"until_ms,omitempty"`
-	Most    int    `json:"most,omitempty"`
+	Limit   int    `json:"most,omitempty"`
 }
 
 // Failure is an entry as it is told.
 type Failure struct {
-	Tenant  string `json:"tenant"`
-	Request string `json:"request"`
-	Kind    Kind   `json:"kind"`
-	AtMS    int64  `json:"at_ms"` // of the first try
-	Tries   []Try  `json:"tries"`
+	Tenant   string    `json:"tenant"`
+	Request  string    `json:"request"`
+	Kind     Kind      `json:"kind"`
+	AtMS     int64     `json:"at_ms"` // of the first try
+	Attempts []Attempt `json:"tries"`
 }
 
-// Answer is what the account says.
-type Answer struct {
+// QueryResult is what the account says.
+type QueryResult struct {
 	Failures []Failure `json:"failures"`
-	// Sums count all that the filter picks, by tenant and kind, also what Most left
+	// Counts count all that the filter picks, by tenant and kind, also what Most left
 	// out of Failures.
-	Sums map[string]map[Kind]int `json:"sums"`
+	Counts map[string]map[Kind]int `json:"sums"`
 	// Gaps are the lives of which something may be missing.
-	Gaps map[string]Life `json:"gaps"`
+	Gaps map[string]Incarnation `json:"gaps"`
 	// Dropped counts entries given up for the book's bound, by tenant.
 	Dropped map[string]uint64 `json:"dropped"`
 }
 
-// Read answers a filter.
-func (b *Book) Read(f Filter) Answer {
-	a := Answer{Failures: []Failure{}, Sums: map[string]map[Kind]int{}, Gaps: map[string]Life{}, Dropped: map[string]uint64{}}
+// Query answers a filter.
+func (b *Log) Query(f Filter) QueryResult {
+	a := QueryResult{Failures: []Failure{}, Counts: map[string]map[Kind]int{}, Gaps: map[string]Incarnation{}, Dropped: map[string]uint64{}}
 	for _, e := range b.Entries {
 		kind := e.Kind()
 		if kind == "" || f.Tenant != "" && e.Tenant != f.Tenant || f.Kind != "" && kind != f.Kind || f.Request != "" && e.Request != f.Request {
@@ -361,17 +365,17 @@
 		if first < f.SinceMS || f.UntilMS > 0 && first >= f.UntilMS {
 			continue
 		}
-		if a.Sums[e.Tenant] == nil {
-			a.Sums[e.Tenant] = map[Kind]int{}
+		if a.Counts[e.Tenant] == nil {
+			a.Counts[e.Tenant] = map[Kind]int{}
 		}
-		a.Sums[e.Tenant][kind]++
+		a.Counts[e.Tenant][kind]++
 		a.Failures = append(a.Failures, Failure{e.Tenant, e.Request, kind, first, slices.Clone(e.Tries)})
 	}
 	slices.SortFunc(a.Failures, func(x, y Failure) int {
-		return cmp.Or(cmp.Compare(x.AtMS, y.AtMS), strings.Compare(x.Tenant, y.Tenant), strings.Compare(x.Request, y.Request), strings.Compare(string(x.Kind), string(y.Kind)), strings.Compare(x.Tries[0].Attempt, y.Tries[0].Attempt))
+		return cmp.Or(cmp.Compare(x.AtMS, y.AtMS), strings.Compare(x.Tenant, y.Tenant), strings.Compare(x.Request, y.Request), strings.Compare(string(x.Kind), string(y.Kind)), strings.Compare(x.Attempts[0].Attempt, y.Attempts[0].Attempt))
 	})
-	if f.Most > 0 && len(a.Failures) > f.Most {
-		a.Failures = a.Failures[len(a.Failures)-f.Most:]
+	if f.Limit > 0 && len(a.Failures) > f.Limit {
+		a.Failures = a.Failures[len(a.Failures)-f.Limit:]
 	}
 	newest := int64(0)
 	for _, l := range b.Lives {
@@ -379,8 +383,8 @@
 	}
 	for id, l := range b.Lives {
 		x := *l
-		if !x.Closed && !x.Gap && newest-x.LastMS > unheardMS {
-			x.end(newest)
+		if !x.Closed && !x.Gap && newest-x.LastMS > silenceTimeoutMS {
+			x.markGap(newest)
 		}
 		if x.Gap || x.Dropped > 0 {
 			a.Gaps[id] = x
--- a/audit/golden_test.go
+++ b/audit/golden_test.go
@@ -15,18 +15,18 @@
 // field by field: the batch, which is stored in log commands, and the filter and the
 // answer of the API.
 func TestGoldenJSON(t *testing.T) {
-	first := audit.Record{Seq: 4, AtMS: 1700000000001, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Ran, Status: 201, TookMS: 35}
-	second := audit.Record{Seq: 5, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-2", Kind: audit.Unsure, Status: 502, TookMS: 36}
+	first := audit.Record{Seq: 4, AtMS: 1700000000001, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Executed, Status: 201, TookMS: 35}
+	second := audit.Record{Seq: 5, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-2", Kind: audit.MaybeExecuted, Status: 502, TookMS: 36}
 	want := []any{
 		audit.Batch{Life: "life-1", Node: "proxy-1", AtMS: 1700000000003, Records: []audit.Record{first, second}, Dropped: 6, PerS: 7.5, Out: 8, Closed: true, Most: 9},
-		audit.Filter{Tenant: "tenant-1", Kind: audit.MaybeDoubled, Request: "request-1", SinceMS: 10, UntilMS: 11, Most: 12},
-		audit.Answer{
-			Failures: []audit.Failure{{Tenant: "tenant-1", Request: "request-1", Kind: audit.MaybeDoubled, AtMS: 1700000000001, Tries: []audit.Try{{Node: "proxy-1", Record: first}, {Node: "proxy-2", Record: second}}}},
-			Sums:     map[string]map[audit.Kind]int{"tenant-1": {audit.MaybeDoubled: 13, audit.Lost: 14}},
-			Gaps:     map[string]audit.Life{"life-1": {Node: "proxy-1", Last: 15, LastMS: 16, Dropped: 17, PerS: 18.5, Out: 19, Closed: true, Gap: true, MayMiss: 20}},
+		audit.Filter{Tenant: "tenant-1", Kind: audit.MaybeDuplicated, Request: "request-1", SinceMS: 10, UntilMS: 11, Limit: 12},
+		audit.QueryResult{
+			Failures: []audit.Failure{{Tenant: "tenant-1", Request: "request-1", Kind: audit.MaybeDuplicated, AtMS: 1700000000001, Attempts: []audit.Attempt{{Node: "proxy-1", Record: first}, {Node: "proxy-2", Record: second}}}},
+			Counts:   map[string]map[audit.Kind]int{"tenant-1": {audit.MaybeDuplicated: 13, audit.Lost: 14}},
+			Gaps:     map[string]audit.Incarnation{"life-1": {Node: "proxy-1", Last: 15, LastMS: 16, Dropped: 17, PerS: 18.5, Out: 19, Closed: true, Gap: true, MayMiss: 20}},
 			Dropped:  map[string]uint64{"tenant-2": 21},
 		},
-		[]audit.Kind{audit.Late, audit.Failed, audit.BrokenOff, audit.Ran, audit.Unsure, audit.NotRun, audit.Doubled, audit.MaybeDoubled, audit.Unclear, audit.Lost},
+		[]audit.Kind{audit.MissedLatencyTarget, audit.Failed, audit.Truncated, audit.Executed, audit.MaybeExecuted, audit.NotExecuted, audit.Duplicated, audit.MaybeDuplicated, audit.Indeterminate, audit.Lost},
 	}
 	encode := func(v any) []byte {
 		b, err := json.Marshal(v)
@@ -57,6 +57,6 @@
 		goldentest.Same(t, line, got.Elem().Interface(), want[i])
 	}
 	// Life.At is not part of the JSON; the registry's image has it.
-	complete := append([]any{audit.Life{At: 22}}, want...)
+	complete := append([]any{audit.Incarnation{At: 22}}, want...)
 	goldentest.Complete(t, complete...)
 }
--- a/cmd/lichentrayctl/main.go
+++ b/cmd/lichentrayctl/main.go
@@ -168,7 +168,7 @@
 		fs.StringVar((*string)(&t.filter.Kind), "kind", "", "")
 		fs.StringVar(&t.since, "since", "", "")
 		fs.StringVar(&t.before, "until", "", "")
-		fs.IntVar(&t.filter.Most, "most", 100, "")
+		fs.IntVar(&t.filter.Limit, "most", 100, "")
 	}
 	for { // flags may stand before and after the file
 		if err := fs.Parse(rest); err != nil {
@@ -451,11 +451,11 @@
 		return err
 	}
 	switch {
-	case f.Kind != "" && !slices.Contains(audit.Kinds(), f.Kind):
-		return fail(exitUsage, "--kind: %q is none of %v", f.Kind, audit.Kinds())
+	case f.Kind != "" && !slices.Contains(audit.FailureKinds(), f.Kind):
+		return fail(exitUsage, "--kind: %q is none of %v", f.Kind, audit.FailureKinds())
 	case f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
 		return fail(exitUsage, "--until: not after --since")
-	case f.Most < 0:
+	case f.Limit < 0:
 		return fail(exitUsage, "--most: below 0")
 	}
 	body, err := json.Marshal(f)
@@ -465,7 +465,7 @@
 	if body, err = t.read("accounts.read", body); err != nil {
 		return err
 	}
-	var a audit.Answer
+	var a audit.QueryResult
 	if err := json.Unmarshal(body, &a); err != nil {
 		return fail(exitFailed, "the answer cannot be read: %v", err)
 	}
@@ -476,15 +476,15 @@
 	fmt.Fprintln(w, "WHEN\tTENANT\tKIND\tREQUEST\tROUTE\tTRIES")
 	for _, x := range a.Failures {
 		var tries []string
-		for _, y := range x.Tries {
+		for _, y := range x.Attempts {
 			tries = append(tries, fmt.Sprintf("%s at %s (%d, %d ms)", y.Kind, y.Node, y.Status, y.TookMS))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", time.UnixMilli(x.AtMS).UTC().Format(time.RFC3339Nano), x.Tenant, x.Kind, x.Request, x.Tries[0].Route, strings.Join(tries, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", time.UnixMilli(x.AtMS).UTC().Format(time.RFC3339Nano), x.Tenant, x.Kind, x.Request, x.Attempts[0].Route, strings.Join(tries, ", "))
 	}
 	fmt.Fprintln(w, "\nTENANT\tKIND\tNUMBER")
-	for _, tenant := range slices.Sorted(maps.Keys(a.Sums)) {
-		for _, kind := range slices.Sorted(maps.Keys(a.Sums[tenant])) {
-			fmt.Fprintf(w, "%s\t%s\t%d\n", tenant, kind, a.Sums[tenant][kind])
+	for _, tenant := range slices.Sorted(maps.Keys(a.Counts)) {
+		for _, kind := range slices.Sorted(maps.Keys(a.Counts[tenant])) {
+			fmt.Fprintf(w, "%s\t%s\t%d\n", tenant, kind, a.Counts[tenant][kind])
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(a.Gaps)) {
--- a/coordination/bench_test.go
+++ b/coordination/bench_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// BenchmarkFeed puts into ten groups with a history of 20,000 puts and tells what
+// BenchmarkPutCell puts into ten groups with a history of 20,000 puts and tells what
 // one entry of it takes.
-func BenchmarkFeed(b *testing.B) {
+func BenchmarkPutCell(b *testing.B) {
 	const held = 20000
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	t := NewTable()
 	put := func(at int) {
-		t.Apply(uint64(at), Command{Op: Put, Name: fmt.Sprintf("g%d.%d", at%10, at%50), Value: fmt.Sprintf("%016x", at)})
+		t.Apply(uint64(at), Command{Operation: PutCell, Name: fmt.Sprintf("g%d.%d", at%10, at%50), Value: fmt.Sprintf("%016x", at)})
 	}
 	for at := 1; at <= held; at++ {
 		put(at)
@@ -26,7 +26,7 @@
 	for i := range b.N {
 		put(held + 1 + i)
 		if i%1000 == 999 {
-			t.Apply(uint64(held+1+i), Command{Op: Trim, Before: uint64(i)})
+			t.Apply(uint64(held+1+i), Command{Operation: CompactHistory, CompactBefore: uint64(i)})
 		}
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/held, "bytes/entry")
--- a/coordination/coordination.go
+++ b/coordination/coordination.go
@@ -16,17 +16,17 @@
 	"lichentray/eventlog"
 )
 
-// Op names a command on the state.
-type Op uint8
+// Operation names a command on the state.
+type Operation uint8
 
 // The commands.
 const (
-	Begin  Op = iota + 1 // take a lock, or take over one that ran out
-	Renew                // hold a lock for longer
-	Finish               // give a lock back
-	Next                 // draw a number
-	Put                  // replace a cell
-	Trim                 // forget history up to a revision of the log
+	AcquireLock    Operation = iota + 1 // take a lock, or take over one that ran out
+	RenewLock                           // hold a lock for longer
+	ReleaseLock                         // give a lock back
+	NextNumber                          // draw a number
+	PutCell                             // replace a cell
+	CompactHistory                      // forget history up to a revision of the log
 )
 
 // Code is how a command ended.
@@ -34,25 +34,25 @@
 
 // The outcomes. Everything but OK changed nothing.
 const (
-	OK       Code = iota
-	Held          // another holds the lock
-	Lost          // the lock is no longer held under this fence
-	Mismatch      // the cell has another revision
+	OK               Code = iota
+	LockHeld              // another holds the lock
+	LockLost              // the lock is no longer held under this fence
+	RevisionMismatch      // the cell has another revision
 )
 
 // Command is one change asked of the state.
 type Command struct {
-	Op     Op
-	Name   string
-	Holder string
-	Fence  uint64
-	HoldMS uint64
-	// SpentFence and SpentGrant name the grant that the proposer saw run out.
-	SpentFence, SpentGrant uint64
-	Value                  string
-	Expect                 uint64
-	HasExpect              bool
-	Before                 uint64
+	Operation    Operation
+	Name         string
+	Holder       string
+	FencingToken uint64
+	LeaseMS      uint64
+	// ExpiredToken and SpentGrant name the grant that the proposer saw run out.
+	ExpiredToken, ExpiredGrant uint64
+	Value                      string
+	ExpectedRevision           uint64
+	HasExpectedRevision        bool
+	CompactBefore              uint64
 }
 
 // Result is what a command gave.
@@ -90,8 +90,8 @@
 	At       uint64
 }
 
-// Change is one put as the feed holds it.
-type Change struct{ Name, Value string }
+// CellChange is one put as the feed holds it.
+type CellChange struct{ Name, Value string }
 
 // Table is the whole state.
 type Table struct {
@@ -99,15 +99,15 @@
 	Cells map[string]Cell
 	// Feed holds the puts of all groups in the log's order; a group is a topic of
 	// it, and its revisions are the topic's numbers.
-	Feed *eventlog.Reel[Change]
+	Feed *eventlog.Log[CellChange]
 	// Groups is how earlier versions kept the history; it is read once.
-	Groups map[string]*Group
+	Groups map[string]*LegacyGroup
 
-	first map[Change]uint64 // the revision of each put that the feed holds
+	firstRevision map[CellChange]uint64 // the revision of each put that the feed holds
 }
 
-// Group is a history as earlier versions kept it.
-type Group struct {
+// LegacyGroup is a history as earlier versions kept it.
+type LegacyGroup struct {
 	Revision uint64
 	Floor    uint64
 	Events   []Event
@@ -115,38 +115,38 @@
 
 // NewTable makes an empty state.
 func NewTable() *Table {
-	return &Table{Locks: map[string]Lock{}, Cells: map[string]Cell{}, Feed: &eventlog.Reel[Change]{}, first: map[Change]uint64{}}
+	return &Table{Locks: map[string]Lock{}, Cells: map[string]Cell{}, Feed: &eventlog.Log[CellChange]{}, firstRevision: map[CellChange]uint64{}}
 }
 
-// Settle makes a table that was decoded ready for use.
-func (t *Table) Settle() {
+// FinishDecode makes a table that was decoded ready for use.
+func (t *Table) FinishDecode() {
 	if len(t.Groups) > 0 {
-		t.adopt()
+		t.migrateLegacyGroups()
 	}
-	t.Feed.Index()
-	t.first = map[Change]uint64{}
+	t.Feed.BuildIndex()
+	t.firstRevision = map[CellChange]uint64{}
 	for _, e := range t.Feed.Entries {
-		t.first[e.Value] = e.Number
+		t.firstRevision[e.Value] = e.Number
 	}
 }
 
-// adopt takes over the histories of an earlier version.
-func (t *Table) adopt() {
+// migrateLegacyGroups takes over the histories of an earlier version.
+func (t *Table) migrateLegacyGroups() {
 	var all []Event
-	t.Feed = &eventlog.Reel[Change]{Last: map[string]uint64{}, Floor: map[string]uint64{}}
+	t.Feed = &eventlog.Log[CellChange]{Last: map[string]uint64{}, Floor: map[string]uint64{}}
 	for name, g := range t.Groups {
 		t.Feed.Last[name], t.Feed.Floor[name] = g.Floor, g.Floor
 		all = append(all, g.Events...)
 	}
 	slices.SortFunc(all, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	for _, e := range all {
-		t.Feed.Append(e.At, GroupOf(e.Name), Change{e.Name, e.Value})
+		t.Feed.Append(e.At, GroupOf(e.Name), CellChange{e.Name, e.Value})
 	}
 	t.Groups = nil
 }
 
 // GroupOf gives the group of a cell's name: what stands up to and with the
-// first dot, or the whole name when it has none.
+// firstRevision dot, or the whole name when it has none.
 func GroupOf(name string) string {
 	if i := strings.IndexByte(name, '.'); i >= 0 {
 		return name[:i+1]
@@ -157,82 +157,82 @@
 // Apply carries out one command. at is the log's global revision for it; it
 // rises with every call and serves as fence, grant and number.
 func (t *Table) Apply(at uint64, c Command) Result {
-	switch c.Op {
-	case Begin:
-		return t.begin(at, c)
-	case Renew:
+	switch c.Operation {
+	case AcquireLock:
+		return t.acquireLock(at, c)
+	case RenewLock:
 		l, ok := t.Locks[c.Name]
-		if !ok || l.Fence != c.Fence || l.Holder != c.Holder {
-			return Result{Code: Lost}
+		if !ok || l.Fence != c.FencingToken || l.Holder != c.Holder {
+			return Result{Code: LockLost}
 		}
-		l.Grant, l.HoldMS = at, max(l.HoldMS, c.HoldMS)
+		l.Grant, l.HoldMS = at, max(l.HoldMS, c.LeaseMS)
 		t.Locks[c.Name] = l
 		return Result{Fence: l.Fence, Grant: at}
-	case Finish:
-		if l, ok := t.Locks[c.Name]; ok && l.Fence == c.Fence && l.Holder == c.Holder {
+	case ReleaseLock:
+		if l, ok := t.Locks[c.Name]; ok && l.Fence == c.FencingToken && l.Holder == c.Holder {
 			delete(t.Locks, c.Name)
 		}
 		return Result{}
-	case Next:
+	case NextNumber:
 		return Result{Value: at}
-	case Put:
-		return t.put(at, c)
-	case Trim:
-		t.trim(c.Before)
+	case PutCell:
+		return t.putCell(at, c)
+	case CompactHistory:
+		t.compactHistory(c.CompactBefore)
 	}
 	return Result{}
 }
 
-func (t *Table) begin(at uint64, c Command) Result {
+func (t *Table) acquireLock(at uint64, c Command) Result {
 	l, held := t.Locks[c.Name]
 	if held {
-		spent := c.SpentFence == l.Fence && c.SpentGrant == l.Grant
+		spent := c.ExpiredToken == l.Fence && c.ExpiredGrant == l.Grant
 		switch {
 		case l.Holder == c.Holder && !spent:
-			l.Grant, l.HoldMS = at, max(l.HoldMS, c.HoldMS)
+			l.Grant, l.HoldMS = at, max(l.HoldMS, c.LeaseMS)
 			t.Locks[c.Name] = l
 			return Result{Fence: l.Fence, Grant: at}
 		case !spent:
-			return Result{Code: Held}
+			return Result{Code: LockHeld}
 		}
 	}
-	t.Locks[c.Name] = Lock{Holder: c.Holder, Fence: at, Grant: at, HoldMS: c.HoldMS}
+	t.Locks[c.Name] = Lock{Holder: c.Holder, Fence: at, Grant: at, HoldMS: c.LeaseMS}
 	return Result{Fence: at, Grant: at}
 }
 
-func (t *Table) put(at uint64, c Command) Result {
-	change := Change{c.Name, c.Value}
+func (t *Table) putCell(at uint64, c Command) Result {
+	change := CellChange{c.Name, c.Value}
 	// A put that arrives again gets the revision it got first.
-	if n := t.first[change]; n > 0 {
+	if n := t.firstRevision[change]; n > 0 {
 		return Result{Revision: n}
 	}
 	cell := t.Cells[c.Name]
 	if cell.Revision != 0 && cell.Value == c.Value {
 		return Result{Revision: cell.Revision}
 	}
-	if c.HasExpect && cell.Revision != c.Expect {
-		return Result{Code: Mismatch, Revision: cell.Revision}
+	if c.HasExpectedRevision && cell.Revision != c.ExpectedRevision {
+		return Result{Code: RevisionMismatch, Revision: cell.Revision}
 	}
 	n := t.Feed.Append(at, GroupOf(c.Name), change)
-	t.first[change] = n
+	t.firstRevision[change] = n
 	t.Cells[c.Name] = Cell{Value: c.Value, Revision: n}
 	return Result{Revision: n}
 }
 
-func (t *Table) trim(before uint64) {
-	for _, e := range t.Feed.Entries[:t.Feed.From(before)] {
-		delete(t.first, e.Value)
+func (t *Table) compactHistory(before uint64) {
+	for _, e := range t.Feed.Entries[:t.Feed.FirstAfter(before)] {
+		delete(t.firstRevision, e.Value)
 	}
-	t.Feed.Trim(before)
+	t.Feed.Compact(before)
 }
 
-// Revision is a group's newest revision; 0 before its first put.
-func (t *Table) Revision(group string) uint64 { return t.Feed.Last[group] }
+// GroupRevision is a group's newest revision; 0 before its first put.
+func (t *Table) GroupRevision(group string) uint64 { return t.Feed.Last[group] }
 
-// Since gives the events of a group above after, and the group's revision.
+// EventsSince gives the events of a group above after, and the group's revision.
 // ok is false when the history no longer reaches back to after.
-func (t *Table) Since(group string, after uint64) (events []Event, revision uint64, ok bool) {
-	ok = t.Feed.Each(group, after, func(e eventlog.Entry[Change]) bool {
+func (t *Table) EventsSince(group string, after uint64) (events []Event, revision uint64, ok bool) {
+	ok = t.Feed.Replay(group, after, func(e eventlog.Entry[CellChange]) bool {
 		events = append(events, Event{e.Value.Name, e.Value.Value, e.Number, e.At})
 		return true
 	})
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -36,7 +36,7 @@
 	Evacuations() (map[string]string, error)
 	BeginRollout(service, target string, deadline time.Duration) error
 	Rollout(service string) (rollout.Rollout, error)
-	Account(f audit.Filter) (audit.Answer, error)
+	Account(f audit.Filter) (audit.QueryResult, error)
 	Status() any
 }
 
@@ -145,7 +145,7 @@
 		if err := needName(of); err != nil {
 			return "numbers", nil, err
 		}
-		r, err := a.node.Do(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: of}})
+		r, err := a.node.Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: of}})
 		if err != nil {
 			return "numbers", nil, err
 		}
@@ -228,7 +228,7 @@
 	}
 	return nil, a.node.Beat(registry.Endpoint{
 		ID: of, Service: b.Info.Service, Version: b.Info.Version, Address: b.Address, Zone: b.Info.Zone, Capacity: int(b.Info.Capacity),
-		Draining: b.Status.State == "draining", Sequence: uint64(max(0, b.Status.Sequence)), ColdS: b.Status.ColdS,
+		Draining: b.Status.State == "draining", Sequence: uint64(max(0, b.Status.Sequence)), WarmUpSeconds: b.Status.ColdS,
 	})
 }
 
@@ -310,9 +310,9 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := map[string]any{"state": r.State, "target_version": r.Target, "base_version": r.Base, "share": r.Share()}
-	if r.Why != "" {
-		answer["why"] = r.Why
+	answer := map[string]any{"state": r.State, "target_version": r.Target, "base_version": r.Base, "share": r.TrafficShare()}
+	if r.Reason != "" {
+		answer["why"] = r.Reason
 	}
 	return answer, nil
 }
@@ -325,13 +325,13 @@
 		}
 	}
 	switch {
-	case f.Kind != "" && !slices.Contains(audit.Kinds(), f.Kind):
-		return nil, apierror.New(apierror.BadRequest, "kind: %q is none of %v", f.Kind, audit.Kinds())
+	case f.Kind != "" && !slices.Contains(audit.FailureKinds(), f.Kind):
+		return nil, apierror.New(apierror.BadRequest, "kind: %q is none of %v", f.Kind, audit.FailureKinds())
 	case f.SinceMS < 0:
 		return nil, apierror.New(apierror.BadRequest, "since_ms: below 0")
 	case f.UntilMS < 0 || f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
 		return nil, apierror.New(apierror.BadRequest, "until_ms: not after since_ms")
-	case f.Most < 0:
+	case f.Limit < 0:
 		return nil, apierror.New(apierror.BadRequest, "most: below 0")
 	}
 	answer, err := a.node.Account(f)
@@ -354,7 +354,7 @@
 	HoldS  float64 `json:"hold_s"`
 }
 
-func (a *API) lock(op coordination.Op, of string, body []byte) (coordination.Result, error) {
+func (a *API) lock(op coordination.Operation, of string, body []byte) (coordination.Result, error) {
 	var b lockBody
 	if err := needName(of); err != nil {
 		return coordination.Result{}, err
@@ -365,11 +365,11 @@
 	switch {
 	case b.Holder == "" || len(b.Holder) > longestName:
 		return coordination.Result{}, apierror.New(apierror.BadRequest, "holder: missing or over %d bytes", longestName)
-	case op != coordination.Finish && (b.HoldS <= 0 || b.HoldS > longestHold.Seconds()):
+	case op != coordination.ReleaseLock && (b.HoldS <= 0 || b.HoldS > longestHold.Seconds()):
 		return coordination.Result{}, apierror.New(apierror.BadRequest, "hold_s: missing, not above 0 or above %g", longestHold.Seconds())
 	}
-	r, err := a.node.Do(registry.Command{Latch: &coordination.Command{
-		Op: op, Name: of, Holder: b.Holder, Fence: b.Fence, HoldMS: uint64(b.HoldS*1000 + 0.999),
+	r, err := a.node.Do(registry.Command{Coordination: &coordination.Command{
+		Operation: op, Name: of, Holder: b.Holder, FencingToken: b.Fence, LeaseMS: uint64(b.HoldS*1000 + 0.999),
 	}})
 	if err != nil {
 		return coordination.Result{}, err
@@ -381,7 +381,7 @@
 }
 
 func (a *API) lockBegin(of string, body []byte) (any, error) {
-	r, err := a.lock(coordination.Begin, of, body)
+	r, err := a.lock(coordination.AcquireLock, of, body)
 	if err != nil {
 		return nil, err
 	}
@@ -389,12 +389,12 @@
 }
 
 func (a *API) lockRenew(of string, body []byte) (any, error) {
-	_, err := a.lock(coordination.Renew, of, body)
+	_, err := a.lock(coordination.RenewLock, of, body)
 	return nil, err
 }
 
 func (a *API) lockFinish(of string, body []byte) (any, error) {
-	_, err := a.lock(coordination.Finish, of, body)
+	_, err := a.lock(coordination.ReleaseLock, of, body)
 	return nil, err
 }
 
@@ -415,16 +415,16 @@
 	if len(*b.Value) > longestValue {
 		return nil, apierror.New(apierror.BodyTooLarge, "value: over %d bytes", longestValue)
 	}
-	c := coordination.Command{Op: coordination.Put, Name: of, Value: *b.Value}
+	c := coordination.Command{Operation: coordination.PutCell, Name: of, Value: *b.Value}
 	if b.Enabled != nil {
-		c.HasExpect, c.Expect = true, *b.Enabled
+		c.HasExpectedRevision, c.ExpectedRevision = true, *b.Enabled
 	}
-	r, err := a.node.Do(registry.Command{Latch: &c})
+	r, err := a.node.Do(registry.Command{Coordination: &c})
 	if err != nil {
 		return nil, err
 	}
 	answer := map[string]uint64{"revision": r.Latch.Revision}
-	if r.Latch.Code == coordination.Mismatch {
+	if r.Latch.Code == coordination.RevisionMismatch {
 		return answer, apierror.New(apierror.Mismatch, "%s", of)
 	}
 	return answer, nil
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -51,15 +51,15 @@
 	return n.err
 }
 func (n *node) Rollout(service string) (rollout.Rollout, error) {
-	return rollout.Rollout{Base: "v1", Target: "v2", State: rollout.RolledBack, Why: service}, n.err
+	return rollout.Rollout{Base: "v1", Target: "v2", State: rollout.RolledBack, Reason: service}, n.err
 }
-func (n *node) Account(f audit.Filter) (audit.Answer, error) {
+func (n *node) Account(f audit.Filter) (audit.QueryResult, error) {
 	n.got = f
-	return audit.Answer{Failures: []audit.Failure{{Tenant: f.Tenant, Kind: audit.Late}}}, n.err
+	return audit.QueryResult{Failures: []audit.Failure{{Tenant: f.Tenant, Kind: audit.MissedLatencyTarget}}}, n.err
 }
 func (n *node) Status() any { return "fine" }
 func (n *node) Do(c registry.Command) (registry.Result, error) {
-	n.got = *c.Latch
+	n.got = *c.Coordination
 	return n.result, n.err
 }
 func (n *node) Watch(g string, after uint64, _ time.Duration) ([]coordination.Event, uint64, error) {
@@ -67,8 +67,8 @@
 }
 
 func TestCalls(t *testing.T) {
-	held := registry.Result{Latch: coordination.Result{Code: coordination.Held}}
-	stale := registry.Result{Latch: coordination.Result{Code: coordination.Mismatch, Revision: 922}}
+	held := registry.Result{Latch: coordination.Result{Code: coordination.LockHeld}}
+	stale := registry.Result{Latch: coordination.Result{Code: coordination.RevisionMismatch, Revision: 922}}
 	fence := registry.Result{Latch: coordination.Result{Fence: 41, Value: 7, Revision: 931}}
 	const beat = `{"address":"10.0.0.9:80","info":{"backend_service":"s","zone":"z","capacity":3},"status":{"state":"ready","sequence":4,"cold_remaining_s":0.5}}`
 	for _, c := range []struct {
--- a/internal/controlplane/account.go
+++ b/internal/controlplane/account.go
@@ -11,7 +11,7 @@
 // come through, or whose answer does not, the proxy sends again.
 func (l *Lathe) takeAccount(conn *transport.Conn, b *audit.Batch) {
 	b.Most = l.set.Account.MostEntries
-	r, err := l.Do(registry.Command{Account: b})
+	r, err := l.Do(registry.Command{Audit: b})
 	if err != nil {
 		l.board.Counter("account_batches_put_off_total").Inc()
 		return
@@ -21,14 +21,14 @@
 }
 
 // Account reads the account of failures.
-func (l *Lathe) Account(f audit.Filter) (audit.Answer, error) {
+func (l *Lathe) Account(f audit.Filter) (audit.QueryResult, error) {
 	if l.set.Account == nil {
-		return audit.Answer{}, apierror.New(apierror.NoRoute, "this deployment keeps no account of failures")
+		return audit.QueryResult{}, apierror.New(apierror.NoRoute, "this deployment keeps no account of failures")
 	}
 	if err := l.ReadPoint(); err != nil {
-		return audit.Answer{}, err
+		return audit.QueryResult{}, err
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return l.store.Account().Read(f), nil
+	return l.store.AuditLog().Query(f), nil
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -121,7 +121,7 @@
 	// Shared behind a short lock.
 	mu       sync.RWMutex
 	store    *registry.Store
-	cache    *watchcache.Cacher
+	cache    *watchcache.Cache
 	locks    map[string]lockTimer
 	view     view
 	wake     map[chan struct{}]struct{}
@@ -209,13 +209,13 @@
 		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]loadbalance.Place{}, endpoints: map[string]registry.Endpoint{},
 		rollouts: map[string]*rolloutRecord{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
 		seen:  map[string]loadbalance.Seen{},
-		store: registry.New(), locks: map[string]lockTimer{},
+		store: registry.NewStore(), locks: map[string]lockTimer{},
 		wake: map[chan struct{}]struct{}{}, groups: map[string]map[chan struct{}]struct{}{},
 		applied: map[chan struct{}]uint64{}, sessions: map[*session]struct{}{}, beats: map[string]time.Duration{},
 		orders: map[string]registry.Evacuation{}, ordered: map[orderKind]time.Duration{}, checking: make(chan struct{}, 1),
 		turned: make(chan struct{}),
 	}
-	l.cache = watchcache.NewCacher(l.timing.Window, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
+	l.cache = watchcache.NewCache(l.timing.Window, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
 	l.nProposals = board.Counter("proposals_total")
 	l.nUnknown = board.Counter("proposals_unknown_total")
 	l.nUnread = board.Counter("reads_unconfirmed_total")
@@ -420,8 +420,8 @@
 			now := l.now()
 			l.mu.Lock()
 			res, events = l.store.Apply(cmd)
-			if cmd.Latch != nil {
-				l.timeLock(now, cmd.Latch, res.Latch)
+			if cmd.Coordination != nil {
+				l.timeLock(now, cmd.Coordination, res.Latch)
 			}
 			l.cache.Append(now, l.store.Revision(), events)
 			for _, e := range events {
@@ -432,8 +432,8 @@
 					poke(ch)
 				}
 			}
-			if cmd.Latch != nil && cmd.Latch.Op == coordination.Put {
-				for ch := range l.groups[coordination.GroupOf(cmd.Latch.Name)] {
+			if cmd.Coordination != nil && cmd.Coordination.Operation == coordination.PutCell {
+				for ch := range l.groups[coordination.GroupOf(cmd.Coordination.Name)] {
 					poke(ch)
 				}
 			}
@@ -473,14 +473,14 @@
 }
 
 func (l *Lathe) timeLock(now time.Duration, c *coordination.Command, r coordination.Result) {
-	switch c.Op {
-	case coordination.Begin, coordination.Renew:
+	switch c.Operation {
+	case coordination.AcquireLock, coordination.RenewLock:
 		// The state's time, not the command's: a renewal that comes late may ask for less.
-		if k := l.store.Latches().Locks[c.Name]; r.Code == coordination.OK {
+		if k := l.store.Coordination().Locks[c.Name]; r.Code == coordination.OK {
 			l.locks[c.Name] = lockTimer{k.Grant, now + time.Duration(k.HoldMS)*time.Millisecond}
 		}
-	case coordination.Finish:
-		if _, held := l.store.Latches().Locks[c.Name]; !held {
+	case coordination.ReleaseLock:
+		if _, held := l.store.Coordination().Locks[c.Name]; !held {
 			delete(l.locks, c.Name)
 		}
 	}
@@ -489,7 +489,7 @@
 // armLocks starts every lock's time anew, as after a snapshot.
 func (l *Lathe) armLocks(now time.Duration) {
 	l.locks = map[string]lockTimer{}
-	for name, k := range l.store.Latches().Locks {
+	for name, k := range l.store.Coordination().Locks {
 		l.locks[name] = lockTimer{k.Grant, now + time.Duration(k.HoldMS)*time.Millisecond}
 	}
 }
@@ -750,16 +750,16 @@
 	if l.node.Role() != raft.Leader {
 		return l.links.addr(l.node.LeaderID())
 	}
-	if c := cmd.Latch; c != nil && c.Op == coordination.Begin {
+	if c := cmd.Coordination; c != nil && c.Operation == coordination.AcquireLock {
 		// Name the grant that has run out by this leader's steady clock.
 		spent := *c
-		spent.SpentFence, spent.SpentGrant = 0, 0
-		if k, held := l.store.Latches().Locks[c.Name]; held {
+		spent.ExpiredToken, spent.ExpiredGrant = 0, 0
+		if k, held := l.store.Coordination().Locks[c.Name]; held {
 			if t := l.locks[c.Name]; t.grant == k.Grant && l.now() >= t.until {
-				spent.SpentFence, spent.SpentGrant = k.Fence, k.Grant
+				spent.ExpiredToken, spent.ExpiredGrant = k.Fence, k.Grant
 			}
 		}
-		cmd.Latch = &spent
+		cmd.Coordination = &spent
 	}
 	index, term, ok := l.node.Propose(registry.EncodeCommand(cmd))
 	if !ok {
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -167,14 +167,14 @@
 	// Locks, numbers, cells and a watch over all nodes.
 	var last uint64
 	for i := range 9 {
-		r, err := l[i%3].Do(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "n"}})
+		r, err := l[i%3].Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
 		if err != nil || r.Latch.Value <= last {
 			t.Fatalf("number %d after %d, %v", r.Latch.Value, last, err)
 		}
 		last = r.Latch.Value
 	}
 	got := make(chan error, 1)
-	if _, err := l[0].Do(registry.Command{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "1"}}); err != nil {
+	if _, err := l[0].Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "1"}}); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
@@ -184,7 +184,7 @@
 		}
 		got <- err
 	}()
-	if _, err := l[2].Do(registry.Command{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "2"}}); err != nil {
+	if _, err := l[2].Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "2"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-got; err != nil {
@@ -241,7 +241,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision(), Packs: true}}); err != nil {
+	if err := c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: !m.HasSynced(), Watch: m.HasSynced(), Least: m.Revision(), Packs: true}}); err != nil {
 		t.Fatal(err)
 	}
 	target := uint64(0)
@@ -255,12 +255,12 @@
 				t.Fatalf("list or watch failed: %+v", a)
 			}
 			target = a.Revision
-			if !m.Listed() {
+			if !m.HasSynced() {
 				objects, err := a.List()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := m.Reset(a.Revision, objects); err != nil {
+				if err := m.Replace(a.Revision, objects); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -270,12 +270,12 @@
 			t.Fatal(err)
 		}
 		for _, e := range events {
-			if _, err := m.Apply(e); err != nil {
+			if _, err := m.ApplyEvent(e); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if f.Bookmark != nil {
-			m.Bookmark(f.Bookmark.Revision)
+			m.ApplyBookmark(f.Bookmark.Revision)
 			if target > 0 && m.Revision() >= target {
 				return c, m
 			}
@@ -340,7 +340,7 @@
 			}
 			for _, e := range f.Events {
 				events++
-				if _, err := c.m.Apply(e); err != nil {
+				if _, err := c.m.ApplyEvent(e); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -369,7 +369,7 @@
 				t.Fatal(err)
 			}
 			for _, e := range events {
-				if _, err := c.m.Apply(e); err != nil {
+				if _, err := c.m.ApplyEvent(e); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -538,19 +538,19 @@
 	until(t, "its lease runs out", func() bool { return places(l[2]) == "[] 0s true" })
 
 	// A beat that tells of a cold start marks the endpoint, a later one ends it.
-	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, ColdS: 3}
+	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, WarmUpSeconds: 3}
 	marked := func() bool {
 		l[0].mu.RLock()
 		defer l[0].mu.RUnlock()
 		o, _ := l[0].store.Get(e.Key())
 		x, err := registry.DecodeEndpoint(o)
-		return err == nil && x.Cold
+		return err == nil && x.WarmingUp
 	}
 	if err := l[0].Beat(e); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the cold start is known", marked)
-	e.Sequence, e.ColdS = 2, 0
+	e.Sequence, e.WarmUpSeconds = 2, 0
 	if err := l[0].Beat(e); err != nil {
 		t.Fatal(err)
 	}
@@ -588,17 +588,17 @@
 		until(t, "a read point", func() bool { return l[0].ReadPoint() == nil })
 		l[0].mu.RLock()
 		defer l[0].mu.RUnlock()
-		o, _ := l[0].store.Get(registry.EvacPrefix + "b")
+		o, _ := l[0].store.Get(registry.EvacuationPrefix + "b")
 		return registry.DecodeEvacuation(o)
 	}
-	if now := order(true); now.Begins != 1 {
+	if now := order(true); now.BeginCount != 1 {
 		t.Errorf("a repeat after the loss of all: %+v", now)
 	}
-	until(t, "a second order counts", func() bool { return order(true).Begins == 2 })
-	if now := order(false); now.Finishes != 1 || now.State() != registry.Evacuated {
+	until(t, "a second order counts", func() bool { return order(true).BeginCount == 2 })
+	if now := order(false); now.FinishCount != 1 || now.State() != registry.Evacuated {
 		t.Errorf("one finish of two: %+v", now)
 	}
-	until(t, "the second finish counts", func() bool { return order(false).Finishes == 2 })
+	until(t, "the second finish counts", func() bool { return order(false).FinishCount == 2 })
 	if got, err := l[1].Evacuations(); err != nil || got["b"] != registry.Returning {
 		t.Errorf("after the finish: %v, %v", got, err)
 	}
@@ -660,7 +660,7 @@
 	_, readErr := l.Configuration()
 	_, cellErr := l.Cell("c")
 	_, _, watchErr := l.Watch("g.", 0, time.Second)
-	_, numberErr := l.Do(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "n"}})
+	_, numberErr := l.Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
 	for what, err := range map[string]error{
 		"a configuration is read":     readErr,
 		"a cell is read":              cellErr,
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -72,12 +72,12 @@
 	}
 	l.marks = append([]mark(nil), l.marks[i:]...)
 	l.trimAt = now
-	l.node.Propose(registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Trim, Before: before}}))
+	l.node.Propose(registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.CompactHistory, CompactBefore: before}}))
 	// Signs of the departed are kept as long as the history.
 	var drop registry.Txn
 	forget := func(o registry.Object) {
-		drop.If = append(drop.If, registry.Condition{Key: o.Key, ModRevision: o.ModRevision})
-		drop.Then = append(drop.Then, registry.Write{Key: o.Key, Delete: true})
+		drop.If = append(drop.If, registry.Compare{Key: o.Key, ModRevision: o.ModRevision})
+		drop.Then = append(drop.Then, registry.Write{Key: o.Key, IsDelete: true})
 	}
 	for _, o := range l.store.List(registry.DepartedPrefix) {
 		if o.ModRevision <= before {
@@ -85,7 +85,7 @@
 		}
 	}
 	// So are digests of configurations, by number.
-	if marks := l.store.List(registry.AcceptedPrefix); len(marks) > acceptedMost {
+	if marks := l.store.List(registry.AcceptedConfigPrefix); len(marks) > acceptedMost {
 		for _, o := range marks[:len(marks)-acceptedMost] {
 			forget(o)
 		}
@@ -134,7 +134,7 @@
 		gauge(trials, s.trials)
 	}
 	for service, t := range l.tryOuts {
-		if r := l.rollouts[registry.RolloutPrefix+service]; r != nil && (r.Order > t.Order || r.Order == t.Order && r.State != rollout.InProgress) {
+		if r := l.rollouts[registry.RolloutPrefix+service]; r != nil && (r.OrderNumber > t.Order || r.OrderNumber == t.Order && r.State != rollout.InProgress) {
 			delete(l.tryOuts, service)
 			continue
 		}
@@ -257,8 +257,8 @@
 			return "" // it has beaten in the meantime
 		}
 		return l.propose(registry.Command{Txn: &registry.Txn{
-			If:   []registry.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
-			Then: []registry.Write{{Key: o.Key, Delete: true}},
+			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 		}}, done)
 	}
 	if a := l.await(0, remove, done); !a.Failed && !a.Result.Conflict {
@@ -323,10 +323,10 @@
 		o, known := l.store.Get(e.Key())
 		// A node that has just started may not hold the configuration yet that
 		// bounds the service's cold endpoints, so all are marked.
-		e.Cold = e.ColdS > 0 && l.set.Bounds.ColdOvershoot > 0
+		e.WarmingUp = e.WarmUpSeconds > 0 && l.set.Bounds.ColdOvershoot > 0
 		if !known {
 			txn := &registry.Txn{
-				If:   []registry.Condition{{Key: e.Key()}, {Key: gone}},
+				If:   []registry.Compare{{Key: e.Key()}, {Key: gone}},
 				Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}},
 			}
 			l.nameBase(txn, e)
@@ -336,16 +336,16 @@
 		if err != nil {
 			return nil, apierror.New(apierror.Internal, "%v", err)
 		}
-		if old.Draining || (!e.Draining && (old.Cold == e.Cold || e.Sequence < old.Sequence)) {
+		if old.Draining || (!e.Draining && (old.WarmingUp == e.WarmingUp || e.Sequence < old.Sequence)) {
 			if astray && !old.Draining {
 				// The leader would not hear of it and think the endpoint dead.
 				return nil, apierror.New(apierror.Unavailable, "this node has lost touch")
 			}
 			return nil, nil // an ordinary beat, or a late one: no write
 		}
-		old.Draining, old.Sequence, old.Cold = e.Draining, e.Sequence, e.Cold
+		old.Draining, old.Sequence, old.WarmingUp = e.Draining, e.Sequence, e.WarmingUp
 		return &registry.Txn{
-			If:   []registry.Condition{{Key: e.Key(), ModRevision: o.ModRevision}},
+			If:   []registry.Compare{{Key: e.Key(), ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: e.Key(), Value: old.Encode()}},
 		}, nil
 	})
@@ -361,11 +361,11 @@
 		}
 		o, known := l.store.Get(key)
 		txn := &registry.Txn{
-			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}, {Key: gone}},
+			If:   []registry.Compare{{Key: key, ModRevision: o.ModRevision}, {Key: gone}},
 			Then: []registry.Write{{Key: gone, Value: []byte{}}},
 		}
 		if known {
-			txn.Then = append(txn.Then, registry.Write{Key: key, Delete: true})
+			txn.Then = append(txn.Then, registry.Write{Key: key, IsDelete: true})
 		}
 		return txn, nil
 	})
@@ -400,7 +400,7 @@
 	wrote, err := l.transact(func() (*registry.Txn, error) {
 		// What is judged is committed, if not the newest: that a content was taken
 		// under a version stays true, and to take one asks for the newest.
-		txn, err := l.store.AcceptConfig(c.Version, text)
+		txn, err := l.store.BuildConfigTxn(c.Version, text)
 		if err != nil {
 			return nil, apierror.New(apierror.Conflict, "%v", err)
 		}
@@ -436,7 +436,7 @@
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	c, ok := l.store.Latches().Cells[name]
+	c, ok := l.store.Coordination().Cells[name]
 	if !ok {
 		return c, apierror.New(apierror.NoKey, "no cell %q", name)
 	}
@@ -452,7 +452,7 @@
 		return nil, 0, err
 	}
 	l.mu.RLock()
-	newest := l.store.Latches().Revision(group)
+	newest := l.store.Coordination().GroupRevision(group)
 	l.mu.RUnlock()
 	switch {
 	case after == 0:
@@ -487,7 +487,7 @@
 	defer check.Stop()
 	for {
 		l.mu.RLock()
-		events, rev, ok := l.store.Latches().Since(group, after)
+		events, rev, ok := l.store.Coordination().EventsSince(group, after)
 		l.mu.RUnlock()
 		if !ok {
 			return nil, rev, apierror.New(apierror.Expired, "after %d", after)
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -18,7 +18,7 @@
 		Members:  []MemberStatus{{ID: "00000000000000cc", Addr: "127.0.0.1:7001", API: "127.0.0.1:8001", Zone: "zone-a", Voter: true, Match: 8, AgoMS: 9}},
 		Proxies:  []ProxyStatus{{Node: "proxy-1", Revision: 12}},
 		Zones:    map[string]string{"zone-b": "evacuated"},
-		Services: map[string]ServiceStatus{"payments": {Rollout: rollout.Rollout{Base: "v1", Order: 13, Target: "v2", State: rollout.InProgress, Stage: 14, DeadlineS: 15.5, SpentS: 16.5, Why: "none yet"}, Endpoints: map[string]int{"v1": 17, "v2": 18}}},
+		Services: map[string]ServiceStatus{"payments": {Rollout: rollout.Rollout{Base: "v1", OrderNumber: 13, Target: "v2", State: rollout.InProgress, Stage: 14, DeadlineSeconds: 15.5, ElapsedSeconds: 16.5, Reason: "none yet"}, Endpoints: map[string]int{"v1": 17, "v2": 18}}},
 		Registered: []registry.Proxy{
 			{Name: "proxy-2", Address: "127.0.0.1:9002", Zone: "zone-c", Leaving: true, Weight: 1.5},
 		},
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -21,7 +21,7 @@
 
 // spent is how much of the order's time has passed.
 func (r *rolloutRecord) spent(now time.Duration) time.Duration {
-	return now - r.at + time.Duration(r.SpentS*float64(time.Second))
+	return now - r.at + time.Duration(r.ElapsedSeconds*float64(time.Second))
 }
 
 // tryOuts is what a node was told of each roll-out since its start, by service.
@@ -62,7 +62,7 @@
 // guide is what the leader keeps of a roll-out under way.
 type guide struct {
 	order   uint64
-	judge   *rollout.Judge
+	judge   *rollout.Analyzer
 	by      map[uint64]rollout.Evidence // by the life of the node that told it
 	stage   int
 	answers int // of the target when the stage was entered
@@ -76,7 +76,7 @@
 	for service, t := range told {
 		g := l.guides[service]
 		if g == nil || g.order < t.Order {
-			g = &guide{order: t.Order, judge: rollout.NewJudge(), by: map[uint64]rollout.Evidence{}, stage: -1}
+			g = &guide{order: t.Order, judge: rollout.NewAnalyzer(), by: map[uint64]rollout.Evidence{}, stage: -1}
 			l.guides[service] = g
 		}
 		if g.order == t.Order {
@@ -98,9 +98,9 @@
 			continue
 		}
 		g := l.guides[service]
-		if g == nil || g.order != r.Order {
-			l.takeTrials(l.life, map[string]transport.Trial{service: {Order: r.Order}})
-			if g = l.guides[service]; g.order != r.Order {
+		if g == nil || g.order != r.OrderNumber {
+			l.takeTrials(l.life, map[string]transport.Trial{service: {Order: r.OrderNumber}})
+			if g = l.guides[service]; g.order != r.OrderNumber {
 				continue // proxies know of an order that this node has still to apply
 			}
 		}
@@ -108,13 +108,13 @@
 		for _, e := range g.by {
 			sum.Add(e)
 		}
-		answers := sum.Answers()
+		answers := sum.TargetAnswers()
 		if g.stage != r.Stage {
 			g.stage, g.answers = r.Stage, answers
 		}
-		f := rollout.Facts{
-			Spent: r.spent(now), InStage: now - r.at, Pause: l.timing.Pause, Commit: l.timing.Answer,
-			All: sum.All(), Answers: answers, StageAnswers: answers - g.answers,
+		f := rollout.Observation{
+			Elapsed: r.spent(now), StageElapsed: now - r.at, AnalysisDelay: l.timing.Pause, PropagationDelay: l.timing.Answer,
+			TotalAnswers: sum.TotalAnswers(), TargetAnswers: answers, StageTargetAnswers: answers - g.answers,
 		}
 		endpoints := 0
 		for _, e := range l.endpoints {
@@ -123,22 +123,22 @@
 			}
 			switch e.Version {
 			case r.Base:
-				f.BaseSlots += e.Capacity
+				f.BaseCapacity += e.Capacity
 			case r.Target:
-				f.TargetSlots += e.Capacity
+				f.TargetCapacity += e.Capacity
 				endpoints++
 			}
 		}
-		f.Verdict = g.judge.See(sum, endpoints)
+		f.Verdict = g.judge.Analyze(sum, endpoints)
 		t, told := l.trials[service]
-		f.Moved = told && t.Proxies > 0 && t.Order == r.Order && t.Stage == r.Stage && t.AtBase == 0
-		next, changed := r.Next(f)
+		f.TrafficShifted = told && t.Proxies > 0 && t.Order == r.OrderNumber && t.Stage == r.Stage && t.AtBase == 0
+		next, changed := r.Advance(f)
 		if !changed || g.asked == r.revision && now-g.askedAt < l.timing.Election {
 			continue
 		}
 		g.asked, g.askedAt = r.revision, now
 		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
-			If:   []registry.Condition{{Key: key, ModRevision: r.revision}},
+			If:   []registry.Compare{{Key: key, ModRevision: r.revision}},
 			Then: []registry.Write{{Key: key, Value: next.Encode()}},
 		}}))
 	}
@@ -164,7 +164,7 @@
 	}
 	l.rollouts[e.Object.Key] = &rolloutRecord{Rollout: r, revision: e.Object.ModRevision, at: l.now()}
 	if r.State != "" && (was == nil || was.Rollout != r) {
-		l.log.Info("roll-out", "service", e.Object.Key[len(registry.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.SpentS, "why", r.Why)
+		l.log.Info("roll-out", "service", e.Object.Key[len(registry.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.ElapsedSeconds, "why", r.Reason)
 	}
 	if r.State != rollout.InProgress {
 		delete(l.tryOuts, e.Object.Key[len(registry.RolloutPrefix):])
@@ -181,7 +181,7 @@
 	if _, known := l.store.Get(key); known {
 		return
 	}
-	txn.If = append(txn.If, registry.Condition{Key: key})
+	txn.If = append(txn.If, registry.Compare{Key: key})
 	// Before the endpoint, so that no proxy holds it without.
 	txn.Then = append([]registry.Write{{Key: key, Value: rollout.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
 }
@@ -208,8 +208,8 @@
 		} else if _, known := l.cluster(service); !known {
 			return nil, apierror.New(apierror.BadRequest, "backend_service: %q is not known", service)
 		}
-		next, err := was.Begin(target, deadline)
-		var refused rollout.Refusal
+		next, err := was.Start(target, deadline)
+		var refused rollout.RejectedError
 		if errors.As(err, &refused) {
 			return nil, apierror.New(apierror.Conflict, "%s", refused)
 		}
@@ -217,7 +217,7 @@
 			return nil, nil
 		}
 		return &registry.Txn{
-			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+			If:   []registry.Compare{{Key: key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: key, Value: next.Encode()}},
 		}, nil
 	})
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -26,19 +26,19 @@
 			continue
 		}
 		stop := context.AfterFunc(ctx, c.Close)
-		err = c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: !m.Listed(), Watch: m.Listed(), Least: m.Revision()}})
+		err = c.Send(&transport.Frame{Ask: &transport.Ask{ID: 1, List: !m.HasSynced(), Watch: m.HasSynced(), Least: m.Revision()}})
 		for seq := uint64(1); err == nil; seq++ {
 			var f *transport.Frame
 			if f, err = c.Receive(2 * time.Second); err != nil {
 				break
 			}
-			if a := f.Answer; a != nil && !a.Failed && !a.Gone && !m.Listed() {
-				err = m.Reset(a.Revision, a.Objects)
+			if a := f.Answer; a != nil && !a.Failed && !a.Gone && !m.HasSynced() {
+				err = m.Replace(a.Revision, a.Objects)
 			}
 			events, _ := f.TakeEvents()
 			for _, e := range events {
-				if _, err := m.Apply(e); err != nil {
-					m.Forget()
+				if _, err := m.ApplyEvent(e); err != nil {
+					m.Invalidate()
 				}
 			}
 			report := &transport.Report{Seq: seq}
@@ -46,14 +46,14 @@
 				if r, _ := rollout.Decode(o.Value); r.State == rollout.InProgress {
 					e := rollout.Evidence{}
 					for id := range 6 {
-						n := rollout.Count{Answers: 3}
+						n := rollout.Counts{Answers: 3}
 						if bad.Load() {
 							n.Failed = 3
 						}
-						e.Add(rollout.Evidence{"r": rollout.OfTarget(fmt.Sprint("new-", id), n)})
-						e.Add(rollout.Evidence{"r": rollout.OfBase(rollout.Count{Answers: 30})})
+						e.Add(rollout.Evidence{"r": rollout.NewTargetCounts(fmt.Sprint("new-", id), n)})
+						e.Add(rollout.Evidence{"r": rollout.NewBaseCounts(rollout.Counts{Answers: 30})})
 					}
-					report.Trials = map[string]transport.Trial{"s": {Order: r.Order, Proxies: 1, Stage: r.Stage, Evidence: e}}
+					report.Trials = map[string]transport.Trial{"s": {Order: r.OrderNumber, Proxies: 1, Stage: r.Stage, Evidence: e}}
 				}
 			}
 			if err == nil {
@@ -126,7 +126,7 @@
 	if err := l[0].BeginRollout("s", "v3", time.Minute); apierror.Of(err) != apierror.Conflict {
 		t.Errorf("another version while one is under way: %v", err)
 	}
-	if r := read(l[0]); r.State != rollout.InProgress || r.Base != "v1" || r.Order != 1 {
+	if r := read(l[0]); r.State != rollout.InProgress || r.Base != "v1" || r.OrderNumber != 1 {
 		t.Errorf("begun: %+v", r)
 	}
 	// The leader is lost and comes back; whoever follows goes on.
@@ -143,7 +143,7 @@
 	l[lost].Close()
 	g.start(lost, false)
 	until(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != rollout.InProgress })
-	if r := read(l[lost]); r.State != rollout.Succeeded || r.Base != "v2" || r.Order != 1 {
+	if r := read(l[lost]); r.State != rollout.Succeeded || r.Base != "v2" || r.OrderNumber != 1 {
 		t.Fatalf("ended: %+v", r)
 	}
 	bad.Store(true)
@@ -155,7 +155,7 @@
 	for i := range l {
 		g.start(i, false)
 	}
-	if r := read(l[2]); r.State != rollout.RolledBack || r.Base != "v2" || r.Target != "v3" || r.Order != 2 || r.Why == "" {
+	if r := read(l[2]); r.State != rollout.RolledBack || r.Base != "v2" || r.Target != "v3" || r.OrderNumber != 2 || r.Reason == "" {
 		t.Errorf("after the restart: %+v", r)
 	}
 	if err := l[0].BeginRollout("s", "v3", time.Minute); err != nil || read(l[0]).State != rollout.RolledBack {
--- a/internal/controlplane/session.go
+++ b/internal/controlplane/session.go
@@ -116,7 +116,7 @@
 	if ans.Revision < a.Least {
 		return l.behind(a, ans.Revision), 0
 	}
-	_, err := l.cache.Since(a.Least, 1)
+	_, err := l.cache.EventsSince(a.Least, 1)
 	ans.Gone = errors.Is(err, watchcache.ErrGone)
 	return ans, a.Least
 }
@@ -219,7 +219,7 @@
 }
 
 // watched are the kinds of object that proxies hold a copy of.
-var watched = [...]string{registry.EndpointPrefix, registry.EvacPrefix, registry.RolloutPrefix, registry.ConfigKey}
+var watched = [...]string{registry.EndpointPrefix, registry.EvacuationPrefix, registry.RolloutPrefix, registry.ConfigKey}
 
 func isWatched(key string) bool {
 	for _, prefix := range watched {
@@ -298,7 +298,7 @@
 	round := 0
 	for {
 		l.mu.RLock()
-		events, err := l.cache.Since(after, eventsAFrame)
+		events, err := l.cache.EventsSince(after, eventsAFrame)
 		l.mu.RUnlock()
 		if err != nil {
 			_ = conn.Send(&transport.Frame{Gone: true}) // it lists again either way
@@ -339,7 +339,7 @@
 				l.mu.RUnlock()
 			}
 			l.mu.RLock()
-			rest, err := l.cache.Since(after, 1)
+			rest, err := l.cache.EventsSince(after, 1)
 			l.mu.RUnlock()
 			if len(rest) > 0 || err != nil || !l.fresh() {
 				poke(wake)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -93,7 +93,7 @@
 				if e.Draining {
 					s.Draining++
 				}
-				if e.Cold {
+				if e.WarmingUp {
 					s.Cold++
 				}
 			}
--- a/internal/controlplane/transfer.go
+++ b/internal/controlplane/transfer.go
@@ -80,7 +80,7 @@
 // checkSnapshot restores a leader's snapshot beside the state held, which it replaces
 // once it is installed.
 func (l *Lathe) checkSnapshot(data []byte) error {
-	s := registry.New()
+	s := registry.NewStore()
 	if err := s.Restore(data); err != nil {
 		l.log.Error("snapshot cannot be read, this node goes on lagging", "error", err)
 		return err
--- a/internal/controlplane/transfer_test.go
+++ b/internal/controlplane/transfer_test.go
@@ -154,7 +154,7 @@
 		if e.SnapshotToInstall != nil {
 			installed++
 			during = time.Since(start)
-			if err := registry.New().Restore(e.SnapshotToInstall.Data); err != nil {
+			if err := registry.NewStore().Restore(e.SnapshotToInstall.Data); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/controlplane/world.go
+++ b/internal/controlplane/world.go
@@ -50,7 +50,7 @@
 			return nil, nil
 		}
 		return &registry.Txn{
-			If:   []registry.Condition{{Key: p.Key(), ModRevision: o.ModRevision}},
+			If:   []registry.Compare{{Key: p.Key(), ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: p.Key(), Value: p.Encode()}},
 		}, nil
 	})
@@ -63,7 +63,7 @@
 	switch key := e.Object.Key; {
 	case strings.HasPrefix(key, registry.ProxyPrefix):
 		l.noteProxy(e)
-	case strings.HasPrefix(key, registry.EvacPrefix):
+	case strings.HasPrefix(key, registry.EvacuationPrefix):
 		l.noteOrder(e)
 	case strings.HasPrefix(key, registry.RolloutPrefix):
 		l.noteRollout(e)
@@ -86,7 +86,7 @@
 	clear(l.places)
 	clear(l.endpoints)
 	clear(l.rollouts)
-	for _, prefix := range [...]string{registry.ProxyPrefix, registry.EvacPrefix, registry.RolloutPrefix, registry.EndpointPrefix} {
+	for _, prefix := range [...]string{registry.ProxyPrefix, registry.EvacuationPrefix, registry.RolloutPrefix, registry.EndpointPrefix} {
 		for _, o := range l.store.List(prefix) {
 			l.note(registry.Event{Type: registry.Added, Object: o})
 		}
@@ -145,9 +145,9 @@
 	if err := l.ReadPoint(); err != nil {
 		return err
 	}
-	key := registry.EvacPrefix + zone
+	key := registry.EvacuationPrefix + zone
 	bound := l.set.Bounds.AckTimeout.D()
-	repeats := registry.Repeats{Told: bound / 5, Untold: bound}
+	repeats := registry.RepeatWindow{Acknowledged: bound / 5, Unacknowledged: bound}
 	var now registry.Evacuation
 	wrote, err := l.transact(func() (*registry.Txn, error) {
 		if !waits() {
@@ -155,18 +155,18 @@
 		}
 		o, _ := l.store.Get(key)
 		was := registry.DecodeEvacuation(o)
-		if now = was.Order(begin, l.now()-l.ordered[orderKind{key, begin}], repeats); now == was {
+		if now = was.ApplyOrder(begin, l.now()-l.ordered[orderKind{key, begin}], repeats); now == was {
 			return nil, nil
 		}
 		return &registry.Txn{
-			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+			If:   []registry.Compare{{Key: key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: key, Value: now.Encode()}},
 		}, nil
 	})
 	if wrote {
-		l.log.Info("evacuation order acknowledged", "zone", zone, "begin", begin, "state", now.State(), "open", now.Begins-now.Finishes)
+		l.log.Info("evacuation order acknowledged", "zone", zone, "begin", begin, "state", now.State(), "open", now.BeginCount-now.FinishCount)
 	}
-	if err == nil && now != now.Answered(begin) {
+	if err == nil && now != now.Acknowledge(begin) {
 		time.AfterFunc(l.timing.Heartbeat, func() { l.answered(key, begin, now) })
 	}
 	return err
@@ -185,12 +185,12 @@
 	_, _ = l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(key)
 		now := registry.DecodeEvacuation(o)
-		noted := now.Answered(begin)
-		if now == noted || now.Begins != order.Begins || now.Finishes != order.Finishes {
+		noted := now.Acknowledge(begin)
+		if now == noted || now.BeginCount != order.BeginCount || now.FinishCount != order.FinishCount {
 			return nil, nil
 		}
 		return &registry.Txn{
-			If:   []registry.Condition{{Key: key, ModRevision: o.ModRevision}},
+			If:   []registry.Compare{{Key: key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: key, Value: noted.Encode()}},
 		}, nil
 	})
@@ -200,10 +200,10 @@
 	order := registry.DecodeEvacuation(e.Object)
 	was := l.orders[e.Object.Key]
 	l.orders[e.Object.Key] = order
-	if order.Begins != was.Begins {
+	if order.BeginCount != was.BeginCount {
 		l.ordered[orderKind{e.Object.Key, true}] = l.now()
 	}
-	if order.Finishes != was.Finishes {
+	if order.FinishCount != was.FinishCount {
 		l.ordered[orderKind{e.Object.Key, false}] = l.now()
 	}
 }
@@ -221,8 +221,8 @@
 // evacuations reads what is held. The caller has the node's lock.
 func (l *Lathe) evacuations() map[string]string {
 	out := map[string]string{}
-	for _, o := range l.store.List(registry.EvacPrefix) {
-		out[o.Key[len(registry.EvacPrefix):]] = registry.DecodeEvacuation(o).State()
+	for _, o := range l.store.List(registry.EvacuationPrefix) {
+		out[o.Key[len(registry.EvacuationPrefix):]] = registry.DecodeEvacuation(o).State()
 	}
 	return out
 }
@@ -230,7 +230,7 @@
 // endReturns takes zones back into ordinary use once their endpoints' beats
 // have had the time to tell which are cold.
 func (l *Lathe) endReturns(now time.Duration) {
-	for _, o := range l.store.List(registry.EvacPrefix) {
+	for _, o := range l.store.List(registry.EvacuationPrefix) {
 		if registry.DecodeEvacuation(o).State() != registry.Returning {
 			delete(l.returning, o.Key)
 			continue
@@ -242,8 +242,8 @@
 		}
 		if now-since.at > 2*l.set.HeartbeatEvery.D()+l.timing.Silence {
 			l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
-				If:   []registry.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
-				Then: []registry.Write{{Key: o.Key, Delete: true}},
+				If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
+				Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 			}}))
 			l.returning[o.Key] = mark{now, o.ModRevision} // asked again if it did not come through
 		}
@@ -269,8 +269,8 @@
 		l.proxies[name] = now // asked again if it does not come through
 		l.board.Counter("proxies_removed_total").Inc()
 		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
-			If:   []registry.Condition{{Key: o.Key, ModRevision: o.ModRevision}},
-			Then: []registry.Write{{Key: o.Key, Delete: true}},
+			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
+			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 		}}))
 	}
 }
@@ -284,7 +284,7 @@
 	var byZone, byRegion map[string][]string
 	var all []string
 	for _, e := range l.endpoints {
-		if e.Draining || (!e.Cold && evac[e.Zone] != registry.Returning) {
+		if e.Draining || (!e.WarmingUp && evac[e.Zone] != registry.Returning) {
 			continue
 		}
 		c, ok := l.cluster(e.Service)
--- a/internal/proxy/account.go
+++ b/internal/proxy/account.go
@@ -24,7 +24,7 @@
 	known atomic.Bool
 
 	mu     sync.Mutex
-	stub   *audit.Stub
+	stub   *audit.Recorder
 	life   string
 	sentAt time.Time
 	asked  int64 // requests since sentAt
@@ -47,7 +47,7 @@
 	}
 	life := set.NodeName + "-" + strconv.FormatInt(time.Now().UnixMilli(), 36) + "-" + strconv.FormatInt(rand.Int63(), 36)
 	return &account{
-		set: set.Account, stub: audit.NewStub(life, set.NodeName, set.Account.MostHeld), life: life,
+		set: set.Account, stub: audit.NewRecorder(life, set.NodeName, set.Account.MostHeld), life: life,
 		noted: board.Counter("account_noted_total"), held: board.Counter("account_held"), dropped: board.Counter("account_dropped"),
 	}
 }
@@ -87,7 +87,7 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stub.Note(audit.Record{
+	a.stub.Append(audit.Record{
 		AtMS: now.UnixMilli(), Tenant: a.tenant(h), Route: route, Request: cut(request), Attempt: cut(attempt),
 		Kind: kind, Status: status, TookMS: now.Sub(began).Milliseconds(),
 	})
@@ -114,17 +114,17 @@
 // batch gives what is to be handed over now, or nil. The caller has the lock.
 func (a *account) batch(now time.Time, closing bool, again time.Duration) *audit.Batch {
 	span := now.Sub(a.sentAt)
-	if !closing && span < again && a.known.Load() && (a.stub.Held() == 0 || span < again/4) {
+	if !closing && span < again && a.known.Load() && (a.stub.Pending() == 0 || span < again/4) {
 		return nil
 	}
 	if span > time.Millisecond {
 		a.perS = max(a.perS*0.9, float64(a.asked)/max(0.1, span.Seconds()))
 	}
 	a.sentAt, a.asked = now, 0
-	b := a.stub.Batch(now.UnixMilli(), accountBatch)
+	b := a.stub.NextBatch(now.UnixMilli(), accountBatch)
 	b.PerS, b.Out = a.perS, a.out
-	b.Closed = closing && a.stub.Held() == len(b.Records)
-	a.held.Set(int64(a.stub.Held()))
+	b.Closed = closing && a.stub.Pending() == len(b.Records)
+	a.held.Set(int64(a.stub.Pending()))
 	a.dropped.Set(int64(a.stub.Dropped()))
 	return &b
 }
@@ -147,9 +147,9 @@
 	a.known.Store(true)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stub.Acked(k.Life, k.Seq)
+	a.stub.Acknowledge(k.Life, k.Seq)
 	a.closed = a.closed || k.Closed
-	a.held.Set(int64(a.stub.Held()))
+	a.held.Set(int64(a.stub.Pending()))
 }
 
 // close hands over what is left, and that this life ends, until that is
--- a/internal/proxy/follow.go
+++ b/internal/proxy/follow.go
@@ -71,7 +71,7 @@
 		sctx, cancel = context.WithCancel(ctx)
 		to := make(chan *stream)
 		found = to
-		want := transport.Ask{ID: 1, Least: p.mirror.Revision(), Watch: p.mirror.Listed(), List: !p.mirror.Listed(), Packs: true}
+		want := transport.Ask{ID: 1, Least: p.mirror.Revision(), Watch: p.mirror.HasSynced(), List: !p.mirror.HasSynced(), Packs: true}
 		if !p.movedOnce {
 			want.Zone = p.set.Zone
 		}
@@ -330,7 +330,7 @@
 		if err != nil {
 			return err
 		}
-		if err := p.mirror.Reset(s.answer.Revision, objects); err != nil {
+		if err := p.mirror.Replace(s.answer.Revision, objects); err != nil {
 			return err
 		}
 		p.rebuild()
@@ -356,7 +356,7 @@
 		p.account.acked(f.Account)
 	}
 	if b := f.Bookmark; b != nil {
-		p.mirror.Bookmark(b.Revision)
+		p.mirror.ApplyBookmark(b.Revision)
 		p.heard.Store(int64(p.now()))
 		p.line.Learn(b.Control)
 		if b.Control != nil {
@@ -398,7 +398,7 @@
 func (p *Plane) takeEvents(events []registry.Event) error {
 	for _, e := range events {
 		if err := p.takeEvent(e); err != nil {
-			p.mirror.Forget()
+			p.mirror.Invalidate()
 			return err
 		}
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -74,7 +74,7 @@
 			if ctx.IsGet() || ctx.IsHead() {
 				p.account.note(&ctx.Request.Header, "", audit.Failed, 503, ctx.Time())
 			} else {
-				p.account.note(&ctx.Request.Header, "", audit.NotRun, 503, ctx.Time())
+				p.account.note(&ctx.Request.Header, "", audit.NotExecuted, 503, ctx.Time())
 			}
 			// The first view comes soon after a start, or not for long.
 			ctx.Response.Header.Set("Retry-After", seconds(p.timing.Dial+p.timing.Dial*time.Duration(rand.Intn(100))/100))
@@ -661,9 +661,9 @@
 	case q.route.Repeatable:
 		p.noteTry(q, audit.Failed, d.kind.Status())
 	case q.ran:
-		p.noteTry(q, audit.Unsure, d.kind.Status())
+		p.noteTry(q, audit.MaybeExecuted, d.kind.Status())
 	default:
-		p.noteTry(q, audit.NotRun, d.kind.Status())
+		p.noteTry(q, audit.NotExecuted, d.kind.Status())
 	}
 	p.refuse(q.ctx, apierror.New(d.kind, "%s", why))
 }
@@ -769,14 +769,14 @@
 	}
 	switch {
 	case status < 300 && !q.route.Repeatable:
-		p.noteTry(q, audit.Ran, status)
+		p.noteTry(q, audit.Executed, status)
 	case status >= 500 && !q.route.Repeatable:
-		p.noteTry(q, audit.Unsure, status)
+		p.noteTry(q, audit.MaybeExecuted, status)
 	case status >= 500:
 		p.noteTry(q, audit.Failed, status)
 	}
 	if status < 300 && q.route.Aim > 0 && time.Since(q.began) > q.route.Aim {
-		p.noteTry(q, audit.Late, status)
+		p.noteTry(q, audit.MissedLatencyTarget, status)
 	}
 }
 
@@ -817,7 +817,7 @@
 	if !t.broke {
 		return nil
 	}
-	t.p.noteTry(t.q, audit.BrokenOff, t.a.status)
+	t.p.noteTry(t.q, audit.Truncated, t.a.status)
 	t.svc.mu.Lock()
 	t.svc.pool.Broke(t.p.now(), t.e)
 	t.svc.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -297,7 +297,7 @@
 		}
 	}
 	for zone := range p.zones {
-		if !have[registry.EvacPrefix+zone] {
+		if !have[registry.EvacuationPrefix+zone] {
 			p.setZone(zone, loadbalance.Used)
 		}
 	}
@@ -343,7 +343,7 @@
 		p.takeConfig(o)
 		return
 	}
-	if zone, ok := strings.CutPrefix(o.Key, registry.EvacPrefix); ok {
+	if zone, ok := strings.CutPrefix(o.Key, registry.EvacuationPrefix); ok {
 		z := loadbalance.Emptied
 		if registry.DecodeEvacuation(o).State() == registry.Returning {
 			z = loadbalance.Back
@@ -362,11 +362,11 @@
 	}
 	cold := time.Duration(0)
 	if live {
-		cold = time.Duration(e.ColdS * float64(time.Second))
+		cold = time.Duration(e.WarmUpSeconds * float64(time.Second))
 	}
 	s := p.service(e.Service)
 	s.mu.Lock()
-	ep := s.pool.Set(p.now(), loadbalance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, Cold: e.Cold, Region: p.regionOf(e.Zone)}, cold)
+	ep := s.pool.Set(p.now(), loadbalance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, Cold: e.WarmingUp, Region: p.regionOf(e.Zone)}, cold)
 	sh := s.shelves[ep]
 	if sh == nil {
 		sh = new(shelf)
@@ -397,7 +397,7 @@
 }
 
 func (p *Plane) takeEvent(e registry.Event) error {
-	changed, err := p.mirror.Apply(e)
+	changed, err := p.mirror.ApplyEvent(e)
 	if err != nil || !changed {
 		return err
 	}
@@ -405,7 +405,7 @@
 		p.takeObject(p.mirror.Objects()[e.Object.Key], true)
 		return nil
 	}
-	if zone, ok := strings.CutPrefix(e.Object.Key, registry.EvacPrefix); ok {
+	if zone, ok := strings.CutPrefix(e.Object.Key, registry.EvacuationPrefix); ok {
 		p.setZone(zone, loadbalance.Used)
 	}
 	if id, ok := strings.CutPrefix(e.Object.Key, registry.EndpointPrefix); ok {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -441,7 +441,7 @@
 	check("", "200 near")
 	check(`"r2"`, "200 far")
 	check(`"nowhere"`, "503")
-	evac := registry.Object{Key: registry.EvacPrefix + "b", Value: []byte(registry.Evacuated), ModRevision: 1}
+	evac := registry.Object{Key: registry.EvacuationPrefix + "b", Value: []byte(registry.Evacuated), ModRevision: 1}
 	if err := p.takeEvent(registry.Event{Type: registry.Added, Object: evac, Revision: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/trial.go
+++ b/internal/proxy/trial.go
@@ -16,7 +16,7 @@
 type trial struct {
 	rollout.Rollout
 	seen   rollout.Evidence
-	strata rollout.Strata // of the requests lately
+	strata rollout.StratifiedSplit // of the requests lately
 }
 
 // takeRollout takes a service's versions.
@@ -33,10 +33,10 @@
 	s.mu.Lock()
 	was := s.trial.Rollout
 	s.trial.Rollout = r
-	if was.Order != r.Order || r.State != rollout.InProgress {
+	if was.OrderNumber != r.OrderNumber || r.State != rollout.InProgress {
 		s.trial.seen = nil
 	}
-	s.pool.SetVersions(loadbalance.Versions{Told: r.Base != "" || r.Order > 0, Base: r.Base, Target: r.Target, Share: r.Share()})
+	s.pool.SetVersions(loadbalance.Versions{Told: r.Base != "" || r.OrderNumber > 0, Base: r.Base, Target: r.Target, Share: r.TrafficShare()})
 	s.wakeFirst()
 	s.mu.Unlock()
 	if r.State != was.State && r.State != "" {
@@ -61,9 +61,9 @@
 			if out == nil {
 				out = map[string]transport.Trial{}
 			}
-			out[name] = transport.Trial{Order: s.trial.Order, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
+			out[name] = transport.Trial{Order: s.trial.OrderNumber, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
 			s.trial.seen = nil
-			s.trial.strata.Fade()
+			s.trial.strata.Decay()
 		}
 		s.mu.Unlock()
 	}
@@ -79,8 +79,8 @@
 	if share <= 0 {
 		return loadbalance.Base
 	}
-	s.trial.strata.Arrive(route)
-	share = s.trial.strata.Share(share, route)
+	s.trial.strata.RecordRequest(route)
+	share = s.trial.strata.RouteShare(share, route)
 	if share < 1 && rand.Float64() >= share || p.now()-time.Duration(p.heard.Load()) > p.timing.Lease {
 		return loadbalance.Base
 	}
@@ -94,7 +94,7 @@
 func (s *service) elsewhere(arm loadbalance.Arm, sent bool) loadbalance.Arm {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if arm == loadbalance.Base && !sent && s.trial.Final() {
+	if arm == loadbalance.Base && !sent && s.trial.IsFinalStage() {
 		return loadbalance.Target
 	}
 	return loadbalance.Base
@@ -105,7 +105,7 @@
 func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*loadbalance.Endpoint) bool, arm *loadbalance.Arm) (*loadbalance.Endpoint, *shelf) {
 	if *arm == loadbalance.Target {
 		s.mu.Lock()
-		final, over := s.trial.Final(), s.trial.State != rollout.InProgress
+		final, over := s.trial.IsFinalStage(), s.trial.State != rollout.InProgress
 		s.mu.Unlock()
 		if !final && !over {
 			if e, sh := s.acquire(p, r, 0, skip); e != nil {
@@ -158,14 +158,14 @@
 	if trial.State != rollout.InProgress {
 		return nil
 	}
-	w := &watch{s: s, arm: arm, order: trial.Order, route: q.route.Name, endpoint: e.ID}
+	w := &watch{s: s, arm: arm, order: trial.OrderNumber, route: q.route.Name, endpoint: e.ID}
 	if !fresh {
 		w.usual = q.stats.ordinary()
 	}
 	if w.usual > 0 && arm == loadbalance.Target {
-		w.timer = time.AfterFunc(rollout.Slow*w.usual, func() {
+		w.timer = time.AfterFunc(rollout.SlowFactor*w.usual, func() {
 			if w.late.CompareAndSwap(false, true) {
-				w.note(rollout.Count{Timed: 1, Slow: 1})
+				w.note(rollout.Counts{Timed: 1, Slow: 1})
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 func (w *watch) broke(o outcome, inTime bool) {
 	w.end()
 	if w != nil && o.at >= sentPart && !o.stale && inTime {
-		w.note(rollout.Count{Broken: 1})
+		w.note(rollout.Counts{Broken: 1})
 	}
 }
 
@@ -194,31 +194,31 @@
 	if w == nil {
 		return
 	}
-	c := rollout.Count{Answers: 1}
+	c := rollout.Counts{Answers: 1}
 	if !ok {
 		c.Failed = 1
 	} else if w.usual > 0 && !w.late.Swap(true) {
 		c.Timed = 1
-		if took > rollout.Slow*w.usual {
+		if took > rollout.SlowFactor*w.usual {
 			c.Slow = 1
 		}
 	}
 	w.note(c)
 }
 
-func (w *watch) note(c rollout.Count) {
+func (w *watch) note(c rollout.Counts) {
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
 	t := &w.s.trial
-	if t.Order != w.order || t.State != rollout.InProgress {
+	if t.OrderNumber != w.order || t.State != rollout.InProgress {
 		return
 	}
 	if t.seen == nil {
 		t.seen = rollout.Evidence{}
 	}
-	a := rollout.OfBase(c)
+	a := rollout.NewBaseCounts(c)
 	if w.arm == loadbalance.Target {
-		a = rollout.OfTarget(w.endpoint, c)
+		a = rollout.NewTargetCounts(w.endpoint, c)
 	}
 	t.seen.Add(rollout.Evidence{w.route: a})
 }
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	trial := func(stage int) rollout.Rollout {
-		return rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: rollout.InProgress, Stage: stage, DeadlineS: 15}
+		return rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.InProgress, Stage: stage, DeadlineSeconds: 15}
 	}
 	const n = 300
 	for _, c := range []struct {
@@ -62,7 +62,7 @@
 		{"canary without news", trial(0), false, 0, 0, false},
 		{"all", trial(3), true, n, n, true},
 		{"all, without news", trial(3), false, 0, 0, false},
-		{"rolled back", rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: rollout.RolledBack, Stage: 3}, true, 0, 0, false},
+		{"rolled back", rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.RolledBack, Stage: 3}, true, 0, 0, false},
 	} {
 		p.order(c.r)
 		for _, path := range []string{"/safe/a", "/once/a"} {
@@ -90,7 +90,7 @@
 		}
 		if c.r.State == rollout.InProgress {
 			told := p.trials()["s"]
-			sum := rollout.Count{}
+			sum := rollout.Counts{}
 			for _, a := range told.Evidence {
 				sum = sum.Add(a.Target)
 			}
@@ -121,7 +121,7 @@
 			for i := range c.endpoints {
 				p.version(fmt.Sprint("i-", i), "v2", e)
 			}
-			p.order(rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: rollout.InProgress, Stage: c.stage})
+			p.order(rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.InProgress, Stage: c.stage})
 			pool := p.services["s"].pool
 			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
 			var front []string
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -119,8 +119,8 @@
 func goldenEntries() []raft.Entry {
 	return []raft.Entry{
 		{Index: 41, Term: 5},
-		{Index: 42, Term: 5, Data: registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "endpoints/e1", ModRevision: 3}}, Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
-		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Next, Name: "orders"}})},
+		{Index: 42, Term: 5, Data: registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Compare{{Key: "endpoints/e1", ModRevision: 3}}, Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
+		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "orders"}})},
 		{Index: 44, Term: 5, Type: raft.EntryConfChange, Data: goldenMembersLater().Encode()},
 	}
 }
@@ -220,7 +220,7 @@
 		t.Error(err)
 	}
 	goldentest.Same(t, "entry 42", command, registry.Command{Txn: &registry.Txn{
-		If:   []registry.Condition{{Key: "endpoints/e1", ModRevision: 3}},
+		If:   []registry.Compare{{Key: "endpoints/e1", ModRevision: 3}},
 		Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}},
 	}})
 	checkGoldenState(t, saved.Snapshot.Data)
@@ -229,7 +229,7 @@
 // checkGoldenState restores the snapshot's state and compares what it holds.
 func checkGoldenState(t *testing.T, state []byte) {
 	t.Helper()
-	s := registry.New()
+	s := registry.NewStore()
 	if err := s.Restore(state); err != nil {
 		t.Fatal(err)
 	}
@@ -246,24 +246,24 @@
 	if s.Revision() != 21 {
 		t.Errorf("revision %d, want 21", s.Revision())
 	}
-	goldentest.Same(t, "locks", s.Latches().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
-	goldentest.Same(t, "cells", s.Latches().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
-	events, revision, ok := s.Latches().Since("g.", 1)
+	goldentest.Same(t, "locks", s.Coordination().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
+	goldentest.Same(t, "cells", s.Coordination().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
+	events, revision, ok := s.Coordination().EventsSince("g.", 1)
 	goldentest.Same(t, "events", events, []coordination.Event{{Name: "g.b", Value: "2", Revision: 2, At: 15}, {Name: "g.a", Value: "3", Revision: 3, At: 16}})
 	if revision != 3 || !ok {
 		t.Errorf("group at revision %d, reaches back: %t", revision, ok)
 	}
-	if _, _, ok := s.Latches().Since("g.", 0); ok {
+	if _, _, ok := s.Coordination().EventsSince("g.", 0); ok {
 		t.Error("events that were trimmed are there")
 	}
-	account := s.Account().Read(audit.Filter{})
-	goldentest.Same(t, "account", account, audit.Answer{
+	account := s.AuditLog().Query(audit.Filter{})
+	goldentest.Same(t, "account", account, audit.QueryResult{
 		Failures: []audit.Failure{
-			{Tenant: "tenant-2", Request: "request-2", Kind: audit.Unclear, AtMS: 1700000000002, Tries: []audit.Try{{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.Unsure, Status: 502, TookMS: 32}}}},
-			{Tenant: "tenant-3", Request: "request-3", Kind: audit.Failed, AtMS: 1700000000003, Tries: []audit.Try{{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
+			{Tenant: "tenant-2", Request: "request-2", Kind: audit.Indeterminate, AtMS: 1700000000002, Attempts: []audit.Attempt{{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.MaybeExecuted, Status: 502, TookMS: 32}}}},
+			{Tenant: "tenant-3", Request: "request-3", Kind: audit.Failed, AtMS: 1700000000003, Attempts: []audit.Attempt{{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
 		},
-		Sums:    map[string]map[audit.Kind]int{"tenant-2": {audit.Unclear: 1}, "tenant-3": {audit.Failed: 1}},
-		Gaps:    map[string]audit.Life{"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19}},
+		Counts:  map[string]map[audit.Kind]int{"tenant-2": {audit.Indeterminate: 1}, "tenant-3": {audit.Failed: 1}},
+		Gaps:    map[string]audit.Incarnation{"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19}},
 		Dropped: map[string]uint64{"tenant-1": 1},
 	})
 }
--- a/internal/transport/size_test.go
+++ b/internal/transport/size_test.go
@@ -18,7 +18,7 @@
 	for i := range 1000 {
 		e := registry.Endpoint{
 			ID: fmt.Sprintf("i-%010x", uint64(i)*2654435761%(1<<40)), Service: fmt.Sprintf("service-%d", i%2), Address: fmt.Sprintf("10.%d.64.%d:8369", i%7+1, i%250),
-			Zone: fmt.Sprintf("zone-%d", i%7), Capacity: 3, Sequence: uint64(i % 9), ColdS: 0,
+			Zone: fmt.Sprintf("zone-%d", i%7), Capacity: 3, Sequence: uint64(i % 9), WarmUpSeconds: 0,
 		}
 		objects = append(objects, registry.Object{Key: e.Key(), Value: e.Encode(), CreateRevision: uint64(i), ModRevision: uint64(i)})
 		if i%4 != 0 {
--- a/registry/accept_test.go
+++ b/registry/accept_test.go
@@ -14,15 +14,15 @@
 // and some again, through nodes that lag by some commands, as a node does that is cut
 // off. The plain model is who was first under each number: its content alone is ever
 // acknowledged under it, always again when sent again, and the highest version holds.
-func TestAcceptedOnce(t *testing.T) {
+func TestConfigVersionAcceptsOneContent(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
 		var log []registry.Command
-		newest := registry.New()
+		newest := registry.NewStore()
 		lag := make([]*registry.Store, 3)
 		at := make([]int, len(lag))
 		for i := range lag {
-			lag[i] = registry.New()
+			lag[i] = registry.NewStore()
 		}
 		catchUp := func(i, to int) {
 			for ; at[i] < to; at[i]++ {
@@ -32,9 +32,9 @@
 		// send gives whether the order was acknowledged or refused, through node i.
 		send := func(i int, version uint64, text []byte) bool {
 			for {
-				txn, err := lag[i].AcceptConfig(version, text)
-				if taken := new(registry.TakenError); errors.As(err, &taken) {
-					if taken.Version != version || bytes.Equal(taken.Taken, taken.Asked) {
+				txn, err := lag[i].BuildConfigTxn(version, text)
+				if taken := new(registry.ConfigConflictError); errors.As(err, &taken) {
+					if taken.Version != version || bytes.Equal(taken.AcceptedDigest, taken.ProposedDigest) {
 						t.Fatalf("seed %d: refused with %v", seed, err)
 					}
 					return false
@@ -59,7 +59,7 @@
 			if rng.Intn(40) == 0 { // it restarts from a snapshot
 				data, err := lag[i].Snapshot()
 				if err == nil {
-					lag[i] = registry.New()
+					lag[i] = registry.NewStore()
 					err = lag[i].Restore(data)
 				}
 				if err != nil {
--- a/registry/account_test.go
+++ b/registry/account_test.go
@@ -16,53 +16,53 @@
 // try of a commitment at another proxy, and hand their records to the real core
 // while its nodes crash, freeze and are cut, acknowledgements get lost, batches come
 // twice and late, and proxies are killed or end in order. A plain list of what was
-// caused stands beside. What the account holds is that list: every failure under its
+// causedAttempt stands beside. What the account holds is that list: every failure under its
 // tenant and request, none doubled; and what a killed proxy had not handed over is
 // no more than its gap says.
-func TestAccountIsWhatWasCaused(t *testing.T) {
+func TestAuditLogMatchesCausedFailures(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
-		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { accounts(t, seed) })
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runAuditSimulation(t, seed) })
 	}
 }
 
-// caused is one try as it truly was.
-type caused struct {
-	life string
+// causedAttempt is one try as it truly was.
+type causedAttempt struct {
+	incarnation string
 	audit.Record
 }
 
-// verdict is the slow and plain reading of all tries of one commitment.
-func verdict(tries []caused) audit.Kind {
+// expectedKind is the slow and plain reading of all tries of one commitment.
+func expectedKind(tries []causedAttempt) audit.Kind {
 	ran, unsure := 0, 0
 	for _, c := range tries {
-		if c.Kind == audit.Ran {
+		if c.Kind == audit.Executed {
 			ran++
 		}
-		if c.Kind == audit.Unsure {
+		if c.Kind == audit.MaybeExecuted {
 			unsure++
 		}
 	}
 	switch {
 	case ran >= 2:
-		return audit.Doubled
+		return audit.Duplicated
 	case ran == 1 && unsure >= 1:
-		return audit.MaybeDoubled
+		return audit.MaybeDuplicated
 	case ran == 1:
 		return ""
 	case unsure >= 1:
-		return audit.Unclear
+		return audit.Indeterminate
 	}
 	return audit.Lost
 }
 
-func accounts(t *testing.T, seed int64) {
+func runAuditSimulation(t *testing.T, seed int64) {
 	const proxies, perBatch = 6, 20
 	c := rafttest.NewCluster(seed, 3, func() rafttest.StateMachine {
-		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
+		return &simulatedStore{store: registry.NewStore(), lockExpiry: map[string]time.Duration{}, clock: func() time.Duration { return 0 }}
 	})
 	c.Run(time.Second)
 	type proxy struct {
-		stub *audit.Stub
+		stub *audit.Recorder
 		life string
 		n    int
 		// known tells that the life is in the book: before, it takes no requests.
@@ -75,16 +75,16 @@
 			n = all[i].n + 1
 		}
 		life := fmt.Sprintf("p%d-%d", i, n)
-		all[i] = &proxy{stub: audit.NewStub(life, fmt.Sprint("p", i), 10000), life: life, n: n}
+		all[i] = &proxy{stub: audit.NewRecorder(life, fmt.Sprint("p", i), 10000), life: life, n: n}
 	}
 	for i := range all {
 		open(i)
 	}
 	ms := func() int64 { return c.Now.Milliseconds() }
 	send := func(p *proxy, closed bool) {
-		b := p.stub.Batch(ms(), perBatch)
+		b := p.stub.NextBatch(ms(), perBatch)
 		b.PerS, b.Out, b.Closed, b.Most = 100, 2, closed && len(b.Records) < perBatch, 100000
-		data := registry.EncodeCommand(registry.Command{Account: &b})
+		data := registry.EncodeCommand(registry.Command{Audit: &b})
 		ids := c.IDs()
 		id := ids[c.Rand.Intn(len(ids))]
 		if l := c.Leader(); l != nil && c.Rand.Intn(4) > 0 {
@@ -93,7 +93,7 @@
 		lost := c.Rand.Intn(4) == 0
 		done := func(res any, ok bool) {
 			if r, is := res.(registry.Result); ok && is && !lost {
-				p.stub.Acked(p.life, r.Account)
+				p.stub.Acknowledge(p.life, r.Account)
 				p.known = true
 			}
 		}
@@ -102,10 +102,10 @@
 			c.Propose(id, data, done)
 		}
 	}
-	var truth []caused
-	gone := map[string][]caused{} // of killed lives, what was not acknowledged
-	kinds := []audit.Kind{audit.Late, audit.Failed, audit.BrokenOff}
-	evidence := []audit.Kind{audit.Ran, audit.Ran, audit.Unsure, audit.NotRun}
+	var truth []causedAttempt
+	gone := map[string][]causedAttempt{} // of killed lives, what was not acknowledged
+	kinds := []audit.Kind{audit.MissedLatencyTarget, audit.Failed, audit.Truncated}
+	evidence := []audit.Kind{audit.Executed, audit.Executed, audit.MaybeExecuted, audit.NotExecuted}
 	at := 0
 	note := func(p *proxy, r audit.Record) {
 		if !p.known {
@@ -113,12 +113,12 @@
 		}
 		at++
 		r.Attempt, r.AtMS, r.Route = fmt.Sprint("a", at), ms(), "r"
-		p.stub.Note(r)
-		truth = append(truth, caused{p.life, r})
+		p.stub.Append(r)
+		truth = append(truth, causedAttempt{p.life, r})
 	}
 	for round := range 160 {
 		id := c.IDs()[c.Rand.Intn(3)]
-		trouble(c, id, 10)
+		injectFault(c, id, 10)
 		tenant := fmt.Sprint("t", c.Rand.Intn(3))
 		for range c.Rand.Intn(3) {
 			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
@@ -133,9 +133,9 @@
 		}
 		if c.Rand.Intn(12) == 0 { // killed: what it holds goes with it
 			i := c.Rand.Intn(proxies)
-			held := all[i].stub.Batch(ms(), 1<<30).Records
+			held := all[i].stub.NextBatch(ms(), 1<<30).Records
 			for _, r := range held {
-				gone[all[i].life] = append(gone[all[i].life], caused{all[i].life, r})
+				gone[all[i].life] = append(gone[all[i].life], causedAttempt{all[i].life, r})
 			}
 			open(i)
 		}
@@ -155,9 +155,9 @@
 		c.Run(20 * time.Millisecond)
 	}
 	c.Run(time.Second)
-	store := c.Nodes[1].StateMachine.(*storeMachine).s
+	store := c.Nodes[1].StateMachine.(*simulatedStore).store
 	for _, id := range c.IDs()[1:] {
-		if got := c.Nodes[id].StateMachine.(*storeMachine).s.Account().Read(audit.Filter{}); !reflect.DeepEqual(got, store.Account().Read(audit.Filter{})) {
+		if got := c.Nodes[id].StateMachine.(*simulatedStore).store.AuditLog().Query(audit.Filter{}); !reflect.DeepEqual(got, store.AuditLog().Query(audit.Filter{})) {
 			t.Fatalf("node %d holds another account", id)
 		}
 	}
@@ -166,11 +166,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := registry.New()
-	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.Account().Read(audit.Filter{}), store.Account().Read(audit.Filter{})) {
+	other := registry.NewStore()
+	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.AuditLog().Query(audit.Filter{}), store.AuditLog().Query(audit.Filter{})) {
 		t.Fatalf("the account does not come back from a snapshot: %v", err)
 	}
-	account := store.Account().Read(audit.Filter{})
+	account := store.AuditLog().Query(audit.Filter{})
 	// What is certainly in: all but what killed lives had not been acknowledged, of
 	// which some may have been taken in without an answer.
 	unknown := map[string]bool{}
@@ -186,20 +186,20 @@
 	}
 	in := map[string]bool{}
 	for _, f := range account.Failures {
-		for _, try := range f.Tries {
+		for _, try := range f.Attempts {
 			if in[try.Attempt] {
 				t.Errorf("%s is there twice", try.Attempt)
 			}
 			in[try.Attempt] = true
 		}
 	}
-	commits := map[string][]caused{}
+	commits := map[string][]causedAttempt{}
 	want := map[string]bool{}
 	for _, x := range truth {
-		if unknown[x.life+x.Attempt] && !in[x.Attempt] {
+		if unknown[x.incarnation+x.Attempt] && !in[x.Attempt] {
 			continue // lost with its proxy, within the gap
 		}
-		if x.Kind == audit.Ran || x.Kind == audit.Unsure || x.Kind == audit.NotRun {
+		if x.Kind == audit.Executed || x.Kind == audit.MaybeExecuted || x.Kind == audit.NotExecuted {
 			commits[x.Tenant+" "+x.Request] = append(commits[x.Tenant+" "+x.Request], x)
 			continue
 		}
@@ -212,7 +212,7 @@
 		}
 	}
 	for key, tries := range commits {
-		if kind := verdict(tries); kind != "" && !doubtful[key] {
+		if kind := expectedKind(tries); kind != "" && !doubtful[key] {
 			want[key+" "+string(kind)] = true
 		}
 	}
@@ -220,8 +220,8 @@
 	for _, f := range account.Failures {
 		key := f.Tenant + " " + f.Request
 		switch f.Kind {
-		case audit.Late, audit.Failed, audit.BrokenOff:
-			got[fmt.Sprint(key, " ", f.Kind, " ", f.Tries[0].Attempt)] = true
+		case audit.MissedLatencyTarget, audit.Failed, audit.Truncated:
+			got[fmt.Sprint(key, " ", f.Kind, " ", f.Attempts[0].Attempt)] = true
 		default:
 			if !doubtful[key] {
 				got[key+" "+string(f.Kind)] = true
@@ -229,14 +229,14 @@
 		}
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the account differs from what was caused: %v", difference(got, want))
+		t.Errorf("the account differs from what was caused: %v", diffSets(got, want))
 	}
 	if len(got) < 50 || len(gone) == 0 {
 		t.Errorf("little was tried: %d failures, %d killed lives", len(got), len(gone))
 	}
 }
 
-func difference(got, want map[string]bool) (out []string) {
+func diffSets(got, want map[string]bool) (out []string) {
 	for k := range got {
 		if !want[k] {
 			out = append(out, "not caused: "+k)
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -8,34 +8,34 @@
 	"lichentray/registry"
 )
 
-func endpoint(i int) registry.Endpoint {
+func benchmarkEndpoint(i int) registry.Endpoint {
 	return registry.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s-", i%1500), Version: "v1", Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: fmt.Sprint("zone-", i%12), Capacity: 4, Sequence: 1}
 }
 
-func create(s *registry.Store, i int) {
-	e := endpoint(i)
-	s.Apply(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: e.Key()}}, Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}}}})
+func createEndpoint(s *registry.Store, i int) {
+	e := benchmarkEndpoint(i)
+	s.Apply(registry.Command{Txn: &registry.Txn{If: []registry.Compare{{Key: e.Key()}}, Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}}}})
 }
 
 // BenchmarkEndpoints is what the registry holds and does for each endpoint: one
 // conditional create, the memory, and the snapshot.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, n := range []int{11000, 44000} {
-		s := registry.New()
+		s := registry.NewStore()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range n {
-			create(s, i)
+			createEndpoint(s, i)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.Run(fmt.Sprint("create among ", n), func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				create(s, n+i%1000)
-				e := endpoint(n + i%1000)
-				s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: e.Key(), Delete: true}}}})
+				createEndpoint(s, n+i%1000)
+				e := benchmarkEndpoint(n + i%1000)
+				s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: e.Key(), IsDelete: true}}}})
 				i++
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-bytes/endpoint")
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -13,95 +13,95 @@
 // write its type descriptions into every entry.
 
 const (
-	codeTxn     = 1
-	codeLatch   = 2
-	codeAccount = 3 // the batch as JSON, since it is rare and read by people too
+	commandTxn          = 1
+	commandCoordination = 2
+	commandAudit        = 3 // the batch as JSON, since it is rare and read by people too
 
-	writeDelete = 1
-	writePatch  = 2
+	writeFlagDelete = 1
+	writeFlagDelta  = 2
 )
 
-var errShort = errors.New("registry: command is cut short or of an unknown form")
+var ErrMalformedCommand = errors.New("registry: command is cut short or of an unknown form")
 
-func putBytes(b []byte, s []byte) []byte {
+func appendBytes(b []byte, s []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(len(s)))
 	return append(b, s...)
 }
 
 // EncodeCommand writes a command for the log.
 func EncodeCommand(c Command) []byte {
-	if c.Account != nil {
-		return append([]byte{codeAccount}, encode(c.Account)...)
+	if c.Audit != nil {
+		return append([]byte{commandAudit}, marshalValue(c.Audit)...)
 	}
-	if l := c.Latch; l != nil {
-		b := []byte{codeLatch, byte(l.Op)}
-		b = putBytes(b, []byte(l.Name))
-		b = putBytes(b, []byte(l.Holder))
-		b = putBytes(b, []byte(l.Value))
+	if l := c.Coordination; l != nil {
+		b := []byte{commandCoordination, byte(l.Operation)}
+		b = appendBytes(b, []byte(l.Name))
+		b = appendBytes(b, []byte(l.Holder))
+		b = appendBytes(b, []byte(l.Value))
 		has := uint64(0)
-		if l.HasExpect {
+		if l.HasExpectedRevision {
 			has = 1
 		}
-		for _, v := range []uint64{l.Fence, l.HoldMS, l.SpentFence, l.SpentGrant, l.Expect, has, l.Before} {
+		for _, v := range []uint64{l.FencingToken, l.LeaseMS, l.ExpiredToken, l.ExpiredGrant, l.ExpectedRevision, has, l.CompactBefore} {
 			b = binary.AppendUvarint(b, v)
 		}
 		return b
 	}
-	b := []byte{codeTxn}
+	b := []byte{commandTxn}
 	if c.Txn == nil {
 		c.Txn = &Txn{}
 	}
 	b = binary.AppendUvarint(b, uint64(len(c.Txn.If)))
 	for _, x := range c.Txn.If {
-		b = putBytes(b, []byte(x.Key))
+		b = appendBytes(b, []byte(x.Key))
 		b = binary.AppendUvarint(b, x.ModRevision)
 	}
 	b = binary.AppendUvarint(b, uint64(len(c.Txn.Then)))
 	for _, x := range c.Txn.Then {
-		b = putBytes(b, []byte(x.Key))
+		b = appendBytes(b, []byte(x.Key))
 		how := uint64(0)
-		if x.Delete {
-			how |= writeDelete
+		if x.IsDelete {
+			how |= writeFlagDelete
 		}
-		if x.Patch {
-			how |= writePatch
+		if x.IsDelta {
+			how |= writeFlagDelta
 		}
 		b = binary.AppendUvarint(b, how)
-		b = putBytes(b, x.Value)
+		b = appendBytes(b, x.Value)
 	}
 	return b
 }
 
-type reader struct {
-	b   []byte
-	bad bool
+type byteReader struct {
+	rest      []byte
+	malformed bool
 }
 
-func (r *reader) num() uint64 {
-	v, n := binary.Uvarint(r.b)
+func (r *byteReader) uvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (r *reader) bytes() []byte {
-	n := r.num()
-	if r.bad || n > uint64(len(r.b)) {
-		r.bad = true
+func (r *byteReader) bytes() []byte {
+	n := r.uvarint()
+	if r.malformed || n > uint64(len(r.rest)) {
+		r.malformed = true
 		return nil
 	}
-	out := append([]byte(nil), r.b[:n]...)
-	r.b = r.b[n:]
+	out := append([]byte(nil), r.rest[:n]...)
+	r.rest = r.rest[n:]
 	return out
 }
 
-func (r *reader) count() int {
-	n := r.num()
-	if n > uint64(len(r.b)) { // every item takes a byte at least
-		r.bad = true
+func (r *byteReader) count() int {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) { // every item takes a byte at least
+		r.malformed = true
 		return 0
 	}
 	return int(n)
@@ -110,46 +110,46 @@
 // DecodeCommand reads a command from the log.
 func DecodeCommand(b []byte) (Command, error) {
 	if len(b) < 1 {
-		return Command{}, errShort
+		return Command{}, ErrMalformedCommand
 	}
-	r := &reader{b: b[1:]}
+	r := &byteReader{rest: b[1:]}
 	var c Command
 	switch b[0] {
-	case codeAccount:
-		c.Account = new(audit.Batch)
-		if json.Unmarshal(r.b, c.Account) != nil {
-			return Command{}, errShort
+	case commandAudit:
+		c.Audit = new(audit.Batch)
+		if json.Unmarshal(r.rest, c.Audit) != nil {
+			return Command{}, ErrMalformedCommand
 		}
 		return c, nil
-	case codeLatch:
+	case commandCoordination:
 		if len(b) < 2 {
-			return Command{}, errShort
+			return Command{}, ErrMalformedCommand
 		}
-		r.b = b[2:]
-		l := &coordination.Command{Op: coordination.Op(b[1])}
+		r.rest = b[2:]
+		l := &coordination.Command{Operation: coordination.Operation(b[1])}
 		l.Name, l.Holder, l.Value = string(r.bytes()), string(r.bytes()), string(r.bytes())
-		l.Fence, l.HoldMS, l.SpentFence, l.SpentGrant = r.num(), r.num(), r.num(), r.num()
-		l.Expect, l.HasExpect, l.Before = r.num(), r.num() == 1, r.num()
-		c.Latch = l
-	case codeTxn:
+		l.FencingToken, l.LeaseMS, l.ExpiredToken, l.ExpiredGrant = r.uvarint(), r.uvarint(), r.uvarint(), r.uvarint()
+		l.ExpectedRevision, l.HasExpectedRevision, l.CompactBefore = r.uvarint(), r.uvarint() == 1, r.uvarint()
+		c.Coordination = l
+	case commandTxn:
 		t := &Txn{}
-		for i, n := 0, r.count(); i < n && !r.bad; i++ {
-			t.If = append(t.If, Condition{Key: string(r.bytes()), ModRevision: r.num()})
+		for i, n := 0, r.count(); i < n && !r.malformed; i++ {
+			t.If = append(t.If, Compare{Key: string(r.bytes()), ModRevision: r.uvarint()})
 		}
-		for i, n := 0, r.count(); i < n && !r.bad; i++ {
+		for i, n := 0, r.count(); i < n && !r.malformed; i++ {
 			w := Write{Key: string(r.bytes())}
-			how := r.num()
-			r.bad = r.bad || how > writeDelete|writePatch
-			w.Delete, w.Patch = how&writeDelete != 0, how&writePatch != 0
+			how := r.uvarint()
+			r.malformed = r.malformed || how > writeFlagDelete|writeFlagDelta
+			w.IsDelete, w.IsDelta = how&writeFlagDelete != 0, how&writeFlagDelta != 0
 			w.Value = r.bytes()
 			t.Then = append(t.Then, w)
 		}
 		c.Txn = t
 	default:
-		return Command{}, errShort
+		return Command{}, ErrMalformedCommand
 	}
-	if r.bad || len(r.b) != 0 {
-		return Command{}, errShort
+	if r.malformed || len(r.rest) != 0 {
+		return Command{}, ErrMalformedCommand
 	}
 	return c, nil
 }
--- a/registry/delta.go
+++ b/registry/delta.go
@@ -13,9 +13,9 @@
 // how it travels and is logged, and it is tied to the revision that it was made
 // against.
 
-var errDelta = errors.New("registry: delta does not fit the value")
+var ErrDeltaMismatch = errors.New("registry: delta does not fit the value")
 
-var deltaSeed = maphash.MakeSeed()
+var blockHashSeed = maphash.MakeSeed()
 
 // blockEnd gives where the block that begins at i ends: behind the first
 // closing brace after a few bytes, so that an object moved as a whole is found
@@ -32,12 +32,12 @@
 	return min(len(b), i+most)
 }
 
-// Delta gives the short form of value against old.
-func Delta(old, value []byte) []byte {
+// ComputeDelta gives the short form of value against old.
+func ComputeDelta(old, value []byte) []byte {
 	at := make(map[uint64]int, len(old)/64+1)
 	for i := 0; i < len(old); {
 		end := blockEnd(old, i)
-		at[maphash.Bytes(deltaSeed, old[i:end])] = i
+		at[maphash.Bytes(blockHashSeed, old[i:end])] = i
 		i = end
 	}
 	var out []byte
@@ -46,12 +46,12 @@
 		if n > 0 || i > fresh {
 			out = binary.AppendUvarint(out, uint64(off))
 			out = binary.AppendUvarint(out, uint64(n))
-			out = putBytes(out, value[fresh:i])
+			out = appendBytes(out, value[fresh:i])
 		}
 	}
 	for i := 0; i < len(value); {
 		end := blockEnd(value, i)
-		from, ok := at[maphash.Bytes(deltaSeed, value[i:end])]
+		from, ok := at[maphash.Bytes(blockHashSeed, value[i:end])]
 		if !ok || !bytes.HasPrefix(old[from:], value[i:end]) {
 			i = end
 			continue
@@ -68,18 +68,18 @@
 	return out
 }
 
-// Patch makes the value that a delta stands for.
-func Patch(old, delta []byte) ([]byte, error) {
-	r := &reader{b: delta}
+// ApplyDelta makes the value that a delta stands for.
+func ApplyDelta(old, delta []byte) ([]byte, error) {
+	r := &byteReader{rest: delta}
 	out := make([]byte, 0, len(old)+len(delta))
-	for len(r.b) > 0 {
-		off, n := r.num(), r.num()
-		if r.bad || off > uint64(len(old)) || n > uint64(len(old))-off {
-			return nil, errDelta
+	for len(r.rest) > 0 {
+		off, n := r.uvarint(), r.uvarint()
+		if r.malformed || off > uint64(len(old)) || n > uint64(len(old))-off {
+			return nil, ErrDeltaMismatch
 		}
 		out = append(append(out, old[off:off+n]...), r.bytes()...)
-		if r.bad {
-			return nil, errDelta
+		if r.malformed {
+			return nil, ErrDeltaMismatch
 		}
 	}
 	return out, nil
--- a/registry/delta_test.go
+++ b/registry/delta_test.go
@@ -12,7 +12,7 @@
 
 // TestDelta: whatever the two values, the delta makes the second of the first;
 // a small change to a large configuration stays small.
-func TestDelta(t *testing.T) {
+func TestDeltaRoundTrip(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		rules := make([]string, 1+r.Intn(300))
@@ -35,8 +35,8 @@
 		if seed%10 == 0 {
 			old, value = []byte(fmt.Sprint(r.Int63())), nil
 		}
-		d := registry.Delta(old, value)
-		got, err := registry.Patch(old, d)
+		d := registry.ComputeDelta(old, value)
+		got, err := registry.ApplyDelta(old, d)
 		if err != nil || !bytes.Equal(got, value) {
 			t.Fatalf("seed %d: %v, %q became %q", seed, err, value, got)
 		}
@@ -46,10 +46,10 @@
 	}
 }
 
-func FuzzPatch(f *testing.F) {
-	f.Add([]byte("abc"), registry.Delta([]byte("abc"), []byte("abd")))
+func FuzzApplyDelta(f *testing.F) {
+	f.Add([]byte("abc"), registry.ComputeDelta([]byte("abc"), []byte("abd")))
 	f.Add([]byte("abc"), []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 9, 0})
 	f.Fuzz(func(t *testing.T, old, delta []byte) {
-		_, _ = registry.Patch(old, delta) // refused or made, never a crash
+		_, _ = registry.ApplyDelta(old, delta) // refused or made, never a crash
 	})
 }
--- a/registry/evacuation.go
+++ b/registry/evacuation.go
@@ -17,39 +17,39 @@
 // and one whose answer was lost is sent again: a repeat is told from a new order
 // by its age and by whether the order before it was answered.
 type Evacuation struct {
-	Begins   int `json:"begins,omitempty"`
-	Finishes int `json:"finishes,omitempty"`
-	// Told says that the node that took the newest order of a kind lived on after
+	BeginCount  int `json:"begins,omitempty"`
+	FinishCount int `json:"finishes,omitempty"`
+	// Acknowledged says that the node that took the newest order of a kind lived on after
 	// its answer.
-	BeginTold  bool `json:"begin_told,omitempty"`
-	FinishTold bool `json:"finish_told,omitempty"`
+	BeginAcknowledged  bool `json:"begin_told,omitempty"`
+	FinishAcknowledged bool `json:"finish_told,omitempty"`
 }
 
 // State tells how the zone is used; it is empty for ordinary use.
 func (e Evacuation) State() string {
 	switch {
-	case e.Begins == 0:
+	case e.BeginCount == 0:
 		return ""
-	case e.Begins > e.Finishes:
+	case e.BeginCount > e.FinishCount:
 		return Evacuated
 	}
 	return Returning
 }
 
-// Repeats bound how long after an order another of its kind may be the same one:
-// Told for one that was answered, Untold for one that may not have been.
-type Repeats struct{ Told, Untold time.Duration }
+// RepeatWindow bound how long after an order another of its kind may be the same one:
+// Acknowledged for one that was answered, Untold for one that may not have been.
+type RepeatWindow struct{ Acknowledged, Unacknowledged time.Duration }
 
-// Order gives the state after an order; age is the time since the newest one of
+// ApplyOrder gives the state after an order; age is the time since the newest one of
 // its kind. What is a repeat, or changes nothing, gives the same state.
-func (e Evacuation) Order(begin bool, age time.Duration, r Repeats) Evacuation {
-	had, told := e.Finishes > 0, e.FinishTold
+func (e Evacuation) ApplyOrder(begin bool, age time.Duration, r RepeatWindow) Evacuation {
+	had, told := e.FinishCount > 0, e.FinishAcknowledged
 	if begin {
-		had, told = e.Begins > 0, e.BeginTold
+		had, told = e.BeginCount > 0, e.BeginAcknowledged
 	}
-	bound := r.Untold
+	bound := r.Unacknowledged
 	if told {
-		bound = r.Told
+		bound = r.Acknowledged
 	}
 	switch {
 	case begin && e.State() == Returning: // new, whatever came before
@@ -59,40 +59,40 @@
 		return e // nothing to take back
 	}
 	if begin {
-		e.Begins, e.BeginTold = e.Begins+1, false
+		e.BeginCount, e.BeginAcknowledged = e.BeginCount+1, false
 	} else {
-		e.Finishes, e.FinishTold = e.Finishes+1, false
+		e.FinishCount, e.FinishAcknowledged = e.FinishCount+1, false
 	}
 	return e
 }
 
-// Answered gives the state once the node that took the newest order of a kind has
+// Acknowledge gives the state once the node that took the newest order of a kind has
 // lived on after its answer.
-func (e Evacuation) Answered(begin bool) Evacuation {
+func (e Evacuation) Acknowledge(begin bool) Evacuation {
 	if begin {
-		e.BeginTold = e.Begins > 0
+		e.BeginAcknowledged = e.BeginCount > 0
 	} else {
-		e.FinishTold = e.Finishes > 0
+		e.FinishAcknowledged = e.FinishCount > 0
 	}
 	return e
 }
 
 // Encode writes the evacuation as an object's value.
-func (e Evacuation) Encode() []byte { return encode(e) }
+func (e Evacuation) Encode() []byte { return marshalValue(e) }
 
 // DecodeEvacuation reads an object's value. Where there is none, the zone is in
 // ordinary use; what cannot be read counts as emptied, the safer side. Earlier
 // versions wrote the state alone.
 func DecodeEvacuation(o Object) Evacuation {
-	once := Evacuation{Begins: 1, BeginTold: true}
+	once := Evacuation{BeginCount: 1, BeginAcknowledged: true}
 	switch string(o.Value) {
 	case "":
 		return Evacuation{}
 	case Returning:
-		once.Finishes, once.FinishTold = 1, true
+		once.FinishCount, once.FinishAcknowledged = 1, true
 		return once
 	}
-	if e, err := decode[Evacuation](o); err == nil && e.Begins > 0 {
+	if e, err := unmarshalValue[Evacuation](o); err == nil && e.BeginCount > 0 {
 		return e
 	}
 	return once
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestEvacuationOrders plays two operators that empty the same zone, over every
+// TestEvacuationOrderInterleavings plays two operators that empty the same zone, over every
 // short interleaving of their orders and of answers that are lost and orders sent
 // again. The model is what each operator knows: the zone must be empty from the
 // first answer to an order until that operator takes it back, and in the end it
 // must come back.
-func TestEvacuationOrders(t *testing.T) {
-	r := Repeats{Told: 2 * time.Second, Untold: 10 * time.Second}
+func TestEvacuationOrderInterleavings(t *testing.T) {
+	r := RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
 	type order struct {
 		at           int
 		who          int
@@ -44,12 +44,12 @@
 						holds := [2]bool{}
 						name := fmt.Sprint(begin2, finish1, finish2, lost, again)
 						for _, o := range orders {
-							next := e.Order(o.begin, time.Duration(o.at-newest[o.begin])*time.Second, r)
+							next := e.ApplyOrder(o.begin, time.Duration(o.at-newest[o.begin])*time.Second, r)
 							if next != e {
 								e, newest[o.begin] = next, o.at
 							}
 							if !o.lost {
-								e = e.Answered(o.begin)
+								e = e.Acknowledge(o.begin)
 							}
 							if o.begin && !o.lost {
 								holds[o.who] = true
@@ -75,18 +75,18 @@
 	}
 }
 
-func TestEvacuationOfEarlierVersions(t *testing.T) {
+func TestDecodeEvacuationOfEarlierVersions(t *testing.T) {
 	for value, want := range map[string]Evacuation{
 		"":          {},
-		"evacuated": {Begins: 1, BeginTold: true},
+		"evacuated": {BeginCount: 1, BeginAcknowledged: true},
 		"returning": {1, 1, true, true},
-		"{}":        {Begins: 1, BeginTold: true},
+		"{}":        {BeginCount: 1, BeginAcknowledged: true},
 	} {
 		if got := DecodeEvacuation(Object{Value: []byte(value)}); got != want {
 			t.Errorf("%q: %+v, want %+v", value, got, want)
 		}
 	}
-	e := Evacuation{Begins: 3, Finishes: 1, FinishTold: true}
+	e := Evacuation{BeginCount: 3, FinishCount: 1, FinishAcknowledged: true}
 	if got := DecodeEvacuation(Object{Value: e.Encode()}); got != e {
 		t.Errorf("%+v comes back as %+v", e, got)
 	}
--- a/registry/feed_test.go
+++ b/registry/feed_test.go
@@ -18,17 +18,17 @@
 // No watcher meets a gap, a double or another value, none is told that a revision is
 // gone that it had within the retention, and in the end every node, also the one
 // that joined from a snapshot, replays the same from every revision it holds.
-func TestFeedReplaysAlike(t *testing.T) {
+func TestEventLogReplaysAlikeOnAllReplicas(t *testing.T) {
 	for seed := int64(1); seed <= 8; seed++ {
-		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { replays(t, seed) })
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runReplaySimulation(t, seed) })
 	}
 }
 
-func replays(t *testing.T, seed int64) {
+func runReplaySimulation(t *testing.T, seed int64) {
 	const retention = 2 * time.Second
 	var c *rafttest.Cluster
 	c = rafttest.NewCluster(seed, 5, func() rafttest.StateMachine {
-		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+		return &simulatedStore{store: registry.NewStore(), lockExpiry: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
 			}
@@ -36,10 +36,12 @@
 		}}
 	})
 	c.Run(time.Second)
-	table := func(id uint64) *coordination.Table { return c.Nodes[id].StateMachine.(*storeMachine).s.Latches() }
+	table := func(id uint64) *coordination.Table {
+		return c.Nodes[id].StateMachine.(*simulatedStore).store.Coordination()
+	}
 	propose := func(l *coordination.Command, done func(coordination.Result)) {
 		if n := c.Leader(); n != nil {
-			c.Propose(n.ID, registry.EncodeCommand(registry.Command{Latch: l}), func(res any, ok bool) {
+			c.Propose(n.ID, registry.EncodeCommand(registry.Command{Coordination: l}), func(res any, ok bool) {
 				if r, is := res.(registry.Result); ok && is {
 					done(r.Latch)
 				}
@@ -89,7 +91,7 @@
 	for round := range 220 {
 		ids := c.IDs()
 		id := ids[c.Rand.Intn(len(ids))]
-		trouble(c, id, 9)
+		injectFault(c, id, 9)
 		// One machine comes back with an empty disk, as another member.
 		if l := c.Leader(); c.Rand.Intn(12) == 0 && l != nil && lost == 0 && l.ID != id && l.Raft.Membership().IsVoter(id) {
 			lost = id
@@ -102,7 +104,7 @@
 		for k := range 4 {
 			name := fmt.Sprintf("g%d.%d", c.Rand.Intn(2), c.Rand.Intn(3))
 			e := coordination.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
-			propose(&coordination.Command{Op: coordination.Put, Name: e.Name, Value: e.Value}, func(r coordination.Result) {
+			propose(&coordination.Command{Operation: coordination.PutCell, Name: e.Name, Value: e.Value}, func(r coordination.Result) {
 				if was, there := ever[coordination.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
 					t.Errorf("revision %d was given to %+v and %+v", r.Revision, was, e)
 				}
@@ -110,9 +112,9 @@
 			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
 		}
 		if l := c.Leader(); l != nil {
-			marks = append(marks, mark{c.Now, l.StateMachine.(*storeMachine).s.Revision()})
+			marks = append(marks, mark{c.Now, l.StateMachine.(*simulatedStore).store.Revision()})
 			for len(marks) > 0 && c.Now-marks[0].at > retention*3/2 {
-				propose(&coordination.Command{Op: coordination.Trim, Before: marks[0].revision}, func(coordination.Result) {})
+				propose(&coordination.Command{Operation: coordination.CompactHistory, CompactBefore: marks[0].revision}, func(coordination.Result) {})
 				marks = marks[1:]
 			}
 		}
@@ -125,13 +127,13 @@
 			if l == nil || !c.IsUp(id) {
 				continue
 			}
-			store, lead := c.Nodes[id].StateMachine.(*storeMachine).s, l.StateMachine.(*storeMachine).s
-			tab := store.Latches()
+			store, lead := c.Nodes[id].StateMachine.(*simulatedStore).store, l.StateMachine.(*simulatedStore).store
+			tab := store.Coordination()
 			c.Read(l.ID, func(ok bool) { // a read point, which any node that has reached it serves
 				if !ok || *w != was || store.Revision() < lead.Revision() {
 					return
 				}
-				events, rev, kept := tab.Since(w.group, w.after)
+				events, rev, kept := tab.EventsSince(w.group, w.after)
 				if !kept {
 					if c.Now-w.at < retention {
 						t.Errorf("node %d: revision %d, had %v ago, is gone", id, w.after, c.Now-w.at)
@@ -169,7 +171,7 @@
 	if lost != 0 {
 		t.Error("the new member was never taken in")
 	}
-	propose(&coordination.Command{Op: coordination.Put, Name: "g0.0", Value: "last"}, func(coordination.Result) {})
+	propose(&coordination.Command{Operation: coordination.PutCell, Name: "g0.0", Value: "last"}, func(coordination.Result) {})
 	c.Run(3 * time.Second)
 	var first *coordination.Table
 	for _, id := range c.IDs() {
@@ -178,9 +180,9 @@
 			first = tab
 		}
 		for group := range ever {
-			for after := uint64(0); after <= first.Revision(group); after++ {
-				a, ra, ka := first.Since(group, after)
-				b, rb, kb := tab.Since(group, after)
+			for after := uint64(0); after <= first.GroupRevision(group); after++ {
+				a, ra, ka := first.EventsSince(group, after)
+				b, rb, kb := tab.EventsSince(group, after)
 				if ra != rb || ka != kb || !reflect.DeepEqual(a, b) {
 					t.Fatalf("node %d replays %s after %d as %v at %d (%v), the first as %v at %d (%v)", id, group, after, b, rb, kb, a, ra, ka)
 				}
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -119,13 +119,13 @@
 // goldenStore builds, by commands, the state that the golden image holds.
 func goldenStore(t *testing.T) *Store {
 	t.Helper()
-	s := New()
+	s := NewStore()
 	put := func(key, value string) {
 		s.Apply(Command{Txn: &Txn{Then: []Write{{Key: key, Value: []byte(value)}}}})
 	}
-	account := func(b audit.Batch) { s.Apply(Command{Account: &b}) }
+	account := func(b audit.Batch) { s.Apply(Command{Audit: &b}) }
 	accept := func(version uint64, text string) {
-		txn, err := s.AcceptConfig(version, []byte(text))
+		txn, err := s.BuildConfigTxn(version, []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,27 +140,27 @@
 	put("rollouts/payments", `{"base":"v1"}`)
 	put("rollouts/payments", goldenRolloutText) // 8
 	for _, c := range []coordination.Command{
-		{Op: coordination.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000},           // 9
-		{Op: coordination.Renew, Name: "press", Holder: "holder-1", Fence: 9, HoldMS: 4000}, // 10
-		{Op: coordination.Begin, Name: "given-back", Holder: "holder-2", HoldMS: 1000},      // 11
-		{Op: coordination.Finish, Name: "given-back", Holder: "holder-2", Fence: 11},        // 12
-		{Op: coordination.Next, Name: "orders"},                                             // 13
-		{Op: coordination.Put, Name: "g.a", Value: "1"},                                     // 14
-		{Op: coordination.Put, Name: "g.b", Value: "2"},                                     // 15
-		{Op: coordination.Put, Name: "g.a", Value: "3", HasExpect: true, Expect: 1},         // 16
-		{Op: coordination.Put, Name: "single", Value: "4"},                                  // 17
-		{Op: coordination.Trim, Before: 14},                                                 // 18
+		{Operation: coordination.AcquireLock, Name: "press", Holder: "holder-1", LeaseMS: 3000},                    // 9
+		{Operation: coordination.RenewLock, Name: "press", Holder: "holder-1", FencingToken: 9, LeaseMS: 4000},     // 10
+		{Operation: coordination.AcquireLock, Name: "given-back", Holder: "holder-2", LeaseMS: 1000},               // 11
+		{Operation: coordination.ReleaseLock, Name: "given-back", Holder: "holder-2", FencingToken: 11},            // 12
+		{Operation: coordination.NextNumber, Name: "orders"},                                                       // 13
+		{Operation: coordination.PutCell, Name: "g.a", Value: "1"},                                                 // 14
+		{Operation: coordination.PutCell, Name: "g.b", Value: "2"},                                                 // 15
+		{Operation: coordination.PutCell, Name: "g.a", Value: "3", HasExpectedRevision: true, ExpectedRevision: 1}, // 16
+		{Operation: coordination.PutCell, Name: "single", Value: "4"},                                              // 17
+		{Operation: coordination.CompactHistory, CompactBefore: 14},                                                // 18
 	} {
-		if r, _ := s.Apply(Command{Latch: &c}); r.Latch.Code != coordination.OK {
+		if r, _ := s.Apply(Command{Coordination: &c}); r.Latch.Code != coordination.OK {
 			t.Fatalf("%+v gave %+v", c, r)
 		}
 	}
 	record := func(seq uint64, kind audit.Kind) audit.Record {
 		return audit.Record{Seq: seq, AtMS: 1700000000000 + int64(seq), Tenant: fmt.Sprint("tenant-", seq), Route: "pay", Request: fmt.Sprint("request-", seq), Attempt: fmt.Sprint("attempt-", seq), Kind: kind, Status: 500 + int(seq), TookMS: 30 + int64(seq)}
 	}
-	account(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.Late), record(2, audit.Unsure), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
-	account(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                // 20; ends life-1
-	account(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                  // 21
+	account(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.MissedLatencyTarget), record(2, audit.MaybeExecuted), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
+	account(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                                      // 20; ends life-1
+	account(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                                        // 21
 	return s
 }
 
@@ -177,33 +177,33 @@
 	}
 }
 
-func goldenStoreImage() image {
-	return image{
+func goldenStoreImage() snapshotImage {
+	return snapshotImage{
 		Revision: 21,
 		Objects:  goldenObjects(),
 		Latches: &coordination.Table{
 			Locks: map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
 			Cells: map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
-			Feed: &eventlog.Reel[coordination.Change]{
-				Entries: []eventlog.Entry[coordination.Change]{
-					{At: 15, Topic: "g.", Number: 2, Value: coordination.Change{Name: "g.b", Value: "2"}},
-					{At: 16, Topic: "g.", Number: 3, Value: coordination.Change{Name: "g.a", Value: "3"}},
-					{At: 17, Topic: "single", Number: 1, Value: coordination.Change{Name: "single", Value: "4"}},
+			Feed: &eventlog.Log[coordination.CellChange]{
+				Entries: []eventlog.Entry[coordination.CellChange]{
+					{At: 15, Topic: "g.", Number: 2, Value: coordination.CellChange{Name: "g.b", Value: "2"}},
+					{At: 16, Topic: "g.", Number: 3, Value: coordination.CellChange{Name: "g.a", Value: "3"}},
+					{At: 17, Topic: "single", Number: 1, Value: coordination.CellChange{Name: "single", Value: "4"}},
 				},
 				Last:  map[string]uint64{"g.": 3, "single": 1},
 				Floor: map[string]uint64{"g.": 1},
 			},
 		},
-		Account: &audit.Book{
-			Lives: map[string]*audit.Life{
+		Account: &audit.Log{
+			Lives: map[string]*audit.Incarnation{
 				"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19},
 				"life-2": {Node: "p1", LastMS: 1700000003000, At: 20},
 				"life-3": {Node: "p2", LastMS: 1700000004000, Closed: true, At: 21},
 			},
 			Entries: map[string]*audit.Entry{
-				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []audit.Try{
-					{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.Unsure, Status: 502, TookMS: 32}}}},
-				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []audit.Try{
+				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []audit.Attempt{
+					{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.MaybeExecuted, Status: 502, TookMS: 32}}}},
+				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []audit.Attempt{
 					{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
 			},
 			Dropped: map[string]uint64{"tenant-1": 1},
@@ -258,14 +258,14 @@
 
 // goldenGroupsImage is an image with the histories by group, as versions before the
 // feed wrote them.
-func goldenGroupsImage() image {
-	return image{
+func goldenGroupsImage() snapshotImage {
+	return snapshotImage{
 		Revision: 31,
 		Objects:  []Object{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
 		Latches: &coordination.Table{
 			Locks: map[string]coordination.Lock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
 			Cells: map[string]coordination.Cell{"h.a": {Value: "6", Revision: 7}},
-			Groups: map[string]*coordination.Group{"h.": {Revision: 7, Floor: 5, Events: []coordination.Event{
+			Groups: map[string]*coordination.LegacyGroup{"h.": {Revision: 7, Floor: 5, Events: []coordination.Event{
 				{Name: "h.b", Value: "5", Revision: 6, At: 26},
 				{Name: "h.a", Value: "6", Revision: 7, At: 27},
 			}}},
@@ -319,9 +319,9 @@
 // reads what the present code writes.
 func TestGoldenImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image.gob", func() []byte { return goldenSnapshot(t, goldenStore(t)) })
-	goldentest.Same(t, "golden file, read by this code", goldenDecode[image](t, golden), goldenStoreImage())
+	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenStoreImage())
 
-	restored := New()
+	restored := NewStore()
 	if err := restored.Restore(golden); err != nil {
 		t.Fatal(err)
 	}
@@ -341,13 +341,13 @@
 // only read.
 func TestGoldenGroupsImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenGroupsImage()) })
-	goldentest.Same(t, "golden file, read by this code", goldenDecode[image](t, golden), goldenGroupsImage())
+	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenGroupsImage())
 	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenGroupsImageForm())
-	s := New()
+	s := NewStore()
 	if err := s.Restore(golden); err != nil {
 		t.Fatal(err)
 	}
-	events, revision, ok := s.Latches().Since("h.", 5)
+	events, revision, ok := s.Coordination().EventsSince("h.", 5)
 	want := []coordination.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
 	if goldentest.Same(t, "events", events, want); revision != 7 || !ok {
 		t.Errorf("revision %d, reaches back: %t", revision, ok)
@@ -355,27 +355,27 @@
 }
 
 func goldenCommands() []Command {
-	latched := func(c coordination.Command) Command { return Command{Latch: &c} }
+	latched := func(c coordination.Command) Command { return Command{Coordination: &c} }
 	return []Command{
 		{Txn: &Txn{}},
 		{Txn: &Txn{
-			If: []Condition{{Key: "endpoints/e1", ModRevision: 300}, {Key: "departed/e1"}},
+			If: []Compare{{Key: "endpoints/e1", ModRevision: 300}, {Key: "departed/e1"}},
 			Then: []Write{
 				{Key: "endpoints/e1", Value: []byte("written")},
-				{Key: "endpoints/e2", Delete: true},
-				{Key: "configuration/current", Value: []byte("\x00\x03\x01x"), Patch: true},
+				{Key: "endpoints/e2", IsDelete: true},
+				{Key: "configuration/current", Value: []byte("\x00\x03\x01x"), IsDelta: true},
 			},
 		}},
-		latched(coordination.Command{Op: coordination.Begin, Name: "press", Holder: "holder-1", HoldMS: 3000, SpentFence: 41, SpentGrant: 42}),
-		latched(coordination.Command{Op: coordination.Renew, Name: "press", Holder: "holder-1", Fence: 43, HoldMS: 3001}),
-		latched(coordination.Command{Op: coordination.Finish, Name: "press", Holder: "holder-1", Fence: 44}),
-		latched(coordination.Command{Op: coordination.Next, Name: "orders"}),
-		latched(coordination.Command{Op: coordination.Put, Name: "g.a", Value: "value-1", Expect: 45, HasExpect: true}),
-		latched(coordination.Command{Op: coordination.Trim, Before: 460000}),
-		latched(coordination.Command{Op: coordination.Put, Name: "name", Holder: "holder", Value: "value", Fence: 1, HoldMS: 2, SpentFence: 3, SpentGrant: 4, Expect: 5, HasExpect: true, Before: 6}),
-		{Account: &audit.Batch{
+		latched(coordination.Command{Operation: coordination.AcquireLock, Name: "press", Holder: "holder-1", LeaseMS: 3000, ExpiredToken: 41, ExpiredGrant: 42}),
+		latched(coordination.Command{Operation: coordination.RenewLock, Name: "press", Holder: "holder-1", FencingToken: 43, LeaseMS: 3001}),
+		latched(coordination.Command{Operation: coordination.ReleaseLock, Name: "press", Holder: "holder-1", FencingToken: 44}),
+		latched(coordination.Command{Operation: coordination.NextNumber, Name: "orders"}),
+		latched(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "value-1", ExpectedRevision: 45, HasExpectedRevision: true}),
+		latched(coordination.Command{Operation: coordination.CompactHistory, CompactBefore: 460000}),
+		latched(coordination.Command{Operation: coordination.PutCell, Name: "name", Holder: "holder", Value: "value", FencingToken: 1, LeaseMS: 2, ExpiredToken: 3, ExpiredGrant: 4, ExpectedRevision: 5, HasExpectedRevision: true, CompactBefore: 6}),
+		{Audit: &audit.Batch{
 			Life: "life-1", Node: "p1", AtMS: 1700000000001, Dropped: 51, PerS: 52.5, Out: 53, Closed: true, Most: 54,
-			Records: []audit.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.BrokenOff, Status: 200, TookMS: 56}},
+			Records: []audit.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Truncated, Status: 200, TookMS: 56}},
 		}},
 	}
 }
@@ -418,16 +418,16 @@
 	before := "[" + item("first") + "," + item("second") + "," + item("third") + "]"
 	after := "[" + item("first") + "," + item("new") + "," + item("second") + "," + item("third") + "]"
 	golden := goldentest.File(t, "testdata/golden/delta.hex", func() []byte {
-		return fmt.Appendf(nil, "%x\n", Delta([]byte(before), []byte(after)))
+		return fmt.Appendf(nil, "%x\n", ComputeDelta([]byte(before), []byte(after)))
 	})
-	if got := fmt.Sprintf("%x\n", Delta([]byte(before), []byte(after))); got != string(golden) {
+	if got := fmt.Sprintf("%x\n", ComputeDelta([]byte(before), []byte(after))); got != string(golden) {
 		t.Errorf("written %s, want %s", got, golden)
 	}
 	data, err := hex.DecodeString(strings.TrimSpace(string(golden)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Patch([]byte(before), data); err != nil || string(got) != after {
+	if got, err := ApplyDelta([]byte(before), data); err != nil || string(got) != after {
 		t.Errorf("patched %s, %v", got, err)
 	}
 }
@@ -437,16 +437,16 @@
 func TestGoldenValues(t *testing.T) {
 	endpoints := []Endpoint{
 		{ID: "e1", Service: "payments", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Sequence: 21},
-		{ID: "e2", Service: "invoices", Version: "v2", Address: "127.0.0.1:9002", Zone: "zone-b", Capacity: 9, Draining: true, Sequence: 22, ColdS: 2.5, Cold: true},
+		{ID: "e2", Service: "invoices", Version: "v2", Address: "127.0.0.1:9002", Zone: "zone-b", Capacity: 9, Draining: true, Sequence: 22, WarmUpSeconds: 2.5, WarmingUp: true},
 	}
 	proxies := []Proxy{
 		{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Weight: 1},
 		{Name: "p2", Address: "127.0.0.1:9102", Zone: "zone-b", Leaving: true, Weight: 1.5},
 	}
 	evacuations := []Evacuation{
-		{Begins: 1},
-		{Begins: 4, Finishes: 2, BeginTold: true, FinishTold: true},
-		{Begins: 3, Finishes: 3, BeginTold: true},
+		{BeginCount: 1},
+		{BeginCount: 4, FinishCount: 2, BeginAcknowledged: true, FinishAcknowledged: true},
+		{BeginCount: 3, FinishCount: 3, BeginAcknowledged: true},
 	}
 	values := [][]byte{}
 	for _, e := range endpoints {
@@ -458,7 +458,7 @@
 	for _, e := range evacuations {
 		values = append(values, e.Encode())
 	}
-	values = append(values, EncodeConfig(0x0102030405060708, []byte(goldenConfigText)), ConfigDigest([]byte(goldenConfigText)), []byte(AcceptedKey(12)))
+	values = append(values, EncodeConfig(0x0102030405060708, []byte(goldenConfigText)), ConfigDigest([]byte(goldenConfigText)), []byte(AcceptedConfigKey(12)))
 	golden := goldentest.File(t, "testdata/golden/values.txt", func() []byte {
 		var b bytes.Buffer
 		for _, v := range values {
@@ -505,25 +505,25 @@
 	// Earlier versions wrote the state of a zone alone.
 	for value, want := range map[string]Evacuation{
 		"":             {},
-		"evacuated":    {Begins: 1, BeginTold: true},
-		"returning":    {Begins: 1, Finishes: 1, BeginTold: true, FinishTold: true},
-		"unreadable {": {Begins: 1, BeginTold: true},
+		"evacuated":    {BeginCount: 1, BeginAcknowledged: true},
+		"returning":    {BeginCount: 1, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true},
+		"unreadable {": {BeginCount: 1, BeginAcknowledged: true},
 	} {
 		goldentest.Same(t, value, DecodeEvacuation(Object{Value: []byte(value)}), want)
 	}
 	// What the golden image holds is what the present code writes.
 	for text, got := range map[string][]byte{
-		goldenEndpointText: Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, ColdS: 2.5, Cold: true}.Encode(),
+		goldenEndpointText: Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, WarmUpSeconds: 2.5, WarmingUp: true}.Encode(),
 		goldenProxyText:    Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
-		goldenEvacText:     Evacuation{Begins: 3, Finishes: 1, BeginTold: true, FinishTold: true}.Encode(),
+		goldenEvacText:     Evacuation{BeginCount: 3, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true}.Encode(),
 	} {
 		if string(got) != text {
 			t.Errorf("written %s, want %s", got, text)
 		}
 	}
 	for name, got := range map[string]string{
-		"endpoints/": EndpointPrefix, "departed/": DepartedPrefix, "proxies/": ProxyPrefix, "evacuations/": EvacPrefix,
-		"rollouts/": RolloutPrefix, "accepted/": AcceptedPrefix, "configuration/current": ConfigKey,
+		"endpoints/": EndpointPrefix, "departed/": DepartedPrefix, "proxies/": ProxyPrefix, "evacuations/": EvacuationPrefix,
+		"rollouts/": RolloutPrefix, "accepted/": AcceptedConfigPrefix, "configuration/current": ConfigKey,
 	} {
 		if got != name {
 			t.Errorf("key %q, want %q", got, name)
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -28,9 +28,9 @@
 	ModRevision    uint64
 }
 
-// Condition asks that a key's last write has a revision; 0 asks that there is
+// Compare asks that a key's last write has a revision; 0 asks that there is
 // no such key.
-type Condition struct {
+type Compare struct {
 	Key         string
 	ModRevision uint64
 }
@@ -38,24 +38,24 @@
 // Write puts or deletes one key. With Patch, Value is a delta against the
 // object's present value; the transaction must ask for its revision.
 type Write struct {
-	Key    string
-	Value  []byte
-	Delete bool
-	Patch  bool
+	Key      string
+	Value    []byte
+	IsDelete bool
+	IsDelta  bool
 }
 
 // Txn carries out all its writes if all its conditions hold, else none.
 type Txn struct {
-	If   []Condition
+	If   []Compare
 	Then []Write
 }
 
 // Command is one entry of the log: a transaction or a latch command.
 type Command struct {
-	Txn   *Txn
-	Latch *coordination.Command
-	// Account is a batch of records for the account of failures.
-	Account *audit.Batch
+	Txn          *Txn
+	Coordination *coordination.Command
+	// Audit is a batch of records for the account of failures.
+	Audit *audit.Batch
 }
 
 // Result is what a command gave. On Conflict nothing was written and Current
@@ -65,7 +65,7 @@
 	Conflict bool
 	Current  []Object
 	Latch    coordination.Result
-	// Account is the number up to which a life's records are in.
+	// Audit is the number up to which a life's records are in.
 	Account uint64
 }
 
@@ -92,25 +92,25 @@
 
 // Store is the state machine.
 type Store struct {
-	revision uint64
-	objects  map[string]Object
-	latches  *coordination.Table
-	account  *audit.Book
+	revision     uint64
+	objects      map[string]Object
+	coordination *coordination.Table
+	auditLog     *audit.Log
 }
 
-// New makes an empty store.
-func New() *Store {
-	return &Store{objects: map[string]Object{}, latches: coordination.NewTable(), account: audit.NewBook()}
+// NewStore makes an empty store.
+func NewStore() *Store {
+	return &Store{objects: map[string]Object{}, coordination: coordination.NewTable(), auditLog: audit.NewLog()}
 }
 
 // Revision is the global revision of the last success.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// Latches gives the locks and cells for reading.
-func (s *Store) Latches() *coordination.Table { return s.latches }
+// Coordination gives the locks and cells for reading.
+func (s *Store) Coordination() *coordination.Table { return s.coordination }
 
-// Account gives the account of failures for reading.
-func (s *Store) Account() *audit.Book { return s.account }
+// Audit gives the account of failures for reading.
+func (s *Store) AuditLog() *audit.Log { return s.auditLog }
 
 // Get reads one object.
 func (s *Store) Get(key string) (Object, bool) {
@@ -133,17 +133,17 @@
 
 // Apply carries out one command and tells what changed.
 func (s *Store) Apply(c Command) (Result, []Event) {
-	if c.Account != nil {
+	if c.Audit != nil {
 		s.revision++
-		return Result{Revision: s.revision, Account: s.account.Take(s.revision, *c.Account)}, nil
+		return Result{Revision: s.revision, Account: s.auditLog.Ingest(s.revision, *c.Audit)}, nil
 	}
-	if c.Latch != nil {
-		r := s.latches.Apply(s.revision+1, *c.Latch)
+	if c.Coordination != nil {
+		r := s.coordination.Apply(s.revision+1, *c.Coordination)
 		if r.Code == coordination.OK {
 			s.revision++
 		}
-		if c.Latch.Op == coordination.Trim {
-			s.account.Trim(c.Latch.Before)
+		if c.Coordination.Operation == coordination.CompactHistory {
+			s.auditLog.Compact(c.Coordination.CompactBefore)
 		}
 		return Result{Revision: s.revision, Latch: r}, nil
 	}
@@ -164,8 +164,8 @@
 	}
 	whole := map[string][]byte{} // of the patches
 	for _, w := range c.Txn.Then {
-		if w.Patch && !conflict {
-			v, err := Patch(s.objects[w.Key].Value, w.Value)
+		if w.IsDelta && !conflict {
+			v, err := ApplyDelta(s.objects[w.Key].Value, w.Value)
 			whole[w.Key] = v
 			conflict = err != nil
 		}
@@ -177,7 +177,7 @@
 	events := make([]Event, 0, len(c.Txn.Then))
 	for _, w := range c.Txn.Then {
 		old, had := s.objects[w.Key]
-		if w.Delete {
+		if w.IsDelete {
 			if had {
 				delete(s.objects, w.Key)
 				events = append(events, Event{Type: Deleted, Object: Object{Key: w.Key, ModRevision: s.revision}, Revision: s.revision})
@@ -189,7 +189,7 @@
 		if !had {
 			e.Object.CreateRevision, e.Type = s.revision, Added
 		}
-		if w.Patch {
+		if w.IsDelta {
 			e.Object.Value, e.Patch, e.Base = whole[w.Key], w.Value, old.ModRevision
 		}
 		s.objects[w.Key] = e.Object
@@ -198,18 +198,18 @@
 	return Result{Revision: s.revision}, events
 }
 
-type image struct {
+type snapshotImage struct {
 	Revision uint64
 	Objects  []Object
 	Latches  *coordination.Table
-	Account  *audit.Book
+	Account  *audit.Log
 }
 
 // Snapshot writes the whole state.
 func (s *Store) Snapshot() ([]byte, error) {
 	var b bytes.Buffer
-	s.account.Seal()
-	if err := gob.NewEncoder(&b).Encode(image{s.revision, s.List(""), s.latches, s.account}); err != nil {
+	s.auditLog.PrepareEncode()
+	if err := gob.NewEncoder(&b).Encode(snapshotImage{s.revision, s.List(""), s.coordination, s.auditLog}); err != nil {
 		return nil, fmt.Errorf("registry: snapshot: %w", err)
 	}
 	return b.Bytes(), nil
@@ -217,29 +217,29 @@
 
 // Restore replaces the state by a snapshot; on an error nothing changes.
 func (s *Store) Restore(data []byte) error {
-	im := image{Latches: coordination.NewTable(), Account: audit.NewBook()}
+	im := snapshotImage{Latches: coordination.NewTable(), Account: audit.NewLog()}
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&im); err != nil {
 		return fmt.Errorf("registry: restore: %w", err)
 	}
-	im.Latches.Settle()
-	im.Account.Settle()
+	im.Latches.FinishDecode()
+	im.Account.FinishDecode()
 	objects := make(map[string]Object, len(im.Objects))
 	for _, o := range im.Objects {
 		objects[o.Key] = o
 	}
-	s.revision, s.objects, s.latches, s.account = im.Revision, objects, im.Latches, im.Account
+	s.revision, s.objects, s.coordination, s.auditLog = im.Revision, objects, im.Latches, im.Account
 	return nil
 }
 
 // Keys of the kinds of object.
 const (
-	EndpointPrefix = "endpoints/"
-	DepartedPrefix = "departed/"
-	ProxyPrefix    = "proxies/"
-	EvacPrefix     = "evacuations/"
-	RolloutPrefix  = "rollouts/"
-	AcceptedPrefix = "accepted/"
-	ConfigKey      = "configuration/current"
+	EndpointPrefix       = "endpoints/"
+	DepartedPrefix       = "departed/"
+	ProxyPrefix          = "proxies/"
+	EvacuationPrefix     = "evacuations/"
+	RolloutPrefix        = "rollouts/"
+	AcceptedConfigPrefix = "accepted/"
+	ConfigKey            = "configuration/current"
 )
 
 // EncodeConfig writes a configuration as the value under ConfigKey: its version
@@ -256,10 +256,12 @@
 	return binary.BigEndian.Uint64(o.Value), o.Value[8:], true
 }
 
-// AcceptedKey is where the digest of the configuration that was taken under a version
+// AcceptedConfigKey is where the digest of the configuration that was taken under a version
 // stands, in the order of versions. An order is known by its content, not by its
 // number alone.
-func AcceptedKey(version uint64) string { return fmt.Sprintf("%s%020d", AcceptedPrefix, version) }
+func AcceptedConfigKey(version uint64) string {
+	return fmt.Sprintf("%s%020d", AcceptedConfigPrefix, version)
+}
 
 // ConfigDigest is what tells one configuration's text from another (SHA-256, cut to
 // 16 bytes).
@@ -268,14 +270,14 @@
 	return d[:16]
 }
 
-// AcceptConfig derives the transaction that takes a configuration, from the state
+// BuildConfigTxn derives the transaction that takes a configuration, from the state
 // held here. It gives nil where there is nothing to write: the same content was taken
 // under this version before. A *TakenError tells that another content was.
 //
 // A version that is overtaken before it came changes nothing, but is taken all the
 // same, so that no other content is under its number.
-func (s *Store) AcceptConfig(version uint64, text []byte) (*Txn, error) {
-	mark := Write{Key: AcceptedKey(version), Value: ConfigDigest(text)}
+func (s *Store) BuildConfigTxn(version uint64, text []byte) (*Txn, error) {
+	mark := Write{Key: AcceptedConfigKey(version), Value: ConfigDigest(text)}
 	current, _ := s.Get(ConfigKey)
 	held, heldText, ok := DecodeConfig(current)
 	taken := s.objects[mark.Key].Value
@@ -284,47 +286,47 @@
 	}
 	if taken != nil {
 		if !bytes.Equal(taken, mark.Value) {
-			return nil, &TakenError{version, taken, mark.Value}
+			return nil, &ConfigConflictError{version, taken, mark.Value}
 		}
 		return nil, nil
 	}
 	if ok && held > version {
-		return &Txn{If: []Condition{{Key: mark.Key}}, Then: []Write{mark}}, nil
+		return &Txn{If: []Compare{{Key: mark.Key}}, Then: []Write{mark}}, nil
 	}
 	w := Write{Key: ConfigKey, Value: EncodeConfig(version, text)}
 	if ok {
 		// The whole object is replaced; what is logged and sent is the difference.
-		if d := Delta(current.Value, w.Value); len(d) < len(w.Value)/2 {
-			w.Value, w.Patch = d, true
+		if d := ComputeDelta(current.Value, w.Value); len(d) < len(w.Value)/2 {
+			w.Value, w.IsDelta = d, true
 		}
 	}
-	return &Txn{If: []Condition{{ConfigKey, current.ModRevision}, {Key: mark.Key}}, Then: []Write{mark, w}}, nil
+	return &Txn{If: []Compare{{ConfigKey, current.ModRevision}, {Key: mark.Key}}, Then: []Write{mark, w}}, nil
 }
 
-// TakenError tells that a version was taken with another content.
-type TakenError struct {
-	Version      uint64
-	Taken, Asked []byte // digests
+// ConfigConflictError tells that a version was taken with another content.
+type ConfigConflictError struct {
+	Version                        uint64
+	AcceptedDigest, ProposedDigest []byte // digests
 }
 
-func (e *TakenError) Error() string {
-	return fmt.Sprintf("version %d was taken with the content %x, not %x", e.Version, e.Taken, e.Asked)
+func (e *ConfigConflictError) Error() string {
+	return fmt.Sprintf("version %d was taken with the content %x, not %x", e.Version, e.AcceptedDigest, e.ProposedDigest)
 }
 
 // Endpoint is one life of one server, as kept under EndpointPrefix + its id.
 type Endpoint struct {
-	ID       string  `json:"id"`
-	Service  string  `json:"service"`
-	Version  string  `json:"version,omitempty"` // of its software
-	Address  string  `json:"address"`
-	Zone     string  `json:"zone"`
-	Capacity int     `json:"capacity"`
-	Draining bool    `json:"draining,omitempty"`
-	Sequence uint64  `json:"sequence"`
-	ColdS    float64 `json:"cold_s,omitempty"`
-	// Cold stands from the beat that tells of it to the one that no longer does,
+	ID            string  `json:"id"`
+	Service       string  `json:"service"`
+	Version       string  `json:"version,omitempty"` // of its software
+	Address       string  `json:"address"`
+	Zone          string  `json:"zone"`
+	Capacity      int     `json:"capacity"`
+	Draining      bool    `json:"draining,omitempty"`
+	Sequence      uint64  `json:"sequence"`
+	WarmUpSeconds float64 `json:"cold_s,omitempty"`
+	// WarmingUp stands from the beat that tells of it to the one that no longer does,
 	// where the settings bound what a cold endpoint gets.
-	Cold bool `json:"cold,omitempty"`
+	WarmingUp bool `json:"cold,omitempty"`
 }
 
 // Proxy is one proxy node, as kept under ProxyPrefix + its name where clients
@@ -342,26 +344,26 @@
 func (p Proxy) Key() string { return ProxyPrefix + p.Name }
 
 // Encode writes the proxy as an object's value.
-func (p Proxy) Encode() []byte { return encode(p) }
+func (p Proxy) Encode() []byte { return marshalValue(p) }
 
 // DecodeProxy reads an object's value.
-func DecodeProxy(o Object) (Proxy, error) { return decode[Proxy](o) }
+func DecodeProxy(o Object) (Proxy, error) { return unmarshalValue[Proxy](o) }
 
 // Key is where the endpoint stands.
 func (e Endpoint) Key() string { return EndpointPrefix + e.ID }
 
 // Encode writes the endpoint as an object's value.
-func (e Endpoint) Encode() []byte { return encode(e) }
+func (e Endpoint) Encode() []byte { return marshalValue(e) }
 
 // DecodeEndpoint reads an object's value.
-func DecodeEndpoint(o Object) (Endpoint, error) { return decode[Endpoint](o) }
+func DecodeEndpoint(o Object) (Endpoint, error) { return unmarshalValue[Endpoint](o) }
 
-func encode(v any) []byte {
+func marshalValue(v any) []byte {
 	b, _ := json.Marshal(v) // a struct of plain fields always encodes
 	return b
 }
 
-func decode[T any](o Object) (v T, err error) {
+func unmarshalValue[T any](o Object) (v T, err error) {
 	if err = json.Unmarshal(o.Value, &v); err != nil {
 		err = fmt.Errorf("registry: %s: %w", o.Key, err)
 	}
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -12,26 +12,26 @@
 	"lichentray/registry"
 )
 
-// TestAgainstPlainMap compares the store with a map that is copied whole for
+// TestStoreMatchesMapModel compares the store with a map that is copied whole for
 // every transaction.
-func TestAgainstPlainMap(t *testing.T) {
+func TestStoreMatchesMapModel(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		s := registry.New()
+		s := registry.NewStore()
 		model := map[string]registry.Object{}
 		rev := uint64(0)
 		for step := range 500 {
 			txn := &registry.Txn{}
 			for range r.Intn(3) {
 				k := fmt.Sprint("k", r.Intn(5))
-				txn.If = append(txn.If, registry.Condition{Key: k, ModRevision: []uint64{0, model[k].ModRevision, uint64(r.Intn(20))}[r.Intn(3)]})
+				txn.If = append(txn.If, registry.Compare{Key: k, ModRevision: []uint64{0, model[k].ModRevision, uint64(r.Intn(20))}[r.Intn(3)]})
 			}
 			used := map[string]bool{}
 			for range 1 + r.Intn(2) {
 				k := fmt.Sprint("k", r.Intn(5))
 				if !used[k] {
 					used[k] = true
-					txn.Then = append(txn.Then, registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), Delete: r.Intn(3) == 0})
+					txn.Then = append(txn.Then, registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), IsDelete: r.Intn(3) == 0})
 				}
 			}
 			ok := true
@@ -48,10 +48,10 @@
 				for _, w := range txn.Then {
 					old, had := model[w.Key]
 					switch {
-					case w.Delete && had:
+					case w.IsDelete && had:
 						delete(next, w.Key)
 						want++
-					case !w.Delete:
+					case !w.IsDelete:
 						o := registry.Object{Key: w.Key, Value: w.Value, CreateRevision: rev, ModRevision: rev}
 						if had {
 							o.CreateRevision = old.CreateRevision
@@ -75,7 +75,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s = registry.New()
+				s = registry.NewStore()
 				if err := s.Restore(data); err != nil {
 					t.Fatal(err)
 				}
@@ -91,8 +91,8 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	f.Add(registry.EncodeCommand(registry.Command{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "v", HasExpect: true, Expect: 3}}))
-	f.Add(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Condition{{Key: "a", ModRevision: 7}}, Then: []registry.Write{{Key: "b", Value: []byte("x")}}}}))
+	f.Add(registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "v", HasExpectedRevision: true, ExpectedRevision: 3}}))
+	f.Add(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Compare{{Key: "a", ModRevision: 7}}, Then: []registry.Write{{Key: "b", Value: []byte("x")}}}}))
 	f.Add([]byte{1, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1})
 	f.Add([]byte{2})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -101,52 +101,52 @@
 			return
 		}
 		again, err := registry.DecodeCommand(registry.EncodeCommand(c))
-		if err != nil || !reflect.DeepEqual(normal(c), normal(again)) {
+		if err != nil || !reflect.DeepEqual(formatCommand(c), formatCommand(again)) {
 			t.Fatalf("%+v became %+v, %v", c, again, err)
 		}
 	})
 }
 
-func normal(c registry.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Latch) }
+func formatCommand(c registry.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Coordination) }
 
-// storeMachine lets the simulator drive a store, with lock timers as a node has
+// simulatedStore lets the simulator drive a store, with lock timers as a node has
 // them: from when this replica applied the grant.
-type storeMachine struct {
-	s     *registry.Store
-	clock func() time.Duration
-	until map[string]time.Duration
+type simulatedStore struct {
+	store      *registry.Store
+	clock      func() time.Duration
+	lockExpiry map[string]time.Duration
 }
 
-func (g *storeMachine) Apply(_ uint64, data []byte) any {
+func (g *simulatedStore) Apply(_ uint64, data []byte) any {
 	c, err := registry.DecodeCommand(data)
 	if err != nil {
 		return nil
 	}
-	res, _ := g.s.Apply(c)
-	if l := c.Latch; l != nil && res.Latch.Code == coordination.OK && (l.Op == coordination.Begin || l.Op == coordination.Renew) {
-		g.until[l.Name] = g.clock() + time.Duration(l.HoldMS)*time.Millisecond
+	res, _ := g.store.Apply(c)
+	if l := c.Coordination; l != nil && res.Latch.Code == coordination.OK && (l.Operation == coordination.AcquireLock || l.Operation == coordination.RenewLock) {
+		g.lockExpiry[l.Name] = g.clock() + time.Duration(l.LeaseMS)*time.Millisecond
 	}
 	return res
 }
-func (g *storeMachine) Snapshot() []byte { b, _ := g.s.Snapshot(); return b }
-func (g *storeMachine) Restore(b []byte) {
-	_ = g.s.Restore(b)
-	for name, l := range g.s.Latches().Locks {
-		g.until[name] = g.clock() + time.Duration(l.HoldMS)*time.Millisecond
+func (g *simulatedStore) Snapshot() []byte { b, _ := g.store.Snapshot(); return b }
+func (g *simulatedStore) Restore(b []byte) {
+	_ = g.store.Restore(b)
+	for name, l := range g.store.Coordination().Locks {
+		g.lockExpiry[name] = g.clock() + time.Duration(l.HoldMS)*time.Millisecond
 	}
 }
 
-// TestLinearizable records what callers of locks, numbers and cells see while
+// TestCoordinationIsLinearizable records what callers of locks, numbers and cells see while
 // the group is in trouble, and checks it against what one copy would allow.
-func TestLinearizable(t *testing.T) {
+func TestCoordinationIsLinearizable(t *testing.T) {
 	for seed := int64(1); seed <= 25; seed++ {
-		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { history(t, seed) })
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runHistory(t, seed) })
 	}
 }
 
-// trouble does one of several things to a node, or nothing, at one draw out of so
+// injectFault does one of several things to a node, or nothing, at one draw out of so
 // many.
-func trouble(c *rafttest.Cluster, id uint64, draws int) {
+func injectFault(c *rafttest.Cluster, id uint64, draws int) {
 	switch c.Rand.Intn(draws) {
 	case 0:
 		for _, o := range c.IDs() {
@@ -165,10 +165,10 @@
 	}
 }
 
-func history(t *testing.T, seed int64) {
+func runHistory(t *testing.T, seed int64) {
 	var c *rafttest.Cluster
 	c = rafttest.NewCluster(seed, 3, func() rafttest.StateMachine {
-		return &storeMachine{s: registry.New(), until: map[string]time.Duration{}, clock: func() time.Duration {
+		return &simulatedStore{store: registry.NewStore(), lockExpiry: map[string]time.Duration{}, clock: func() time.Duration {
 			if c == nil {
 				return 0
 			}
@@ -192,12 +192,12 @@
 			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
 			}
-			g := n.StateMachine.(*storeMachine)
+			g := n.StateMachine.(*simulatedStore)
 			x := *cmd
-			if l, ok := g.s.Latches().Locks[x.Name]; ok && x.Op == coordination.Begin && c.Now >= g.until[x.Name] {
-				x.SpentFence, x.SpentGrant = l.Fence, l.Grant
+			if l, ok := g.store.Coordination().Locks[x.Name]; ok && x.Operation == coordination.AcquireLock && c.Now >= g.lockExpiry[x.Name] {
+				x.ExpiredToken, x.ExpiredGrant = l.Fence, l.Grant
 			}
-			c.Propose(id, registry.EncodeCommand(registry.Command{Latch: &x}), func(res any, ok bool) {
+			c.Propose(id, registry.EncodeCommand(registry.Command{Coordination: &x}), func(res any, ok bool) {
 				if r, is := res.(registry.Result); ok && is {
 					done(r.Latch)
 				}
@@ -207,14 +207,14 @@
 	}
 	for round := range 250 {
 		id := c.IDs()[c.Rand.Intn(3)]
-		trouble(c, id, 8)
+		injectFault(c, id, 8)
 		for k := range 4 {
 			sentAt := c.Now
 			key := fmt.Sprintf("g.%d", c.Rand.Intn(3))
 			switch c.Rand.Intn(4) {
 			case 0:
 				floor := topNumber
-				do(&coordination.Command{Op: coordination.Next, Name: "n"}, func(r coordination.Result) {
+				do(&coordination.Command{Operation: coordination.NextNumber, Name: "n"}, func(r coordination.Result) {
 					if r.Value <= floor {
 						t.Errorf("number %d was given although %d had been given before the call", r.Value, floor)
 					}
@@ -223,7 +223,7 @@
 			case 1:
 				who := fmt.Sprint("h", c.Rand.Intn(4))
 				floor := topFence
-				do(&coordination.Command{Op: coordination.Begin, Name: "l", Holder: who, HoldMS: 200}, func(r coordination.Result) {
+				do(&coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: who, LeaseMS: 200}, func(r coordination.Result) {
 					if r.Code != coordination.OK {
 						return
 					}
@@ -246,7 +246,7 @@
 			case 2:
 				v := fmt.Sprint(round, "-", k)
 				floor := ackedPut[key]
-				do(&coordination.Command{Op: coordination.Put, Name: key, Value: v}, func(r coordination.Result) {
+				do(&coordination.Command{Operation: coordination.PutCell, Name: key, Value: v}, func(r coordination.Result) {
 					if r.Revision <= floor {
 						t.Errorf("put got revision %d, not above %d", r.Revision, floor)
 					}
@@ -261,7 +261,7 @@
 				floor := ackedPut[key]
 				n := c.Nodes[id]
 				c.Read(id, func(ok bool) {
-					if cell := n.StateMachine.(*storeMachine).s.Latches().Cells[key]; ok && cell.Revision < floor {
+					if cell := n.StateMachine.(*simulatedStore).store.Coordination().Cells[key]; ok && cell.Revision < floor {
 						t.Errorf("read of %s at revision %d, although %d was acknowledged before it", key, cell.Revision, floor)
 					}
 				})
@@ -278,10 +278,10 @@
 }
 
 func Example() {
-	s := registry.New()
+	s := registry.NewStore()
 	put := func(mod uint64, v string) registry.Result {
 		r, _ := s.Apply(registry.Command{Txn: &registry.Txn{
-			If:   []registry.Condition{{Key: "endpoints/a", ModRevision: mod}},
+			If:   []registry.Compare{{Key: "endpoints/a", ModRevision: mod}},
 			Then: []registry.Write{{Key: "endpoints/a", Value: []byte(v)}},
 		}})
 		return r
--- a/registry/snapshot_test.go
+++ b/registry/snapshot_test.go
@@ -11,11 +11,11 @@
 // FuzzRestore: whatever is given as a snapshot, it is either refused and changes
 // nothing, or is a state that can be written and read again.
 func FuzzRestore(f *testing.F) {
-	full := registry.New()
+	full := registry.NewStore()
 	for _, c := range []registry.Command{
 		{Txn: &registry.Txn{Then: []registry.Write{{Key: "endpoints/a", Value: []byte("x")}}}},
-		{Latch: &coordination.Command{Op: coordination.Put, Name: "g.a", Value: "v"}},
-		{Latch: &coordination.Command{Op: coordination.Next, Name: "n"}},
+		{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "v"}},
+		{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}},
 	} {
 		full.Apply(c)
 	}
@@ -27,20 +27,20 @@
 	f.Add(image[:len(image)/2])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s := registry.New()
+		s := registry.NewStore()
 		if err := s.Restore(image); err != nil {
 			t.Fatal(err)
 		}
-		latches := s.Latches()
+		latches := s.Coordination()
 		refused := s.Restore(b) != nil
 		out, err := s.Snapshot()
 		if err != nil {
 			t.Fatalf("%q was taken, and cannot be written: %v", b, err)
 		}
-		if refused && (s.Revision() != full.Revision() || !reflect.DeepEqual(s.List(""), full.List("")) || s.Latches() != latches) {
+		if refused && (s.Revision() != full.Revision() || !reflect.DeepEqual(s.List(""), full.List("")) || s.Coordination() != latches) {
 			t.Fatalf("%q was refused, and changed the state", b)
 		}
-		if err := registry.New().Restore(out); err != nil {
+		if err := registry.NewStore().Restore(out); err != nil {
 			t.Fatalf("%q was taken, and cannot be read again: %v", b, err)
 		}
 	})
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -14,9 +14,9 @@
 func TestGoldenRollouts(t *testing.T) {
 	want := []rollout.Rollout{
 		{Base: "v1"},
-		{Base: "v1", Order: 3, Target: "v2", State: rollout.InProgress, Stage: 2, DeadlineS: 600.5, SpentS: 361.25, Why: "none yet"},
-		{Base: "v2", Order: 4, Target: "v2", State: rollout.Succeeded, Stage: 3, DeadlineS: 120, SpentS: 96},
-		{Base: "v2", Order: 5, Target: "v3", State: rollout.RolledBack, Stage: 1, DeadlineS: 60, SpentS: 7, Why: "it fails"},
+		{Base: "v1", OrderNumber: 3, Target: "v2", State: rollout.InProgress, Stage: 2, DeadlineSeconds: 600.5, ElapsedSeconds: 361.25, Reason: "none yet"},
+		{Base: "v2", OrderNumber: 4, Target: "v2", State: rollout.Succeeded, Stage: 3, DeadlineSeconds: 120, ElapsedSeconds: 96},
+		{Base: "v2", OrderNumber: 5, Target: "v3", State: rollout.RolledBack, Stage: 1, DeadlineSeconds: 60, ElapsedSeconds: 7, Reason: "it fails"},
 	}
 	golden := goldentest.File(t, "testdata/golden/rollouts.jsonl", func() []byte {
 		var b bytes.Buffer
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -13,9 +13,9 @@
 
 const term = 15 * time.Second
 
-func begun(t *testing.T) rollout.Rollout {
+func startedRollout(t *testing.T) rollout.Rollout {
 	t.Helper()
-	r, err := rollout.Rollout{Base: "v1"}.Begin("v2", term)
+	r, err := rollout.Rollout{Base: "v1"}.Start("v2", term)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,9 +23,9 @@
 }
 
 // TestOrders: what an order does in each state, by a table written out by hand.
-func TestOrders(t *testing.T) {
+func TestStart(t *testing.T) {
 	in := func(s rollout.State) rollout.Rollout {
-		r := rollout.Rollout{Base: "v1", Order: 1, Target: "v2", State: s, DeadlineS: 15}
+		r := rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: s, DeadlineSeconds: 15}
 		if s == rollout.Succeeded {
 			r.Base = "v2"
 		}
@@ -52,9 +52,9 @@
 		{in(rollout.RolledBack), "v3", term, rollout.InProgress, 2, false},
 		{in(rollout.RolledBack), "v1", term, rollout.Succeeded, 2, false},
 	} {
-		got, err := c.from.Begin(c.target, c.term)
-		var refusal rollout.Refusal
-		if errors.As(err, &refusal) != c.refused || got.State != c.state || got.Order != c.order {
+		got, err := c.from.Start(c.target, c.term)
+		var refusal rollout.RejectedError
+		if errors.As(err, &refusal) != c.refused || got.State != c.state || got.OrderNumber != c.order {
 			t.Errorf("%+v ordered to %s: %+v, %v", c.from, c.target, got, err)
 		}
 		if back, err := rollout.Decode(got.Encode()); err != nil || back != got {
@@ -66,41 +66,41 @@
 	}
 }
 
-// cell is the registry's object: a write holds only under the revision read.
-type cell struct {
-	r        rollout.Rollout
+// storedRollout is the registry's object: a write holds only under the revision read.
+type storedRollout struct {
+	rollout  rollout.Rollout
 	revision int
 }
 
-func (c *cell) write(r rollout.Rollout, read int) bool {
+func (c *storedRollout) compareAndSet(r rollout.Rollout, read int) bool {
 	if read != c.revision {
 		return false
 	}
-	c.r, c.revision = r, c.revision+1
+	c.rollout, c.revision = r, c.revision+1
 	return true
 }
 
-// TestOneDecision plays all interleavings of eight steps: two leaders that read and
+// TestSingleDecision plays all interleavings of eight steps: two leaders that read and
 // decide on what they read, one finding the version good and one bad, the operator
 // who repeats the order or gives another, and a restart that forgets what was read.
 // A plain model beside it holds the outcome that each order came to first.
-func TestOneDecision(t *testing.T) {
-	good := rollout.Facts{Spent: term, InStage: time.Second, Verdict: rollout.Verdict{}, StageAnswers: 50, Answers: 500, BaseSlots: 10, TargetSlots: 10, Moved: true, Commit: time.Second}
+func TestSingleDecision(t *testing.T) {
+	good := rollout.Observation{Elapsed: term, StageElapsed: time.Second, Verdict: rollout.Verdict{}, StageTargetAnswers: 50, TargetAnswers: 500, BaseCapacity: 10, TargetCapacity: 10, TrafficShifted: true, PropagationDelay: time.Second}
 	bad := good
 	bad.Verdict.Bad = true
 	actions := []string{"A reads", "B reads", "A finds it good", "B finds it bad", "same order", "other order", "A restarts"}
 	outcomes := map[rollout.State]int{}
-	var play func(c cell, a, b cell, decided map[uint64]rollout.State, depth int, path string)
-	play = func(c cell, a, b cell, decided map[uint64]rollout.State, depth int, path string) {
-		if was, done := decided[c.r.Order]; done && (c.r.State != was || c.r.Target == "") {
-			t.Fatalf("%s: order %d was %s and is %s", path, c.r.Order, was, c.r.State)
+	var play func(c storedRollout, a, b storedRollout, decided map[uint64]rollout.State, depth int, path string)
+	play = func(c storedRollout, a, b storedRollout, decided map[uint64]rollout.State, depth int, path string) {
+		if was, done := decided[c.rollout.OrderNumber]; done && (c.rollout.State != was || c.rollout.Target == "") {
+			t.Fatalf("%s: order %d was %s and is %s", path, c.rollout.OrderNumber, was, c.rollout.State)
 		}
-		if c.r.State == rollout.Succeeded || c.r.State == rollout.RolledBack {
-			decided = map[uint64]rollout.State{c.r.Order: c.r.State}
-			if base := map[rollout.State]string{rollout.Succeeded: c.r.Target, rollout.RolledBack: "v1"}[c.r.State]; c.r.Order == 1 && c.r.Base != base {
-				t.Fatalf("%s: %s with base %s", path, c.r.State, c.r.Base)
+		if c.rollout.State == rollout.Succeeded || c.rollout.State == rollout.RolledBack {
+			decided = map[uint64]rollout.State{c.rollout.OrderNumber: c.rollout.State}
+			if base := map[rollout.State]string{rollout.Succeeded: c.rollout.Target, rollout.RolledBack: "v1"}[c.rollout.State]; c.rollout.OrderNumber == 1 && c.rollout.Base != base {
+				t.Fatalf("%s: %s with base %s", path, c.rollout.State, c.rollout.Base)
 			}
-			outcomes[c.r.State]++
+			outcomes[c.rollout.State]++
 		}
 		if depth == 0 {
 			return
@@ -117,62 +117,62 @@
 				if act == "B finds it bad" {
 					who, f = b, bad
 				}
-				if next, changed := who.r.Next(f); changed {
-					c.write(next, who.revision)
+				if next, changed := who.rollout.Advance(f); changed {
+					c.compareAndSet(next, who.revision)
 				}
 			case "same order", "other order":
 				to := map[string]string{"same order": "v2", "other order": "v3"}[act]
-				if next, err := c.r.Begin(to, term); err == nil && next != c.r {
-					if c.r.State == rollout.InProgress {
+				if next, err := c.rollout.Start(to, term); err == nil && next != c.rollout {
+					if c.rollout.State == rollout.InProgress {
 						t.Fatalf("%s: a second order began while one is under way", path)
 					}
-					c.write(next, c.revision)
+					c.compareAndSet(next, c.revision)
 				}
 			case "A restarts":
-				a = cell{}
+				a = storedRollout{}
 			}
 			play(c, a, b, decided, depth-1, path+", "+act)
 		}
 	}
-	first := begun(t)
+	first := startedRollout(t)
 	first.Stage = 3
-	start := cell{first, 1}
+	start := storedRollout{first, 1}
 	play(start, start, start, map[uint64]rollout.State{}, 6, "begun")
 	if outcomes[rollout.Succeeded] == 0 || outcomes[rollout.RolledBack] == 0 {
 		t.Errorf("outcomes met: %v", outcomes)
 	}
 }
 
-// world is a service's traffic as the proxies see it, in steps of reports.
-type world struct {
-	rnd                *rand.Rand
-	fail, slow, broken float64                                                                 // of ordinary answers, both versions
-	bad                func(at time.Duration, route string, load float64) (fail, slow float64) // of the target's
-	burst              func(at time.Duration) float64                                          // broken attempts at both
-	silent             func(at time.Duration) bool                                             // no leader judges
-	grey               bool                                                                    // one of the target's few endpoints is ill
-	perS               float64
+// trafficModel is a service's traffic as the proxies see it, in steps of reports.
+type trafficModel struct {
+	rnd                            *rand.Rand
+	failRate, slowRate, brokenRate float64                                                                 // of ordinary answers, both versions
+	targetFaults                   func(at time.Duration, route string, load float64) (fail, slow float64) // of the target's
+	burstRate                      func(at time.Duration) float64                                          // broken attempts at both
+	hasNoLeader                    func(at time.Duration) bool                                             // no leader judges
+	hasFaultyEndpoint              bool                                                                    // one of the target's few endpoints is ill
+	requestsPerSecond              float64
 }
 
-type played struct {
-	state    rollout.State
-	why      string
-	exposure float64       // of all requests until the term
-	after    time.Duration // from the 50th bad answer to the last request
-	spent    time.Duration
+type simulationResult struct {
+	state              rollout.State
+	reason             string
+	exposure           float64       // of all requests until the term
+	exposureAfterFault time.Duration // from the 50th bad answer to the last request
+	decidedAt          time.Duration
 }
 
-const tick = 300 * time.Millisecond
+const reportInterval = 300 * time.Millisecond
 
-// play runs one order. What is decided reaches the proxies a tick later, and what
+// simulate runs one order. What is decided reaches the proxies a tick later, and what
 // they saw reaches the judge a tick later.
-func (w *world) play(t *testing.T) played {
-	r := begun(t)
-	judge := rollout.NewJudge()
+func (w *trafficModel) simulate(t *testing.T) simulationResult {
+	r := startedRollout(t)
+	judge := rollout.NewAnalyzer()
 	sum, late := rollout.Evidence{}, rollout.Evidence{}
-	var strata rollout.Strata
+	var strata rollout.StratifiedSplit
 	share, entered, stage, answersAt := 0.0, time.Duration(0), 0, 0
-	var got played
+	var got simulationResult
 	sent, total, badSeen := 0.0, 0.0, 0
 	var fiftieth, last time.Duration
 	poisson := func(x float64) int {
@@ -182,20 +182,20 @@
 		}
 		return n
 	}
-	for at := time.Duration(0); at < term; at += tick {
+	for at := time.Duration(0); at < term; at += reportInterval {
 		sum.Add(late)
 		late = rollout.Evidence{}
-		strata.Fade()
+		strata.Decay()
 		for i, part := range []float64{0.6, 0.3, 0.1} {
 			route := []string{"lookup", "reserve", "sheet"}[i]
-			n := poisson(w.perS * part * tick.Seconds())
+			n := poisson(w.requestsPerSecond * part * reportInterval.Seconds())
 			total += float64(n)
 			for range n {
-				strata.Arrive(i)
-				target, end := w.rnd.Float64() < strata.Share(share, i), 0
-				fail, slow, broken := w.fail, w.slow, w.broken
-				if w.burst != nil {
-					broken += w.burst(at)
+				strata.RecordRequest(i)
+				target, end := w.rnd.Float64() < strata.RouteShare(share, i), 0
+				fail, slow, broken := w.failRate, w.slowRate, w.brokenRate
+				if w.burstRate != nil {
+					broken += w.burstRate(at)
 				}
 				if target {
 					sent++
@@ -204,65 +204,65 @@
 					if share < 1 {
 						load = 1.25
 					}
-					if w.bad != nil {
-						f, s := w.bad(at, route, load)
+					if w.targetFaults != nil {
+						f, s := w.targetFaults(at, route, load)
 						fail, slow = fail+f, slow+s
 					}
-					if end = w.rnd.Intn(6); w.grey && share < 0.1 && end == 0 {
+					if end = w.rnd.Intn(6); w.hasFaultyEndpoint && share < 0.1 && end == 0 {
 						fail += 0.4
 					}
 				}
-				c := rollout.Count{Answers: 1, Timed: 1}
+				c := rollout.Counts{Answers: 1, Timed: 1}
 				switch x := w.rnd.Float64(); {
 				case x < broken:
-					c = rollout.Count{Broken: 1}
+					c = rollout.Counts{Broken: 1}
 				case x < broken+fail:
 					c.Failed, c.Timed = 1, 0
 				case x < broken+fail+slow:
 					c.Slow = 1
 				}
 				if target {
-					late.Add(rollout.Evidence{route: rollout.OfTarget(fmt.Sprint(end), c)})
-					if c.Failed+c.Slow > 0 && w.bad != nil {
+					late.Add(rollout.Evidence{route: rollout.NewTargetCounts(fmt.Sprint(end), c)})
+					if c.Failed+c.Slow > 0 && w.targetFaults != nil {
 						if badSeen++; badSeen == 50 {
 							fiftieth = at
 						}
 					}
 				} else {
-					late.Add(rollout.Evidence{route: rollout.OfBase(c)})
+					late.Add(rollout.Evidence{route: rollout.NewBaseCounts(c)})
 				}
 			}
 		}
 		share = 0
 		if r.State == rollout.InProgress && at > time.Second {
-			share = r.Share()
+			share = r.TrafficShare()
 		}
 		if r.State == rollout.Succeeded {
 			share = 1
 		}
-		if w.silent != nil && w.silent(at) {
+		if w.hasNoLeader != nil && w.hasNoLeader(at) {
 			if share < 1 || r.State == rollout.InProgress {
 				share = 0 // the lease is out
 			}
 			continue
 		}
 		if r.Stage != stage {
-			stage, entered, answersAt = r.Stage, at, sum.Answers()
+			stage, entered, answersAt = r.Stage, at, sum.TargetAnswers()
 		}
-		next, changed := r.Next(rollout.Facts{
-			Spent: at, InStage: at - entered, Pause: time.Second, Commit: 800 * time.Millisecond, Verdict: judge.See(sum, 6),
-			All: sum.All(), Answers: sum.Answers(), StageAnswers: sum.Answers() - answersAt, BaseSlots: 100, TargetSlots: 100, Moved: at-entered > 2*time.Second,
+		next, changed := r.Advance(rollout.Observation{
+			Elapsed: at, StageElapsed: at - entered, AnalysisDelay: time.Second, PropagationDelay: 800 * time.Millisecond, Verdict: judge.Analyze(sum, 6),
+			TotalAnswers: sum.TotalAnswers(), TargetAnswers: sum.TargetAnswers(), StageTargetAnswers: sum.TargetAnswers() - answersAt, BaseCapacity: 100, TargetCapacity: 100, TrafficShifted: at-entered > 2*time.Second,
 		})
 		if changed {
 			r = next
 			if r.State != rollout.InProgress {
-				got.spent = at
+				got.decidedAt = at
 			}
 		}
 	}
-	got.state, got.why, got.exposure = r.State, r.Why, sent/total
+	got.state, got.reason, got.exposure = r.State, r.Reason, sent/total
 	if badSeen >= 50 {
-		got.after = last - fiftieth
+		got.exposureAfterFault = last - fiftieth
 	}
 	return got
 }
@@ -290,85 +290,85 @@
 	cut := func(at time.Duration) bool { return at > 4*time.Second && at < 7*time.Second }
 	for _, c := range []struct {
 		name  string
-		w     world
+		w     trafficModel
 		good  bool
 		wrong int // of the plays, at the most
 	}{
-		{"good", world{}, true, 0},
-		{"good, few requests", world{perS: 120}, true, 1},
-		{"good, hardly any requests", world{perS: 25}, true, 3},
-		{"good, crashes among both versions", world{burst: crash}, true, 0},
-		{"good, one of its few endpoints ill", world{grey: true}, true, 2},
-		{"good, answers lost at both", world{broken: 0.05}, true, 0},
-		{"good, both fail often", world{fail: 0.05, slow: 0.06}, true, 0},
-		{"good, no leader for three seconds", world{silent: cut}, true, 0},
-		{"slightly worse than the base's own errors", world{fail: 0.02, bad: always(0.01, 0)}, true, 1},
-		{"bad at once", world{bad: always(0.43, 0)}, false, 0},
-		{"a fifth fails", world{bad: always(0.2, 0)}, false, 0},
-		{"slow", world{bad: always(0, 0.4)}, false, 0},
-		{"late", world{bad: from(3500*time.Millisecond, 0.41)}, false, 0},
-		{"late, as all moves", world{bad: from(10400*time.Millisecond, 0.41)}, false, 0},
-		{"one route", world{bad: func(_ time.Duration, r string, _ float64) (float64, float64) {
+		{"good", trafficModel{}, true, 0},
+		{"good, few requests", trafficModel{requestsPerSecond: 120}, true, 1},
+		{"good, hardly any requests", trafficModel{requestsPerSecond: 25}, true, 3},
+		{"good, crashes among both versions", trafficModel{burstRate: crash}, true, 0},
+		{"good, one of its few endpoints ill", trafficModel{hasFaultyEndpoint: true}, true, 2},
+		{"good, answers lost at both", trafficModel{brokenRate: 0.05}, true, 0},
+		{"good, both fail often", trafficModel{failRate: 0.05, slowRate: 0.06}, true, 0},
+		{"good, no leader for three seconds", trafficModel{hasNoLeader: cut}, true, 0},
+		{"slightly worse than the base's own errors", trafficModel{failRate: 0.02, targetFaults: always(0.01, 0)}, true, 1},
+		{"bad at once", trafficModel{targetFaults: always(0.43, 0)}, false, 0},
+		{"a fifth fails", trafficModel{targetFaults: always(0.2, 0)}, false, 0},
+		{"slow", trafficModel{targetFaults: always(0, 0.4)}, false, 0},
+		{"late", trafficModel{targetFaults: from(3500*time.Millisecond, 0.41)}, false, 0},
+		{"late, as all moves", trafficModel{targetFaults: from(10400*time.Millisecond, 0.41)}, false, 0},
+		{"one route", trafficModel{targetFaults: func(_ time.Duration, r string, _ float64) (float64, float64) {
 			if r == "sheet" {
 				return 0.43, 0
 			}
 			return 0, 0
 		}}, false, 0},
-		{"under load", world{bad: func(_ time.Duration, _ string, load float64) (float64, float64) {
+		{"under load", trafficModel{targetFaults: func(_ time.Duration, _ string, load float64) (float64, float64) {
 			if load >= 1 {
 				return 0.43, 0
 			}
 			return 0, 0
 		}}, false, 0},
-		{"bad at once, no leader for three seconds", world{silent: cut, bad: from(4*time.Second, 0.43)}, false, 0},
-		{"bad, crashes among both versions", world{burst: crash, bad: from(6*time.Second, 0.43)}, false, 0},
+		{"bad at once, no leader for three seconds", trafficModel{hasNoLeader: cut, targetFaults: from(4*time.Second, 0.43)}, false, 0},
+		{"bad, crashes among both versions", trafficModel{burstRate: crash, targetFaults: from(6*time.Second, 0.43)}, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const plays = 60
-			wrong, worst := 0, played{}
+			wrong, worst := 0, simulationResult{}
 			for seed := range int64(plays) {
 				w := c.w
 				w.rnd = rand.New(rand.NewSource(seed))
-				if w.perS == 0 {
-					w.perS = 600
+				if w.requestsPerSecond == 0 {
+					w.requestsPerSecond = 600
 				}
-				w.fail, w.slow = w.fail+0.004, w.slow+0.02
-				got := w.play(t)
+				w.failRate, w.slowRate = w.failRate+0.004, w.slowRate+0.02
+				got := w.simulate(t)
 				if good := got.state == rollout.Succeeded; good != c.good {
 					wrong++
-					t.Logf("seed %d: %s after %v, %s", seed, got.state, got.spent, got.why)
+					t.Logf("seed %d: %s after %v, %s", seed, got.state, got.decidedAt, got.reason)
 				}
-				worst.exposure, worst.after = max(worst.exposure, got.exposure), max(worst.after, got.after)
+				worst.exposure, worst.exposureAfterFault = max(worst.exposure, got.exposure), max(worst.exposureAfterFault, got.exposureAfterFault)
 			}
 			if wrong > c.wrong {
 				t.Errorf("%d of %d verdicts wrong", wrong, plays)
 			}
-			if !c.good && (worst.exposure > 0.1 || worst.after > 4*time.Second) {
-				t.Errorf("a bad version got %.3f of the requests, the last %v after its 50th bad answer", worst.exposure, worst.after)
+			if !c.good && (worst.exposure > 0.1 || worst.exposureAfterFault > 4*time.Second) {
+				t.Errorf("a bad version got %.3f of the requests, the last %v after its 50th bad answer", worst.exposure, worst.exposureAfterFault)
 			}
-			t.Logf("wrong %d, exposure %.3f, %v after the 50th", wrong, worst.exposure, worst.after)
+			t.Logf("wrong %d, exposure %.3f, %v after the 50th", wrong, worst.exposure, worst.exposureAfterFault)
 		})
 	}
 }
 
 // TestShort: with too few answers, too few endpoints or none, the term ends in a
 // roll-back that says so.
-func TestShort(t *testing.T) {
+func TestInsufficientEvidenceRollsBack(t *testing.T) {
 	for _, c := range []struct {
-		f    rollout.Facts
+		f    rollout.Observation
 		says string
 	}{
-		{rollout.Facts{}, "no endpoint of the version came"},
-		{rollout.Facts{TargetSlots: 10, BaseSlots: 10, Answers: 3, StageAnswers: 3}, "too few answers to judge by"},
-		{rollout.Facts{TargetSlots: 6, BaseSlots: 10, Answers: 300, StageAnswers: 300}, "too few endpoints of the version to carry the traffic"},
-		{rollout.Facts{TargetSlots: 10, BaseSlots: 10, Answers: 300, StageAnswers: 300, Verdict: rollout.Verdict{Suspect: true}}, "suspect until the term"},
+		{rollout.Observation{}, "no endpoint of the version came"},
+		{rollout.Observation{TargetCapacity: 10, BaseCapacity: 10, TargetAnswers: 3, StageTargetAnswers: 3}, "too few answers to judge by"},
+		{rollout.Observation{TargetCapacity: 6, BaseCapacity: 10, TargetAnswers: 300, StageTargetAnswers: 300}, "too few endpoints of the version to carry the traffic"},
+		{rollout.Observation{TargetCapacity: 10, BaseCapacity: 10, TargetAnswers: 300, StageTargetAnswers: 300, Verdict: rollout.Verdict{Suspect: true}}, "suspect until the term"},
 	} {
-		r := begun(t)
-		for at := time.Duration(0); at <= term; at += tick {
-			c.f.Spent, c.f.InStage, c.f.Pause, c.f.Commit = at, time.Hour, time.Second, time.Second
-			r, _ = r.Next(c.f)
+		r := startedRollout(t)
+		for at := time.Duration(0); at <= term; at += reportInterval {
+			c.f.Elapsed, c.f.StageElapsed, c.f.AnalysisDelay, c.f.PropagationDelay = at, time.Hour, time.Second, time.Second
+			r, _ = r.Advance(c.f)
 		}
-		if r.State != rollout.RolledBack || r.Why != c.says || r.Base != "v1" {
+		if r.State != rollout.RolledBack || r.Reason != c.says || r.Base != "v1" {
 			t.Errorf("%+v ends as %+v", c.f, r)
 		}
 	}
@@ -376,14 +376,14 @@
 
 // Example follows a version that proves good through its stages.
 func Example() {
-	r, _ := rollout.Rollout{Base: "v1"}.Begin("v2", 10*time.Second)
-	judge, seen := rollout.NewJudge(), rollout.Evidence{}
+	r, _ := rollout.Rollout{Base: "v1"}.Start("v2", 10*time.Second)
+	judge, seen := rollout.NewAnalyzer(), rollout.Evidence{}
 	for at := time.Duration(0); r.State == rollout.InProgress; at += time.Second {
-		seen.Add(rollout.Evidence{"route": {Base: rollout.Count{Answers: 100}, Target: rollout.Count{Answers: 50}}})
-		next, changed := r.Next(rollout.Facts{Spent: at, InStage: time.Second, Pause: time.Second, Commit: time.Second / 2, Moved: true,
-			Verdict: judge.See(seen, 8), Answers: seen.Answers(), StageAnswers: 50, BaseSlots: 8, TargetSlots: 8})
+		seen.Add(rollout.Evidence{"route": {Base: rollout.Counts{Answers: 100}, Target: rollout.Counts{Answers: 50}}})
+		next, changed := r.Advance(rollout.Observation{Elapsed: at, StageElapsed: time.Second, AnalysisDelay: time.Second, PropagationDelay: time.Second / 2, TrafficShifted: true,
+			Verdict: judge.Analyze(seen, 8), TargetAnswers: seen.TargetAnswers(), StageTargetAnswers: 50, BaseCapacity: 8, TargetCapacity: 8})
 		if r = next; changed {
-			fmt.Printf("%v %s, share %g, base %s\n", at, r.State, r.Share(), r.Base)
+			fmt.Printf("%v %s, share %g, base %s\n", at, r.State, r.TrafficShare(), r.Base)
 		}
 	}
 	// Output:
--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -121,7 +121,7 @@
 }
 
 // account asks lichentrayctl.
-func (s *stand) account(flags ...string) (a audit.Answer) {
+func (s *stand) account(flags ...string) (a audit.QueryResult) {
 	s.t.Helper()
 	args := append([]string{"account", "--output", "json", "--nodes", fmt.Sprintf("127.0.0.31:%d", s.control)}, flags...)
 	out, err := exec.Command(filepath.Join(s.bin, "lichentrayctl"), args...).Output()
@@ -243,23 +243,23 @@
 		id := func(what string) string { return fmt.Sprint(what, i) }
 		ask(pa, "GET", "museum.example", "/search/fine", "", id("fine"))
 		ask(pa, "GET", "museum.example", "/search/late", "", id("late"))
-		want["museum "+id("late")] = audit.Late
+		want["museum "+id("late")] = audit.MissedLatencyTarget
 		ask(pb, "GET", "other.example", "/sheet/broken", "student", id("sheet"))
-		want["student "+id("sheet")] = audit.BrokenOff
+		want["student "+id("sheet")] = audit.Truncated
 		well(pb)
 		ask(pa, "POST", "museum.example", "/loan/fine", "", id("loan"))
 		ask(pa, "POST", "museum.example", "/loan/fine", "", id("twice"))
 		ask(pb, "POST", "museum.example", "/loan/fine", "", id("twice"))
-		want["museum "+id("twice")] = audit.Doubled
+		want["museum "+id("twice")] = audit.Duplicated
 		ask(pa, "POST", "museum.example", "/loan/silent", "", id("unclear"))
-		want["museum "+id("unclear")] = audit.Unclear
+		want["museum "+id("unclear")] = audit.Indeterminate
 		well(pa)
 		ask(pb, "POST", "museum.example", "/loan/silent", "", id("perhaps"))
 		well(pb)
 		ask(pa, "POST", "museum.example", "/loan/fine", "", id("perhaps"))
-		want["museum "+id("perhaps")] = audit.MaybeDoubled
+		want["museum "+id("perhaps")] = audit.MaybeDuplicated
 		ask(pb, "GET", "other.example", "/sheet/broken", "", id("nobody"))
-		want["unknown "+id("nobody")] = audit.BrokenOff
+		want["unknown "+id("nobody")] = audit.Truncated
 		well(pb)
 	}
 	got := func() map[string]audit.Kind {
@@ -277,12 +277,12 @@
 		return out
 	}
 	s.until("the account holds what was caused", func() bool { return reflect.DeepEqual(got(), want) || t.Failed() })
-	if sum := s.account("--tenant", "museum", "--kind", "doubled").Sums; !reflect.DeepEqual(sum, map[string]map[audit.Kind]int{"museum": {audit.Doubled: 3}}) {
+	if sum := s.account("--tenant", "museum", "--kind", "doubled").Counts; !reflect.DeepEqual(sum, map[string]map[audit.Kind]int{"museum": {audit.Duplicated: 3}}) {
 		t.Errorf("sums of one kind: %v", sum)
 	}
 	// One ends in order, after a last failure; the other is killed and starts again.
 	ask(pa, "GET", "museum.example", "/search/late", "", "last")
-	want["museum last"] = audit.Late
+	want["museum last"] = audit.MissedLatencyTarget
 	if err := a.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/watchcache/watchcache_test.go
+++ b/watchcache/watchcache_test.go
@@ -15,11 +15,11 @@
 // TestMirrorIsExact: a reader that lists once and then watches, with breaks,
 // resumptions, bookmarks and lists after Gone, holds at every revision exactly
 // what the store held.
-func TestMirrorIsExact(t *testing.T) {
+func TestMirrorMatchesStore(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		s := registry.New()
-		c := watchcache.NewCacher(200*time.Millisecond, 12, 30)
+		s := registry.NewStore()
+		c := watchcache.NewCache(200*time.Millisecond, 12, 30)
 		m := watchcache.NewMirror()
 		lists := 0
 		for step := range 800 {
@@ -28,9 +28,9 @@
 				txn := &registry.Txn{}
 				for range 1 + r.Intn(2) {
 					k := fmt.Sprint("k", r.Intn(6))
-					w := registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), Delete: r.Intn(4) == 0}
-					if o, had := s.Get(k); had && !w.Delete && len(txn.Then) == 0 && r.Intn(2) == 0 {
-						w.Value, w.Patch = registry.Delta(o.Value, w.Value), true
+					w := registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), IsDelete: r.Intn(4) == 0}
+					if o, had := s.Get(k); had && !w.IsDelete && len(txn.Then) == 0 && r.Intn(2) == 0 {
+						w.Value, w.IsDelta = registry.ComputeDelta(o.Value, w.Value), true
 					}
 					txn.Then = append(txn.Then, w)
 				}
@@ -40,16 +40,16 @@
 			if r.Intn(6) > 0 {
 				continue // the reader is away or slow
 			}
-			if !m.Listed() {
-				if err := m.Reset(s.Revision(), s.List("")); err != nil {
+			if !m.HasSynced() {
+				if err := m.Replace(s.Revision(), s.List("")); err != nil {
 					t.Fatal(err)
 				}
 				lists++
 			}
 			for {
-				events, err := c.Since(m.Revision(), 3)
+				events, err := c.EventsSince(m.Revision(), 3)
 				if errors.Is(err, watchcache.ErrGone) {
-					if err := m.Reset(s.Revision(), s.List("")); err != nil {
+					if err := m.Replace(s.Revision(), s.List("")); err != nil {
 						t.Fatal(err)
 					}
 					lists++
@@ -59,11 +59,11 @@
 					t.Fatal(err)
 				}
 				if len(events) == 0 {
-					m.Bookmark(c.Revision())
+					m.ApplyBookmark(c.Revision())
 					break
 				}
 				for _, e := range events {
-					if _, err := m.Apply(e); err != nil {
+					if _, err := m.ApplyEvent(e); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -82,35 +82,35 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
-	c := watchcache.NewCacher(time.Second, 10, 1000)
+func TestRevisionOutOfRange(t *testing.T) {
+	c := watchcache.NewCache(time.Second, 10, 1000)
 	c.Reset(5)
-	if _, err := c.Since(6, 1); !errors.Is(err, watchcache.ErrAhead) {
+	if _, err := c.EventsSince(6, 1); !errors.Is(err, watchcache.ErrFutureRevision) {
 		t.Errorf("a cache behind its reader said %v", err)
 	}
-	if _, err := c.Since(4, 1); !errors.Is(err, watchcache.ErrGone) {
+	if _, err := c.EventsSince(4, 1); !errors.Is(err, watchcache.ErrGone) {
 		t.Errorf("a cursor before the window got %v", err)
 	}
 	m := watchcache.NewMirror()
-	_ = m.Reset(9, nil)
-	if err := m.Reset(8, nil); !errors.Is(err, watchcache.ErrAhead) {
+	_ = m.Replace(9, nil)
+	if err := m.Replace(8, nil); !errors.Is(err, watchcache.ErrFutureRevision) {
 		t.Errorf("an older list got %v", err)
 	}
 }
 
 func Example() {
-	s, c := registry.New(), watchcache.NewCacher(time.Minute, 100, 1<<20)
+	s, c := registry.NewStore(), watchcache.NewCache(time.Minute, 100, 1<<20)
 	write := func(key string) {
 		_, ev := s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key}}}})
 		c.Append(0, s.Revision(), ev)
 	}
 	write("a")
 	m := watchcache.NewMirror()
-	_ = m.Reset(s.Revision(), s.List("")) // list at N
+	_ = m.Replace(s.Revision(), s.List("")) // list at N
 	write("b")
-	events, _ := c.Since(m.Revision(), 10) // watch from N+1
+	events, _ := c.EventsSince(m.Revision(), 10) // watch from N+1
 	for _, e := range events {
-		_, _ = m.Apply(e) // the copy holds the base
+		_, _ = m.ApplyEvent(e) // the copy holds the base
 	}
 	fmt.Println(m.Revision(), len(m.Objects()))
 	// Output: 2 2
