--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,19 +15,19 @@
 	"lichentray/registry"
 )
 
-func pair(t testing.TB) (net.Conn, net.Conn) {
+func newPipe(t testing.TB) (net.Conn, net.Conn) {
 	a, b := net.Pipe()
 	t.Cleanup(func() { a.Close(); b.Close() })
 	return a, b
 }
 
-func TestFrames(t *testing.T) {
-	a, b := pair(t)
+func TestFrameRoundTrip(t *testing.T) {
+	a, b := newPipe(t)
 	frames := []*Frame{
-		{Hello: &Hello{Version: Version, Role: Peer, Node: "n", ID: 7}},
+		{Hello: &Hello{Version: Version, Role: RolePeer, Node: "n", ID: 7}},
 		{Raft: []raft.Message{{Type: raft.MsgAppend, From: 1, To: 2, Term: 3, Entries: []raft.Entry{{Index: 4, Term: 3, Data: []byte("x")}}}}},
 		{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: "k", Value: []byte("v"), ModRevision: 9}, Revision: 9}}, Bookmark: &Bookmark{Revision: 9, Control: []ControlNode{{Addr: "c", Zone: "z"}}}},
-		{Answer: &Answer{ID: 1, Objects: []registry.Object{{Key: "large", Value: bytes.Repeat([]byte("a large value "), 4000)}}}},
+		{Answer: &Response{ID: 1, Objects: []registry.Object{{Key: "large", Value: bytes.Repeat([]byte("a large value "), 4000)}}}},
 		{Gone: true},
 	}
 	go func() {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestAcceptRejectsInvalidHello(t *testing.T) {
 	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
 	for name, bytes := range map[string][]byte{
 		"another protocol": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -55,7 +55,7 @@
 		"garbage":          append([]byte{0, 0, 0, 8}, "\xff\xfe\xfd\xfc\xfb\xfa\xf9\xf8"...),
 		"an empty frame":   {0, 0, 0, 0},
 	} {
-		a, b := pair(t)
+		a, b := newPipe(t)
 		go func() {
 			_, _ = a.Write(bytes) // the other end may hang up first
 			a.Close()
@@ -64,32 +64,32 @@
 			t.Errorf("%s was taken for a peer", name)
 		}
 	}
-	a, b := pair(t)
-	go func() { _ = NewConn(a, time.Second).Send(&Frame{Hello: &Hello{Version: Version + 1, Role: Peer}}) }()
-	if _, _, err := Accept(b, 2*time.Second); !errors.Is(err, ErrHello) {
+	a, b := newPipe(t)
+	go func() { _ = NewConn(a, time.Second).Send(&Frame{Hello: &Hello{Version: Version + 1, Role: RolePeer}}) }()
+	if _, _, err := Accept(b, 2*time.Second); !errors.Is(err, ErrHandshake) {
 		t.Errorf("a newer version got %v", err)
 	}
 }
 
-// spoken is the end of a connection whose other side said some bytes and ended.
-type spoken struct {
+// replayConn is the end of a connection whose other side said some bytes and ended.
+type replayConn struct {
 	net.Conn
-	in io.Reader
+	reader io.Reader
 }
 
-func (s *spoken) Read(b []byte) (int, error)      { return s.in.Read(b) }
-func (s *spoken) SetReadDeadline(time.Time) error { return nil }
+func (s *replayConn) Read(b []byte) (int, error)      { return s.reader.Read(b) }
+func (s *replayConn) SetReadDeadline(time.Time) error { return nil }
 
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2})
 	f.Add([]byte{255, 255, 255, 255})
-	a, b := pair(f)
+	a, b := newPipe(f)
 	go func() { _ = NewConn(a, time.Second).Send(&Frame{Gone: true}) }()
 	buf := make([]byte, 1<<16)
 	n, _ := b.Read(buf)
 	f.Add(append([]byte(nil), buf[:n]...))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c := NewConn(&spoken{in: bytes.NewReader(in)}, time.Second)
+		c := NewConn(&replayConn{reader: bytes.NewReader(in)}, time.Second)
 		for {
 			if _, err := c.Receive(time.Second); err != nil {
 				return
@@ -100,15 +100,15 @@
 
 // TestSlowReader: a frame that takes longer than the time-out goes through as long
 // as some of it is taken; one of which nothing is taken breaks the connection.
-func TestSlowReader(t *testing.T) {
-	a, b := pair(t)
+func TestSendToSlowReader(t *testing.T) {
+	a, b := newPipe(t)
 	c := NewConn(a, 400*time.Millisecond)
 	data := make([]byte, 1<<20)
 	rand.New(rand.NewSource(1)).Read(data)
 	f := &Frame{Raft: []raft.Message{{Type: raft.MsgAppend, Entries: []raft.Entry{{Index: 1, Data: data}}}}}
 	sent := make(chan error, 2)
 	go func() { sent <- c.Send(f); sent <- c.Send(f) }()
-	got, err := NewConn(slow{b}, time.Second).Receive(0)
+	got, err := NewConn(slowConn{b}, time.Second).Receive(0)
 	if err != nil || !reflect.DeepEqual(got, f) {
 		t.Fatalf("the frame did not come through: %v", err)
 	}
@@ -120,10 +120,10 @@
 	}
 }
 
-// slow takes a little at a time, a megabyte in a second or more.
-type slow struct{ net.Conn }
+// slowConn takes a little at a time, a megabyte in a second or more.
+type slowConn struct{ net.Conn }
 
-func (s slow) Read(b []byte) (int, error) {
+func (s slowConn) Read(b []byte) (int, error) {
 	time.Sleep(4 * time.Millisecond)
 	return s.Conn.Read(b[:min(len(b), 4096)])
 }
--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -60,7 +60,7 @@
 		}
 	}
 	path := filepath.Join(s.dir, program+ip+".toml")
-	text := controlplanetest.Text(ip, data, s.control, s.internal, []string{"127.0.0.31"}, true)
+	text := controlplanetest.SettingsText(ip, data, s.control, s.internal, []string{"127.0.0.31"}, true)
 	text = strings.Replace(text, "[listen_addresses]", fmt.Sprintf("[listen_addresses]\nfrontend = \"%s:%d\"\nreadiness = \"%s:%d\"", ip, s.front, ip, s.readiness), 1)
 	text = strings.Replace(text, "machines = 1", "machines = 0", 1)
 	if program == "lichentray-proxy" {
