--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -24,10 +24,10 @@
 
 func main() { os.Exit(daemon.Main("lichentray-controlplane", "the control-plane node", run)) }
 
-// apiNode lets the API print the node's state without knowing its shape.
-type apiNode struct{ *controlplane.Lathe }
+// statusNode lets the API print the node's state without knowing its shape.
+type statusNode struct{ *controlplane.Lathe }
 
-func (n apiNode) Status() any { return n.Lathe.Status() }
+func (n statusNode) Status() any { return n.Lathe.Status() }
 
 func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Control == "" {
@@ -37,7 +37,7 @@
 	// core has, a node learns from whom it follows; at the very first start the
 	// seeds are the core.
 	if set.DataDirectory == "" && !set.QuorumMember && !(set.Bootstrap && slices.Contains(set.SeedNodes, set.Listen.Control)) {
-		if err := runRelay(set, log, sig); !errors.Is(err, errNoDisks) {
+		if err := runRelay(set, log, sig); !errors.Is(err, errCoreDiskless) {
 			return err
 		}
 		log.Info("no machine of the core has a disk, joining it")
@@ -45,7 +45,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(75)
-	if err := config.Warm(); err != nil {
+	if err := config.CompileSchema(); err != nil {
 		return err
 	}
 	board := metrics.NewRegistry()
@@ -54,7 +54,7 @@
 		return err
 	}
 	defer node.Close()
-	server := api.NewHandler(apiNode{node}, board, set.Bounds.HistoryRetention.Duration())
+	server := api.NewHandler(statusNode{node}, board, set.Bounds.HistoryRetention.Duration())
 	srv := api.NewServer(server.Serve, 16<<20)
 	ln, err := api.Listen(set.Listen.Control, board)
 	if err != nil {
@@ -80,14 +80,14 @@
 			log.Info("stopping")
 			// Two thirds at the most, the rest is for a slow machine.
 			node.Resign(grace / 3)
-			end(srv, grace/3)
+			shutdownServer(srv, grace/3)
 			return nil
 		}
 	}
 }
 
-// end lets a server finish what it has read, within wait.
-func end(srv *fasthttp.Server, wait time.Duration) {
+// shutdownServer lets a server finish what it has read, within wait.
+func shutdownServer(srv *fasthttp.Server, wait time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		_ = srv.Shutdown() // whatever is left ends with the process
--- a/cmd/lichentray-controlplane/relay.go
+++ b/cmd/lichentray-controlplane/relay.go
@@ -27,14 +27,14 @@
 // has disks: it holds nothing and passes calls on to a core node that is in
 // touch, the nearest if it can.
 type relay struct {
-	line *discovery.Locator
-	to   atomic.Pointer[fasthttp.HostClient] // nil: no core node is in touch
-	// wait bounds an ordinary call, poll a watch.
-	wait, poll time.Duration
-	noDisks    chan struct{}
-	// sentOn counts callers that were told to go to the core with a large body, or for
+	discovery *discovery.Locator
+	target    atomic.Pointer[fasthttp.HostClient] // nil: no core node is in touch
+	// callTimeout bounds an ordinary call, poll a watch.
+	callTimeout, watchTimeout time.Duration
+	coreDiskless              chan struct{}
+	// redirected counts callers that were told to go to the core with a large body, or for
 	// one.
-	passed, sentOn, lost, failed *metrics.Counter
+	forwarded, redirected, unavailable, outcomeUnknown *metrics.Counter
 }
 
 func runRelay(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
@@ -43,8 +43,8 @@
 	board := metrics.NewRegistry()
 	b := set.Bounds
 	r := &relay{
-		line: discovery.NewLocator(set), noDisks: make(chan struct{}), wait: b.ContactWindow.Duration(), poll: b.HistoryRetention.Duration() + b.ContactWindow.Duration(),
-		passed: board.Counter("relayed_total"), sentOn: board.Counter("relayed_by_redirect_total"), lost: board.Counter("relayed_without_target_total"), failed: board.Counter("relayed_unclear_total"),
+		discovery: discovery.NewLocator(set), coreDiskless: make(chan struct{}), callTimeout: b.ContactWindow.Duration(), watchTimeout: b.HistoryRetention.Duration() + b.ContactWindow.Duration(),
+		forwarded: board.Counter("relayed_total"), redirected: board.Counter("relayed_by_redirect_total"), unavailable: board.Counter("relayed_without_target_total"), outcomeUnknown: board.Counter("relayed_unclear_total"),
 	}
 	ln, err := api.Listen(set.Listen.Control, board)
 	if err != nil {
@@ -64,12 +64,12 @@
 			if err != nil {
 				return
 			}
-			go r.point(c, set.PropagationBound()*3/10)
+			go r.announceCore(c, set.PropagationBound()*3/10)
 		}
 	}()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go r.follow(ctx, set, log)
+	go r.followNearest(ctx, set, log)
 	srv := api.NewServer(r.handler(board), 16<<20)
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(ln) }()
@@ -77,26 +77,26 @@
 		select {
 		case err := <-failed:
 			return err
-		case <-r.noDisks:
-			return errNoDisks
+		case <-r.coreDiskless:
+			return errCoreDiskless
 		case s := <-sig.SettingsChanged:
-			r.line.SetSeeds(s.SeedNodes)
+			r.discovery.SetSeeds(s.SeedNodes)
 		case <-sig.Stop:
-			end(srv, set.Bounds.GracePeriod.Duration()/6)
+			shutdownServer(srv, set.Bounds.GracePeriod.Duration()/6)
 			return nil
 		}
 	}
 }
 
-// follow holds one core node and takes its bookmarks as proof that it is in
+// followNearest holds one core node and takes its bookmarks as proof that it is in
 // touch.
-func (r *relay) follow(ctx context.Context, set *settings.Settings, log *slog.Logger) {
+func (r *relay) followNearest(ctx context.Context, set *settings.Settings, log *slog.Logger) {
 	silence := set.PropagationBound() * 3 / 10
 	avoid := ""
 	for ctx.Err() == nil {
-		for _, addr := range r.line.Candidates(avoid) {
-			held := r.hold(ctx, addr, silence, set, log)
-			r.to.Store(nil)
+		for _, addr := range r.discovery.Candidates(avoid) {
+			held := r.followNode(ctx, addr, silence, set, log)
+			r.target.Store(nil)
 			if held {
 				avoid = addr
 				break
@@ -109,14 +109,14 @@
 	}
 }
 
-// point tells a process that takes this relay for a core node where the core is.
-func (r *relay) point(raw net.Conn, silence time.Duration) {
+// announceCore tells a process that takes this relay for a core node where the core is.
+func (r *relay) announceCore(raw net.Conn, silence time.Duration) {
 	defer raw.Close()
 	conn, _, err := transport.Accept(raw, silence)
 	if err != nil {
 		return
 	}
-	known := r.line.Nodes()
+	known := r.discovery.Nodes()
 	if len(known) == 0 || conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: known}}) != nil {
 		return
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-func (r *relay) hold(ctx context.Context, addr string, silence time.Duration, set *settings.Settings, log *slog.Logger) (held bool) {
+func (r *relay) followNode(ctx context.Context, addr string, silence time.Duration, set *settings.Settings, log *slog.Logger) (held bool) {
 	conn, err := transport.Dial(ctx, addr, silence/2, transport.Hello{Role: transport.RoleRelay, Node: set.NodeName})
 	if err != nil {
 		return false
@@ -142,12 +142,12 @@
 			continue
 		}
 		if f.Bookmark.Diskless {
-			close(r.noDisks)
+			close(r.coreDiskless)
 			<-ctx.Done()
 			return false
 		}
-		r.line.UpdateNodes(f.Bookmark.Control)
-		api := r.line.APIAddress(addr)
+		r.discovery.UpdateNodes(f.Bookmark.Control)
+		api := r.discovery.APIAddress(addr)
 		if api == "" {
 			return held // it is no member, or not yet
 		}
@@ -155,26 +155,26 @@
 			held = true
 			log.Info("passing calls on", "to", api)
 			c := &fasthttp.HostClient{
-				Addr: api, MaxIdemponentCallAttempts: freshTries, RetryIfErr: untouched, MaxConns: 1000, ReadTimeout: r.poll,
+				Addr: api, MaxIdemponentCallAttempts: maxStaleConnections, RetryIfErr: retryIfUnsent, MaxConns: 1000, ReadTimeout: r.watchTimeout,
 				NoDefaultUserAgentHeader: true, DisableHeaderNamesNormalizing: true, DisablePathNormalizing: true,
 				Dial: func(addr string) (net.Conn, error) {
 					c, err := net.DialTimeout("tcp4", addr, silence/2)
 					if err != nil {
-						return nil, errors.Join(errDial, err)
+						return nil, errors.Join(errNotConnected, err)
 					}
 					transport.SetTCPUserTimeout(c, silence)
 					rc, err := c.(*net.TCPConn).SyscallConn()
 					if err != nil {
 						c.Close()
-						return nil, errors.Join(errDial, err)
+						return nil, errors.Join(errNotConnected, err)
 					}
-					return &once{Conn: c, rc: rc}, nil
+					return &coreConn{Conn: c, rawConn: rc}, nil
 				},
 			}
 			defer c.CloseIdleConnections()
-			r.to.Store(c)
+			r.target.Store(c)
 		}
-		if r.line.HasNearer(addr) && time.Since(began) > set.Bounds.ContactWindow.Duration() {
+		if r.discovery.HasNearer(addr) && time.Since(began) > set.Bounds.ContactWindow.Duration() {
 			return false
 		}
 	}
@@ -191,21 +191,21 @@
 		case "/api/readiness":
 			return
 		}
-		to := r.to.Load()
+		to := r.target.Load()
 		if to == nil {
-			r.lost.Inc()
+			r.unavailable.Inc()
 			api.WriteError(ctx, apierror.New(apierror.Unavailable, "no core node is in touch"))
 			return
 		}
-		if len(ctx.PostBody()) > passedMost || string(ctx.QueryArgs().Peek("call")) == "configuration.read" {
+		if len(ctx.PostBody()) > maxForwardedBytes || string(ctx.QueryArgs().Peek("call")) == "configuration.read" {
 			ctx.Response.Header.Set("Location", "http://"+to.Addr+string(ctx.RequestURI()))
 			ctx.SetStatusCode(fasthttp.StatusTemporaryRedirect)
-			r.sentOn.Inc()
+			r.redirected.Inc()
 			return
 		}
-		wait := r.wait
+		wait := r.callTimeout
 		if bytes.HasPrefix(ctx.Path(), []byte("/api/watch/")) {
-			wait = r.poll
+			wait = r.watchTimeout
 		}
 		// It works on the caller's buffers, and only until it returns.
 		err := to.DoTimeout(&ctx.Request, &ctx.Response, wait)
@@ -215,56 +215,56 @@
 		ctx.Response.Header.Del("Connection")
 		switch {
 		case err == nil:
-			r.passed.Inc()
-		case errors.Is(err, errDial) || errors.Is(err, errEnded) || errors.Is(err, fasthttp.ErrNoFreeConns):
-			r.lost.Inc() // not one byte of it left
+			r.forwarded.Inc()
+		case errors.Is(err, errNotConnected) || errors.Is(err, errConnectionEnded) || errors.Is(err, fasthttp.ErrNoFreeConns):
+			r.unavailable.Inc() // not one byte of it left
 			api.WriteError(ctx, apierror.New(apierror.Unavailable, "core node cannot be reached"))
 		default:
-			r.failed.Inc()
+			r.outcomeUnknown.Inc()
 			api.WriteError(ctx, apierror.New(apierror.UnknownOutcome, "core node did not answer"))
 		}
 	}
 }
 
-// passedMost is how large a body may be that a relay passes on: a configuration of
+// maxForwardedBytes is how large a body may be that a relay passes on: a configuration of
 // 400 KB blocks a link of 4 Mbit/s for a second on its way out again, and every small
 // call behind it. Its caller brings it to the core instead, and fetches it there.
-const passedMost = 16 << 10
+const maxForwardedBytes = 16 << 10
 
-var errNoDisks = errors.New("no machine of the core has a disk")
+var errCoreDiskless = errors.New("no machine of the core has a disk")
 
-var errDial = errors.New("not connected")
+var errNotConnected = errors.New("not connected")
 
-// errEnded says that a kept connection was found to have ended, or to hold bytes that
+// errConnectionEnded says that a kept connection was found to have ended, or to hold bytes that
 // belong to no call, before one byte of the next call left on it.
-var errEnded = errors.New("kept connection has ended")
+var errConnectionEnded = errors.New("kept connection has ended")
 
-// freshTries bounds how many kept connections that have ended a call may meet.
-const freshTries = 8
+// maxStaleConnections bounds how many kept connections that have ended a call may meet.
+const maxStaleConnections = 8
 
-// untouched lets a call be sent again only if not one byte of it left.
-func untouched(_ *fasthttp.Request, _ int, err error) (resetTimeout, retry bool) {
-	return false, errors.Is(err, errEnded)
+// retryIfUnsent lets a call be sent again only if not one byte of it left.
+func retryIfUnsent(_ *fasthttp.Request, _ int, err error) (resetTimeout, retry bool) {
+	return false, errors.Is(err, errConnectionEnded)
 }
 
-// once is a connection to a core node, which carries one call at a time. The library
+// coreConn is a connection to a core node, which carries one call at a time. The library
 // drops a connection whose call was given up; what this adds is that no call begins on
 // one where something stands or that has ended.
-type once struct {
+type coreConn struct {
 	net.Conn
-	rc    syscall.RawConn
-	heard bool // since the last write: the next one begins a call
+	rawConn        syscall.RawConn
+	readSinceWrite bool // since the last write: the next one begins a call
 }
 
-func (c *once) Read(b []byte) (int, error) {
-	c.heard = true
+func (c *coreConn) Read(b []byte) (int, error) {
+	c.readSinceWrite = true
 	return c.Conn.Read(b)
 }
 
-func (c *once) Write(b []byte) (int, error) {
-	if c.heard && !transport.IsIdle(c.rc) {
-		return 0, errEnded
+func (c *coreConn) Write(b []byte) (int, error) {
+	if c.readSinceWrite && !transport.IsIdle(c.rawConn) {
+		return 0, errConnectionEnded
 	}
-	c.heard = false
+	c.readSinceWrite = false
 	return c.Conn.Write(b)
 }
--- a/cmd/lichentray-controlplane/relay_test.go
+++ b/cmd/lichentray-controlplane/relay_test.go
@@ -19,9 +19,9 @@
 	"lichentray/internal/transport"
 )
 
-// core is a stand-in for a core node: it sends bookmarks to whoever follows it,
+// startCore is a stand-in for a core node: it sends bookmarks to whoever follows it,
 // and answers calls by script.
-func core(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
+func startCore(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
 	addr := fmt.Sprintf("%s:%d", ip, internal)
 	controlplanetest.StartFakeNode(t, addr, func(c *transport.Conn) {
 		for {
@@ -36,7 +36,7 @@
 // TestRelay: calls and answers pass unchanged; a call that may have arrived is
 // never called undone, one without a target is; where no core machine has a disk
 // the node joins the core instead.
-func TestRelay(t *testing.T) {
+func TestRelayForwardsRedirectsAndYieldsToDisklessCore(t *testing.T) {
 	ips := []string{"127.0.0.31", "127.0.0.32"}
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
 	api := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +49,7 @@
 	}))
 	defer api.Close()
 	var diskless atomic.Bool
-	core(t, ips[0], internal, strings.TrimPrefix(api.URL, "http://"), &diskless)
+	startCore(t, ips[0], internal, strings.TrimPrefix(api.URL, "http://"), &diskless)
 	set := func(seed string) *settings.Settings {
 		s := controlplanetest.Settings(t, ips[1], "", control, internal, []string{seed}, false)
 		s.QuorumMember = false
@@ -111,7 +111,7 @@
 	}
 	diskless.Store(true)
 	ended, _ = start(set(ips[0]))
-	if err := <-ended; !errors.Is(err, errNoDisks) {
+	if err := <-ended; !errors.Is(err, errCoreDiskless) {
 		t.Errorf("beside a core without disks: %v", err)
 	}
 }
--- a/cmd/lichentray-controlplane/relayhop_test.go
+++ b/cmd/lichentray-controlplane/relayhop_test.go
@@ -19,21 +19,21 @@
 	"lichentray/internal/settings"
 )
 
-// rawCore is a core node's API that answers by script, and keeps what it read.
-type rawCore struct {
-	ln  net.Listener
-	mu  sync.Mutex
-	got []string // "connection call"
+// scriptedCore is a core node's API that answers by script, and keeps what it read.
+type scriptedCore struct {
+	ln       net.Listener
+	mu       sync.Mutex
+	received []string // "connection call"
 	// script answers a call, knowing the number of its connection; "" ends that.
 	script func(conn int, of string, c net.Conn) string
 }
 
-func newRawCore(t *testing.T, script func(int, string, net.Conn) string) *rawCore {
+func newScriptedCore(t *testing.T, script func(int, string, net.Conn) string) *scriptedCore {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rawCore{ln: ln, script: script}
+	r := &scriptedCore{ln: ln, script: script}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for n := 1; ; n++ {
@@ -47,7 +47,7 @@
 	return r
 }
 
-func (r *rawCore) serve(n int, c net.Conn) {
+func (r *scriptedCore) serve(n int, c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -60,7 +60,7 @@
 		}
 		of := req.URL.Query().Get("of")
 		r.mu.Lock()
-		r.got = append(r.got, fmt.Sprint(n, " ", of))
+		r.received = append(r.received, fmt.Sprint(n, " ", of))
 		r.mu.Unlock()
 		a := r.script(n, of, c)
 		if _, err := io.WriteString(c, a); err != nil || a == "" {
@@ -69,10 +69,10 @@
 	}
 }
 
-func (r *rawCore) times(of string) (n int) {
+func (r *scriptedCore) count(of string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, g := range r.got {
+	for _, g := range r.received {
 		if strings.HasSuffix(g, " "+of) {
 			n++
 		}
@@ -80,15 +80,15 @@
 	return n
 }
 
-func whole(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// relayTo starts a relay to a core node on the loopback and gives its address.
-func relayTo(t *testing.T, r *rawCore, ips []string, contactS int) string {
+// startRelayTo starts a relay to a core node on the loopback and gives its address.
+func startRelayTo(t *testing.T, r *scriptedCore, ips []string, contactS int) string {
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
 	var diskless atomic.Bool
-	core(t, ips[0], internal, r.ln.Addr().String(), &diskless)
+	startCore(t, ips[0], internal, r.ln.Addr().String(), &diskless)
 	s := controlplanetest.Settings(t, ips[1], "", control, internal, []string{ips[0]}, false)
 	s.QuorumMember = false
 	s.Bounds.ContactWindow = settings.Seconds(contactS)
@@ -103,7 +103,7 @@
 	})
 	addr := fmt.Sprintf("%s:%d", ips[1], control)
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if code, _ := relayed(addr, "ready"); code == 200 {
+		if code, _ := postCall(addr, "ready"); code == 200 {
 			return addr
 		}
 		if time.Now().After(end) {
@@ -112,7 +112,7 @@
 	}
 }
 
-func relayed(addr, of string) (int, string) {
+func postCall(addr, of string) (int, string) {
 	r, err := http.Post("http://"+addr+"/api/rpc?call=locks.begin&of="+of, "application/json", strings.NewReader("{}"))
 	if err != nil {
 		return 0, err.Error()
@@ -128,19 +128,19 @@
 // TestRelayAnswersTheirCaller: an answer that is late, doubled, cut or lost reaches no
 // other caller, and its call is never sent twice; a call that meets a kept connection
 // that has ended is sent on a new one, as not one byte of it left.
-func TestRelayAnswersTheirCaller(t *testing.T) {
+func TestRelayAnswersOnlyTheCallersOwnCall(t *testing.T) {
 	gone, said := make(chan struct{}), make(chan struct{})
-	r := newRawCore(t, func(n int, of string, c net.Conn) string {
+	r := newScriptedCore(t, func(n int, of string, c net.Conn) string {
 		switch of {
 		case "late": // comes when its call has been given up
 			_, _ = io.Copy(io.Discard, c)
-			_, _ = io.WriteString(c, whole(of))
+			_, _ = io.WriteString(c, okResponse(of))
 			close(gone)
 			return ""
 		case "doubled": // the second comes a moment later
-			_, _ = io.WriteString(c, whole(of))
+			_, _ = io.WriteString(c, okResponse(of))
 			<-said
-			_, _ = io.WriteString(c, whole("left over"))
+			_, _ = io.WriteString(c, okResponse("left over"))
 			said <- struct{}{}
 			_, _ = io.Copy(io.Discard, c)
 			return ""
@@ -150,14 +150,14 @@
 		case "lost":
 			return ""
 		case "bye":
-			_, _ = io.WriteString(c, whole(of))
+			_, _ = io.WriteString(c, okResponse(of))
 			c.Close()
 			said <- struct{}{}
 			return ""
 		}
-		return whole(of)
+		return okResponse(of)
 	})
-	addr := relayTo(t, r, []string{"127.0.0.33", "127.0.0.34"}, 1)
+	addr := startRelayTo(t, r, []string{"127.0.0.33", "127.0.0.34"}, 1)
 	clear := 0
 	for round := range 20 {
 		for _, of := range []string{"doubled", "a", "bye", "b", "cut", "c", "lost", "d"} {
@@ -165,7 +165,7 @@
 			if of == "cut" || of == "lost" {
 				want = 504
 			}
-			code, body := relayed(addr, of)
+			code, body := postCall(addr, of)
 			switch {
 			case of == "b" && code == 504: // the end of the connection was not there yet
 			case code != want || code == 200 && body != of:
@@ -183,27 +183,27 @@
 		}
 	}
 	for _, of := range []string{"doubled", "a", "bye", "b", "cut", "c", "lost", "d"} {
-		if n := r.times(of); n != 20 && of != "b" || n > 20 {
+		if n := r.count(of); n != 20 && of != "b" || n > 20 {
 			t.Errorf("%s arrived %d times in 20 rounds", of, n)
 		}
 	}
 	if clear < 10 {
 		t.Errorf("%d of 20 calls that met a connection that had ended were clear", clear)
 	}
-	if code, _ := relayed(addr, "late"); code != 504 {
+	if code, _ := postCall(addr, "late"); code != 504 {
 		t.Errorf("a call without an answer in time: %d", code)
 	}
 	<-gone // the relay ended that connection
-	if code, body := relayed(addr, "after"); code != 200 || body != "after" {
+	if code, body := postCall(addr, "after"); code != 200 || body != "after" {
 		t.Errorf("after it: %d %s", code, body)
 	}
 }
 
 // TestRelaySmugglesNothing: what is ambiguous in its framing is not passed on as two
 // calls.
-func TestRelaySmugglesNothing(t *testing.T) {
-	r := newRawCore(t, func(_ int, of string, _ net.Conn) string { return whole(of) })
-	addr := relayTo(t, r, []string{"127.0.0.35", "127.0.0.36"}, 6)
+func TestRelayForwardsNoAmbiguousFraming(t *testing.T) {
+	r := newScriptedCore(t, func(_ int, of string, _ net.Conn) string { return okResponse(of) })
+	addr := startRelayTo(t, r, []string{"127.0.0.35", "127.0.0.36"}, 6)
 	evil := "POST /api/rpc?call=locks.begin&of=evil HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 	head := "POST /api/rpc?call=locks.begin&of=a HTTP/1.1\r\nHost: h\r\n"
 	for _, raw := range []string{
@@ -232,14 +232,14 @@
 		_ = c.(*net.TCPConn).CloseWrite()
 		answers, _ := io.ReadAll(c)
 		c.Close()
-		if n := r.times("evil"); n > 0 {
+		if n := r.count("evil"); n > 0 {
 			t.Errorf("%q: its body became %d calls; answered %q", raw, n, answers)
 		}
-		if code, body := relayed(addr, "next"); code != 200 || body != "next" {
+		if code, body := postCall(addr, "next"); code != 200 || body != "next" {
 			t.Errorf("after %q: %d %s", raw, code, body)
 		}
 		r.mu.Lock()
-		r.got = nil
+		r.received = nil
 		r.mu.Unlock()
 	}
 }
--- a/cmd/lichentrayctl/main.go
+++ b/cmd/lichentrayctl/main.go
@@ -30,14 +30,14 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
-	exitUsage   = 2
-	exitInvalid = 3
-	exitUnknown = 4
+	exitOK             = 0
+	exitFailed         = 1
+	exitUsage          = 2
+	exitInvalid        = 3
+	exitOutcomeUnknown = 4
 )
 
-const help = `gauge is the operator's command line of lichentray.
+const usageText = `gauge is the operator's command line of lichentray.
 
 Usage:
   lichentrayctl settings check [FILE]     check a settings file
@@ -74,61 +74,61 @@
   4  the outcome is not known: the order may or may not be in force
 `
 
-// failure is an error with its exit code.
-type failure struct {
+// exitError is an error with its exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f *failure) Error() string { return f.err.Error() }
+func (f *exitError) Error() string { return f.err.Error() }
 
-func fail(code int, format string, args ...any) error {
-	return &failure{code, fmt.Errorf(format, args...)}
+func exitErrorf(code int, format string, args ...any) error {
+	return &exitError{code, fmt.Errorf(format, args...)}
 }
 
-type tool struct {
-	out     io.Writer
-	nodes   []string
-	set     string
-	until   time.Time
-	json    bool
-	args    []string
-	command string
-	filter  audit.Filter
-	since   string
-	before  string
+type cli struct {
+	out          io.Writer
+	nodes        []string
+	settingsPath string
+	deadline     time.Time
+	jsonOutput   bool
+	args         []string
+	commandName  string
+	filter       audit.Filter
+	sinceFlag    string
+	untilFlag    string
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
 func run(args []string, in io.Reader, out, errs io.Writer) int {
 	if len(args) == 0 {
-		fmt.Fprint(errs, help)
+		fmt.Fprint(errs, usageText)
 		return exitUsage
 	}
 	if args[0] == "--help" || args[0] == "-h" || args[0] == "help" {
-		fmt.Fprint(out, help)
+		fmt.Fprint(out, usageText)
 		return exitOK
 	}
 	if args[0] == "version" || args[0] == "--version" {
 		fmt.Fprintln(out, daemon.VersionLine("lichentrayctl"))
 		return exitOK
 	}
-	t := &tool{out: out}
-	err := t.do(args, in)
+	t := &cli{out: out}
+	err := t.execute(args, in)
 	if errors.Is(err, flag.ErrHelp) {
-		fmt.Fprint(out, help)
+		fmt.Fprint(out, usageText)
 		return exitOK
 	}
 	if err == nil {
 		return exitOK
 	}
 	code := exitFailed
-	var f *failure
+	var f *exitError
 	if errors.As(err, &f) {
 		code = f.code
 	}
-	if t.json {
+	if t.jsonOutput {
 		_ = json.NewEncoder(out).Encode(map[string]any{"error": err.Error(), "exit_code": code}) // standard output gone is told by nobody
 	} else {
 		fmt.Fprintf(errs, "gauge: %v\n", err)
@@ -139,35 +139,35 @@
 	return code
 }
 
-func (t *tool) do(args []string, in io.Reader) error {
+func (t *cli) execute(args []string, in io.Reader) error {
 	commands := map[string]func(io.Reader) error{
-		"settings check": t.settingsCheck, "config check": t.configCheck, "config read": t.configRead,
-		"config replace": t.configReplace, "status": t.status,
-		"evac list": t.evacList, "evac begin": t.evacOrder, "evac finish": t.evacOrder,
-		"rollout begin": t.rolloutBegin, "rollout read": t.rolloutRead, "account": t.account,
+		"settings check": t.checkSettings, "config check": t.checkConfiguration, "config read": t.printConfiguration,
+		"config replace": t.replaceConfiguration, "status": t.printStatus,
+		"evac list": t.listEvacuations, "evac begin": t.changeEvacuation, "evac finish": t.changeEvacuation,
+		"rollout begin": t.beginRollout, "rollout read": t.printRollout, "account": t.printAccount,
 	}
 	do := commands[args[0]]
-	t.command = args[0]
+	t.commandName = args[0]
 	rest := args[1:]
 	if do == nil && len(args) > 1 {
-		t.command = args[0] + " " + args[1]
-		do, rest = commands[t.command], args[2:]
+		t.commandName = args[0] + " " + args[1]
+		do, rest = commands[t.commandName], args[2:]
 	}
 	if do == nil {
-		return fail(exitUsage, "no command %q", strings.Join(args, " "))
+		return exitErrorf(exitUsage, "no command %q", strings.Join(args, " "))
 	}
 	fs := flag.NewFlagSet("lichentrayctl", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	nodes := fs.String("nodes", "", "")
-	fs.StringVar(&t.set, "config", "", "")
+	fs.StringVar(&t.settingsPath, "config", "", "")
 	timeout := fs.Duration("timeout", 10*time.Second, "")
 	form := fs.String("output", "text", "")
-	if t.command == "account" {
+	if t.commandName == "account" {
 		fs.StringVar(&t.filter.Tenant, "tenant", "", "")
 		fs.StringVar(&t.filter.Request, "request", "", "")
 		fs.StringVar((*string)(&t.filter.Kind), "kind", "", "")
-		fs.StringVar(&t.since, "since", "", "")
-		fs.StringVar(&t.before, "until", "", "")
+		fs.StringVar(&t.sinceFlag, "since", "", "")
+		fs.StringVar(&t.untilFlag, "until", "", "")
 		fs.IntVar(&t.filter.Limit, "most", 100, "")
 	}
 	for { // flags may stand before and after the file
@@ -175,7 +175,7 @@
 			if errors.Is(err, flag.ErrHelp) {
 				return err
 			}
-			return fail(exitUsage, "%v", err)
+			return exitErrorf(exitUsage, "%v", err)
 		}
 		if fs.NArg() == 0 {
 			break
@@ -186,22 +186,22 @@
 	switch *form {
 	case "text":
 	case "json":
-		t.json = true
+		t.jsonOutput = true
 	default:
-		return fail(exitUsage, "--output is text or json, not %q", *form)
+		return exitErrorf(exitUsage, "--output is text or json, not %q", *form)
 	}
 	if *timeout <= 0 {
-		return fail(exitUsage, "--timeout must be above 0")
+		return exitErrorf(exitUsage, "--timeout must be above 0")
 	}
-	t.until = time.Now().Add(*timeout)
+	t.deadline = time.Now().Add(*timeout)
 	if *nodes != "" {
 		t.nodes = strings.Split(*nodes, ",")
 	}
 	return do(in)
 }
 
-func (t *tool) print(text string, value any) error {
-	if t.json {
+func (t *cli) printResult(text string, value any) error {
+	if t.jsonOutput {
 		enc := json.NewEncoder(t.out)
 		enc.SetIndent("", "  ")
 		return enc.Encode(value)
@@ -210,25 +210,25 @@
 	return err
 }
 
-func (t *tool) settingsCheck(io.Reader) error {
-	path := settings.ResolvePath(t.set)
+func (t *cli) checkSettings(io.Reader) error {
+	path := settings.ResolvePath(t.settingsPath)
 	if len(t.args) > 1 {
-		return fail(exitUsage, "settings check takes one file")
+		return exitErrorf(exitUsage, "settings check takes one file")
 	}
 	if len(t.args) == 1 {
 		path = t.args[0]
 	}
 	s, err := settings.Load(path)
 	if err != nil {
-		return fail(exitInvalid, "%v", err)
+		return exitErrorf(exitInvalid, "%v", err)
 	}
-	return t.print(fmt.Sprintf("%s: valid, node %s in zone %s", path, s.NodeName, s.Zone),
+	return t.printResult(fmt.Sprintf("%s: valid, node %s in zone %s", path, s.NodeName, s.Zone),
 		map[string]any{"valid": true, "file": path, "node_name": s.NodeName, "zone": s.Zone, "serves": s.Serves})
 }
 
-func (t *tool) file(in io.Reader) ([]byte, error) {
+func (t *cli) readInput(in io.Reader) ([]byte, error) {
 	if len(t.args) != 1 {
-		return nil, fail(exitUsage, "%s takes one file", t.command)
+		return nil, exitErrorf(exitUsage, "%s takes one file", t.commandName)
 	}
 	if t.args[0] == "-" {
 		return io.ReadAll(in)
@@ -236,19 +236,19 @@
 	return os.ReadFile(t.args[0])
 }
 
-func (t *tool) readConfig(in io.Reader) ([]byte, *config.Configuration, error) {
-	text, err := t.file(in)
+func (t *cli) loadConfiguration(in io.Reader) ([]byte, *config.Configuration, error) {
+	text, err := t.readInput(in)
 	if err != nil {
 		return nil, nil, err
 	}
-	c, err := config.Read(text)
+	c, err := config.Parse(text)
 	if err != nil {
-		return nil, nil, fail(exitInvalid, "configuration: %v", err)
+		return nil, nil, exitErrorf(exitInvalid, "configuration: %v", err)
 	}
 	return text, c, nil
 }
 
-func describe(c *config.Configuration) (string, map[string]any) {
+func describeConfiguration(c *config.Configuration) (string, map[string]any) {
 	n := 0
 	for _, l := range c.Listeners {
 		n += len(l.Rules)
@@ -257,34 +257,34 @@
 		map[string]any{"config_version": c.Version, "routes": n, "hosts": len(c.Listeners), "services": len(c.Clusters)}
 }
 
-func (t *tool) configCheck(in io.Reader) error {
-	_, c, err := t.readConfig(in)
+func (t *cli) checkConfiguration(in io.Reader) error {
+	_, c, err := t.loadConfiguration(in)
 	if err != nil {
 		return err
 	}
-	text, m := describe(c)
+	text, m := describeConfiguration(c)
 	m["valid"] = true
-	return t.print("valid: "+text, m)
+	return t.printResult("valid: "+text, m)
 }
 
-// where lists the nodes to ask.
-func (t *tool) where() ([]string, error) {
+// nodeAddresses lists the nodes to ask.
+func (t *cli) nodeAddresses() ([]string, error) {
 	if len(t.nodes) > 0 {
 		return t.nodes, nil
 	}
-	s, err := settings.Load(settings.ResolvePath(t.set))
+	s, err := settings.Load(settings.ResolvePath(t.settingsPath))
 	if err != nil {
-		return nil, fail(exitUsage, "no --nodes given, and the settings do not help: %v", err)
+		return nil, exitErrorf(exitUsage, "no --nodes given, and the settings do not help: %v", err)
 	}
 	return s.SeedNodes, nil
 }
 
 // call asks one node, and where that sends a large call on, the node it names. sent
 // tells whether a node may have got the call.
-func (t *tool) call(node, method, path string, body []byte) (status int, answer []byte, sent bool, err error) {
+func (t *cli) call(node, method, path string, body []byte) (status int, answer []byte, sent bool, err error) {
 	for range 3 {
 		var to string
-		if status, answer, to, sent, err = t.callOnce("http://"+node+path, node, method, body); status != fasthttp.StatusTemporaryRedirect {
+		if status, answer, to, sent, err = t.callNode("http://"+node+path, node, method, body); status != fasthttp.StatusTemporaryRedirect {
 			break
 		}
 		at, err := url.Parse(to)
@@ -296,7 +296,7 @@
 	return status, answer, sent, err
 }
 
-func (t *tool) callOnce(uri, node, method string, body []byte) (status int, answer []byte, to string, sent bool, err error) {
+func (t *cli) callNode(uri, node, method string, body []byte) (status int, answer []byte, to string, sent bool, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -309,25 +309,25 @@
 	req.SetConnectionClose()
 	dialled := false
 	c := fasthttp.HostClient{Addr: node, MaxIdemponentCallAttempts: 1, Dial: func(addr string) (conn net.Conn, err error) {
-		conn, err = fasthttp.DialTimeout(addr, max(time.Millisecond, min(2*time.Second, time.Until(t.until))))
+		conn, err = fasthttp.DialTimeout(addr, max(time.Millisecond, min(2*time.Second, time.Until(t.deadline))))
 		dialled = err == nil
 		return conn, err
 	}}
 	// One node gets a part of the time, so that another can be asked.
-	if err := c.DoTimeout(req, resp, max(time.Millisecond, min(3*time.Second, time.Until(t.until)))); err != nil {
+	if err := c.DoTimeout(req, resp, max(time.Millisecond, min(3*time.Second, time.Until(t.deadline)))); err != nil {
 		return 0, nil, "", dialled, err
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), string(resp.Header.Peek("Location")), true, nil
 }
 
-// read asks one node after the other until one answers.
-func (t *tool) read(call string, body []byte) ([]byte, error) {
-	nodes, err := t.where()
+// query asks one node after the other until one answers.
+func (t *cli) query(call string, body []byte) ([]byte, error) {
+	nodes, err := t.nodeAddresses()
 	if err != nil {
 		return nil, err
 	}
 	var last error
-	for time.Now().Before(t.until) {
+	for time.Now().Before(t.deadline) {
 		for _, n := range nodes {
 			status, answer, _, err := t.call(n, "POST", "/api/rpc?call="+call, body)
 			switch {
@@ -336,27 +336,27 @@
 			case status == 200:
 				return answer, nil
 			case status == 404:
-				return nil, fail(exitFailed, "%s has none: %s", n, answer)
+				return nil, exitErrorf(exitFailed, "%s has none: %s", n, answer)
 			case status == 400:
-				return nil, fail(exitUsage, "%s refused it: %s", n, answer)
+				return nil, exitErrorf(exitUsage, "%s refused it: %s", n, answer)
 			default:
 				last = fmt.Errorf("%s answered %d: %s", n, status, answer)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return nil, fail(exitFailed, "no node answered %s: %v", call, last)
+	return nil, exitErrorf(exitFailed, "no node answered %s: %v", call, last)
 }
 
-// order sends an order to one node after the other until one acknowledges it.
-func (t *tool) order(call string, body []byte) (node string, err error) {
-	nodes, err := t.where()
+// submit sends an order to one node after the other until one acknowledges it.
+func (t *cli) submit(call string, body []byte) (node string, err error) {
+	nodes, err := t.nodeAddresses()
 	if err != nil {
 		return "", err
 	}
 	var last error
 	unclear := false
-	for time.Now().Before(t.until) {
+	for time.Now().Before(t.deadline) {
 		for _, n := range nodes {
 			status, answer, sent, err := t.call(n, "POST", "/api/rpc?call="+call, body)
 			switch {
@@ -366,7 +366,7 @@
 			case status == 200:
 				return n, nil
 			case status >= 400 && status < 500 && status != 408 && status != 429:
-				return "", fail(exitInvalid, "%s refused it with %d: %s", n, status, answer)
+				return "", exitErrorf(exitInvalid, "%s refused it with %d: %s", n, status, answer)
 			default:
 				unclear = unclear || status != 503 && status != 429
 				last = fmt.Errorf("%s answered %d: %s", n, status, answer)
@@ -375,13 +375,13 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	if unclear {
-		return "", fail(exitUnknown, "no clear answer, the order may or may not be in force: %v", last)
+		return "", exitErrorf(exitOutcomeUnknown, "no clear answer, the order may or may not be in force: %v", last)
 	}
-	return "", fail(exitFailed, "no node took the order: %v", last)
+	return "", exitErrorf(exitFailed, "no node took the order: %v", last)
 }
 
-func (t *tool) configRead(io.Reader) error {
-	body, err := t.read("configuration.read", []byte{})
+func (t *cli) printConfiguration(io.Reader) error {
+	body, err := t.query("configuration.read", []byte{})
 	if err != nil {
 		return err
 	}
@@ -389,8 +389,8 @@
 	return err
 }
 
-func (t *tool) evacList(io.Reader) error {
-	body, err := t.read("evacuations.read", []byte{})
+func (t *cli) listEvacuations(io.Reader) error {
+	body, err := t.query("evacuations.read", []byte{})
 	if err != nil {
 		return err
 	}
@@ -398,7 +398,7 @@
 		Zones map[string]string `json:"zones"`
 	}
 	if err := json.Unmarshal(body, &a); err != nil {
-		return fail(exitFailed, "the answer cannot be read: %v", err)
+		return exitErrorf(exitFailed, "the answer cannot be read: %v", err)
 	}
 	lines := []string{}
 	for zone, state := range a.Zones {
@@ -408,23 +408,23 @@
 	if len(lines) == 0 {
 		lines = append(lines, "all zones are in ordinary use")
 	}
-	return t.print(strings.Join(lines, "\n"), a)
+	return t.printResult(strings.Join(lines, "\n"), a)
 }
 
-func (t *tool) evacOrder(io.Reader) error {
+func (t *cli) changeEvacuation(io.Reader) error {
 	if len(t.args) != 1 {
-		return fail(exitUsage, "%s takes one zone", t.command)
+		return exitErrorf(exitUsage, "%s takes one zone", t.commandName)
 	}
-	call := "evacuations." + strings.TrimPrefix(t.command, "evac ") + "&of=" + url.QueryEscape(t.args[0])
-	n, err := t.order(call, []byte{})
+	call := "evacuations." + strings.TrimPrefix(t.commandName, "evac ") + "&of=" + url.QueryEscape(t.args[0])
+	n, err := t.submit(call, []byte{})
 	if err != nil {
 		return err
 	}
-	return t.print("acknowledged by "+n+": "+t.command+" "+t.args[0], map[string]any{"acknowledged": true, "node": n, "zone": t.args[0]})
+	return t.printResult("acknowledged by "+n+": "+t.commandName+" "+t.args[0], map[string]any{"acknowledged": true, "node": n, "zone": t.args[0]})
 }
 
-// when reads a time, or how long ago it was.
-func when(flag, s string) (int64, error) {
+// parseTimeOrAge reads a time, or how long ago it was.
+func parseTimeOrAge(flag, s string) (int64, error) {
 	if s == "" {
 		return 0, nil
 	}
@@ -433,44 +433,44 @@
 	}
 	at, err := time.Parse(time.RFC3339, s)
 	if err != nil {
-		return 0, fail(exitUsage, "--%s: %q is neither a time such as 2026-12-02T09:00:00Z nor a span such as 90m", flag, s)
+		return 0, exitErrorf(exitUsage, "--%s: %q is neither a time such as 2026-12-02T09:00:00Z nor a span such as 90m", flag, s)
 	}
 	return at.UnixMilli(), nil
 }
 
-func (t *tool) account(io.Reader) error {
+func (t *cli) printAccount(io.Reader) error {
 	if len(t.args) > 0 {
-		return fail(exitUsage, "account takes flags only, not %q", t.args[0])
+		return exitErrorf(exitUsage, "account takes flags only, not %q", t.args[0])
 	}
 	f := &t.filter
 	var err error
-	if f.SinceMS, err = when("since", t.since); err != nil {
+	if f.SinceMS, err = parseTimeOrAge("since", t.sinceFlag); err != nil {
 		return err
 	}
-	if f.UntilMS, err = when("until", t.before); err != nil {
+	if f.UntilMS, err = parseTimeOrAge("until", t.untilFlag); err != nil {
 		return err
 	}
 	switch {
 	case f.Kind != "" && !slices.Contains(audit.FailureKinds(), f.Kind):
-		return fail(exitUsage, "--kind: %q is none of %v", f.Kind, audit.FailureKinds())
+		return exitErrorf(exitUsage, "--kind: %q is none of %v", f.Kind, audit.FailureKinds())
 	case f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
-		return fail(exitUsage, "--until: not after --since")
+		return exitErrorf(exitUsage, "--until: not after --since")
 	case f.Limit < 0:
-		return fail(exitUsage, "--most: below 0")
+		return exitErrorf(exitUsage, "--most: below 0")
 	}
 	body, err := json.Marshal(f)
 	if err != nil {
 		return err
 	}
-	if body, err = t.read("accounts.read", body); err != nil {
+	if body, err = t.query("accounts.read", body); err != nil {
 		return err
 	}
 	var a audit.QueryResult
 	if err := json.Unmarshal(body, &a); err != nil {
-		return fail(exitFailed, "the answer cannot be read: %v", err)
+		return exitErrorf(exitFailed, "the answer cannot be read: %v", err)
 	}
-	if t.json {
-		return t.print("", a)
+	if t.jsonOutput {
+		return t.printResult("", a)
 	}
 	w := tabwriter.NewWriter(t.out, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WHEN\tTENANT\tKIND\tREQUEST\tROUTE\tTRIES")
@@ -506,31 +506,31 @@
 	return w.Flush()
 }
 
-func (t *tool) rolloutBegin(io.Reader) error {
+func (t *cli) beginRollout(io.Reader) error {
 	if len(t.args) != 3 {
-		return fail(exitUsage, "rollout begin takes a service, a version and a time")
+		return exitErrorf(exitUsage, "rollout begin takes a service, a version and a time")
 	}
 	term, err := time.ParseDuration(t.args[2])
 	if err != nil || term <= 0 {
-		return fail(exitUsage, "%q is no time above 0, such as 12s", t.args[2])
+		return exitErrorf(exitUsage, "%q is no time above 0, such as 12s", t.args[2])
 	}
 	body, err := json.Marshal(map[string]any{"backend_service": t.args[0], "target_version": t.args[1], "deadline_s": term.Seconds()})
 	if err != nil {
 		return err
 	}
-	n, err := t.order("rollouts.begin", body)
+	n, err := t.submit("rollouts.begin", body)
 	if err != nil {
 		return err
 	}
-	return t.print(fmt.Sprintf("acknowledged by %s: %s moves to %s", n, t.args[0], t.args[1]),
+	return t.printResult(fmt.Sprintf("acknowledged by %s: %s moves to %s", n, t.args[0], t.args[1]),
 		map[string]any{"acknowledged": true, "node": n, "backend_service": t.args[0], "target_version": t.args[1]})
 }
 
-func (t *tool) rolloutRead(io.Reader) error {
+func (t *cli) printRollout(io.Reader) error {
 	if len(t.args) != 1 {
-		return fail(exitUsage, "rollout read takes one service")
+		return exitErrorf(exitUsage, "rollout read takes one service")
 	}
-	body, err := t.read("rollouts.read&of="+url.QueryEscape(t.args[0]), []byte{})
+	body, err := t.query("rollouts.read&of="+url.QueryEscape(t.args[0]), []byte{})
 	if err != nil {
 		return err
 	}
@@ -542,31 +542,31 @@
 		Why    string  `json:"why,omitempty"`
 	}
 	if err := json.Unmarshal(body, &a); err != nil {
-		return fail(exitFailed, "the answer cannot be read: %v", err)
+		return exitErrorf(exitFailed, "the answer cannot be read: %v", err)
 	}
 	text := fmt.Sprintf("%s: %s to %s, in use %s, share of the new one %g", t.args[0], a.State, a.Target, a.Base, a.Share)
 	if a.Why != "" {
 		text += "\n" + a.Why
 	}
-	return t.print(text, a)
+	return t.printResult(text, a)
 }
 
-func (t *tool) configReplace(in io.Reader) error {
-	text, c, err := t.readConfig(in)
+func (t *cli) replaceConfiguration(in io.Reader) error {
+	text, c, err := t.loadConfiguration(in)
 	if err != nil {
 		return err
 	}
-	n, err := t.order("configuration.replace", text)
+	n, err := t.submit("configuration.replace", text)
 	if err != nil {
 		return err
 	}
-	what, m := describe(c)
+	what, m := describeConfiguration(c)
 	m["acknowledged"], m["node"] = true, n
-	return t.print("acknowledged by "+n+": "+what+"\n(a version that is not above the one held changes nothing)", m)
+	return t.printResult("acknowledged by "+n+": "+what+"\n(a version that is not above the one held changes nothing)", m)
 }
 
-func (t *tool) status(io.Reader) error {
-	nodes, err := t.where()
+func (t *cli) printStatus(io.Reader) error {
+	nodes, err := t.nodeAddresses()
 	if err != nil {
 		return err
 	}
@@ -602,10 +602,10 @@
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Node < all[j].Node })
 	if len(all) == 0 {
-		return fail(exitFailed, "no node answered: %v", missing)
+		return exitErrorf(exitFailed, "no node answered: %v", missing)
 	}
-	if t.json {
-		return t.print("", map[string]any{"nodes": all, "unheard": missing})
+	if t.jsonOutput {
+		return t.printResult("", map[string]any{"nodes": all, "unheard": missing})
 	}
 	w := tabwriter.NewWriter(t.out, 2, 4, 2, ' ', 0)
 	var lead *controlplane.Status
--- a/cmd/lichentrayctl/main_test.go
+++ b/cmd/lichentrayctl/main_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-const good = `{"config_version":3,"listeners":[],"clusters":[{"name":"s"}]}`
+const validConfiguration = `{"config_version":3,"listeners":[],"clusters":[{"name":"s"}]}`
 
 // TestExitCodes: what each command prints and how it ends, against a stand-in
 // node that answers as told.
-func TestExitCodes(t *testing.T) {
+func TestCommandsPrintResultAndExitCode(t *testing.T) {
 	status := 200
 	calls := 0
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -32,7 +32,7 @@
 		case r.URL.Query().Get("call") == "rollouts.read":
 			fmt.Fprint(w, `{"state":"rolled_back","target_version":"v2","base_version":"v1","share":0,"why":"answers fail"}`)
 		case r.URL.Query().Get("call") == "configuration.read":
-			fmt.Fprint(w, good)
+			fmt.Fprint(w, validConfiguration)
 		}
 	}))
 	defer node.Close()
@@ -50,7 +50,7 @@
 		}
 		return p
 	}
-	cfg, bad := file("good.json", good), file("bad.json", `{"config_version":3,"listeners":[],"clusters":[{}]}`)
+	cfg, bad := file("good.json", validConfiguration), file("bad.json", `{"config_version":3,"listeners":[],"clusters":[{}]}`)
 	for _, c := range []struct {
 		args   string
 		status int
@@ -63,17 +63,17 @@
 		{"config check " + bad, 200, exitInvalid, "clusters.0"},
 		{"config check " + cfg + " --output json", 200, exitOK, `"valid": true`},
 		{"config check", 200, exitUsage, "one file"},
-		{"config read --nodes " + addr, 200, exitOK, good},
+		{"config read --nodes " + addr, 200, exitOK, validConfiguration},
 		{"config replace " + cfg + " --nodes " + addr, 200, exitOK, "acknowledged by"},
 		{"config replace " + cfg + " --nodes " + addr, 400, exitInvalid, "refused it with 400"},
 		{"config replace " + cfg + " --timeout 50ms --nodes " + addr, 503, exitFailed, "no node took"},
 		{"evac list --nodes " + addr, 200, exitOK, "z1  evacuated"},
 		{"evac begin z1 --nodes " + addr, 200, exitOK, "acknowledged by"},
 		{"evac finish z1 --nodes " + addr, 400, exitInvalid, "refused it with 400"},
-		{"evac finish z1 --timeout 50ms --nodes " + addr, 504, exitUnknown, "may or may not"},
+		{"evac finish z1 --timeout 50ms --nodes " + addr, 504, exitOutcomeUnknown, "may or may not"},
 		{"evac begin", 200, exitUsage, "one zone"},
 		{"status --nodes " + addr, 200, exitOK, "p7"},
-		{"config replace " + cfg + " --timeout 50ms --nodes " + addr, 504, exitUnknown, "may or may not"},
+		{"config replace " + cfg + " --timeout 50ms --nodes " + addr, 504, exitOutcomeUnknown, "may or may not"},
 		{"config replace " + bad + " --nodes " + addr, 200, exitInvalid, "clusters.0"},
 		{"status --nodes " + addr, 200, exitOK, "p1"},
 		{"status --nodes " + addr, 500, exitFailed, "no node answered"},
--- a/config/config.go
+++ b/config/config.go
@@ -17,10 +17,10 @@
 )
 
 //go:embed configuration.schema.json
-var schemaText []byte
+var schemaJSON []byte
 
 // Schema is a compiled JSON schema whose errors name the field.
-type Schema struct{ s *jsonschema.Schema }
+type Schema struct{ compiled *jsonschema.Schema }
 
 // NewSchema compiles a JSON schema.
 func NewSchema(text []byte) (*Schema, error) {
@@ -39,9 +39,9 @@
 	return &Schema{s}, nil
 }
 
-// Check validates a value; the error is one line that begins with the field.
-func (s *Schema) Check(v any) error {
-	err := s.s.Validate(v)
+// Validate validates a value; the error is one line that begins with the field.
+func (s *Schema) Validate(v any) error {
+	err := s.compiled.Validate(v)
 	var ve *jsonschema.ValidationError
 	if !errors.As(err, &ve) {
 		return err
@@ -60,42 +60,42 @@
 	return fmt.Errorf("%s: %s", field, strings.TrimSpace(msg))
 }
 
-var schema = sync.OnceValues(func() (*Schema, error) { return NewSchema(schemaText) })
+var compiledSchema = sync.OnceValues(func() (*Schema, error) { return NewSchema(schemaJSON) })
 
-// Warm compiles the schema ahead of the first configuration.
-func Warm() error { _, err := schema(); return err }
+// CompileSchema compiles the schema ahead of the first configuration.
+func CompileSchema() error { _, err := compiledSchema(); return err }
 
 // RouteType says what may be repeated.
 type RouteType string
 
 // The route types.
 const (
-	Idempotent    RouteType = "idempotent"
-	NonIdempotent RouteType = "non_idempotent"
-	Download      RouteType = "download"
-	Upload        RouteType = "upload"
+	RouteIdempotent    RouteType = "idempotent"
+	RouteNonIdempotent RouteType = "non_idempotent"
+	RouteDownload      RouteType = "download"
+	RouteUpload        RouteType = "upload"
 )
 
-// Share is one service of a split.
-type Share struct {
+// BackendRef is one service of a split.
+type BackendRef struct {
 	Service string  `json:"backend_service"`
 	Weight  float64 `json:"weight"`
 }
 
 // Rule is one route as written.
 type Rule struct {
-	Name     string    `json:"name"`
-	Type     RouteType `json:"route_type"`
-	TargetS  float64   `json:"target_latency_s"`
-	Priority float64   `json:"priority"`
-	Match    struct {
+	Name                 string    `json:"name"`
+	Type                 RouteType `json:"route_type"`
+	TargetLatencySeconds float64   `json:"target_latency_s"`
+	Priority             float64   `json:"priority"`
+	Match                struct {
 		Prefix string `json:"path_prefix"`
 	} `json:"match"`
 	Action struct {
-		Service     string  `json:"backend_service"`
-		Split       []Share `json:"traffic_split"`
-		TimeoutS    float64 `json:"timeout_s"`
-		MaxAttempts float64 `json:"max_attempts"`
+		Service     string       `json:"backend_service"`
+		Split       []BackendRef `json:"traffic_split"`
+		TimeoutS    float64      `json:"timeout_s"`
+		MaxAttempts float64      `json:"max_attempts"`
 		// Regions are the route's homes: no endpoint elsewhere serves it. None
 		// means that any may.
 		Regions []string `json:"allowed_regions"`
@@ -110,19 +110,19 @@
 
 // Cluster is one service as written.
 type Cluster struct {
-	Name           string  `json:"name"`
-	HealthPath     string  `json:"health_check_path"`
-	MaxConnections float64 `json:"max_connections"`
-	ColdStartS     float64 `json:"cold_start_s"`
-	ColdRateS      float64 `json:"cold_rate_s"`
+	Name                string  `json:"name"`
+	HealthPath          string  `json:"health_check_path"`
+	MaxConnections      float64 `json:"max_connections"`
+	WarmupSeconds       float64 `json:"cold_start_s"`
+	WarmupRatePerSecond float64 `json:"cold_rate_s"`
 }
 
 // Limits bound what a client may send and how long it may take.
 type Limits struct {
-	MaxHeaderBytes float64 `json:"max_header_bytes"`
-	MaxBodyBytes   float64 `json:"max_body_bytes"`
-	HeaderTimeoutS float64 `json:"header_timeout_s"`
-	IdleTimeoutS   float64 `json:"idle_timeout_s"`
+	MaxHeaderBytes       float64 `json:"max_header_bytes"`
+	MaxBodyBytes         float64 `json:"max_body_bytes"`
+	HeaderTimeoutSeconds float64 `json:"header_timeout_s"`
+	IdleTimeoutSeconds   float64 `json:"idle_timeout_s"`
 }
 
 // Configuration is what the operator sends.
@@ -133,10 +133,10 @@
 	Clusters  []Cluster  `json:"clusters"`
 }
 
-// Read reads and checks a configuration. The error names the first field that
+// Parse reads and checks a configuration. The error names the first field that
 // is wrong.
-func Read(text []byte) (*Configuration, error) {
-	sch, err := schema()
+func Parse(text []byte) (*Configuration, error) {
+	sch, err := compiledSchema()
 	if err != nil {
 		return nil, err
 	}
@@ -144,10 +144,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("not readable as JSON: %w", err)
 	}
-	if err := sch.Check(doc); err != nil {
+	if err := sch.Validate(doc); err != nil {
 		return nil, err
 	}
-	c, err := ReadChecked(text)
+	c, err := DecodeValidated(text)
 	if err != nil {
 		return nil, err
 	}
@@ -179,8 +179,8 @@
 	return c, nil
 }
 
-// ReadChecked reads a configuration that was checked before it was stored.
-func ReadChecked(text []byte) (*Configuration, error) {
+// DecodeValidated reads a configuration that was checked before it was stored.
+func DecodeValidated(text []byte) (*Configuration, error) {
 	c := new(Configuration)
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("not readable: %w", err)
@@ -188,106 +188,106 @@
 	return c, nil
 }
 
-// Target is one service that a route may send to.
-type Target struct {
+// Backend is one service that a route may send to.
+type Backend struct {
 	Service int
 	Weight  float64
 }
 
 // Route is one compiled route.
 type Route struct {
-	Index       int
-	Name        string
-	Prefix      string
-	Type        RouteType
-	Repeatable  bool
-	Priority    int
-	Aim         time.Duration
-	Timeout     time.Duration
-	MaxAttempts int
-	Regions     []string
-	Targets     []Target
-	total       float64
+	Index         int
+	Name          string
+	Prefix        string
+	Type          RouteType
+	Idempotent    bool
+	Priority      int
+	TargetLatency time.Duration
+	Timeout       time.Duration
+	MaxAttempts   int
+	Regions       []string
+	Backends      []Backend
+	totalWeight   float64
 }
 
-// Pick chooses a service by weight; x lies in [0,1).
-func (r *Route) Pick(x float64) int {
-	if len(r.Targets) == 1 {
-		return r.Targets[0].Service
+// PickService chooses a service by weight; x lies in [0,1).
+func (r *Route) PickService(x float64) int {
+	if len(r.Backends) == 1 {
+		return r.Backends[0].Service
 	}
-	x *= r.total
-	for _, t := range r.Targets {
+	x *= r.totalWeight
+	for _, t := range r.Backends {
 		if x < t.Weight {
 			return t.Service
 		}
 		x -= t.Weight
 	}
-	for i := len(r.Targets) - 1; i >= 0; i-- {
-		if r.Targets[i].Weight > 0 {
-			return r.Targets[i].Service
+	for i := len(r.Backends) - 1; i >= 0; i-- {
+		if r.Backends[i].Weight > 0 {
+			return r.Backends[i].Service
 		}
 	}
-	return r.Targets[0].Service
+	return r.Backends[0].Service
 }
 
 // Table is a compiled configuration: services and routes under dense indices.
 type Table struct {
-	Version  uint64
-	Limits   Limits
-	Services []Cluster
-	Routes   []*Route
-	hosts    map[string][]*Route
-	service  map[string]int
+	Version      uint64
+	Limits       Limits
+	Services     []Cluster
+	Routes       []*Route
+	routesByHost map[string][]*Route
+	serviceIndex map[string]int
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Compile builds the table of a checked configuration.
 func Compile(c *Configuration) *Table {
-	t := &Table{Version: c.Version, Limits: c.Limits, hosts: map[string][]*Route{}, service: map[string]int{}}
+	t := &Table{Version: c.Version, Limits: c.Limits, routesByHost: map[string][]*Route{}, serviceIndex: map[string]int{}}
 	for _, s := range c.Clusters {
-		if _, twice := t.service[s.Name]; !twice {
-			t.service[s.Name] = len(t.Services)
+		if _, twice := t.serviceIndex[s.Name]; !twice {
+			t.serviceIndex[s.Name] = len(t.Services)
 			t.Services = append(t.Services, s)
 		}
 	}
 	for _, l := range c.Listeners {
 		host := strings.ToLower(l.Hostname)
-		t.hosts[host] = t.hosts[host] // a host without rules is known too
+		t.routesByHost[host] = t.routesByHost[host] // a host without rules is known too
 		for _, x := range l.Rules {
 			r := &Route{
 				Index: len(t.Routes), Name: x.Name, Prefix: x.Match.Prefix, Type: x.Type,
-				Repeatable: x.Type != NonIdempotent && x.Type != Upload, Priority: int(x.Priority), Regions: x.Action.Regions,
-				Aim: seconds(x.TargetS), Timeout: seconds(x.Action.TimeoutS), MaxAttempts: int(x.Action.MaxAttempts),
+				Idempotent: x.Type != RouteNonIdempotent && x.Type != RouteUpload, Priority: int(x.Priority), Regions: x.Action.Regions,
+				TargetLatency: durationOfSeconds(x.TargetLatencySeconds), Timeout: durationOfSeconds(x.Action.TimeoutS), MaxAttempts: int(x.Action.MaxAttempts),
 			}
 			split := x.Action.Split
 			if len(split) == 0 {
-				split = []Share{{x.Action.Service, 1}}
+				split = []BackendRef{{x.Action.Service, 1}}
 			}
 			for _, s := range split {
-				i, known := t.service[s.Service]
+				i, known := t.serviceIndex[s.Service]
 				if !known {
 					continue // Read refuses such a configuration
 				}
-				r.Targets = append(r.Targets, Target{i, s.Weight})
-				r.total += s.Weight
+				r.Backends = append(r.Backends, Backend{i, s.Weight})
+				r.totalWeight += s.Weight
 			}
-			if len(r.Targets) == 0 {
+			if len(r.Backends) == 0 {
 				continue
 			}
 			t.Routes = append(t.Routes, r)
-			t.hosts[host] = append(t.hosts[host], r)
+			t.routesByHost[host] = append(t.routesByHost[host], r)
 		}
 	}
-	for _, rs := range t.hosts {
+	for _, rs := range t.routesByHost {
 		sort.SliceStable(rs, func(i, j int) bool { return len(rs[i].Prefix) > len(rs[j].Prefix) })
 	}
 	return t
 }
 
-// Service gives a service's index, or -1.
-func (t *Table) Service(name string) int {
-	if i, ok := t.service[name]; ok {
+// ServiceIndex gives a service's index, or -1.
+func (t *Table) ServiceIndex(name string) int {
+	if i, ok := t.serviceIndex[name]; ok {
 		return i
 	}
 	return -1
@@ -295,7 +295,7 @@
 
 // HasHost tells whether any route stands under a host.
 func (t *Table) HasHost(host string) bool {
-	_, ok := t.hosts[strings.ToLower(host)]
+	_, ok := t.routesByHost[strings.ToLower(host)]
 	return ok
 }
 
@@ -304,9 +304,9 @@
 	if i := bytes.LastIndexByte(host, ':'); i >= 0 && bytes.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
 	}
-	rs, ok := t.hosts[string(host)]
+	rs, ok := t.routesByHost[string(host)]
 	if !ok {
-		rs = t.hosts[strings.ToLower(string(host))]
+		rs = t.routesByHost[strings.ToLower(string(host))]
 	}
 	for _, r := range rs {
 		if len(path) >= len(r.Prefix) && string(path[:len(r.Prefix)]) == r.Prefix {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-const sample = `{"config_version":7,"limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_timeout_s":3,"idle_timeout_s":15},
+const sampleConfiguration = `{"config_version":7,"limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_timeout_s":3,"idle_timeout_s":15},
 "listeners":[{"hostname":"a.example","rules":[
  {"name":"r1","route_type":"idempotent","target_latency_s":0.25,"priority":2,"match":{"path_prefix":"/x/"},"action":{"traffic_split":[{"backend_service":"s1","weight":90},{"backend_service":"s2","weight":10}],"timeout_s":1.5,"max_attempts":2}},
  {"name":"r2","route_type":"non_idempotent","target_latency_s":0.3,"priority":1,"match":{"path_prefix":"/x/y/"},"action":{"backend_service":"s1","timeout_s":2,"max_attempts":2}}]}],
 "clusters":[{"name":"s1","health_check_path":"/health","max_connections":130,"protocol":"h1","tls":false},{"name":"s2","health_check_path":"/health","max_connections":130}]}`
 
-func TestInvalidIsRefusedWithTheField(t *testing.T) {
-	if _, err := Read([]byte(sample)); err != nil {
+func TestParseRejectsInvalidConfigurationNamingTheField(t *testing.T) {
+	if _, err := Parse([]byte(sampleConfiguration)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ what, old, new, field string }{
@@ -31,11 +31,11 @@
 		{"no version", `"config_version":7,`, ``, "config_version"},
 		{"no routes list", `"listeners":[`, `"other":[`, "listeners"},
 	} {
-		text := strings.Replace(sample, c.old, c.new, 1)
-		if text == sample {
+		text := strings.Replace(sampleConfiguration, c.old, c.new, 1)
+		if text == sampleConfiguration {
 			t.Fatalf("%s: the sample was not changed", c.what)
 		}
-		_, err := Read([]byte(text))
+		_, err := Parse([]byte(text))
 		if err == nil {
 			t.Errorf("%s was accepted", c.what)
 		} else if !strings.Contains(err.Error(), c.field) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// plainMatch is the route table as the protocol words it.
-func plainMatch(c *Configuration, host, path string) string {
+// matchByPlainSearch is the route table as the protocol words it.
+func matchByPlainSearch(c *Configuration, host, path string) string {
 	best, name := -1, ""
 	for _, l := range c.Listeners {
 		for _, r := range l.Rules {
@@ -57,7 +57,7 @@
 	return name
 }
 
-func TestMatchAgainstPlainTable(t *testing.T) {
+func TestMatchAgreesWithPlainSearch(t *testing.T) {
 	c := &Configuration{Clusters: []Cluster{{Name: "s"}}}
 	n := 0
 	for h := range 3 {
@@ -77,35 +77,35 @@
 			if r := tab.Match([]byte(host+":8080"), []byte(path)); r != nil {
 				got = r.Name
 			}
-			if want := plainMatch(c, host, path); got != want {
+			if want := matchByPlainSearch(c, host, path); got != want {
 				t.Errorf("%s%s went to %q, the plain table says %q", host, path, got, want)
 			}
 		}
 	}
 }
 
-func TestSplitByWeight(t *testing.T) {
-	c, err := Read([]byte(sample))
+func TestPickServiceSplitsByWeight(t *testing.T) {
+	c, err := Parse([]byte(sampleConfiguration))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := Compile(c).Match([]byte("a.example"), []byte("/x/z"))
 	n := [2]int{}
 	for i := range 1000 {
-		n[r.Pick(float64(i)/1000)]++
+		n[r.PickService(float64(i)/1000)]++
 	}
 	if n != [2]int{900, 100} {
 		t.Errorf("90:10 was split as %v", n)
 	}
 }
 
-func FuzzRead(f *testing.F) {
-	f.Add([]byte(sample))
-	f.Add([]byte(sample[:200]))
+func FuzzParse(f *testing.F) {
+	f.Add([]byte(sampleConfiguration))
+	f.Add([]byte(sampleConfiguration[:200]))
 	f.Add([]byte(`{"config_version":1e3,"listeners":[],"clusters":[]}`))
 	f.Add([]byte(`{"config_version":1,"listeners":null,"clusters":{}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, err := Read(b)
+		c, err := Parse(b)
 		if err != nil {
 			return
 		}
@@ -113,7 +113,7 @@
 			t.Fatalf("accepted %q as version %d", b, c.Version)
 		}
 		for _, r := range Compile(c).Routes {
-			if r.MaxAttempts < 1 || r.Pick(0.999) < 0 {
+			if r.MaxAttempts < 1 || r.PickService(0.999) < 0 {
 				t.Fatalf("compiled a route that cannot be used: %+v", r)
 			}
 		}
--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -1,7 +1,7 @@
 // Command scale measures the control plane at a size that one machine bears (scale
 // test with hollow nodes): real control-plane nodes and proxy nodes as processes,
 // and beside them hollow proxies and endpoints that share this process. A hollow
-// proxy lists, watches and reports as a real one does, but keeps no copy; a hollow
+// hollowProxy lists, watches and reports as a real one does, but keeps no copy; a hollow
 // endpoint only beats.
 //
 // It ends by itself, prints one JSON object, and talks to the loopback alone.
@@ -36,16 +36,16 @@
 )
 
 var (
-	nodes     = flag.Int("nodes", 5, "control-plane nodes, all of them processes")
-	routers   = flag.Int("routers", 20, "proxy nodes that are processes")
-	hollow    = flag.Int("hollow", 200, "hollow proxies")
-	endpoints = flag.Int("endpoints", 1000, "hollow endpoints")
-	services  = flag.Int("services", 50, "services, with as many endpoints each")
-	routes    = flag.Int("routes", 500, "routes")
-	beat      = flag.Duration("beat", 5*time.Second, "interval of the endpoints' beats")
-	span      = flag.Duration("span", 10*time.Second, "time measured over")
-	changes   = flag.Int("changes", 10, "changes of the configuration")
-	binaries  = flag.String("bin", "target", "folder of the programs")
+	nodes                = flag.Int("nodes", 5, "control-plane nodes, all of them processes")
+	proxyNodes           = flag.Int("routers", 20, "proxy nodes that are processes")
+	hollowProxies        = flag.Int("hollow", 200, "hollow proxies")
+	hollowEndpoints      = flag.Int("endpoints", 1000, "hollow endpoints")
+	services             = flag.Int("services", 50, "services, with as many endpoints each")
+	routes               = flag.Int("routes", 500, "routes")
+	heartbeatInterval    = flag.Duration("beat", 5*time.Second, "interval of the endpoints' beats")
+	measuredTime         = flag.Duration("span", 10*time.Second, "time measured over")
+	configurationChanges = flag.Int("changes", 10, "changes of the configuration")
+	programDirectory     = flag.String("bin", "target", "folder of the programs")
 )
 
 // result is what one run prints.
@@ -76,9 +76,9 @@
 	}
 }
 
-func addr(i int) string { return fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200) }
+func nodeAddress(i int) string { return fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200) }
 
-func settings(dir, name, ip, serves string, member bool, seeds []string) string {
+func settingsText(dir, name, ip, serves string, member bool, seeds []string) string {
 	data := ""
 	if member {
 		data = filepath.Join(dir, name)
@@ -127,27 +127,27 @@
 history_retention_s = 20
 release_s = 1.5
 rollback_s = 5
-`, name, serves, ip, zone(ip), strings.Join(seeds, `","`), member, member, data, beat.Seconds(), ip, ip, ip, (*nodes-1)/2)
+`, name, serves, ip, zoneIndex(ip), strings.Join(seeds, `","`), member, member, data, heartbeatInterval.Seconds(), ip, ip, ip, (*nodes-1)/2)
 }
 
-func zone(ip string) int {
+func zoneIndex(ip string) int {
 	n, _ := strconv.Atoi(ip[strings.LastIndexByte(ip, '.')+1:]) // of our own making
 	return n % 3
 }
 
-type fleet struct {
-	dir   string
-	procs []*exec.Cmd // of control-plane nodes first
+type processGroup struct {
+	dir      string
+	commands []*exec.Cmd // of control-plane nodes first
 }
 
-func (f *fleet) start(program, name, ip, serves string, member bool, seeds []string) error {
+func (f *processGroup) start(program, name, ip, serves string, member bool, seeds []string) error {
 	path := filepath.Join(f.dir, name+".toml")
 	if member {
 		if err := os.MkdirAll(filepath.Join(f.dir, name), 0o700); err != nil {
 			return err
 		}
 	}
-	if err := os.WriteFile(path, []byte(settings(f.dir, name, ip, serves, member, seeds)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(settingsText(f.dir, name, ip, serves, member, seeds)), 0o600); err != nil {
 		return err
 	}
 	out, err := os.Create(filepath.Join(f.dir, name+".log"))
@@ -155,18 +155,18 @@
 		return err
 	}
 	defer out.Close() // the child has its own
-	c := exec.Command(filepath.Join(*binaries, program), "--config", path)
+	c := exec.Command(filepath.Join(*programDirectory, program), "--config", path)
 	c.Stdout, c.Stderr = out, out
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		return err
 	}
-	f.procs = append(f.procs, c)
+	f.commands = append(f.commands, c)
 	return nil
 }
 
-func (f *fleet) end() {
-	for _, c := range f.procs {
+func (f *processGroup) stopAll() {
+	for _, c := range f.commands {
 		_ = c.Process.Kill() // one that has ended is no trouble
 		_ = c.Wait()
 	}
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func until(what string, limit time.Duration, done func() bool) error {
+func waitFor(what string, limit time.Duration, done func() bool) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if done() {
 			return nil
@@ -219,13 +219,13 @@
 	return errors.New("never came: " + what)
 }
 
-// proxy is a hollow proxy.
-type proxy struct {
-	changes                      atomic.Int64 // of the configuration that came
-	marks, list, marked, reports atomic.Int64 // bookmarks, and the sizes of a list, a bookmark and a report
+// hollowProxy is a hollow proxy.
+type hollowProxy struct {
+	configurationEvents                              atomic.Int64 // of the configuration that came
+	bookmarks, listBytes, bookmarkBytes, reportBytes atomic.Int64 // bookmarks, and the sizes of a list, a bookmark and a report
 }
 
-func (p *proxy) follow(ctx context.Context, name, node string) error {
+func (p *hollowProxy) follow(ctx context.Context, name, node string) error {
 	c, err := transport.Dial(ctx, node, 5*time.Second, transport.Hello{Role: transport.RoleProxy, Node: name})
 	if err != nil {
 		return err
@@ -245,7 +245,7 @@
 			if a.Failed {
 				return errors.New(a.Detail)
 			}
-			p.list.Store(int64(len(a.Packed)))
+			p.listBytes.Store(int64(len(a.Packed)))
 		}
 		events, err := f.UnpackEvents()
 		if err != nil {
@@ -253,12 +253,12 @@
 		}
 		for _, e := range events {
 			if e.Object.Key == registry.ConfigKey {
-				p.changes.Add(1)
+				p.configurationEvents.Add(1)
 			}
 		}
 		if f.Bookmark != nil {
-			if p.marks.Add(1)%20 == 0 {
-				p.marked.Store(max(p.marked.Load(), size(f.Bookmark)))
+			if p.bookmarks.Add(1)%20 == 0 {
+				p.bookmarkBytes.Store(max(p.bookmarkBytes.Load(), encodedSize(f.Bookmark)))
 			}
 		}
 		if f.Bookmark != nil && time.Since(report) > 400*time.Millisecond {
@@ -269,8 +269,8 @@
 				loads[fmt.Sprint("s", s)] = loadbalance.Load{Rate: 1, Inflight: 0.3}
 			}
 			r := &transport.ProxyReport{Seq: seq, Loads: loads}
-			if p.reports.Load() == 0 {
-				p.reports.Store(size(r))
+			if p.reportBytes.Load() == 0 {
+				p.reportBytes.Store(encodedSize(r))
 			}
 			if err := c.Send(&transport.Frame{Ack: f.Bookmark.Revision, Report: r}); err != nil {
 				return err
@@ -279,8 +279,8 @@
 	}
 }
 
-// size is how many bytes a value takes on the wire, without its type.
-func size(v any) int64 {
+// encodedSize is how many bytes a value takes on the wire, without its type.
+func encodedSize(v any) int64 {
 	var b bytes.Buffer
 	enc := gob.NewEncoder(&b)
 	if enc.Encode(v) != nil {
@@ -291,8 +291,8 @@
 	return int64(b.Len() - types)
 }
 
-// sample reads a process's time on the processor and its memory.
-func sample(pid int) (cpu time.Duration, mb float64) {
+// sampleProcess reads a process's time on the processor and its memory.
+func sampleProcess(pid int) (cpu time.Duration, mb float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
@@ -304,10 +304,10 @@
 	return time.Duration(u+s) * 10 * time.Millisecond, float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 }
 
-func (f *fleet) measure(during func() error) (usage, error) {
-	before := make([]time.Duration, len(f.procs))
-	for i, c := range f.procs {
-		before[i], _ = sample(c.Process.Pid)
+func (f *processGroup) measure(during func() error) (usage, error) {
+	before := make([]time.Duration, len(f.commands))
+	for i, c := range f.commands {
+		before[i], _ = sampleProcess(c.Process.Pid)
 	}
 	began := time.Now()
 	if err := during(); err != nil {
@@ -315,8 +315,8 @@
 	}
 	took := time.Since(began)
 	var u usage
-	for i, c := range f.procs {
-		cpu, mb := sample(c.Process.Pid)
+	for i, c := range f.commands {
+		cpu, mb := sampleProcess(c.Process.Pid)
 		cores := (cpu - before[i]).Seconds() / took.Seconds()
 		if i < *nodes {
 			u.NodeCoresMean += cores / float64(*nodes)
@@ -324,52 +324,52 @@
 			u.NodeMB += mb / float64(*nodes)
 			u.NodeMBMost = max(u.NodeMBMost, mb)
 		} else {
-			u.RouterCoresMean += cores / float64(*routers)
-			u.RouterMB += mb / float64(*routers)
+			u.RouterCoresMean += cores / float64(*proxyNodes)
+			u.RouterMB += mb / float64(*proxyNodes)
 		}
 	}
 	return u, nil
 }
 
-// herd beats for all hollow endpoints.
-type herd struct {
-	taken  atomic.Int64
-	first  atomic.Int64
-	mu     sync.Mutex
-	took   []time.Duration
-	record atomic.Bool
+// heartbeatSenders beats for all hollow endpoints.
+type heartbeatSenders struct {
+	acknowledged atomic.Int64
+	registered   atomic.Int64
+	mu           sync.Mutex
+	latencies    []time.Duration
+	isRecording  atomic.Bool
 }
 
-func (h *herd) run(ctx context.Context, workers int) {
-	each := time.Duration(float64(*beat) * float64(workers) / float64(*endpoints))
+func (h *heartbeatSenders) run(ctx context.Context, workers int) {
+	each := time.Duration(float64(*heartbeatInterval) * float64(workers) / float64(*hollowEndpoints))
 	for w := range workers {
 		go func() {
 			c := fasthttp.Client{MaxConnsPerHost: 4}
 			seen := map[int]bool{}
 			next := time.Now()
 			for seq := 1; ctx.Err() == nil; seq++ {
-				for i := w; i < *endpoints && ctx.Err() == nil; i += workers {
+				for i := w; i < *hollowEndpoints && ctx.Err() == nil; i += workers {
 					next = next.Add(each)
 					time.Sleep(time.Until(next))
-					if time.Since(next) > *beat {
+					if time.Since(next) > *heartbeatInterval {
 						next = time.Now() // behind: what is late is not made up for
 					}
 					began := time.Now()
 					body := fmt.Sprintf(`{"address":"127.0.0.1:9","info":{"backend_service":"s%d","config_version":"v1","zone":"z%d","capacity":4},"status":{"state":"ready","sequence":%d,"cold_remaining_s":0}}`, i%*services, i%3, seq)
 					req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-					req.SetRequestURI(fmt.Sprintf("http://%s:8166/api/rpc?call=instances.heartbeat&of=i-%d", addr((i+seq)%*nodes), i))
+					req.SetRequestURI(fmt.Sprintf("http://%s:8166/api/rpc?call=instances.heartbeat&of=i-%d", nodeAddress((i+seq)%*nodes), i))
 					req.Header.SetMethod("POST")
 					req.SetBodyString(body)
 					err := c.DoTimeout(req, resp, 5*time.Second)
 					if err == nil && resp.StatusCode() == 200 {
-						h.taken.Add(1)
+						h.acknowledged.Add(1)
 						if !seen[i] {
 							seen[i] = true
-							h.first.Add(1)
+							h.registered.Add(1)
 						}
-						if h.record.Load() {
+						if h.isRecording.Load() {
 							h.mu.Lock()
-							h.took = append(h.took, time.Since(began))
+							h.latencies = append(h.latencies, time.Since(began))
 							h.mu.Unlock()
 						}
 					}
@@ -381,7 +381,7 @@
 	}
 }
 
-func p99(d []time.Duration) float64 {
+func percentile99MS(d []time.Duration) float64 {
 	if len(d) == 0 {
 		return 0
 	}
@@ -394,97 +394,97 @@
 	if err != nil {
 		return err
 	}
-	f := &fleet{dir: dir}
-	defer f.end()
+	f := &processGroup{dir: dir}
+	defer f.stopAll()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var seeds []string
 	for i := range min(3, *nodes) {
-		seeds = append(seeds, addr(i)+":8166")
+		seeds = append(seeds, nodeAddress(i)+":8166")
 	}
 	for i := range *nodes {
-		if err := f.start("lichentray-controlplane", fmt.Sprint("core-", i), addr(i), "control", true, seeds); err != nil {
+		if err := f.start("lichentray-controlplane", fmt.Sprint("core-", i), nodeAddress(i), "control", true, seeds); err != nil {
 			return err
 		}
 	}
-	control := func(i int) string { return "http://" + addr(i%*nodes) + ":8166" }
+	control := func(i int) string { return "http://" + nodeAddress(i%*nodes) + ":8166" }
 	version := 1
-	if err := until("a first configuration", time.Minute, func() bool {
+	if err := waitFor("a first configuration", time.Minute, func() bool {
 		return post(control(0)+"/api/rpc?call=configuration.replace", configuration(version)) == nil
 	}); err != nil {
 		return err
 	}
-	h := &herd{}
+	h := &heartbeatSenders{}
 	began := time.Now()
-	h.run(ctx, min(256, *endpoints))
-	if err := until("all endpoints", 10*time.Minute, func() bool { return h.first.Load() == int64(*endpoints) }); err != nil {
+	h.run(ctx, min(256, *hollowEndpoints))
+	if err := waitFor("all endpoints", 10*time.Minute, func() bool { return h.registered.Load() == int64(*hollowEndpoints) }); err != nil {
 		return err
 	}
-	out := result{Nodes: *nodes, Routers: *routers, Hollow: *hollow, Endpoints: *endpoints, Services: *services, Routes: *routes,
-		BeatS: beat.Seconds(), RegisterS: time.Since(began).Seconds()}
-	for i := range *routers {
-		if err := f.start("lichentray-proxy", fmt.Sprint("edge-", i), addr(1000+i), "edge", false, seeds); err != nil {
+	out := result{Nodes: *nodes, Routers: *proxyNodes, Hollow: *hollowProxies, Endpoints: *hollowEndpoints, Services: *services, Routes: *routes,
+		BeatS: heartbeatInterval.Seconds(), RegisterS: time.Since(began).Seconds()}
+	for i := range *proxyNodes {
+		if err := f.start("lichentray-proxy", fmt.Sprint("edge-", i), nodeAddress(1000+i), "edge", false, seeds); err != nil {
 			return err
 		}
 	}
-	all := make([]*proxy, *hollow)
+	all := make([]*hollowProxy, *hollowProxies)
 	for i := range all {
-		all[i] = &proxy{}
+		all[i] = &hollowProxy{}
 		go func() {
 			for ctx.Err() == nil {
-				_ = all[i].follow(ctx, fmt.Sprint("hollow-", i), fmt.Sprintf("%s:7720", addr(i%*nodes))) // asked again
+				_ = all[i].follow(ctx, fmt.Sprint("hollow-", i), fmt.Sprintf("%s:7720", nodeAddress(i%*nodes))) // asked again
 				time.Sleep(200 * time.Millisecond)
 			}
 		}()
 	}
-	if err := until("all lists", 2*time.Minute, func() bool {
-		return !slices.ContainsFunc(all, func(p *proxy) bool { return p.list.Load() == 0 })
+	if err := waitFor("all lists", 2*time.Minute, func() bool {
+		return !slices.ContainsFunc(all, func(p *hollowProxy) bool { return p.listBytes.Load() == 0 })
 	}); err != nil {
 		return err
 	}
 	time.Sleep(5 * time.Second) // the start is over
-	if *hollow > 0 {
-		out.ListBytes = int(all[0].list.Load())
+	if *hollowProxies > 0 {
+		out.ListBytes = int(all[0].listBytes.Load())
 	}
-	taken := h.taken.Load()
+	taken := h.acknowledged.Load()
 	marks := func() (n int64) {
 		for _, p := range all {
-			n += p.marks.Load()
-			out.BookmarkBytes = max(out.BookmarkBytes, int(p.marked.Load()))
-			out.ReportBytes = max(out.ReportBytes, int(p.reports.Load()))
+			n += p.bookmarks.Load()
+			out.BookmarkBytes = max(out.BookmarkBytes, int(p.bookmarkBytes.Load()))
+			out.ReportBytes = max(out.ReportBytes, int(p.reportBytes.Load()))
 		}
 		return n
 	}
 	before := marks()
-	h.record.Store(true)
-	if out.Calm, err = f.measure(func() error { time.Sleep(*span); return nil }); err != nil {
+	h.isRecording.Store(true)
+	if out.Calm, err = f.measure(func() error { time.Sleep(*measuredTime); return nil }); err != nil {
 		return err
 	}
-	h.record.Store(false)
-	out.BookmarksS = float64(marks()-before) / span.Seconds() / float64(max(1, *hollow))
-	out.BeatsS = float64(h.taken.Load()-taken) / span.Seconds()
+	h.isRecording.Store(false)
+	out.BookmarksS = float64(marks()-before) / measuredTime.Seconds() / float64(max(1, *hollowProxies))
+	out.BeatsS = float64(h.acknowledged.Load()-taken) / measuredTime.Seconds()
 	h.mu.Lock()
-	out.BeatP99MS = p99(h.took)
+	out.BeatP99MS = percentile99MS(h.latencies)
 	h.mu.Unlock()
 	var acks []time.Duration
 	out.Changing, err = f.measure(func() error {
-		for n := range *changes {
+		for n := range *configurationChanges {
 			version++
 			text := configuration(version)
 			was := make([]int64, len(all))
 			for i, p := range all {
-				was[i] = p.changes.Load()
+				was[i] = p.configurationEvents.Load()
 			}
 			began := time.Now()
-			if err := until("an acknowledgement", time.Minute, func() bool {
+			if err := waitFor("an acknowledgement", time.Minute, func() bool {
 				return post(control(n)+"/api/rpc?call=configuration.replace", text) == nil
 			}); err != nil {
 				return err
 			}
 			acks = append(acks, time.Since(began))
-			if err := until("a change at all proxies", time.Minute, func() bool {
+			if err := waitFor("a change at all proxies", time.Minute, func() bool {
 				for i, p := range all {
-					if p.changes.Load() == was[i] {
+					if p.configurationEvents.Load() == was[i] {
 						return false
 					}
 				}
@@ -493,13 +493,13 @@
 				return err
 			}
 			out.ChangeAllMaxMS = max(out.ChangeAllMaxMS, float64(time.Since(began).Microseconds())/1000)
-			time.Sleep(*span/time.Duration(*changes) - min(time.Since(began), *span/time.Duration(*changes)))
+			time.Sleep(*measuredTime/time.Duration(*configurationChanges) - min(time.Since(began), *measuredTime/time.Duration(*configurationChanges)))
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	out.ChangeAckP99MS = p99(acks)
+	out.ChangeAckP99MS = percentile99MS(acks)
 	return json.NewEncoder(os.Stdout).Encode(out)
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -113,10 +113,10 @@
 	counts    map[uint64]proxyCount
 	proxies   map[string]time.Duration // when the leader last heard of each
 	returning map[string]mark          // since when a zone is being taken back
-	granter   *loadbalance.Granter
+	granter   *loadbalance.QuotaAllocator
 	guides    map[string]*guide                  // of the roll-outs under way, at the leader
 	trials    map[string]transport.RolloutReport // where all proxies together stand
-	judge     *loadbalance.Judge
+	judge     *loadbalance.OutlierDetector
 
 	// Shared behind a short lock.
 	mu       sync.RWMutex
@@ -133,12 +133,12 @@
 	sessions map[*session]struct{}
 	beats    map[string]time.Duration
 	sum      int
-	loads    map[string]loadbalance.Load      // replaced whole
-	rounds   map[string]transport.QuotaGrants // replaced whole
-	seen     map[string]loadbalance.Seen      // of endpoints, to be told to the leader
-	verdicts []loadbalance.Verdict            // replaced whole
+	loads    map[string]loadbalance.Load        // replaced whole
+	rounds   map[string]transport.QuotaGrants   // replaced whole
+	seen     map[string]loadbalance.Observation // of endpoints, to be told to the leader
+	verdicts []loadbalance.Verdict              // replaced whole
 	// What is kept decoded of the registry, by key; the actor alone writes it.
-	places    map[string]loadbalance.Place
+	places    map[string]loadbalance.ProxyNode
 	endpoints map[string]registry.Endpoint
 	rollouts  map[string]*rolloutRecord
 	tryOuts   tryOuts
@@ -206,9 +206,9 @@
 		mail: make(chan func(), 1024), disk: make(chan diskJob, 4096), ctx: ctx, stop: stop, diskDone: make(chan struct{}), portDone: make(chan struct{}),
 		pending: map[uint64]waiter{}, reads: map[uint64]chan outcome{},
 		alive: map[string]time.Duration{}, probing: map[string]bool{}, counts: map[uint64]proxyCount{},
-		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]loadbalance.Place{}, endpoints: map[string]registry.Endpoint{},
+		proxies: map[string]time.Duration{}, returning: map[string]mark{}, places: map[string]loadbalance.ProxyNode{}, endpoints: map[string]registry.Endpoint{},
 		rollouts: map[string]*rolloutRecord{}, tryOuts: tryOuts{}, guides: map[string]*guide{}, life: rand.Uint64(),
-		seen:  map[string]loadbalance.Seen{},
+		seen:  map[string]loadbalance.Observation{},
 		store: registry.NewStore(), locks: map[string]lockTimer{},
 		wake: map[chan struct{}]struct{}{}, groups: map[string]map[chan struct{}]struct{}{},
 		applied: map[chan struct{}]uint64{}, sessions: map[*session]struct{}{}, beats: map[string]time.Duration{},
@@ -387,8 +387,8 @@
 			l.alive, l.counts = map[string]time.Duration{}, map[uint64]proxyCount{}
 			l.proxies, l.returning = map[string]time.Duration{}, map[string]mark{}
 			l.guides = map[string]*guide{}
-			l.judge = loadbalance.NewJudge(l.timing.Dead / 2)
-			l.granter = loadbalance.NewGranter(now, l.set.QuotaGrantLifetime())
+			l.judge = loadbalance.NewOutlierDetector(l.timing.Dead / 2)
+			l.granter = loadbalance.NewQuotaAllocator(now, l.set.QuotaGrantLifetime())
 			l.log.Info("leading", "term", n.Term())
 		} else if role != raft.Leader && (l.role == raft.Leader || leader != l.leader && leader != 0) {
 			l.log.Info("following", "term", n.Term(), "leader", hexID(leader))
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -532,7 +532,7 @@
 	until(t, "its leaving is known", func() bool {
 		l[2].mu.RLock()
 		defer l[2].mu.RUnlock()
-		return l[2].places[registry.ProxyPrefix+"p"].Leaving
+		return l[2].places[registry.ProxyPrefix+"p"].Draining
 	})
 	stream.Close()
 	until(t, "its lease runs out", func() bool { return places(l[2]) == "[] 0s true" })
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -146,7 +146,7 @@
 		trials[service] = t
 	}
 	seen := l.seen
-	l.seen = map[string]loadbalance.Seen{}
+	l.seen = map[string]loadbalance.Observation{}
 	l.mu.Unlock()
 	if l.node.Role() != raft.Leader {
 		l.links.tell(l.links.addr(l.node.LeaderID()), &transport.Frame{Proxies: &transport.ProxyAggregate{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
@@ -170,7 +170,7 @@
 	}
 	l.trials = trials
 	rounds := l.share(now, here)
-	l.judge.See(seen)
+	l.judge.Observe(seen)
 	verdicts := l.judge.Verdicts(now, l.byService())
 	l.mu.Lock()
 	l.sum, l.loads, l.rounds, l.verdicts = len(here), loads, rounds, verdicts
@@ -189,7 +189,7 @@
 	return out
 }
 
-func addSeen(to, from map[string]loadbalance.Seen) {
+func addSeen(to, from map[string]loadbalance.Observation) {
 	for id, x := range from {
 		to[id] = to[id].Add(x)
 	}
@@ -381,7 +381,7 @@
 	select {
 	case l.checking <- struct{}{}:
 		defer func() { <-l.checking }()
-		return config.Read(text)
+		return config.Parse(text)
 	case <-wait.C:
 		l.nBusy.Inc()
 		return nil, apierror.New(apierror.Unavailable, "too many configurations at once")
--- a/internal/controlplane/world.go
+++ b/internal/controlplane/world.go
@@ -21,7 +21,7 @@
 	}
 	l.compiled, l.compiledAt = nil, o.ModRevision
 	if _, text, ok := registry.DecodeConfig(o); ok {
-		if c, err := config.ReadChecked(text); err == nil {
+		if c, err := config.DecodeValidated(text); err == nil {
 			l.compiled = config.Compile(c)
 		}
 	}
@@ -35,7 +35,7 @@
 	if t == nil {
 		return config.Cluster{}, false
 	}
-	i := t.Service(name)
+	i := t.ServiceIndex(name)
 	if i < 0 {
 		return config.Cluster{}, false
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	if p, err := registry.DecodeProxy(e.Object); err == nil {
-		l.places[e.Object.Key] = loadbalance.Place{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Leaving: p.Leaving}
+		l.places[e.Object.Key] = loadbalance.ProxyNode{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Draining: p.Leaving}
 	}
 }
 
@@ -123,11 +123,11 @@
 	if known, ok := l.set.RegionByZone[zone]; ok {
 		region = known
 	}
-	all := make([]loadbalance.Place, 0, len(l.places))
+	all := make([]loadbalance.ProxyNode, 0, len(l.places))
 	for _, p := range l.places {
 		all = append(all, p)
 	}
-	out := loadbalance.Direct(all, client, zone, region, func(z string) string { return l.set.RegionByZone[z] }, resolveMost)
+	out := loadbalance.SelectProxies(all, client, zone, region, func(z string) string { return l.set.RegionByZone[z] }, resolveMost)
 	if len(out) == 0 {
 		return nil, 0, apierror.New(apierror.Unavailable, "no proxy node is registered")
 	}
@@ -278,8 +278,8 @@
 // cold lists the cold endpoints, and which of the proxies told of may send to
 // each: those of its zone, else of its region, else all. The caller has the
 // node's lock for writing.
-func (l *Lathe) cold(told map[string]uint64) []loadbalance.Cold {
-	var out []loadbalance.Cold
+func (l *Lathe) cold(told map[string]uint64) []loadbalance.WarmingEndpoint {
+	var out []loadbalance.WarmingEndpoint
 	evac := l.evacuations()
 	var byZone, byRegion map[string][]string
 	var all []string
@@ -288,14 +288,14 @@
 			continue
 		}
 		c, ok := l.cluster(e.Service)
-		if !ok || c.ColdRateS <= 0 {
+		if !ok || c.WarmupRatePerSecond <= 0 {
 			continue
 		}
 		if byZone == nil {
 			byZone, byRegion = map[string][]string{}, map[string][]string{}
 			for name := range told {
 				p, there := l.places[registry.ProxyPrefix+name]
-				if !there || p.Leaving {
+				if !there || p.Draining {
 					continue
 				}
 				r := l.set.RegionByZone[p.Zone]
@@ -312,9 +312,9 @@
 			near = all
 		}
 		b := l.set.Bounds
-		out = append(out, loadbalance.Cold{ID: e.ID, Rate: c.ColdRateS, Bound: 0.9 * (c.ColdRateS*b.SlowStartOvershoot + b.SlowStartSlack), Near: near})
+		out = append(out, loadbalance.WarmingEndpoint{ID: e.ID, Rate: c.WarmupRatePerSecond, MaxPerSecond: 0.9 * (c.WarmupRatePerSecond*b.SlowStartOvershoot + b.SlowStartSlack), Proxies: near})
 	}
-	slices.SortFunc(out, func(a, b loadbalance.Cold) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b loadbalance.WarmingEndpoint) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
@@ -327,7 +327,7 @@
 	cold := l.cold(told)
 	l.mu.Unlock()
 	rounds := map[string]transport.QuotaGrants{}
-	for name, grants := range l.granter.Share(now, cold) {
+	for name, grants := range l.granter.Allocate(now, cold) {
 		rounds[name] = transport.QuotaGrants{Seq: told[name], Grants: grants}
 	}
 	return rounds
--- a/internal/proxy/byte_test.go
+++ b/internal/proxy/byte_test.go
@@ -358,7 +358,7 @@
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	p.timing.EjectBase, p.timing.EjectMost = 1, 1 // or the worst would soon be left alone
 	p.takeObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), routes...)}, false)
-	p.services["s"].budget = loadbalance.NewBudget(5, 1000)
+	p.services["s"].budget = loadbalance.NewRetryBudget(5, 1000)
 	var serving sync.WaitGroup
 	var listeners []net.Listener
 	for i := range endpoints {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -92,7 +92,7 @@
 		return
 	}
 	*buf = req.head
-	req.svc = r.services[req.route.Pick(rand.Float64())]
+	req.svc = r.services[req.route.PickService(rand.Float64())]
 	req.stats = r.routes[req.route.Index]
 	req.homes = r.homes[req.route.Index]
 	p.forward(&req)
@@ -556,7 +556,7 @@
 		if !svc.takes(e, arm) {
 			return true
 		}
-		if q.homes != 0 && (e.Region < 0 || q.homes>>min(e.Region, 62)&1 == 0) {
+		if q.homes != 0 && (e.RegionIndex < 0 || q.homes>>min(e.RegionIndex, 62)&1 == 0) {
 			return true
 		}
 		for _, t := range q.tried {
@@ -578,7 +578,7 @@
 			sent++
 		}
 		d = at.next(state{
-			repeatable: q.route.Repeatable, consumed: q.fed, ran: q.ran, inTime: time.Now().Before(q.until),
+			repeatable: q.route.Idempotent, consumed: q.fed, ran: q.ran, inTime: time.Now().Before(q.until),
 			tries: sent < q.route.MaxAttempts && dials < 4, budget: at != failed || p.mayRepeat(svc),
 		})
 		q.ran = d.ran
@@ -588,7 +588,7 @@
 		var e *loadbalance.Endpoint
 		var sh *shelf
 		if left := time.Until(q.until); left > 0 {
-			e, sh = svc.acquireArm(p, rank, min(q.route.Aim/6, left/4), skip, &arm)
+			e, sh = svc.acquireArm(p, rank, min(q.route.TargetLatency/6, left/4), skip, &arm)
 		}
 		if e == nil {
 			after(waiting)
@@ -598,7 +598,7 @@
 		watch := svc.watch(p, q, e, to)
 		if q.arrived {
 			svc.mu.Lock()
-			ok := svc.budget.Spend()
+			ok := svc.budget.TryWithdraw()
 			svc.mu.Unlock()
 			if !ok {
 				p.n.budgetOut.Inc()
@@ -638,10 +638,10 @@
 			ok := o.answer.status < 500
 			watch.answered(took, ok)
 			if ok {
-				ratio = q.stats.learn(took.Seconds(), to == loadbalance.Base)
+				ratio = q.stats.learn(took.Seconds(), to == loadbalance.BaseVersion)
 			} else {
 				svc.mu.Lock()
-				svc.pool.Bad(e)
+				svc.pool.RecordServerError(e)
 				svc.mu.Unlock()
 			}
 			if next == pass {
@@ -658,7 +658,7 @@
 	}
 	q.stats.count(d.kind)
 	switch {
-	case q.route.Repeatable:
+	case q.route.Idempotent:
 		p.noteTry(q, audit.Failed, d.kind.Status())
 	case q.ran:
 		p.noteTry(q, audit.MaybeExecuted, d.kind.Status())
@@ -672,7 +672,7 @@
 func (p *Plane) mayRepeat(s *service) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Left() >= 1
+	return s.budget.Balance() >= 1
 }
 
 // turnedAway takes an endpoint's word that it did not run a request.
@@ -682,7 +682,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.pool.Busy(p.now(), e)
+	s.pool.RecordRejection(p.now(), e)
 	s.mu.Unlock()
 	s.release(p, e, true, 0)
 }
@@ -724,7 +724,7 @@
 // pass gives an endpoint's answer to the client.
 func (p *Plane) pass(q *request, svc *service, e *loadbalance.Endpoint, sh *shelf, o outcome, ratio float64) {
 	a := o.answer
-	status := passed(a.status, q.route.Repeatable)
+	status := passed(a.status, q.route.Idempotent)
 	q.stats.answer[max(0, min(2, status/200-1+status/500))].Inc()
 	resp := &q.ctx.Response
 	resp.SetStatusCode(status)
@@ -768,14 +768,14 @@
 		return
 	}
 	switch {
-	case status < 300 && !q.route.Repeatable:
+	case status < 300 && !q.route.Idempotent:
 		p.noteTry(q, audit.Executed, status)
-	case status >= 500 && !q.route.Repeatable:
+	case status >= 500 && !q.route.Idempotent:
 		p.noteTry(q, audit.MaybeExecuted, status)
 	case status >= 500:
 		p.noteTry(q, audit.Failed, status)
 	}
-	if status < 300 && q.route.Aim > 0 && time.Since(q.began) > q.route.Aim {
+	if status < 300 && q.route.TargetLatency > 0 && time.Since(q.began) > q.route.TargetLatency {
 		p.noteTry(q, audit.MissedLatencyTarget, status)
 	}
 }
@@ -819,7 +819,7 @@
 	}
 	t.p.noteTry(t.q, audit.Truncated, t.a.status)
 	t.svc.mu.Lock()
-	t.svc.pool.Broke(t.p.now(), t.e)
+	t.svc.pool.RecordFailure(t.p.now(), t.e)
 	t.svc.mu.Unlock()
 	return nil
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -42,7 +42,7 @@
 	f.Add([]byte("POST /once/a HTTP/1.0\r\nHost: h\r\nContent-Length: 3\r\nX-Target-Instance: evil\r\n\r\nabcGET /safe/b HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("HEAD /safe/a HTTP/1.1\r\nHost: h\r\nX-Deadline: 1e3\r\nContent-Length : 3\r\n\r\n"))
 	f.Add([]byte("GET /safe/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\n\r\n"))
-	c, err := config.ReadChecked([]byte(routes))
+	c, err := config.DecodeValidated([]byte(routes))
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -76,8 +76,8 @@
 	// Owned by the follower goroutine.
 	mirror   *watchcache.Mirror
 	services map[string]*service
-	zones    map[string]loadbalance.Zone // those that are not in ordinary use
-	sentAt   map[uint64]time.Duration    // of the latest reports
+	zones    map[string]loadbalance.ZoneState // those that are not in ordinary use
+	sentAt   map[uint64]time.Duration         // of the latest reports
 	seq      uint64
 	// movedOnce tells that a nearer control-plane node has been sought.
 	movedOnce bool
@@ -117,14 +117,14 @@
 	name    string
 	mu      sync.Mutex
 	pool    *loadbalance.Pool
-	budget  *loadbalance.Budget
+	budget  *loadbalance.RetryBudget
 	shelves map[*loadbalance.Endpoint]*shelf
 	queue   []*queued
 	arrived int // requests since the last report
 	// recent counts them by client, so that in a queue those who ask often
 	// stand behind those who do not.
 	recent map[string]int
-	share  *loadbalance.Admission
+	share  *loadbalance.AdmissionLimiter
 	trial  trial
 	// Connections that have rested for longer than restMost are not used until
 	// restUntil: endpoints have been seen to forget such.
@@ -173,7 +173,7 @@
 func New(set *settings.Settings, log *slog.Logger, board *metrics.Registry) *Plane {
 	p := &Plane{
 		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
-		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.Zone{},
+		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.ZoneState{},
 		line: discovery.NewLocator(set), sentAt: map[uint64]time.Duration{}, region: map[string]int{},
 		// A later life of this node begins above the sequences of an earlier one.
 		seq: uint64(time.Now().UnixMilli()), pacer: newPacer(set.Limits.BandwidthMbps),
@@ -252,12 +252,12 @@
 	if s == nil {
 		s = &service{
 			name: name, shelves: map[*loadbalance.Endpoint]*shelf{}, recent: map[string]int{},
-			pool:   loadbalance.NewPool(loadbalance.Config{Zone: p.set.Zone, EjectBase: p.timing.EjectBase, EjectMost: p.timing.EjectMost, Bias: 0.6, Region: p.here, RegionBias: 1.5}),
-			share:  loadbalance.NewAdmission(8 * p.timing.Silence / 3),
-			budget: loadbalance.NewBudget(p.set.Bounds.RetryBudgetRatio*0.95, 1),
+			pool:   loadbalance.NewPool(loadbalance.PoolConfig{Zone: p.set.Zone, BaseEjectionTime: p.timing.EjectBase, MaxEjectionTime: p.timing.EjectMost, ZoneBias: 0.6, RegionIndex: p.here, RegionBias: 1.5}),
+			share:  loadbalance.NewAdmissionLimiter(8 * p.timing.Silence / 3),
+			budget: loadbalance.NewRetryBudget(p.set.Bounds.RetryBudgetRatio*0.95, 1),
 		}
 		for zone, z := range p.zones {
-			s.pool.SetZone(zone, z)
+			s.pool.SetZoneState(zone, z)
 		}
 		p.services[name] = s
 	}
@@ -283,8 +283,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// A quarter of the slack is kept back for nodes that are not counted yet.
-	s.budget.SetPart(max(1, p.set.Bounds.RetryBudgetSlack*0.75/float64(n)))
-	s.pool.SetPeers(n)
+	s.budget.SetMaxTokens(max(1, p.set.Bounds.RetryBudgetSlack*0.75/float64(n)))
+	s.pool.SetPeerCount(n)
 }
 
 // rebuild takes the whole copy, as after a list.
@@ -298,7 +298,7 @@
 	}
 	for zone := range p.zones {
 		if !have[registry.EvacuationPrefix+zone] {
-			p.setZone(zone, loadbalance.Used)
+			p.setZone(zone, loadbalance.ZoneActive)
 		}
 	}
 	for name, s := range p.services {
@@ -344,9 +344,9 @@
 		return
 	}
 	if zone, ok := strings.CutPrefix(o.Key, registry.EvacuationPrefix); ok {
-		z := loadbalance.Emptied
+		z := loadbalance.ZoneEvacuated
 		if registry.DecodeEvacuation(o).State() == registry.Returning {
-			z = loadbalance.Back
+			z = loadbalance.ZoneReturning
 		}
 		p.setZone(zone, z)
 		return
@@ -366,7 +366,7 @@
 	}
 	s := p.service(e.Service)
 	s.mu.Lock()
-	ep := s.pool.Set(p.now(), loadbalance.Spec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, Cold: e.WarmingUp, Region: p.regionOf(e.Zone)}, cold)
+	ep := s.pool.Upsert(p.now(), loadbalance.EndpointSpec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, WarmingUp: e.WarmingUp, RegionIndex: p.regionOf(e.Zone)}, cold)
 	sh := s.shelves[ep]
 	if sh == nil {
 		sh = new(shelf)
@@ -379,18 +379,18 @@
 }
 
 // setZone takes how a zone is used.
-func (p *Plane) setZone(zone string, z loadbalance.Zone) {
+func (p *Plane) setZone(zone string, z loadbalance.ZoneState) {
 	if p.zones[zone] == z {
 		return
 	}
-	if z == loadbalance.Used {
+	if z == loadbalance.ZoneActive {
 		delete(p.zones, zone)
 	} else {
 		p.zones[zone] = z
 	}
 	for _, s := range p.services {
 		s.mu.Lock()
-		s.pool.SetZone(zone, z)
+		s.pool.SetZoneState(zone, z)
 		s.mu.Unlock()
 	}
 	p.log.Info("zone changes its use", "zone", zone, "use", z)
@@ -406,7 +406,7 @@
 		return nil
 	}
 	if zone, ok := strings.CutPrefix(e.Object.Key, registry.EvacuationPrefix); ok {
-		p.setZone(zone, loadbalance.Used)
+		p.setZone(zone, loadbalance.ZoneActive)
 	}
 	if id, ok := strings.CutPrefix(e.Object.Key, registry.EndpointPrefix); ok {
 		for _, s := range p.services {
@@ -422,7 +422,7 @@
 	if !ok {
 		return
 	}
-	c, err := config.ReadChecked(text)
+	c, err := config.DecodeValidated(text)
 	if err != nil {
 		p.log.Error("configuration cannot be read, the old one stays", "error", err)
 		return
@@ -442,8 +442,8 @@
 		s := p.service(cl.Name)
 		p.share(s)
 		s.mu.Lock()
-		s.pool.SetConnections(int(cl.MaxConnections))
-		s.pool.SetColdRate(cl.ColdRateS)
+		s.pool.SetMaxConnections(int(cl.MaxConnections))
+		s.pool.SetWarmupRate(cl.WarmupRatePerSecond)
 		s.mu.Unlock()
 		r.services = append(r.services, s)
 	}
@@ -488,7 +488,7 @@
 		s.mu.Lock()
 		for e, sh := range s.shelves {
 			sh.sweep(now)
-			e.Idle = sh.count()
+			e.IdleConnections = sh.count()
 		}
 		s.mu.Unlock()
 	}
@@ -497,7 +497,7 @@
 // pick chooses an endpoint within this node's share.
 func (s *service) pick(p *Plane, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, int) {
 	now := p.now()
-	slots, inflight := s.pool.Slots(now)
+	slots, inflight := s.pool.SlotsAndInflight(now)
 	limit, limited := s.share.Limit(now, slots)
 	if limited && inflight >= limit {
 		return nil, limit
@@ -509,7 +509,7 @@
 func (s *service) arrive(client string, priority int) rank {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Request()
+	s.budget.Deposit()
 	s.arrived++
 	n := s.recent[client]
 	if n > 0 || len(s.recent) < clientsCounted {
@@ -587,9 +587,9 @@
 func (s *service) release(p *Plane, e *loadbalance.Endpoint, ok bool, took float64) {
 	s.mu.Lock()
 	if sh := s.shelves[e]; sh != nil {
-		e.Idle = sh.count()
+		e.IdleConnections = sh.count()
 	}
-	s.pool.Done(p.now(), e, ok, took)
+	s.pool.Finish(p.now(), e, ok, took)
 	s.wakeFirst()
 	s.mu.Unlock()
 	if !ok {
@@ -604,17 +604,17 @@
 // more than one region, for each zone as well.
 func (p *Plane) report(span time.Duration) *transport.ProxyReport {
 	out := map[string]loadbalance.Load{}
-	seen := map[string]loadbalance.Seen{}
+	seen := map[string]loadbalance.Observation{}
 	for name, s := range p.services {
 		s.mu.Lock()
-		s.pool.Collect(seen)
-		_, inflight := s.pool.Slots(p.now())
+		s.pool.CollectObservations(seen)
+		_, inflight := s.pool.SlotsAndInflight(p.now())
 		if span > p.timing.Silence/3 { // else too short to tell a rate
 			s.share.Observe(loadbalance.Load{Rate: float64(s.arrived) / span.Seconds(), Inflight: float64(inflight)})
 			s.arrived = 0
 			clear(s.recent)
 		}
-		out[name] = s.share.Own()
+		out[name] = s.share.OwnLoad()
 		if len(p.region) > 1 {
 			for _, e := range s.pool.Endpoints() {
 				if n := e.Inflight(); n > 0 {
@@ -663,7 +663,7 @@
 	for _, g := range r.Grants {
 		for _, s := range p.services {
 			s.mu.Lock()
-			s.pool.Grant(now, g, sent+p.timing.Grant)
+			s.pool.ApplyGrant(now, g, sent+p.timing.Grant)
 			s.mu.Unlock()
 		}
 	}
@@ -689,9 +689,9 @@
 	for name, sum := range loads {
 		if s := p.services[name]; s != nil {
 			s.mu.Lock()
-			s.share.Told(now, sum)
-			slots, _ := s.pool.Slots(now)
-			s.pool.SetUse(sum.Inflight / float64(max(1, slots)))
+			s.share.SetTotalLoad(now, sum)
+			slots, _ := s.pool.SlotsAndInflight(now)
+			s.pool.SetUtilization(sum.Inflight / float64(max(1, slots)))
 			s.mu.Unlock()
 		}
 	}
@@ -704,7 +704,7 @@
 			inflight[zone] = loads[inZone(name, zone)].Inflight
 		}
 		s.mu.Lock()
-		s.pool.SetLoads(inflight)
+		s.pool.SetZoneLoads(inflight)
 		s.mu.Unlock()
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -108,7 +108,7 @@
 		p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
 	}
 	for range 100 { // a budget in hand for further tries
-		p.services["s"].budget.Request()
+		p.services["s"].budget.Deposit()
 	}
 	return p, openFront(t, p)
 }
@@ -608,7 +608,7 @@
 	e := newEndpoint(t, func(int, string) string { return ok("x") })
 	p, _ := front(t, e)
 	s := p.services["s"]
-	s.pool.SetConnections(1) // one request at a time
+	s.pool.SetMaxConnections(1) // one request at a time
 	busy, _ := s.acquire(p, rank{}, 0, nil)
 	if busy == nil {
 		t.Fatal("no free place at the start")
@@ -667,7 +667,7 @@
 		s := p.services["s"]
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.pool.Endpoints()[0].Ejected(p.now())
+		return s.pool.Endpoints()[0].IsEjected(p.now())
 	}
 	ask := func(most int) (n int, err error) {
 		c, err := net.Dial("tcp4", addr)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -53,8 +53,8 @@
 	s := api.NewServer(f.p.Serve, prefetch)
 	s.StreamRequestBody = true
 	s.ReadBufferSize = int(max(4<<10, min(limits.MaxHeaderBytes, 256<<10))) + 1<<10
-	s.ReadTimeout = orElse(limits.HeaderTimeoutS, f.p.set.Bounds.ContactWindow.Duration())
-	s.IdleTimeout = orElse(limits.IdleTimeoutS, 5*f.p.set.Bounds.ContactWindow.Duration())
+	s.ReadTimeout = orElse(limits.HeaderTimeoutSeconds, f.p.set.Bounds.ContactWindow.Duration())
+	s.IdleTimeout = orElse(limits.IdleTimeoutSeconds, 5*f.p.set.Bounds.ContactWindow.Duration())
 	s.HeaderReceived = func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 		return fasthttp.RequestConfig{ReadTimeout: 4 * s.ReadTimeout}
 	}
--- a/internal/proxy/trial.go
+++ b/internal/proxy/trial.go
@@ -36,7 +36,7 @@
 	if was.OrderNumber != r.OrderNumber || r.State != rollout.InProgress {
 		s.trial.seen = nil
 	}
-	s.pool.SetVersions(loadbalance.Versions{Told: r.Base != "" || r.OrderNumber > 0, Base: r.Base, Target: r.Target, Share: r.TrafficShare()})
+	s.pool.SetVersions(loadbalance.Versions{Known: r.Base != "" || r.OrderNumber > 0, Base: r.Base, Target: r.Target, TargetShare: r.TrafficShare()})
 	s.wakeFirst()
 	s.mu.Unlock()
 	if r.State != was.State && r.State != "" {
@@ -52,7 +52,7 @@
 	var out map[string]transport.RolloutReport
 	for name, s := range p.services {
 		s.mu.Lock()
-		p.board.Counter("endpoints_barred", "service", name).Set(int64(s.pool.Barred()))
+		p.board.Counter("endpoints_barred", "service", name).Set(int64(s.pool.ExcludedCount()))
 		if s.trial.State == rollout.InProgress {
 			for _, a := range s.trial.seen {
 				p.board.Counter("rollout_requests_total", "service", name, "version", "base").Add(int64(a.Base.Answers + a.Base.Broken))
@@ -61,7 +61,7 @@
 			if out == nil {
 				out = map[string]transport.RolloutReport{}
 			}
-			out[name] = transport.RolloutReport{Order: s.trial.OrderNumber, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.AtBase()}
+			out[name] = transport.RolloutReport{Order: s.trial.OrderNumber, Evidence: s.trial.seen, Proxies: 1, Stage: s.trial.Stage, AtBase: s.pool.BaseInflight()}
 			s.trial.seen = nil
 			s.trial.strata.Decay()
 		}
@@ -72,38 +72,38 @@
 
 // arm draws which version a request goes to. A node that has not heard for a while
 // of how the roll-out stands sends to the version in use.
-func (s *service) arm(p *Plane, route int) loadbalance.Arm {
+func (s *service) arm(p *Plane, route int) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := s.pool.Versions().Share
+	share := s.pool.Versions().TargetShare
 	if share <= 0 {
-		return loadbalance.Base
+		return loadbalance.BaseVersion
 	}
 	s.trial.strata.RecordRequest(route)
 	share = s.trial.strata.RouteShare(share, route)
 	if share < 1 && rand.Float64() >= share || p.now()-time.Duration(p.heard.Load()) > p.timing.Lease {
-		return loadbalance.Base
+		return loadbalance.BaseVersion
 	}
-	return loadbalance.Target
+	return loadbalance.TargetVersion
 }
 
 // elsewhere is where a request goes that an endpoint failed: from the version under
 // trial to the one in use. sent tells that the endpoint may have got it; where it
 // was not even reached and all should have moved, the version in use has been
 // stopped and this node has not heard of it.
-func (s *service) elsewhere(arm loadbalance.Arm, sent bool) loadbalance.Arm {
+func (s *service) elsewhere(arm loadbalance.VersionGroup, sent bool) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if arm == loadbalance.Base && !sent && s.trial.IsFinalStage() {
-		return loadbalance.Target
+	if arm == loadbalance.BaseVersion && !sent && s.trial.IsFinalStage() {
+		return loadbalance.TargetVersion
 	}
-	return loadbalance.Base
+	return loadbalance.BaseVersion
 }
 
 // acquireArm picks an endpoint of the version drawn. Nobody waits for the one under
 // trial while the other can be had.
-func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*loadbalance.Endpoint) bool, arm *loadbalance.Arm) (*loadbalance.Endpoint, *shelf) {
-	if *arm == loadbalance.Target {
+func (s *service) acquireArm(p *Plane, r rank, wait time.Duration, skip func(*loadbalance.Endpoint) bool, arm *loadbalance.VersionGroup) (*loadbalance.Endpoint, *shelf) {
+	if *arm == loadbalance.TargetVersion {
 		s.mu.Lock()
 		final, over := s.trial.IsFinalStage(), s.trial.State != rollout.InProgress
 		s.mu.Unlock()
@@ -113,13 +113,13 @@
 			}
 		}
 		if !final {
-			*arm = loadbalance.Base
+			*arm = loadbalance.BaseVersion
 		}
 	}
 	e, sh := s.acquire(p, r, wait, skip)
-	if e != nil && *arm == loadbalance.Target {
+	if e != nil && *arm == loadbalance.TargetVersion {
 		s.mu.Lock()
-		*arm = e.Arm // a roll-out may have ended meanwhile
+		*arm = e.VersionGroup // a roll-out may have ended meanwhile
 		s.mu.Unlock()
 	}
 	return e, sh
@@ -127,18 +127,18 @@
 
 // takes tells whether an endpoint takes a request that goes to a version. The
 // caller has the service's lock.
-func (s *service) takes(e *loadbalance.Endpoint, arm loadbalance.Arm) bool {
-	if arm == loadbalance.Target && s.trial.State == rollout.InProgress {
-		return e.Arm == loadbalance.Target && e.Front
+func (s *service) takes(e *loadbalance.Endpoint, arm loadbalance.VersionGroup) bool {
+	if arm == loadbalance.TargetVersion && s.trial.State == rollout.InProgress {
+		return e.VersionGroup == loadbalance.TargetVersion && e.InRolloutSubset
 	}
-	return e.Arm == loadbalance.Base
+	return e.VersionGroup == loadbalance.BaseVersion
 }
 
 // watch notes how one attempt ends while a roll-out is under way. Nil notes
 // nothing.
 type watch struct {
 	s     *service
-	arm   loadbalance.Arm
+	arm   loadbalance.VersionGroup
 	order uint64
 	route string
 	// endpoint is where the attempt was made.
@@ -151,9 +151,9 @@
 
 // watch begins to watch an attempt. One at the version under trial counts as slow
 // when it is, not when it ends.
-func (s *service) watch(p *Plane, q *request, e *loadbalance.Endpoint, arm loadbalance.Arm) *watch {
+func (s *service) watch(p *Plane, q *request, e *loadbalance.Endpoint, arm loadbalance.VersionGroup) *watch {
 	s.mu.Lock()
-	trial, fresh := s.trial.Rollout, e.Fresh(p.now())
+	trial, fresh := s.trial.Rollout, e.IsWarmingUp(p.now())
 	s.mu.Unlock()
 	if trial.State != rollout.InProgress {
 		return nil
@@ -162,7 +162,7 @@
 	if !fresh {
 		w.usual = q.stats.ordinary()
 	}
-	if w.usual > 0 && arm == loadbalance.Target {
+	if w.usual > 0 && arm == loadbalance.TargetVersion {
 		w.timer = time.AfterFunc(rollout.SlowFactor*w.usual, func() {
 			if w.late.CompareAndSwap(false, true) {
 				w.note(rollout.Counts{Timed: 1, Slow: 1})
@@ -217,7 +217,7 @@
 		t.seen = rollout.Evidence{}
 	}
 	a := rollout.NewBaseCounts(c)
-	if w.arm == loadbalance.Target {
+	if w.arm == loadbalance.TargetVersion {
 		a = rollout.NewTargetCounts(w.endpoint, c)
 	}
 	t.seen.Add(rollout.Evidence{w.route: a})
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -70,7 +70,7 @@
 			for range n {
 				heard(c.heard)
 				for range 5 { // a budget in hand
-					p.services["s"].budget.Request()
+					p.services["s"].budget.Deposit()
 				}
 				request := get(path)
 				if path == "/once/a" {
@@ -126,10 +126,10 @@
 			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
 			var front []string
 			for _, e := range pool.Endpoints() {
-				if e.Arm != loadbalance.Target {
+				if e.VersionGroup != loadbalance.TargetVersion {
 					t.Fatalf("%s is not under trial", e.ID)
 				}
-				if e.Front {
+				if e.InRolloutSubset {
 					front = append(front, e.ID)
 				}
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	return sch.Check(jsonValue(raw))
+	return sch.Validate(jsonValue(raw))
 }
 
 // jsonValue turns what TOML yields into what a JSON schema knows.
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -345,7 +345,7 @@
 		{Proxies: &ProxyAggregate{
 			Here: map[string]uint64{"p1": 151, "p2": 152}, Sum: 153, Life: 154,
 			Loads:    map[string]loadbalance.Load{"payments": {Rate: 155.5, Inflight: 156.5}},
-			Seen:     map[string]loadbalance.Seen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
+			Seen:     map[string]loadbalance.Observation{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
 			Rounds:   map[string]QuotaGrants{"p1": {Seq: 161, Grants: []loadbalance.Grant{{Endpoint: "e2", Rate: 162.5}}}},
 			Trials:   map[string]RolloutReport{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: rollout.Evidence{"pay": {Base: rollout.Counts{Answers: 167}}}}},
 			Verdicts: []loadbalance.Verdict{{Endpoint: "e3", Pace: 168}},
@@ -354,7 +354,7 @@
 		{Report: &ProxyReport{
 			Seq:   181,
 			Loads: map[string]loadbalance.Load{"payments": {Rate: 182.5, Inflight: 183.5}},
-			Seen:  map[string]loadbalance.Seen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
+			Seen:  map[string]loadbalance.Observation{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
 			Self:  &registry.Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
 			Trials: map[string]RolloutReport{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: rollout.Evidence{"pay": {
 				Base:   rollout.Counts{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -150,8 +150,8 @@
 type ProxyReport struct {
 	Seq   uint64
 	Loads map[string]loadbalance.Load
-	Seen  map[string]loadbalance.Seen // by endpoint, since the last report
-	Self  *registry.Proxy             // its entry in the registry, where proxies are members
+	Seen  map[string]loadbalance.Observation // by endpoint, since the last report
+	Self  *registry.Proxy                    // its entry in the registry, where proxies are members
 	// Trials are the roll-outs under way, by service.
 	Trials map[string]RolloutReport
 	// Account is what goes into the account of failures.
@@ -218,8 +218,8 @@
 	Here   map[string]uint64 // by name, the newest report's sequence
 	Sum    int
 	Loads  map[string]loadbalance.Load
-	Seen   map[string]loadbalance.Seen // to the leader
-	Rounds map[string]QuotaGrants      // by proxy
+	Seen   map[string]loadbalance.Observation // to the leader
+	Rounds map[string]QuotaGrants             // by proxy
 	// Trials are told to the leader, under the life of the node that tells.
 	Trials map[string]RolloutReport
 	Life   uint64
--- a/loadbalance/direct.go
+++ b/loadbalance/direct.go
@@ -6,16 +6,16 @@
 	"sort"
 )
 
-// Place is one proxy node as the directory knows it. Weight is what it can
+// ProxyNode is one proxy node as the directory knows it. Weight is what it can
 // carry, compared with others.
-type Place struct {
-	Address string
-	Zone    string
-	Weight  float64
-	Leaving bool
+type ProxyNode struct {
+	Address  string
+	Zone     string
+	Weight   float64
+	Draining bool
 }
 
-// Direct chooses the proxy nodes that a client is sent to, at most most of them:
+// SelectProxies chooses the proxy nodes that a client is sent to, at most most of them:
 // from those of its zone; with those of its region if its zone has few left;
 // else from whatever there is. A zone has few left when it has less than half of
 // what zones have on the mean. Nodes that leave are named only where nothing
@@ -26,12 +26,12 @@
 // for the strongest to get its part, two at least. Which, is decided by highest
 // weighted random weight under the client's own key: the same client is told the
 // same until nodes come or go, and then little else changes.
-func Direct(all []Place, key, zone, region string, regionOf func(zone string) string, most int) []string {
-	var here, near, any, leaving []Place
+func SelectProxies(all []ProxyNode, key, zone, region string, regionOf func(zone string) string, most int) []string {
+	var here, near, any, leaving []ProxyNode
 	zones := map[string]bool{}
 	for _, p := range all {
 		zones[p.Zone] = true
-		if p.Leaving {
+		if p.Draining {
 			leaving = append(leaving, p)
 			continue
 		}
@@ -64,7 +64,7 @@
 	}
 	ranks := make([]ranked, len(from))
 	for i, p := range from {
-		ranks[i] = ranked{p.Address, -math.Log(hashUnit(key, p.Address)) / max(p.Weight, 1e-3)}
+		ranks[i] = ranked{p.Address, -math.Log(hashToUnit(key, p.Address)) / max(p.Weight, 1e-3)}
 	}
 	sort.Slice(ranks, func(i, k int) bool { return ranks[i].rank < ranks[k].rank })
 	out := make([]string, n)
@@ -74,9 +74,9 @@
 	return out
 }
 
-// hash64 mixes two names; names that differ in their end alone must not come
+// hashPair mixes two names; names that differ in their end alone must not come
 // out alike.
-func hash64(a, b string) uint64 {
+func hashPair(a, b string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
 	h.Write([]byte{0})
@@ -89,5 +89,5 @@
 	return x ^ x>>33
 }
 
-// hashUnit gives a number in (0,1] for two names.
-func hashUnit(a, b string) float64 { return (float64(hash64(a, b)>>11) + 1) / (1 << 53) }
+// hashToUnit gives a number in (0,1] for two names.
+func hashToUnit(a, b string) float64 { return (float64(hashPair(a, b)>>11) + 1) / (1 << 53) }
--- a/loadbalance/loadbalance.go
+++ b/loadbalance/loadbalance.go
@@ -8,180 +8,186 @@
 	"time"
 )
 
-// Spec is what the registry says of one endpoint.
-type Spec struct {
-	ID       string
-	Address  string
-	Zone     string
-	Version  string // of its software
-	Capacity int
-	Draining bool
-	Cold     bool
-	Region   int // a dense index; what is unknown is -1
+// EndpointSpec is what the registry says of one endpoint.
+type EndpointSpec struct {
+	ID          string
+	Address     string
+	Zone        string
+	Version     string // of its software
+	Capacity    int
+	Draining    bool
+	WarmingUp   bool
+	RegionIndex int // a dense index; what is unknown is -1
 }
 
 // Endpoint is one endpoint's state as this node sees it.
 type Endpoint struct {
-	Spec
-	// Idle is how many idle connections this node has to the endpoint.
-	Idle int
-	// Arm is where its version stands; Front tells that it takes part of a trial.
-	Arm      Arm
-	Front    bool
-	hash     uint64
-	tier     int     // 0 in this zone, 1 in this region, 2 elsewhere
-	far      float64 // what its distance adds to its cost
-	crowd    float64 // what the load of its zone adds
-	off      bool    // its zone is evacuated
-	back     bool    // its zone has just been taken back
-	meter    meter
-	inflight int
-	// slow is the learned time of an answer over what its route usually takes.
-	slow    float64
-	seen    Seen // since the last report
-	sick    bool // all nodes together say so
-	samples int
-	fails   int
-	until   time.Duration // ejected until
-	trial   bool          // one request is out to see whether it is back
-	cold    time.Duration // slow from its start until
-	busy    time.Duration // turned requests away until
-	gone    bool
+	EndpointSpec
+	// IdleConnections is how many idle connections this node has to the endpoint.
+	IdleConnections int
+	// VersionGroup is where its version stands; Front tells that it takes part of a trial.
+	VersionGroup    VersionGroup
+	InRolloutSubset bool
+	idHash          uint64
+	distance        int     // 0 in this zone, 1 in this region, 2 elsewhere
+	distanceCost    float64 // what its distance adds to its cost
+	zoneLoadCost    float64 // what the load of its zone adds
+	zoneEvacuated   bool    // its zone is evacuated
+	zoneReturning   bool    // its zone has just been taken back
+	quota           quotaBucket
+	inflight        int
+	// latencyRatio is the learned time of an answer over what its route usually takes.
+	latencyRatio        float64
+	unreported          Observation // since the last report
+	unhealthy           bool        // all nodes together say so
+	latencySamples      int
+	consecutiveFailures int
+	ejectedUntil        time.Duration // ejected until
+	probing             bool          // one request is out to see whether it is back
+	warmingUntil        time.Duration // slow from its start until
+	overloadedUntil     time.Duration // turned requests away until
+	removed             bool
 }
 
 // Inflight is how many requests of this node are at the endpoint.
 func (e *Endpoint) Inflight() int { return e.inflight }
 
-// Gone tells whether the registry has dropped the endpoint.
-func (e *Endpoint) Gone() bool { return e.gone || e.Draining }
-
-// shut tells whether nothing may be sent to the endpoint.
-func (e *Endpoint) shut() bool { return e.Draining || e.off || e.Arm == Barred }
-
-// Fresh tells whether the endpoint is slow from its start.
-func (e *Endpoint) Fresh(now time.Duration) bool { return now < e.cold || e.Cold || e.back }
-
-// Ejected tells whether the endpoint is kept from ordinary choice.
-func (e *Endpoint) Ejected(now time.Duration) bool { return e.fails > 0 && now < e.until }
-
-// Config are a pool's figures.
-type Config struct {
-	Zone      string
-	EjectBase time.Duration // after a first failure
-	EjectMost time.Duration
-	// Bias is how many requests more a near endpoint may have in hand before a
-	// far one is as good.
-	Bias float64
-	// Region is where this node is, and RegionBias the same for another region.
-	Region     int
-	RegionBias float64
+// IsWithdrawn tells whether the registry has dropped the endpoint.
+func (e *Endpoint) IsWithdrawn() bool { return e.removed || e.Draining }
+
+// isExcluded tells whether nothing may be sent to the endpoint.
+func (e *Endpoint) isExcluded() bool {
+	return e.Draining || e.zoneEvacuated || e.VersionGroup == ExcludedVersion
+}
+
+// IsWarmingUp tells whether the endpoint is slow from its start.
+func (e *Endpoint) IsWarmingUp(now time.Duration) bool {
+	return now < e.warmingUntil || e.WarmingUp || e.zoneReturning
+}
+
+// IsEjected tells whether the endpoint is kept from ordinary choice.
+func (e *Endpoint) IsEjected(now time.Duration) bool {
+	return e.consecutiveFailures > 0 && now < e.ejectedUntil
+}
+
+// PoolConfig are a pool's figures.
+type PoolConfig struct {
+	Zone             string
+	BaseEjectionTime time.Duration // after a first failure
+	MaxEjectionTime  time.Duration
+	// ZoneBias is how many requests more a near endpoint may have in hand before a
+	// distanceCost one is as good.
+	ZoneBias float64
+	// RegionIndex is where this node is, and RegionBias the same for another region.
+	RegionIndex int
+	RegionBias  float64
 }
 
 // Pool is the endpoints of one service.
 type Pool struct {
-	cfg         Config
-	all         []*Endpoint
-	byID        map[string]*Endpoint
-	peers       int // nodes that share the endpoints
-	connections int
-	coldRate    float64         // what a cold endpoint bears a second; 0: any load
-	zones       map[string]Zone // those that are not in ordinary use
-	tiers       [3]tier         // of the pick under way
-	judged      time.Duration   // until then the verdicts of all nodes hold
-	lean        float64         // towards the faster endpoints, 0 to 1
-	versions    Versions
-	unfronted   bool // which endpoints are Front is to be found anew
+	cfg                PoolConfig
+	endpoints          []*Endpoint
+	byID               map[string]*Endpoint
+	peerCount          int // nodes that share the endpoints
+	maxConnections     int
+	warmupRate         float64              // what a cold endpoint bears a second; 0: any load
+	zoneStates         map[string]ZoneState // those that are not in ordinary use
+	candidates         [3]candidateSet      // of the pick under way
+	verdictsUntil      time.Duration        // until then the verdicts of all nodes hold
+	fastBias           float64              // towards the faster endpoints, 0 to 1
+	versions           Versions
+	rolloutSubsetStale bool // which endpoints are Front is to be found anew
 }
 
-// Zone is how a zone is used. The zero value is ordinary use.
-type Zone uint8
+// ZoneState is how a zone is used. The zero value is ordinary use.
+type ZoneState uint8
 
 // The uses of a zone.
 const (
-	Used    Zone = iota
-	Emptied      // evacuated: nothing is sent there
-	Back         // taken back: its endpoints count as cold
+	ZoneActive    ZoneState = iota
+	ZoneEvacuated           // evacuated: nothing is sent there
+	ZoneReturning           // taken back: its endpoints count as cold
 )
 
 // NewPool makes a pool without endpoints.
-func NewPool(cfg Config) *Pool {
-	return &Pool{cfg: cfg, byID: map[string]*Endpoint{}, peers: 1, zones: map[string]Zone{}}
+func NewPool(cfg PoolConfig) *Pool {
+	return &Pool{cfg: cfg, byID: map[string]*Endpoint{}, peerCount: 1, zoneStates: map[string]ZoneState{}}
 }
 
-// SetColdRate tells how many requests a second a cold endpoint bears; it then
+// SetWarmupRate tells how many requests a second a cold endpoint bears; it then
 // gets only what is granted. 0 is no bound.
-func (p *Pool) SetColdRate(rate float64) { p.coldRate = rate }
+func (p *Pool) SetWarmupRate(rate float64) { p.warmupRate = rate }
 
-// SetZone tells how a zone is used.
-func (p *Pool) SetZone(zone string, z Zone) {
-	p.zones[zone] = z
-	for _, e := range p.all {
+// SetZoneState tells how a zone is used.
+func (p *Pool) SetZoneState(zone string, z ZoneState) {
+	p.zoneStates[zone] = z
+	for _, e := range p.endpoints {
 		if e.Zone == zone {
-			e.off, e.back = z == Emptied, z == Back
+			e.zoneEvacuated, e.zoneReturning = z == ZoneEvacuated, z == ZoneReturning
 		}
 	}
 }
 
-// Grant takes a share of a cold endpoint that holds until a moment.
-func (p *Pool) Grant(now time.Duration, g Grant, until time.Duration) {
+// ApplyGrant takes a share of a cold endpoint that holds until a moment.
+func (p *Pool) ApplyGrant(now time.Duration, g Grant, until time.Duration) {
 	if e := p.byID[g.Endpoint]; e != nil {
-		e.meter.grant(now, g.Rate, until)
+		e.quota.renew(now, g.Rate, until)
 	}
 }
 
-// SetLoads takes how many requests all nodes have at the endpoints of each
+// SetZoneLoads takes how many requests all nodes have at the endpoints of each
 // zone. A zone that comes near to being full costs more, so that the next one
 // takes what is too much for it before its queues stand.
-func (p *Pool) SetLoads(inflight map[string]float64) {
+func (p *Pool) SetZoneLoads(inflight map[string]float64) {
 	slots := map[string]float64{}
-	for _, e := range p.all {
-		if !e.shut() {
+	for _, e := range p.endpoints {
+		if !e.isExcluded() {
 			slots[e.Zone] += float64(e.Capacity)
 		}
 	}
-	for _, e := range p.all {
-		e.crowd = max(0, inflight[e.Zone]/max(1, slots[e.Zone])-crowded) * crowdCost
+	for _, e := range p.endpoints {
+		e.zoneLoadCost = max(0, inflight[e.Zone]/max(1, slots[e.Zone])-zoneLoadThreshold) * zoneLoadPenalty
 	}
 }
 
 // Above crowded of a zone's slots in use, each further tenth costs a tenth of
 // crowdCost.
 const (
-	crowded   = 0.7
-	crowdCost = 8
+	zoneLoadThreshold = 0.7
+	zoneLoadPenalty   = 8
 )
 
-// SetPeers tells how many nodes share the endpoints.
-func (p *Pool) SetPeers(n int) { p.peers = max(1, n) }
+// SetPeerCount tells how many nodes share the endpoints.
+func (p *Pool) SetPeerCount(n int) { p.peerCount = max(1, n) }
 
-// SetConnections tells how many connections an endpoint takes from all nodes
+// SetMaxConnections tells how many connections an endpoint takes from all nodes
 // together; 0 is no bound.
-func (p *Pool) SetConnections(n int) { p.connections = n }
+func (p *Pool) SetMaxConnections(n int) { p.maxConnections = n }
 
-// Busy notes that an endpoint turned a request away because it is full.
-func (p *Pool) Busy(now time.Duration, e *Endpoint) {
-	e.busy = now + p.cfg.EjectBase/8
-	e.seen = e.seen.Add(Seen{Answers: 1, Times: fullPace})
+// RecordRejection notes that an endpoint turned a request away because it is full.
+func (p *Pool) RecordRejection(now time.Duration, e *Endpoint) {
+	e.overloadedUntil = now + p.cfg.BaseEjectionTime/8
+	e.unreported = e.unreported.Add(Observation{Answers: 1, Times: rejectionLatencyRatio})
 }
 
-// fullPace is what a request that was turned away counts as.
-const fullPace = 3
+// rejectionLatencyRatio is what a request that was turned away counts as.
+const rejectionLatencyRatio = 3
 
 // Endpoints gives the present endpoints.
-func (p *Pool) Endpoints() []*Endpoint { return p.all }
+func (p *Pool) Endpoints() []*Endpoint { return p.endpoints }
 
-// Slots is how many requests the endpoints that may be chosen work on at once,
+// SlotsAndInflight is how many requests the endpoints that may be chosen work on at once,
 // and how many this node has there. Requests stuck at an endpoint that was
 // ejected say nothing about how full the others are. While two versions are sent
 // to, the slots are those of the one that carries most.
-func (p *Pool) Slots(now time.Duration) (slots, inflight int) {
-	main := Base
-	if p.versions.Share > 0.5 {
-		main = Target
+func (p *Pool) SlotsAndInflight(now time.Duration) (slots, inflight int) {
+	main := BaseVersion
+	if p.versions.TargetShare > 0.5 {
+		main = TargetVersion
 	}
-	for _, e := range p.all {
-		if !e.shut() && !e.Ejected(now) {
-			if e.Arm == main {
+	for _, e := range p.endpoints {
+		if !e.isExcluded() && !e.IsEjected(now) {
+			if e.VersionGroup == main {
 				slots += e.Capacity
 			}
 			inflight += e.inflight
@@ -190,30 +196,30 @@
 	return slots, inflight
 }
 
-// Set adds or changes an endpoint; cold is how much longer it is slow.
-func (p *Pool) Set(now time.Duration, s Spec, cold time.Duration) *Endpoint {
+// Upsert adds or changes an endpoint; cold is how much longer it is slow.
+func (p *Pool) Upsert(now time.Duration, s EndpointSpec, cold time.Duration) *Endpoint {
 	if s.Capacity < 1 {
 		s.Capacity = 1
 	}
 	e := p.byID[s.ID]
 	if e == nil {
-		e = &Endpoint{slow: 1, hash: hash64(s.ID, "")}
+		e = &Endpoint{latencyRatio: 1, idHash: hashPair(s.ID, "")}
 		p.byID[s.ID] = e
-		p.all = append(p.all, e)
+		p.endpoints = append(p.endpoints, e)
 	}
-	if e.Spec != s {
-		e.Spec, e.Arm, p.unfronted = s, p.versions.arm(s.Version), true
+	if e.EndpointSpec != s {
+		e.EndpointSpec, e.VersionGroup, p.rolloutSubsetStale = s, p.versions.group(s.Version), true
 	}
-	e.far, e.tier = 0, 0
+	e.distanceCost, e.distance = 0, 0
 	if s.Zone != p.cfg.Zone {
-		e.far, e.tier = p.cfg.Bias, 1
-		if s.Region != p.cfg.Region {
-			e.far, e.tier = p.cfg.RegionBias, 2
+		e.distanceCost, e.distance = p.cfg.ZoneBias, 1
+		if s.RegionIndex != p.cfg.RegionIndex {
+			e.distanceCost, e.distance = p.cfg.RegionBias, 2
 		}
 	}
-	e.off, e.back = p.zones[s.Zone] == Emptied, p.zones[s.Zone] == Back
+	e.zoneEvacuated, e.zoneReturning = p.zoneStates[s.Zone] == ZoneEvacuated, p.zoneStates[s.Zone] == ZoneReturning
 	if cold > 0 {
-		e.cold = now + cold
+		e.warmingUntil = now + cold
 	}
 	return e
 }
@@ -224,58 +230,60 @@
 	if e == nil {
 		return nil
 	}
-	e.gone, p.unfronted = true, true
+	e.removed, p.rolloutSubsetStale = true, true
 	delete(p.byID, id)
-	for i, x := range p.all {
+	for i, x := range p.endpoints {
 		if x == e {
-			p.all = append(p.all[:i], p.all[i+1:]...)
+			p.endpoints = append(p.endpoints[:i], p.endpoints[i+1:]...)
 			break
 		}
 	}
 	return e
 }
 
-// cost is the expected wait and work at an endpoint, in units of an ordinary
+// expectedCost is the expected wait and work at an endpoint, in units of an ordinary
 // answer's time.
-func (p *Pool) cost(now time.Duration, e *Endpoint) float64 {
+func (p *Pool) expectedCost(now time.Duration, e *Endpoint) float64 {
 	in := float64(e.inflight)
-	return p.pace(now, e)*(1+in*in/float64(e.Capacity)) + e.far + e.crowd
+	return p.latencyFactor(now, e)*(1+in*in/float64(e.Capacity)) + e.distanceCost + e.zoneLoadCost
 }
 
-// pace is how long an endpoint takes over what is usual.
-func (p *Pool) pace(now time.Duration, e *Endpoint) float64 {
-	if e.Fresh(now) {
-		return 2 * e.slow
+// latencyFactor is how long an endpoint takes over what is usual.
+func (p *Pool) latencyFactor(now time.Duration, e *Endpoint) float64 {
+	if e.IsWarmingUp(now) {
+		return 2 * e.latencyRatio
 	}
-	return e.slow
+	return e.latencyRatio
 }
 
-// metered tells whether the endpoint gets only what is granted.
-func (p *Pool) metered(e *Endpoint) bool { return p.coldRate > 0 && (e.Cold || e.back) }
+// needsQuota tells whether the endpoint gets only what is granted.
+func (p *Pool) needsQuota(e *Endpoint) bool {
+	return p.warmupRate > 0 && (e.WarmingUp || e.zoneReturning)
+}
 
-// draws is how many endpoints of a distance are compared. Of equally full ones
+// choicesPerDistance is how many endpoints of a distance are compared. Of equally full ones
 // that with an idle connection is taken: so each node keeps to a part of the
 // endpoints, another one at every node, without a connection to each of them.
-const draws = 3
+const choicesPerDistance = 3
 
-// tier is the endpoints at one distance that can take a request. weight sums
+// distance is the endpoints at one distance that can take a request. weight sums
 // up to and with each of them.
-type tier struct {
-	of     []*Endpoint
-	weight []float64
+type candidateSet struct {
+	endpoints         []*Endpoint
+	cumulativeWeights []float64
 }
 
-func (t *tier) add(e *Endpoint, w float64) {
-	if n := len(t.weight); n > 0 {
-		w += t.weight[n-1]
+func (t *candidateSet) add(e *Endpoint, w float64) {
+	if n := len(t.cumulativeWeights); n > 0 {
+		w += t.cumulativeWeights[n-1]
 	}
-	t.of, t.weight = append(t.of, e), append(t.weight, w)
+	t.endpoints, t.cumulativeWeights = append(t.endpoints, e), append(t.cumulativeWeights, w)
 }
 
-// draw gives one endpoint by weight.
-func (t *tier) draw(rnd func() float64) *Endpoint {
-	x := rnd() * t.weight[len(t.weight)-1]
-	return t.of[min(sort.SearchFloat64s(t.weight, x), len(t.of)-1)]
+// sample gives one endpoint by weight.
+func (t *candidateSet) sample(rnd func() float64) *Endpoint {
+	x := rnd() * t.cumulativeWeights[len(t.cumulativeWeights)-1]
+	return t.endpoints[min(sort.SearchFloat64s(t.cumulativeWeights, x), len(t.endpoints)-1)]
 }
 
 // Pick chooses an endpoint and counts the request as out to it. skip keeps out
@@ -287,118 +295,118 @@
 // drawn by their pace and capacity, and the cheapest of these is taken.
 func (p *Pool) Pick(now time.Duration, rnd func() float64, skip func(*Endpoint) bool) *Endpoint {
 	var best, back *Endpoint
-	p.front()
-	for i := range p.tiers {
-		p.tiers[i].of, p.tiers[i].weight = p.tiers[i].of[:0], p.tiers[i].weight[:0]
+	p.refreshRolloutSubset()
+	for i := range p.candidates {
+		p.candidates[i].endpoints, p.candidates[i].cumulativeWeights = p.candidates[i].endpoints[:0], p.candidates[i].cumulativeWeights[:0]
 	}
-	for _, e := range p.all {
-		if e.shut() || (skip != nil && skip(e)) || (p.metered(e) && !e.meter.ready(now)) {
+	for _, e := range p.endpoints {
+		if e.isExcluded() || (skip != nil && skip(e)) || (p.needsQuota(e) && !e.quota.hasToken(now)) {
 			continue
 		}
-		if e.fails > 0 {
-			if now >= e.until && !e.trial && back == nil {
+		if e.consecutiveFailures > 0 {
+			if now >= e.ejectedUntil && !e.probing && back == nil {
 				back = e
 			}
 			continue
 		}
-		if now < e.busy || e.inflight >= p.cap(e) {
+		if now < e.overloadedUntil || e.inflight >= p.concurrencyLimit(e) {
 			continue
 		}
-		pace := p.pace(now, e)
-		w := float64(e.Capacity) / pace * (1 + p.lean*(1/(pace*pace)-1))
-		if e.sick {
-			w *= sickWeight
+		pace := p.latencyFactor(now, e)
+		w := float64(e.Capacity) / pace * (1 + p.fastBias*(1/(pace*pace)-1))
+		if e.unhealthy {
+			w *= unhealthyWeight
 		}
-		p.tiers[e.tier].add(e, w)
+		p.candidates[e.distance].add(e, w)
 	}
 	bestCost := 0.0
-	for i := range p.tiers {
-		t := &p.tiers[i]
-		if len(t.of) == 0 {
+	for i := range p.candidates {
+		t := &p.candidates[i]
+		if len(t.endpoints) == 0 {
 			continue
 		}
-		e := t.draw(rnd)
-		for range draws - 1 {
-			other := t.draw(rnd)
+		e := t.sample(rnd)
+		for range choicesPerDistance - 1 {
+			other := t.sample(rnd)
 			a, b := e.inflight*other.Capacity, other.inflight*e.Capacity
-			if b < a || (a == b && other.Idle > 0 && e.Idle == 0) {
+			if b < a || (a == b && other.IdleConnections > 0 && e.IdleConnections == 0) {
 				e = other
 			}
 		}
-		if c := p.cost(now, e); best == nil || c < bestCost {
+		if c := p.expectedCost(now, e); best == nil || c < bestCost {
 			best, bestCost = e, c
 		}
 	}
 	if back != nil && (best == nil || rnd() < 0.2) {
-		back.trial = true
+		back.probing = true
 		best = back
 	}
 	if best == nil {
-		best = p.last(now, skip)
+		best = p.pickEjected(now, skip)
 	}
 	if best != nil {
 		best.inflight++
-		if p.metered(best) {
-			best.meter.held--
+		if p.needsQuota(best) {
+			best.quota.tokens--
 		}
 	}
 	return best
 }
 
-// sickWeight leaves an ill endpoint the few requests by which all nodes together
+// unhealthyWeight leaves an ill endpoint the few requests by which all nodes together
 // notice that it is well again.
-const sickWeight = 0.03
+const unhealthyWeight = 0.03
 
-// last is the choice when every endpoint is ejected: the one whose time is up
+// pickEjected is the choice when every endpoint is ejected: the one whose time is up
 // first, so that a service whose endpoints all failed once is tried again.
-func (p *Pool) last(now time.Duration, skip func(*Endpoint) bool) *Endpoint {
+func (p *Pool) pickEjected(now time.Duration, skip func(*Endpoint) bool) *Endpoint {
 	var best *Endpoint
-	for _, e := range p.all {
-		if e.shut() || e.fails == 0 || e.trial || (skip != nil && skip(e)) || (p.metered(e) && !e.meter.ready(now)) {
+	for _, e := range p.endpoints {
+		if e.isExcluded() || e.consecutiveFailures == 0 || e.probing || (skip != nil && skip(e)) || (p.needsQuota(e) && !e.quota.hasToken(now)) {
 			continue
 		}
-		if best == nil || e.until < best.until {
+		if best == nil || e.ejectedUntil < best.ejectedUntil {
 			best = e
 		}
 	}
 	if best != nil {
-		best.trial = true
+		best.probing = true
 	}
 	return best
 }
 
-// cap is how many requests this node may have out to one endpoint.
-func (p *Pool) cap(e *Endpoint) int {
+// concurrencyLimit is how many requests this node may have out to one endpoint.
+func (p *Pool) concurrencyLimit(e *Endpoint) int {
 	n := e.Capacity + 2
-	if p.connections > 0 {
-		n = max(1, min(n, p.connections/p.peers))
+	if p.maxConnections > 0 {
+		n = max(1, min(n, p.maxConnections/p.peerCount))
 	}
 	return n
 }
 
-// Broke notes that an answer that was counted as well broke off later.
-func (p *Pool) Broke(now time.Duration, e *Endpoint) {
-	e.seen.Bad++
-	e.fails++
-	e.until = now + min(p.cfg.EjectBase<<min(e.fails-1, 6), p.cfg.EjectMost)
+// RecordFailure notes that an answer that was counted as well broke off later.
+func (p *Pool) RecordFailure(now time.Duration, e *Endpoint) {
+	e.unreported.Bad++
+	e.consecutiveFailures++
+	e.ejectedUntil = now + min(p.cfg.BaseEjectionTime<<min(e.consecutiveFailures-1, 6), p.cfg.MaxEjectionTime)
 }
 
-// Done takes a request's outcome: took is its time over what its route
+// Finish takes a request's outcome: took is its time over what its route
 // usually takes, or 0 if that says nothing.
-func (p *Pool) Done(now time.Duration, e *Endpoint, ok bool, took float64) {
+func (p *Pool) Finish(now time.Duration, e *Endpoint, ok bool, took float64) {
 	e.inflight--
-	e.trial = false
+	e.probing = false
 	if !ok {
-		p.Broke(now, e)
+		p.RecordFailure(now, e)
 		return
 	}
-	e.fails = 0
+	e.consecutiveFailures = 0
 	if took > 0 {
-		e.seen = e.seen.Add(Seen{Answers: 1, Times: min(took, 8)})
+		e.unreported = e.unreported.Add(Observation{Answers: 1, Times: min(took, 8)})
 	}
-	if took > 0 && now >= e.cold && now >= p.judged {
-		e.samples++
-		a := max(0.06, 1/float64(e.samples+4))
-		e.slow += a * (min(took, 4) - e.slow)
+	if took > 0 && now >= e.warmingUntil && now >= p.verdictsUntil {
+		e.latencySamples++
+		a := max(0.06, 1/float64(e.latencySamples+4))
+		e.latencyRatio += a * (min(took, 4) - e.latencyRatio)
 	}
 }
--- a/loadbalance/loadbalance_test.go
+++ b/loadbalance/loadbalance_test.go
@@ -11,13 +11,13 @@
 
 // TestBudgetOverNodes: whatever the nodes do, in every window the extra
 // arrivals of all of them stay within ratio x requests + slack.
-func TestBudgetOverNodes(t *testing.T) {
+func TestRetryBudgetHoldsInEveryWindowOverAllNodes(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 64.0
 	for seed := int64(0); seed < 12; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		nodes := make([]*loadbalance.Budget, 1+r.Intn(16))
+		nodes := make([]*loadbalance.RetryBudget, 1+r.Intn(16))
 		for i := range nodes {
-			nodes[i] = loadbalance.NewBudget(ratio, slack/float64(len(nodes)))
+			nodes[i] = loadbalance.NewRetryBudget(ratio, slack/float64(len(nodes)))
 		}
 		type arrival struct {
 			at    time.Duration
@@ -31,9 +31,9 @@
 			}
 			for range r.Intn(rate) {
 				b := nodes[r.Intn(len(nodes))]
-				b.Request()
+				b.Deposit()
 				all = append(all, arrival{now, false})
-				for r.Intn(2) == 0 && b.Spend() {
+				for r.Intn(2) == 0 && b.TryWithdraw() {
 					all = append(all, arrival{now, true})
 				}
 			}
@@ -65,19 +65,19 @@
 	}
 }
 
-func pool(n int) *loadbalance.Pool {
-	p := loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: 8 * time.Second, Bias: 0.25})
+func newTestPool(n int) *loadbalance.Pool {
+	p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: 8 * time.Second, ZoneBias: 0.25})
 	for i := range n {
-		p.Set(0, loadbalance.Spec{ID: fmt.Sprint(i), Zone: "a", Capacity: 2}, 0)
+		p.Upsert(0, loadbalance.EndpointSpec{ID: fmt.Sprint(i), Zone: "a", Capacity: 2}, 0)
 	}
 	return p
 }
 
 // TestPickAgainstPlainModel: the endpoint picked never drains, is never ejected
 // while another can serve, and is never one that was tried.
-func TestPickAgainstPlainModel(t *testing.T) {
+func TestPickMatchesPlainModel(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
-	p := pool(8)
+	p := newTestPool(8)
 	draining, until := map[string]bool{}, map[string]time.Duration{}
 	var out []*loadbalance.Endpoint
 	for step := range 20000 {
@@ -85,7 +85,7 @@
 		if r.Intn(200) == 0 {
 			id := fmt.Sprint(r.Intn(8))
 			draining[id] = !draining[id] && len(draining) < 3
-			p.Set(now, loadbalance.Spec{ID: id, Zone: "a", Capacity: 2, Draining: draining[id]}, 0)
+			p.Upsert(now, loadbalance.EndpointSpec{ID: id, Zone: "a", Capacity: 2, Draining: draining[id]}, 0)
 		}
 		tried := map[*loadbalance.Endpoint]bool{}
 		if r.Intn(3) == 0 && len(out) > 0 {
@@ -98,7 +98,7 @@
 			}
 			if now < until[e.ID] {
 				for _, x := range p.Endpoints() {
-					if !draining[x.ID] && !tried[x] && now >= until[x.ID] && x.Inflight() == 0 && !x.Ejected(now) {
+					if !draining[x.ID] && !tried[x] && now >= until[x.ID] && x.Inflight() == 0 && !x.IsEjected(now) {
 						if _, failed := until[x.ID]; !failed {
 							t.Fatalf("picked %s, ejected until %v at %v, though %s was free", e.ID, until[e.ID], now, x.ID)
 						}
@@ -111,7 +111,7 @@
 			e := out[0]
 			out = out[1:]
 			ok := r.Intn(30) > 0
-			p.Done(now, e, ok, 1)
+			p.Finish(now, e, ok, 1)
 			if ok {
 				delete(until, e.ID)
 			} else {
@@ -123,17 +123,17 @@
 
 // TestBackByOneTrial: after its time an ejected endpoint gets one request, not
 // a flood, until that has succeeded.
-func TestBackByOneTrial(t *testing.T) {
-	p := pool(2)
+func TestEjectedEndpointReturnsByOneProbe(t *testing.T) {
+	p := newTestPool(2)
 	rnd := func() float64 { return 0.1 }
 	bad := p.Endpoints()[0]
 	for {
 		e := p.Pick(0, rnd, nil)
 		if e == bad {
-			p.Done(0, e, false, 0)
+			p.Finish(0, e, false, 0)
 			break
 		}
-		p.Done(0, e, true, 1)
+		p.Finish(0, e, true, 1)
 	}
 	n := 0
 	for range 10 {
@@ -147,10 +147,10 @@
 }
 
 // TestConnectionsShared: nodes together keep inside an endpoint's connections.
-func TestConnectionsShared(t *testing.T) {
-	p := pool(1)
-	p.SetConnections(12)
-	p.SetPeers(6)
+func TestPeersStayWithinMaxConnections(t *testing.T) {
+	p := newTestPool(1)
+	p.SetMaxConnections(12)
+	p.SetPeerCount(6)
 	n := 0
 	for p.Pick(0, rand.Float64, nil) != nil {
 		n++
@@ -162,24 +162,24 @@
 
 // TestSharesAddUp: under saturation the nodes' limits together are the slots,
 // whatever their loads; below it, or with an old sum, nobody is limited.
-func TestSharesAddUp(t *testing.T) {
+func TestAdmissionLimitsAddUpToSlots(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		n, slots := 1+r.Intn(20), 20+r.Intn(300)
-		nodes := make([]*loadbalance.Admission, n)
+		nodes := make([]*loadbalance.AdmissionLimiter, n)
 		var sum loadbalance.Load
 		for i := range nodes {
-			nodes[i] = loadbalance.NewAdmission(2 * time.Second)
+			nodes[i] = loadbalance.NewAdmissionLimiter(2 * time.Second)
 			l := loadbalance.Load{Rate: 1 + 200*r.Float64(), Inflight: 2 * float64(slots) / float64(n) * r.Float64()}
 			for range 30 {
 				nodes[i].Observe(l)
 			}
-			sum = sum.Add(nodes[i].Own())
+			sum = sum.Add(nodes[i].OwnLoad())
 		}
 		sum.Inflight = max(sum.Inflight, 1.4*float64(slots))
 		total := 0
 		for _, a := range nodes {
-			a.Told(time.Second, sum)
+			a.SetTotalLoad(time.Second, sum)
 			limit, on := a.Limit(2*time.Second, slots)
 			if !on || limit < 1 {
 				t.Fatalf("seed %d: no limit under saturation", seed)
@@ -193,7 +193,7 @@
 			if _, on := a.Limit(4*time.Second, slots); on {
 				t.Fatal("an old sum still limits")
 			}
-			a.Told(5*time.Second, loadbalance.Load{Rate: sum.Rate, Inflight: 0.5 * float64(slots)})
+			a.SetTotalLoad(5*time.Second, loadbalance.Load{Rate: sum.Rate, Inflight: 0.5 * float64(slots)})
 			if _, on := a.Limit(5*time.Second, slots); on {
 				t.Fatal("limited although half of the slots are free")
 			}
--- a/loadbalance/world_test.go
+++ b/loadbalance/world_test.go
@@ -12,7 +12,7 @@
 // TestColdEndpointOverNodes: nodes that are cut off, frozen or started anew, a
 // granter that changes, and answers that come late: in no second does a cold
 // endpoint get more than its bound. The model is the plain list of arrivals.
-func TestColdEndpointOverNodes(t *testing.T) {
+func TestQuotaBoundsRequestsToWarmingEndpoint(t *testing.T) {
 	const lasts = 4 * time.Second
 	for seed := int64(0); seed < 12; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -27,16 +27,16 @@
 			cut    time.Duration
 		}
 		fresh := func(name string) *node {
-			p := loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
-			p.SetColdRate(rate)
-			p.Set(0, loadbalance.Spec{ID: "e", Zone: "a", Capacity: 100, Cold: true}, 0)
+			p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
+			p.SetWarmupRate(rate)
+			p.Upsert(0, loadbalance.EndpointSpec{ID: "e", Zone: "a", Capacity: 100, WarmingUp: true}, 0)
 			return &node{name: name, pool: p, sent: map[int]time.Duration{}}
 		}
 		var nodes []*node
 		for i := range 3 + r.Intn(12) {
 			nodes = append(nodes, fresh(fmt.Sprint("n", i)))
 		}
-		g := loadbalance.NewGranter(0, lasts)
+		g := loadbalance.NewQuotaAllocator(0, lasts)
 		type late struct {
 			at     time.Duration
 			to     *node
@@ -48,7 +48,7 @@
 		for now := time.Duration(0); now < 60*time.Second; now += 10 * time.Millisecond {
 			if now%(500*time.Millisecond) == 0 {
 				if r.Intn(40) == 0 {
-					g = loadbalance.NewGranter(now, lasts) // another leads now
+					g = loadbalance.NewQuotaAllocator(now, lasts) // another leads now
 				}
 				told := map[string]*node{}
 				var near []string
@@ -61,7 +61,7 @@
 					told[n.name] = n
 					near = append(near, n.name)
 				}
-				for name, grants := range g.Share(now, []loadbalance.Cold{{ID: "e", Rate: rate, Bound: bound, Near: near}}) {
+				for name, grants := range g.Allocate(now, []loadbalance.WarmingEndpoint{{ID: "e", Rate: rate, MaxPerSecond: bound, Proxies: near}}) {
 					n := told[name]
 					post = append(post, late{now + time.Duration(r.Intn(2500))*time.Millisecond, n, n.seq, grants})
 				}
@@ -84,7 +84,7 @@
 				}
 				if now >= l.to.cut {
 					for _, x := range l.grants {
-						l.to.pool.Grant(now, x, l.to.sent[l.seq]+lasts)
+						l.to.pool.ApplyGrant(now, x, l.to.sent[l.seq]+lasts)
 					}
 				}
 			}
@@ -112,33 +112,33 @@
 
 // TestEmptiedZone: nothing goes to an evacuated zone, not even when all else is
 // ejected, and to one taken back only what is granted.
-func TestEmptiedZone(t *testing.T) {
-	p := loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
-	p.SetColdRate(5)
-	p.SetZone("a", loadbalance.Emptied)
+func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
+	p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
+	p.SetWarmupRate(5)
+	p.SetZoneState("a", loadbalance.ZoneEvacuated)
 	for i, zone := range []string{"a", "a", "b"} {
-		p.Set(0, loadbalance.Spec{ID: fmt.Sprint(i), Zone: zone, Capacity: 4, Region: 0}, 0)
+		p.Upsert(0, loadbalance.EndpointSpec{ID: fmt.Sprint(i), Zone: zone, Capacity: 4, RegionIndex: 0}, 0)
 	}
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		if e := p.Pick(now, rand.Float64, nil); e != nil {
 			if e.Zone == "a" {
 				t.Fatal("a request went to an evacuated zone")
 			}
-			p.Done(now, e, false, 0)
+			p.Finish(now, e, false, 0)
 		}
 	}
-	p.SetZone("a", loadbalance.Back)
+	p.SetZoneState("a", loadbalance.ZoneReturning)
 	for range 50 {
 		if e := p.Pick(30*time.Second, rand.Float64, nil); e != nil && e.Zone == "a" {
 			t.Fatal("a request went to an endpoint that may be cold, without a grant")
 		}
 	}
-	p.Grant(30*time.Second, loadbalance.Grant{Endpoint: "0", Rate: 5}, 40*time.Second)
+	p.ApplyGrant(30*time.Second, loadbalance.Grant{Endpoint: "0", Rate: 5}, 40*time.Second)
 	n := 0
 	for now := 30 * time.Second; now < 42*time.Second; now += 10 * time.Millisecond {
 		if e := p.Pick(now, rand.Float64, func(e *loadbalance.Endpoint) bool { return e.ID == "2" }); e != nil {
 			n++
-			p.Done(now, e, true, 1)
+			p.Finish(now, e, true, 1)
 		}
 	}
 	if n < 40 || n > 52 {
@@ -148,22 +148,22 @@
 
 // TestDirect: clients are sent to their zone by what its nodes can carry, are
 // told the same again, and are told of others when the zone is short.
-func TestDirect(t *testing.T) {
+func TestSelectProxiesByZoneAndWeight(t *testing.T) {
 	region := func(zone string) string { return zone[:1] }
-	var all []loadbalance.Place
+	var all []loadbalance.ProxyNode
 	for _, zone := range []string{"a1", "a2", "b1"} {
 		for i := range 9 {
 			w := 4.0
 			if i == 0 {
 				w = 100
 			}
-			all = append(all, loadbalance.Place{Address: fmt.Sprint(zone, "-", i), Zone: zone, Weight: w})
+			all = append(all, loadbalance.ProxyNode{Address: fmt.Sprint(zone, "-", i), Zone: zone, Weight: w})
 		}
 	}
 	load := map[string]float64{}
 	for c := range 4000 {
-		out := loadbalance.Direct(all, fmt.Sprint("client", c), "a1", "a", region, 64)
-		if again := loadbalance.Direct(all, fmt.Sprint("client", c), "a1", "a", region, 64); fmt.Sprint(again) != fmt.Sprint(out) || len(out) < 2 {
+		out := loadbalance.SelectProxies(all, fmt.Sprint("client", c), "a1", "a", region, 64)
+		if again := loadbalance.SelectProxies(all, fmt.Sprint("client", c), "a1", "a", region, 64); fmt.Sprint(again) != fmt.Sprint(out) || len(out) < 2 {
 			t.Fatalf("told %v, then %v", out, again)
 		}
 		for _, a := range out {
@@ -174,39 +174,39 @@
 		t.Errorf("the strong node gets %.2f, a weak one %.2f, of %d nodes", strong, weak, len(load))
 	}
 	for i := range 9 {
-		all[i].Leaving = i != 3
+		all[i].Draining = i != 3
 	}
 	for _, c := range []struct{ zone, region, in string }{{"a1", "a", "a"}, {"zz", "b", "b"}, {"zz", "z", "ab"}} {
-		for _, a := range loadbalance.Direct(all, "k", c.zone, c.region, region, 64) {
+		for _, a := range loadbalance.SelectProxies(all, "k", c.zone, c.region, region, 64) {
 			if a[0] != c.in[0] && a[0] != c.in[len(c.in)-1] {
 				t.Errorf("a client of %v was sent to %s", c, a)
 			}
 		}
 	}
-	if out := loadbalance.Direct(all[:2], "k", "a1", "a", region, 64); len(out) != 2 {
+	if out := loadbalance.SelectProxies(all[:2], "k", "a1", "a", region, 64); len(out) != 2 {
 		t.Errorf("where all leave, %v are named", out)
 	}
 }
 
 // TestJudge: a slow endpoint and one that fails at several nodes are told of; one
 // node's own trouble condemns nobody, and never is more than a part condemned.
-func TestJudge(t *testing.T) {
-	j := loadbalance.NewJudge(time.Second)
+func TestOutlierDetectorVerdicts(t *testing.T) {
+	j := loadbalance.NewOutlierDetector(time.Second)
 	ids := make([]string, 20)
 	for i := range ids {
 		ids[i] = fmt.Sprint("e", i)
 	}
 	for step := range 20 {
-		seen := map[string]loadbalance.Seen{}
+		seen := map[string]loadbalance.Observation{}
 		for _, id := range ids {
-			seen[id] = loadbalance.Seen{Answers: 4, Times: 4}
+			seen[id] = loadbalance.Observation{Answers: 4, Times: 4}
 		}
-		seen["e1"] = loadbalance.Seen{Answers: 4, Times: 12}
-		seen["e2"] = loadbalance.Seen{Answers: 4, Times: 4, Bad: 4, Nodes: 3}
+		seen["e1"] = loadbalance.Observation{Answers: 4, Times: 12}
+		seen["e2"] = loadbalance.Observation{Answers: 4, Times: 4, Bad: 4, Nodes: 3}
 		if step == 19 {
-			seen["e3"] = loadbalance.Seen{Answers: 1, Times: 1, Bad: 6, Nodes: 1}
+			seen["e3"] = loadbalance.Observation{Answers: 1, Times: 1, Bad: 6, Nodes: 1}
 		}
-		j.See(seen)
+		j.Observe(seen)
 		j.Verdicts(time.Duration(step)*400*time.Millisecond, nil)
 	}
 	got := map[string]loadbalance.Verdict{}
@@ -216,11 +216,11 @@
 	if !got["e2"].Sick || got["e1"].Sick || got["e3"].Sick || got["e1"].Pace < 70 || got["e1"].Pace > 100 || len(got) != 2 {
 		t.Errorf("verdicts %v", got)
 	}
-	seen := map[string]loadbalance.Seen{}
+	seen := map[string]loadbalance.Observation{}
 	for _, id := range ids {
-		seen[id] = loadbalance.Seen{Bad: 20, Nodes: 5}
+		seen[id] = loadbalance.Observation{Bad: 20, Nodes: 5}
 	}
-	j.See(seen)
+	j.Observe(seen)
 	n := 0
 	for _, v := range j.Verdicts(9*time.Second, map[string][]string{"s": ids}) {
 		if v.Sick {
@@ -234,13 +234,13 @@
 
 // TestManyNodesDoNotCrowd: with many nodes of which each has little in hand, no
 // endpoint gets far more than the others, though some are faster.
-func TestManyNodesDoNotCrowd(t *testing.T) {
+func TestManyNodesDoNotOverloadFastEndpoints(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	pools := make([]*loadbalance.Pool, 60)
 	for i := range pools {
-		pools[i] = loadbalance.NewPool(loadbalance.Config{Zone: "a", EjectBase: time.Second, EjectMost: time.Second})
+		pools[i] = loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
 		for k := range 40 {
-			pools[i].Set(0, loadbalance.Spec{ID: fmt.Sprint(k), Zone: "a", Capacity: 4}, 0)
+			pools[i].Upsert(0, loadbalance.EndpointSpec{ID: fmt.Sprint(k), Zone: "a", Capacity: 4}, 0)
 		}
 		verdicts := map[string]loadbalance.Verdict{}
 		for k := range 10 {
@@ -255,7 +255,7 @@
 		now := time.Duration(i) * time.Millisecond
 		e := p.Pick(now, r.Float64, nil)
 		got[e.ID]++
-		p.Done(now, e, true, 1)
+		p.Finish(now, e, true, 1)
 	}
 	for id, k := range got {
 		if mean := n / 40; k > 2*mean || k < mean/3 {
--- a/tests/days/draw/main.go
+++ b/tests/days/draw/main.go
@@ -19,43 +19,43 @@
 	"strings"
 )
 
-// kind is one trouble as the text tells of it.
-type kind struct {
-	name, text string
-	hows       []string
-	share, x   float64 // the usual ones, 0 where the text gives none
+// faultKind is one trouble as the text tells of it.
+type faultKind struct {
+	name, text      string
+	variants        []string
+	share, strength float64 // the usual ones, 0 where the text gives none
 }
 
 var (
-	entry    = regexp.MustCompile(`(?m)^([a-z_]+): (.*)$`)
-	variants = regexp.MustCompile(`how:? ([^;.]*)`)
-	aside    = regexp.MustCompile(`\([^()]*\)`)
-	word     = regexp.MustCompile(`^[a-z_]+$`)
-	planned  = regexp.MustCompile(`^(release|scale_|config_|bad_config|big_config|roll|add_nodes|hup|evacuate)`)
-	ofServer = regexp.MustCompile(`^(srv_|answer_lost|garble|idle_race)`)
-	ofNode   = regexp.MustCompile(`^(node_|core_|disk_|replace_core|clock_step|roll_term)`)
+	kindLine    = regexp.MustCompile(`(?m)^([a-z_]+): (.*)$`)
+	variantList = regexp.MustCompile(`how:? ([^;.]*)`)
+	parenthesis = regexp.MustCompile(`\([^()]*\)`)
+	variantWord = regexp.MustCompile(`^[a-z_]+$`)
+	plannedKind = regexp.MustCompile(`^(release|scale_|config_|bad_config|big_config|roll|add_nodes|hup|evacuate)`)
+	serverKind  = regexp.MustCompile(`^(srv_|answer_lost|garble|idle_race)`)
+	nodeKind    = regexp.MustCompile(`^(node_|core_|disk_|replace_core|clock_step|roll_term)`)
 )
 
-// kinds reads what the bench prints.
-func kinds(text string) (out []kind) {
-	for _, m := range entry.FindAllStringSubmatch(text, -1) {
-		k := kind{name: m[1], text: m[2], share: usual(m[2], "share"), x: usual(m[2], " x")}
+// parseKinds reads what the bench prints.
+func parseKinds(text string) (out []faultKind) {
+	for _, m := range kindLine.FindAllStringSubmatch(text, -1) {
+		k := faultKind{name: m[1], text: m[2], share: usualValue(m[2], "share"), strength: usualValue(m[2], " x")}
 		flat := m[2]
-		for aside.MatchString(flat) { // a variant that stands in brackets is kept
-			flat = aside.ReplaceAllStringFunc(flat, func(s string) string {
+		for parenthesis.MatchString(flat) { // a variant that stands in brackets is kept
+			flat = parenthesis.ReplaceAllStringFunc(flat, func(s string) string {
 				if i := strings.Index(s, "how:"); i >= 0 {
 					return "; " + strings.TrimSuffix(s[i:], ")") + ";"
 				}
 				return ""
 			})
 		}
-		for _, v := range variants.FindAllStringSubmatch(flat, -1) {
+		for _, v := range variantList.FindAllStringSubmatch(flat, -1) {
 			for _, part := range strings.Split(v[1], ",") {
 				for _, w := range strings.Fields(strings.TrimLeft(part, " +")) {
-					if w = strings.TrimSuffix(w, ":"); !word.MatchString(w) || w == "or" || w == "they" {
+					if w = strings.TrimSuffix(w, ":"); !variantWord.MatchString(w) || w == "or" || w == "they" {
 						break // prose from here on
 					}
-					k.hows = append(k.hows, w)
+					k.variants = append(k.variants, w)
 					if strings.HasSuffix(v[1], ":") || strings.Contains(v[1], w+": ") {
 						break
 					}
@@ -67,7 +67,7 @@
 	return out
 }
 
-func usual(text, field string) float64 {
+func usualValue(text, field string) float64 {
 	m := regexp.MustCompile(field + ` \((\d*\.?\d+)\)`).FindStringSubmatch(text)
 	if m == nil {
 		return 0
@@ -76,33 +76,33 @@
 	return v
 }
 
-type drawer struct {
+type generator struct {
 	*rand.Rand
-	general string // what the text says of all entries
-	length  float64
+	commonText    string // what the text says of all entries
+	lengthSeconds float64
 }
 
-func (d *drawer) one(of ...string) string { return of[d.Intn(len(of))] }
+func (d *generator) oneOf(of ...string) string { return of[d.Intn(len(of))] }
 
-func (d *drawer) span(least, most float64) float64 { return least + d.Float64()*(most-least) }
+func (d *generator) uniform(least, most float64) float64 { return least + d.Float64()*(most-least) }
 
 // modifiers are those of the words that the text knows, each at the odds.
-func (d *drawer) modifiers(odds float64, words ...string) (out []string) {
+func (d *generator) modifiers(odds float64, words ...string) (out []string) {
 	for _, w := range words {
-		if strings.Contains(d.general, w) && d.Float64() < odds {
+		if strings.Contains(d.commonText, w) && d.Float64() < odds {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// draw writes one entry.
-func (d *drawer) draw(k kind, at float64) string {
+// kindLine writes one entry.
+func (d *generator) entry(k faultKind, at float64) string {
 	var hows []string
-	if len(k.hows) > 0 && d.Float64() < 0.75 {
-		how := d.one(k.hows...)
+	if len(k.variants) > 0 && d.Float64() < 0.75 {
+		how := d.oneOf(k.variants...)
 		if strings.Contains(k.text, "+ "+how) { // goes with another one
-			hows = append(hows, k.hows[0])
+			hows = append(hows, k.variants[0])
 		}
 		hows = append(hows, how)
 	}
@@ -110,9 +110,9 @@
 	fmt.Fprintf(&b, "{ at = %.2f, kind = %q", at, k.name)
 	put := func(field string, v float64) { fmt.Fprintf(&b, ", %s = %.3g", field, v) }
 	core := false
-	if ofNode.MatchString(k.name) {
+	if nodeKind.MatchString(k.name) {
 		if d.Float64() < 0.7 {
-			hows = append(hows, d.one("leader", "leader", "reader", "seed"))
+			hows = append(hows, d.oneOf("leader", "leader", "reader", "seed"))
 		}
 		hows = append(hows, d.modifiers(0.3, "meet", "race", "drain", "hard")...)
 		if strings.HasSuffix(k.name, "_cut") {
@@ -126,13 +126,13 @@
 	if core || (strings.Contains(k.text, "on core") && d.Float64() < 0.6) {
 		b.WriteString(`, on = "core"`)
 	}
-	if ofServer.MatchString(k.name) {
+	if serverKind.MatchString(k.name) {
 		hows = append(hows, d.modifiers(0.2, "across")...)
 	}
 	if core {
 		put("count", float64(1+d.Intn(2)))
 	} else if k.share > 0 {
-		put("share", min(1, k.share*d.span(0.5, 2)))
+		put("share", min(1, k.share*d.uniform(0.5, 2)))
 	} else if strings.Contains(k.text, "count") {
 		most := 3
 		switch {
@@ -145,12 +145,12 @@
 		}
 		put("count", float64(1+d.Intn(most)))
 	}
-	if k.x > 0 || strings.Contains(k.text, "x times") || strings.Contains(k.text, "x s (") {
-		x := k.x
+	if k.strength > 0 || strings.Contains(k.text, "x times") || strings.Contains(k.text, "x s (") {
+		x := k.strength
 		if x == 0 {
 			x = 2
 		}
-		x = max(x*d.span(0.5, 2), 0.01)
+		x = max(x*d.uniform(0.5, 2), 0.01)
 		if strings.Contains(k.text, "at a time") {
 			x = math.Ceil(x)
 		}
@@ -161,14 +161,14 @@
 		if strings.HasPrefix(k.name, "config_") {
 			least = 0.05
 		}
-		put("gap_s", d.span(least, 1.5))
+		put("gap_s", d.uniform(least, 1.5))
 	}
 	if k.name != "config_storm" {
 		long := 7.0
-		if ofNode.MatchString(k.name) && d.Float64() < 0.3 {
+		if nodeKind.MatchString(k.name) && d.Float64() < 0.3 {
 			long = 22
 		}
-		put("for_s", d.span(1, long))
+		put("for_s", d.uniform(1, long))
 	}
 	if len(hows) > 0 {
 		fmt.Fprintf(&b, ", how = %q", strings.Join(hows, " "))
@@ -189,9 +189,9 @@
 		os.Exit(1)
 	}
 	general, _, _ := strings.Cut(string(text), "\n\n")
-	d := &drawer{Rand: rand.New(rand.NewSource(*seed)), general: general, length: *length}
-	var all []kind
-	for _, k := range kinds(string(text)) {
+	d := &generator{Rand: rand.New(rand.NewSource(*seed)), commonText: general, lengthSeconds: *length}
+	var all []faultKind
+	for _, k := range parseKinds(string(text)) {
 		if !strings.Contains(","+*not+",", ","+k.name+",") {
 			all = append(all, k)
 		}
@@ -201,36 +201,36 @@
 		os.Exit(1)
 	}
 	var plan, faults []string
-	add := func(k kind, at float64) {
-		if e := d.draw(k, at); planned.MatchString(k.name) {
+	add := func(k faultKind, at float64) {
+		if e := d.entry(k, at); plannedKind.MatchString(k.name) {
 			plan = append(plan, e)
 		} else {
 			faults = append(faults, e)
 		}
 	}
-	at := d.span(1, 4)
+	at := d.uniform(1, 4)
 	for n := 5 + d.Intn(max(1, *most-5)); n > 0 && at < *length-1; n-- {
 		k := all[d.Intn(len(all))]
 		add(k, at)
 		if d.Float64() < 0.25 { // the same once more, soon after or inside
-			add(k, min(at+d.span(0.05, 3), *length-0.5))
+			add(k, min(at+d.uniform(0.05, 3), *length-0.5))
 		}
 		if d.Float64() < 0.6 { // else at the same time as the next
-			at += d.span(0.2, 2**length/float64(*most))
+			at += d.uniform(0.2, 2**length/float64(*most))
 		}
 	}
-	how := d.one("", "", "timed", "taken")
+	how := d.oneOf("", "", "timed", "taken")
 	fmt.Printf("[[day]]\nname = \"drawn-%d\"\nslot = \"trouble\"\nseed = %d\none = 0.95\nzero = 0.4\ngoal = { floor = 0.2 }\n",
 		*seed, 1+d.Int63n(1<<31))
-	fmt.Printf("closing = { kind = %q, down_s = %.2f", d.one("power_off_all", "wipe_after_ack", "kill_all"), d.span(0.3, 2))
+	fmt.Printf("closing = { kind = %q, down_s = %.2f", d.oneOf("power_off_all", "wipe_after_ack", "kill_all"), d.uniform(0.3, 2))
 	if how != "" {
 		fmt.Printf(", how = %q", how)
 	}
 	fmt.Printf(" }\nlength_s = %.1f\n", *length)
-	fmt.Printf("plan = [\n%s]\nfaults = [\n%s]\n", lines(plan), lines(faults))
+	fmt.Printf("plan = [\n%s]\nfaults = [\n%s]\n", joinEntries(plan), joinEntries(faults))
 }
 
-func lines(of []string) string {
+func joinEntries(of []string) string {
 	if len(of) == 0 {
 		return ""
 	}
--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -22,17 +22,17 @@
 	"lichentray/internal/controlplanetest"
 )
 
-// stand is one control-plane node and two proxy nodes as processes.
-type stand struct {
-	t                                   *testing.T
-	dir, bin                            string
-	control, internal, front, readiness int
+// testbed is one control-plane node and two proxy nodes as processes.
+type testbed struct {
+	t                                                      *testing.T
+	dir, programDirectory                                  string
+	controlPort, internalPort, frontendPort, readinessPort int
 }
 
-func newStand(t *testing.T) *stand {
-	s := &stand{t: t, dir: t.TempDir()}
-	s.bin = filepath.Join(s.dir, "bin")
-	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", s.bin+"/", "lichentray/cmd/...")
+func newTestbed(t *testing.T) *testbed {
+	s := &testbed{t: t, dir: t.TempDir()}
+	s.programDirectory = filepath.Join(s.dir, "bin")
+	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", s.programDirectory+"/", "lichentray/cmd/...")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
@@ -46,11 +46,11 @@
 			}
 		}
 	}
-	s.control, s.internal, s.front, s.readiness = free(), free(), free(), free()
+	s.controlPort, s.internalPort, s.frontendPort, s.readinessPort = free(), free(), free(), free()
 	return s
 }
 
-func (s *stand) start(program, ip string) *exec.Cmd {
+func (s *testbed) start(program, ip string) *exec.Cmd {
 	s.t.Helper()
 	data := ""
 	if program == "lichentray-controlplane" {
@@ -60,8 +60,8 @@
 		}
 	}
 	path := filepath.Join(s.dir, program+ip+".toml")
-	text := controlplanetest.SettingsText(ip, data, s.control, s.internal, []string{"127.0.0.31"}, true)
-	text = strings.Replace(text, "[listen_addresses]", fmt.Sprintf("[listen_addresses]\nfrontend = \"%s:%d\"\nreadiness = \"%s:%d\"", ip, s.front, ip, s.readiness), 1)
+	text := controlplanetest.SettingsText(ip, data, s.controlPort, s.internalPort, []string{"127.0.0.31"}, true)
+	text = strings.Replace(text, "[listen_addresses]", fmt.Sprintf("[listen_addresses]\nfrontend = \"%s:%d\"\nreadiness = \"%s:%d\"", ip, s.frontendPort, ip, s.readinessPort), 1)
 	text = strings.Replace(text, "machines = 1", "machines = 0", 1)
 	if program == "lichentray-proxy" {
 		text = strings.Replace(text, "quorum_member = true", "quorum_member = false", 1)
@@ -74,7 +74,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	c := exec.Command(filepath.Join(s.bin, program), "--config", path)
+	c := exec.Command(filepath.Join(s.programDirectory, program), "--config", path)
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	var log bytes.Buffer
 	c.Stdout, c.Stderr = &log, &log
@@ -91,7 +91,7 @@
 	return c
 }
 
-func (s *stand) until(what string, ok func() bool) {
+func (s *testbed) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -100,8 +100,8 @@
 	}
 }
 
-func (s *stand) post(call, body string) int {
-	r, err := http.Post(fmt.Sprintf("http://127.0.0.31:%d/api/rpc?call=%s", s.control, call), "application/json", strings.NewReader(body))
+func (s *testbed) post(call, body string) int {
+	r, err := http.Post(fmt.Sprintf("http://127.0.0.31:%d/api/rpc?call=%s", s.controlPort, call), "application/json", strings.NewReader(body))
 	if err != nil {
 		return 0
 	}
@@ -110,9 +110,9 @@
 	return r.StatusCode
 }
 
-// ready tells whether a proxy node calls itself so.
-func (s *stand) ready(ip string) bool {
-	r, err := http.Get(fmt.Sprintf("http://%s:%d/api/readiness", ip, s.readiness))
+// isReady tells whether a proxy node calls itself so.
+func (s *testbed) isReady(ip string) bool {
+	r, err := http.Get(fmt.Sprintf("http://%s:%d/api/readiness", ip, s.readinessPort))
 	if err != nil {
 		return false
 	}
@@ -120,11 +120,11 @@
 	return r.StatusCode == 200
 }
 
-// account asks lichentrayctl.
-func (s *stand) account(flags ...string) (a audit.QueryResult) {
+// queryAccount asks lichentrayctl.
+func (s *testbed) queryAccount(flags ...string) (a audit.QueryResult) {
 	s.t.Helper()
-	args := append([]string{"account", "--output", "json", "--nodes", fmt.Sprintf("127.0.0.31:%d", s.control)}, flags...)
-	out, err := exec.Command(filepath.Join(s.bin, "lichentrayctl"), args...).Output()
+	args := append([]string{"account", "--output", "json", "--nodes", fmt.Sprintf("127.0.0.31:%d", s.controlPort)}, flags...)
+	out, err := exec.Command(filepath.Join(s.programDirectory, "lichentrayctl"), args...).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &a)
 	}
@@ -134,8 +134,8 @@
 	return a
 }
 
-// endpoint does to each request what its path says.
-func endpoint(t *testing.T) string {
+// startEndpoint does to each request what its path says.
+func startEndpoint(t *testing.T) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -178,28 +178,28 @@
 	return ln.Addr().String()
 }
 
-// TestAccount causes failures of each kind on purpose at two proxy nodes, for three
+// TestAccountListsEveryFailureOnceAndKilledProxyAsGap causes failures of each kind on purpose at two proxy nodes, for three
 // tenants, each try of a commitment at another node; ends one proxy in order and
 // kills the other; and finds all of them with lichentrayctl, under the right tenant and
 // request, once, and the killed life named as a gap.
-func TestAccount(t *testing.T) {
-	s := newStand(t)
+func TestAccountListsEveryFailureOnceAndKilledProxyAsGap(t *testing.T) {
+	s := newTestbed(t)
 	s.start("lichentray-controlplane", "127.0.0.31")
 	a := s.start("lichentray-proxy", "127.0.0.32")
 	b := s.start("lichentray-proxy", "127.0.0.33")
-	s.until("a configuration", func() bool {
+	s.waitFor("a configuration", func() bool {
 		return s.post("configuration.replace", `{"config_version":1,"clusters":[{"name":"s","health_check_path":"/health"}],"listeners":[`+
 			`{"hostname":"museum.example","rules":[`+
 			`{"name":"search","route_type":"idempotent","target_latency_s":1,"match":{"path_prefix":"/search/"},"action":{"backend_service":"s","timeout_s":20,"max_attempts":1}},`+
 			`{"name":"loan","route_type":"non_idempotent","target_latency_s":10,"match":{"path_prefix":"/loan/"},"action":{"backend_service":"s","timeout_s":20,"max_attempts":1}}]},`+
 			`{"hostname":"other.example","rules":[{"name":"sheet","route_type":"download","target_latency_s":10,"match":{"path_prefix":"/sheet/"},"action":{"backend_service":"s","timeout_s":20,"max_attempts":1}}]}]}`) == 200
 	})
-	beat := fmt.Sprintf(`{"address":%q,"info":{"backend_service":"s","zone":"a","capacity":64},"status":{"state":"ready","sequence":1}}`, endpoint(t))
-	s.until("an endpoint", func() bool { return s.post("instances.heartbeat&of=i-1", beat) == 200 })
-	s.until("both proxies are ready, so their lives are in the book", func() bool { return s.ready("127.0.0.32") && s.ready("127.0.0.33") })
+	beat := fmt.Sprintf(`{"address":%q,"info":{"backend_service":"s","zone":"a","capacity":64},"status":{"state":"ready","sequence":1}}`, startEndpoint(t))
+	s.waitFor("an endpoint", func() bool { return s.post("instances.heartbeat&of=i-1", beat) == 200 })
+	s.waitFor("both proxies are ready, so their lives are in the book", func() bool { return s.isReady("127.0.0.32") && s.isReady("127.0.0.33") })
 	ask := func(proxy, method, host, path, tenant, request string) {
 		t.Helper()
-		r, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", proxy, s.front, path), nil)
+		r, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", proxy, s.frontendPort, path), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -220,8 +220,8 @@
 	// another failure than the one meant.
 	well := func(proxy string) {
 		t.Helper()
-		s.until("the endpoint is used again", func() bool {
-			r, err := http.NewRequest("GET", fmt.Sprintf("http://%s:%d/sheet/fine", proxy, s.front), nil)
+		s.waitFor("the endpoint is used again", func() bool {
+			r, err := http.NewRequest("GET", fmt.Sprintf("http://%s:%d/sheet/fine", proxy, s.frontendPort), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -264,7 +264,7 @@
 	}
 	got := func() map[string]audit.Kind {
 		out := map[string]audit.Kind{}
-		for _, f := range s.account("--most", "0").Failures {
+		for _, f := range s.queryAccount("--most", "0").Failures {
 			if f.Tenant == "watch" {
 				continue
 			}
@@ -276,8 +276,8 @@
 		}
 		return out
 	}
-	s.until("the account holds what was caused", func() bool { return reflect.DeepEqual(got(), want) || t.Failed() })
-	if sum := s.account("--tenant", "museum", "--kind", "doubled").Counts; !reflect.DeepEqual(sum, map[string]map[audit.Kind]int{"museum": {audit.Duplicated: 3}}) {
+	s.waitFor("the account holds what was caused", func() bool { return reflect.DeepEqual(got(), want) || t.Failed() })
+	if sum := s.queryAccount("--tenant", "museum", "--kind", "doubled").Counts; !reflect.DeepEqual(sum, map[string]map[audit.Kind]int{"museum": {audit.Duplicated: 3}}) {
 		t.Errorf("sums of one kind: %v", sum)
 	}
 	// One ends in order, after a last failure; the other is killed and starts again.
@@ -292,11 +292,11 @@
 	}
 	_ = b.Wait()
 	s.start("lichentray-proxy", pb)
-	s.until("the new life is in the book", func() bool { return s.ready(pb) })
+	s.waitFor("the new life is in the book", func() bool { return s.isReady(pb) })
 	if g := got(); !reflect.DeepEqual(g, want) {
 		t.Errorf("after the ends: %v, want %v", g, want)
 	}
-	gaps := s.account().Gaps
+	gaps := s.queryAccount().Gaps
 	for id, g := range gaps {
 		if g.Node != "node-"+pb || !g.Gap || g.MayMiss < 0 {
 			t.Errorf("gap %s: %+v", id, g)
