--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -25,9 +25,9 @@
 func main() { os.Exit(daemon.Main("lichentray-controlplane", "the control-plane node", run)) }
 
 // statusNode lets the API print the node's state without knowing its shape.
-type statusNode struct{ *controlplane.Lathe }
+type statusNode struct{ *controlplane.Node }
 
-func (n statusNode) Status() any { return n.Lathe.Status() }
+func (n statusNode) Status() any { return n.Node.Status() }
 
 func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Control == "" {
@@ -79,7 +79,7 @@
 			grace := set.Bounds.GracePeriod.Duration()
 			log.Info("stopping")
 			// Two thirds at the most, the rest is for a slow machine.
-			node.Resign(grace / 3)
+			node.PrepareShutdown(grace / 3)
 			shutdownServer(srv, grace/3)
 			return nil
 		}
--- a/cmd/lichentrayctl/main.go
+++ b/cmd/lichentrayctl/main.go
@@ -618,16 +618,16 @@
 	}
 	fmt.Fprintln(w, "NODE\tMEMBER\tROLE\tTERM\tIN TOUCH\tCOMMIT\tDURABLE\tREVISION\tLAG\tCONFIG\tENDPOINTS\tDRAINING\tPROXIES")
 	for _, s := range all {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", s.Node, s.ID, s.Role, s.Term, s.Fresh, s.Commit, s.Stable, s.Revision, newest-s.Revision, s.Config, s.Endpoints, s.Draining, len(s.Proxies))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", s.Node, s.ID, s.Role, s.Term, s.IsUpToDate, s.CommitIndex, s.DurableIndex, s.Revision, newest-s.Revision, s.ConfigVersion, s.Endpoints, s.Draining, len(s.Proxies))
 	}
 	if lead == nil {
 		fmt.Fprintln(w, "\nno leader was found")
 	} else {
 		fmt.Fprintln(w, "\nMEMBER\tINTERNAL ADDRESS\tZONE\tVOTES\tMATCH\tHEARD")
 		for _, m := range lead.Members {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d ms ago\n", m.ID, m.Addr, m.Zone, m.Voter, m.Match, m.AgoMS)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d ms ago\n", m.ID, m.Addr, m.Zone, m.IsVoter, m.MatchIndex, m.LastContactMS)
 		}
-		fmt.Fprintf(w, "\nendpoints: %d cold, %d that all proxies together find ill\n", lead.Cold, lead.Sick)
+		fmt.Fprintf(w, "\nendpoints: %d cold, %d that all proxies together find ill\n", lead.WarmingUp, lead.Unhealthy)
 		for zone, state := range lead.Zones {
 			fmt.Fprintf(w, "zone %s: %s\n", zone, state)
 		}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -25,18 +25,18 @@
 
 // Node is what the API needs of the control-plane node.
 type Node interface {
-	Beat(e registry.Endpoint) error
-	SignOff(id string) error
-	Replace(text []byte) error
+	Heartbeat(e registry.Endpoint) error
+	Deregister(id string) error
+	ReplaceConfiguration(text []byte) error
 	Configuration() ([]byte, error)
-	Do(cmd registry.Command) (registry.Result, error)
+	Propose(cmd registry.Command) (registry.Result, error)
 	Cell(name string) (coordination.Cell, error)
 	Watch(group string, after uint64, wait time.Duration) ([]coordination.Event, uint64, error)
 	Evacuate(zone string, begin bool, waits func() bool) error
 	Evacuations() (map[string]string, error)
 	BeginRollout(service, target string, deadline time.Duration) error
 	Rollout(service string) (rollout.Rollout, error)
-	Account(f audit.Filter) (audit.QueryResult, error)
+	ReadAudit(f audit.Filter) (audit.QueryResult, error)
 	Status() any
 }
 
@@ -145,7 +145,7 @@
 		if err := requireName(of); err != nil {
 			return "numbers", nil, err
 		}
-		r, err := a.node.Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: of}})
+		r, err := a.node.Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: of}})
 		if err != nil {
 			return "numbers", nil, err
 		}
@@ -226,7 +226,7 @@
 	if b.Address == "" || b.Info.Service == "" || (b.Status.State != "ready" && b.Status.State != "draining") {
 		return nil, apierror.New(apierror.BadRequest, "address, info.backend_service or status.state is missing or wrong")
 	}
-	return nil, a.node.Beat(registry.Endpoint{
+	return nil, a.node.Heartbeat(registry.Endpoint{
 		ID: of, Service: b.Info.Service, Version: b.Info.Version, Address: b.Address, Zone: b.Info.Zone, Capacity: int(b.Info.Capacity),
 		Draining: b.Status.State == "draining", Sequence: uint64(max(0, b.Status.Sequence)), WarmUpSeconds: b.Status.ColdS,
 	})
@@ -236,11 +236,11 @@
 	if err := requireName(of); err != nil {
 		return nil, err
 	}
-	return nil, a.node.SignOff(of)
+	return nil, a.node.Deregister(of)
 }
 
 func (a *Handler) replaceConfiguration(_ string, body []byte) (any, error) {
-	return nil, a.node.Replace(append([]byte(nil), body...))
+	return nil, a.node.ReplaceConfiguration(append([]byte(nil), body...))
 }
 
 func (a *Handler) readConfiguration(string, []byte) (any, error) {
@@ -334,7 +334,7 @@
 	case f.Limit < 0:
 		return nil, apierror.New(apierror.BadRequest, "most: below 0")
 	}
-	answer, err := a.node.Account(f)
+	answer, err := a.node.ReadAudit(f)
 	if err != nil {
 		return nil, err
 	}
@@ -368,7 +368,7 @@
 	case op != coordination.ReleaseLock && (b.LeaseSeconds <= 0 || b.LeaseSeconds > maxLease.Seconds()):
 		return coordination.Result{}, apierror.New(apierror.BadRequest, "hold_s: missing, not above 0 or above %g", maxLease.Seconds())
 	}
-	r, err := a.node.Do(registry.Command{Coordination: &coordination.Command{
+	r, err := a.node.Propose(registry.Command{Coordination: &coordination.Command{
 		Operation: op, Name: of, Holder: b.LeaseHolder, FencingToken: b.FencingToken, LeaseMS: uint64(b.LeaseSeconds*1000 + 0.999),
 	}})
 	if err != nil {
@@ -419,7 +419,7 @@
 	if b.Enabled != nil {
 		c.HasExpectedRevision, c.ExpectedRevision = true, *b.Enabled
 	}
-	r, err := a.node.Do(registry.Command{Coordination: &c})
+	r, err := a.node.Propose(registry.Command{Coordination: &c})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -39,9 +39,9 @@
 func (n *fakeNode) Resolve(_, host, region, zone string) ([]string, time.Duration, error) {
 	return []string{host + "-" + region + "-" + zone}, 1250 * time.Millisecond, n.err
 }
-func (n *fakeNode) Beat(e registry.Endpoint) error { n.received = e; return n.err }
-func (n *fakeNode) SignOff(id string) error        { n.received = id; return n.err }
-func (n *fakeNode) Replace(b []byte) error         { n.received = string(b); return n.err }
+func (n *fakeNode) Heartbeat(e registry.Endpoint) error { n.received = e; return n.err }
+func (n *fakeNode) Deregister(id string) error        { n.received = id; return n.err }
+func (n *fakeNode) ReplaceConfiguration(b []byte) error         { n.received = string(b); return n.err }
 func (n *fakeNode) Configuration() ([]byte, error) { return []byte(`{"config_version":1}`), n.err }
 func (n *fakeNode) Cell(name string) (coordination.Cell, error) {
 	return coordination.Cell{Value: "v", Revision: 4}, n.err
@@ -53,12 +53,12 @@
 func (n *fakeNode) Rollout(service string) (rollout.Rollout, error) {
 	return rollout.Rollout{Base: "v1", Target: "v2", State: rollout.RolledBack, Reason: service}, n.err
 }
-func (n *fakeNode) Account(f audit.Filter) (audit.QueryResult, error) {
+func (n *fakeNode) ReadAudit(f audit.Filter) (audit.QueryResult, error) {
 	n.received = f
 	return audit.QueryResult{Failures: []audit.Failure{{Tenant: f.Tenant, Kind: audit.MissedLatencyTarget}}}, n.err
 }
 func (n *fakeNode) Status() any { return "fine" }
-func (n *fakeNode) Do(c registry.Command) (registry.Result, error) {
+func (n *fakeNode) Propose(c registry.Command) (registry.Result, error) {
 	n.received = *c.Coordination
 	return n.result, n.err
 }
--- a/internal/controlplane/account.go
+++ b/internal/controlplane/account.go
@@ -7,25 +7,25 @@
 	"lichentray/registry"
 )
 
-// takeAccount takes a proxy's batch into the account and lets it know. What does not
+// appendAudit takes a proxy's batch into the account and lets it know. What does not
 // come through, or whose answer does not, the proxy sends again.
-func (l *Lathe) takeAccount(conn *transport.Conn, b *audit.Batch) {
-	b.Most = l.set.Audit.MaxRecords
-	r, err := l.Do(registry.Command{Audit: b})
+func (l *Node) appendAudit(conn *transport.Conn, b *audit.Batch) {
+	b.Most = l.settings.Audit.MaxRecords
+	r, err := l.Propose(registry.Command{Audit: b})
 	if err != nil {
-		l.board.Counter("account_batches_put_off_total").Inc()
+		l.metricsRegistry.Counter("account_batches_put_off_total").Inc()
 		return
 	}
-	l.board.Counter("account_batches_total").Inc()
+	l.metricsRegistry.Counter("account_batches_total").Inc()
 	_ = conn.Send(&transport.Frame{Account: &transport.AuditAck{Life: b.Life, Seq: r.Account, Closed: b.Closed}})
 }
 
-// Account reads the account of failures.
-func (l *Lathe) Account(f audit.Filter) (audit.QueryResult, error) {
-	if l.set.Audit == nil {
+// ReadAudit reads the account of failures.
+func (l *Node) ReadAudit(f audit.Filter) (audit.QueryResult, error) {
+	if l.settings.Audit == nil {
 		return audit.QueryResult{}, apierror.New(apierror.NoRoute, "this deployment keeps no account of failures")
 	}
-	if err := l.ReadPoint(); err != nil {
+	if err := l.ReadIndex(); err != nil {
 		return audit.QueryResult{}, err
 	}
 	l.mu.RLock()
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -25,23 +25,23 @@
 	"lichentray/watchcache"
 )
 
-const text = `{"config_version":%d,"listeners":[],"clusters":[{"name":"s","health_check_path":"/health"}]}`
+const configurationFormat = `{"config_version":%d,"listeners":[],"clusters":[{"name":"s","health_check_path":"/health"}]}`
 
-type group struct {
-	t                 *testing.T
-	dir               string
-	control, internal int
-	ips               []string
-	nodes             []*Lathe
-	tune              func(*settings.Settings)
+type testCluster struct {
+	t                         *testing.T
+	dir                       string
+	controlPort, internalPort int
+	ips                       []string
+	nodes                     []*Node
+	configure                 func(*settings.Settings)
 }
 
-func newGroup(t *testing.T, n int, tune func(*settings.Settings)) *group {
-	g := &group{t: t, dir: t.TempDir(), tune: tune}
+func newTestCluster(t *testing.T, n int, tune func(*settings.Settings)) *testCluster {
+	g := &testCluster{t: t, dir: t.TempDir(), configure: tune}
 	for i := range n {
 		g.ips = append(g.ips, fmt.Sprint("127.0.0.", 11+i))
 	}
-	g.control, g.internal = controlplanetest.FreePort(t, g.ips...), controlplanetest.FreePort(t, g.ips...)
+	g.controlPort, g.internalPort = controlplanetest.FreePort(t, g.ips...), controlplanetest.FreePort(t, g.ips...)
 	for i := range n {
 		g.nodes = append(g.nodes, nil)
 		g.start(i, true)
@@ -54,16 +54,16 @@
 	return g
 }
 
-func (g *group) disk(i int) string { return filepath.Join(g.dir, fmt.Sprint(i)) }
+func (g *testCluster) dataDirectory(i int) string { return filepath.Join(g.dir, fmt.Sprint(i)) }
 
-func (g *group) start(i int, bootstrap bool) {
+func (g *testCluster) start(i int, bootstrap bool) {
 	g.t.Helper()
-	if err := os.MkdirAll(g.disk(i), 0o700); err != nil {
+	if err := os.MkdirAll(g.dataDirectory(i), 0o700); err != nil {
 		g.t.Fatal(err)
 	}
-	set := controlplanetest.Settings(g.t, g.ips[i], g.disk(i), g.control, g.internal, g.ips[:min(3, len(g.ips))], bootstrap)
-	if g.tune != nil {
-		g.tune(set)
+	set := controlplanetest.Settings(g.t, g.ips[i], g.dataDirectory(i), g.controlPort, g.internalPort, g.ips[:min(3, len(g.ips))], bootstrap)
+	if g.configure != nil {
+		g.configure(set)
 	}
 	var err error
 	for range 100 { // the port may still be held by the life before
@@ -75,8 +75,8 @@
 	g.t.Fatal(err)
 }
 
-// until waits for what must come, far longer than it takes.
-func until(t *testing.T, what string, ok func() bool) {
+// eventually waits for what must come, far longer than it takes.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
@@ -86,7 +86,7 @@
 	t.Fatal("never came: " + what)
 }
 
-func (g *group) leader() *Lathe {
+func (g *testCluster) leader() *Node {
 	for _, l := range g.nodes {
 		if l.Status().Role == raft.Leader.String() {
 			return l
@@ -95,22 +95,22 @@
 	return nil
 }
 
-// TestGroup drives three nodes on the loopback through the calls, a watch that
+// TestClusterServesCallsAndRecovers drives three nodes on the loopback through the calls, a watch that
 // resumes elsewhere, the loss of a disk, and the loss of all processes.
-func TestGroup(t *testing.T) {
-	g := newGroup(t, 3, nil)
+func TestClusterServesCallsAndRecovers(t *testing.T) {
+	g := newTestCluster(t, 3, nil)
 	l := g.nodes
-	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(fmt.Sprintf(text, 5))) == nil })
+	eventually(t, "a configuration is taken", func() bool { return l[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
 
 	// An older version is acknowledged and changes nothing; an invalid one is not.
-	if err := l[1].Replace([]byte(fmt.Sprintf(text, 4))); err != nil {
+	if err := l[1].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 4))); err != nil {
 		t.Errorf("older version: %v", err)
 	}
-	if err := l[2].Replace([]byte(`{"config_version":9`)); apierror.KindOf(err) != apierror.InvalidConfiguration {
+	if err := l[2].ReplaceConfiguration([]byte(`{"config_version":9`)); apierror.KindOf(err) != apierror.InvalidConfiguration {
 		t.Errorf("a cut-short configuration got %v", err)
 	}
 	for i := range l {
-		if got, err := l[i].Configuration(); err != nil || string(got) != fmt.Sprintf(text, 5) {
+		if got, err := l[i].Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 5) {
 			t.Errorf("node %d reads %q, %v", i, got, err)
 		}
 	}
@@ -118,48 +118,48 @@
 	// A beat creates, an ordinary one writes nothing, a drain updates, a
 	// sign-off deletes, and a late beat brings nothing back.
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
-	if err := l[0].Beat(e); err != nil {
+	if err := l[0].Heartbeat(e); err != nil {
 		t.Fatal(err)
 	}
-	stream, mirror := follow(t, l[1].self.Addr, watchcache.NewMirror())
+	stream, mirror := watchAsProxy(t, l[1].self.Addr, watchcache.NewMirror())
 	// The beat is acknowledged once it is committed; this node may apply it later.
-	if err := l[0].ReadPoint(); err != nil {
+	if err := l[0].ReadIndex(); err != nil {
 		t.Fatal(err)
 	}
 	before := l[0].Status().Revision
 	e.Sequence = 2
-	if err := l[0].Beat(e); err != nil || l[0].Status().Revision != before {
+	if err := l[0].Heartbeat(e); err != nil || l[0].Status().Revision != before {
 		t.Errorf("an ordinary beat: %v, revision %d then %d", err, before, l[0].Status().Revision)
 	}
 	stream.Close() // the proxy is away while the endpoint drains and leaves
 	e.Sequence, e.Draining = 4, true
-	if err := l[1].Beat(e); err != nil {
+	if err := l[1].Heartbeat(e); err != nil {
 		t.Fatal(err)
 	}
-	if err := l[2].Replace([]byte(fmt.Sprintf(text, 6))); err != nil {
+	if err := l[2].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))); err != nil {
 		t.Fatal(err)
 	}
-	if err := l[2].SignOff("i-1"); err != nil {
+	if err := l[2].Deregister("i-1"); err != nil {
 		t.Fatal(err)
 	}
 	e.Sequence, e.Draining = 3, false
 	for i := range l {
-		if err := l[i].Beat(e); err != nil {
+		if err := l[i].Heartbeat(e); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := l[2].ReadPoint(); err != nil {
+	if err := l[2].ReadIndex(); err != nil {
 		t.Error(err)
 	}
 	if n := l[2].Status().Endpoints; n != 0 {
 		t.Errorf("a late beat brought a departed endpoint back")
 	}
 	// The watch resumes at another node and brings every event that was missed.
-	stream, mirror = follow(t, l[2].self.Addr, mirror)
+	stream, mirror = watchAsProxy(t, l[2].self.Addr, mirror)
 	if _, there := mirror.Objects()[e.Key()]; there {
 		t.Error("the resumed copy still has the departed endpoint")
 	}
-	if o := mirror.Objects()[registry.ConfigKey]; len(o.Value) < 8 || string(o.Value[8:]) != fmt.Sprintf(text, 6) {
+	if o := mirror.Objects()[registry.ConfigKey]; len(o.Value) < 8 || string(o.Value[8:]) != fmt.Sprintf(configurationFormat, 6) {
 		t.Error("the resumed copy lacks the configuration that came meanwhile")
 	}
 	stream.Close()
@@ -167,14 +167,14 @@
 	// Locks, numbers, cells and a watch over all nodes.
 	var last uint64
 	for i := range 9 {
-		r, err := l[i%3].Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
+		r, err := l[i%3].Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
 		if err != nil || r.Latch.Value <= last {
 			t.Fatalf("number %d after %d, %v", r.Latch.Value, last, err)
 		}
 		last = r.Latch.Value
 	}
 	got := make(chan error, 1)
-	if _, err := l[0].Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "1"}}); err != nil {
+	if _, err := l[0].Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "1"}}); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
@@ -184,7 +184,7 @@
 		}
 		got <- err
 	}()
-	if _, err := l[2].Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "2"}}); err != nil {
+	if _, err := l[2].Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "2"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-got; err != nil {
@@ -198,11 +198,11 @@
 	}
 	oldID := l[lost].self.ID
 	l[lost].Close()
-	if err := os.RemoveAll(g.disk(lost)); err != nil {
+	if err := os.RemoveAll(g.dataDirectory(lost)); err != nil {
 		t.Fatal(err)
 	}
 	g.start(lost, false)
-	until(t, "the new life votes and the old one is gone", func() bool {
+	eventually(t, "the new life votes and the old one is gone", func() bool {
 		x := g.leader()
 		if x == nil {
 			return false
@@ -210,10 +210,10 @@
 		s := x.Status()
 		votes := false
 		for _, m := range s.Members {
-			if m.ID == hexID(oldID) {
+			if m.ID == formatMemberID(oldID) {
 				return false
 			}
-			votes = votes || (m.ID == hexID(l[lost].self.ID) && m.Voter)
+			votes = votes || (m.ID == formatMemberID(l[lost].self.ID) && m.IsVoter)
 		}
 		return votes && len(s.Members) == 3
 	})
@@ -225,17 +225,17 @@
 	for i := range l {
 		g.start(i, false)
 	}
-	until(t, "the configuration is read back", func() bool {
+	eventually(t, "the configuration is read back", func() bool {
 		got, err := l[0].Configuration()
-		return err == nil && string(got) == fmt.Sprintf(text, 6)
+		return err == nil && string(got) == fmt.Sprintf(configurationFormat, 6)
 	})
 	if c, err := l[1].Cell("g.a"); err != nil || c.Value != "2" || c.Revision != 2 {
 		t.Errorf("cell after the restart: %+v, %v", c, err)
 	}
 }
 
-// follow lists or resumes at a node as a proxy does, up to the newest revision.
-func follow(t *testing.T, addr string, m *watchcache.Mirror) (*transport.Conn, *watchcache.Mirror) {
+// watchAsProxy lists or resumes at a node as a proxy does, up to the newest revision.
+func watchAsProxy(t *testing.T, addr string, m *watchcache.Mirror) (*transport.Conn, *watchcache.Mirror) {
 	t.Helper()
 	c, err := transport.Dial(context.Background(), addr, 5*time.Second, transport.Hello{Role: transport.RoleProxy, Node: "p"})
 	if err != nil {
@@ -283,19 +283,19 @@
 	}
 }
 
-// TestManyProxiesAtOnce lets 300 proxies list a thousand endpoints at the same
+// TestListIsEncodedOnceForManyProxies lets 300 proxies list a thousand endpoints at the same
 // moment, as after a loss of power: the list is encoded once for all of them, and
 // one change reaches each as one event. The figures do not depend on the machine.
-func TestManyProxiesAtOnce(t *testing.T) {
+func TestListIsEncodedOnceForManyProxies(t *testing.T) {
 	const proxies, endpoints = 300, 1000
-	g := newGroup(t, 1, nil)
+	g := newTestCluster(t, 1, nil)
 	l := g.nodes[0]
 	var all registry.Txn
 	for i := range endpoints {
 		e := registry.Endpoint{ID: fmt.Sprintf("i-%04d", i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "z", Capacity: 3}
 		all.Then = append(all.Then, registry.Write{Key: e.Key(), Value: e.Encode()})
 	}
-	until(t, "a thousand endpoints are known", func() bool { _, err := l.Do(registry.Command{Txn: &all}); return err == nil })
+	eventually(t, "a thousand endpoints are known", func() bool { _, err := l.Propose(registry.Command{Txn: &all}); return err == nil })
 
 	type copyOf struct {
 		conn *transport.Conn
@@ -308,7 +308,7 @@
 			var got copyOf
 			gate <- struct{}{}
 			defer func() { <-gate; copies <- got }()
-			got.conn, got.m = follow(t, l.self.Addr, watchcache.NewMirror())
+			got.conn, got.m = watchAsProxy(t, l.self.Addr, watchcache.NewMirror())
 		}()
 	}
 	var got []copyOf
@@ -320,15 +320,15 @@
 		t.Cleanup(c.conn.Close)
 		got = append(got, c)
 	}
-	if n := l.nPacked.Value(); n != 1 {
+	if n := l.listsEncodedTotal.Value(); n != 1 {
 		t.Errorf("one list was encoded %d times for %d proxies", n, proxies)
 	}
-	if l.nRelist.Value() != proxies {
-		t.Errorf("%d lists for %d proxies", l.nRelist.Value(), proxies)
+	if l.listsTotal.Value() != proxies {
+		t.Errorf("%d lists for %d proxies", l.listsTotal.Value(), proxies)
 	}
 
 	drained := registry.Endpoint{ID: "i-0007", Service: "s", Address: "10.0.0.7:80", Zone: "z", Capacity: 3, Draining: true, Sequence: 1}
-	until(t, "the drain is acknowledged", func() bool { return l.Beat(drained) == nil })
+	eventually(t, "the drain is acknowledged", func() bool { return l.Heartbeat(drained) == nil })
 	key := drained.Key()
 	want, _ := l.store.Get(key)
 	for i, c := range got {
@@ -355,7 +355,7 @@
 		fmt.Fprintf(&routes, `{"name":"r%d","route_type":"idempotent","match":{"path_prefix":"/p%d/"},"action":{"backend_service":"s","timeout_s":1,"max_attempts":2}},`, i, i*7919)
 	}
 	large := fmt.Sprintf(`{"config_version":9,"listeners":[{"hostname":"h","rules":[%s]}],"clusters":[{"name":"s","health_check_path":"/health"}]}`, strings.TrimSuffix(routes.String(), ","))
-	if err := l.Replace([]byte(large)); err != nil {
+	if err := l.ReplaceConfiguration([]byte(large)); err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range got {
@@ -378,15 +378,15 @@
 			t.Fatalf("proxy %d holds %d bytes of a configuration of %d", i, len(held), len(large))
 		}
 	}
-	if n := l.packed.encoded.Value(); n != 1 {
+	if n := l.encodings.eventsEncodedTotal.Value(); n != 1 {
 		t.Errorf("one configuration was encoded %d times for %d proxies", n, proxies)
 	}
 	// Who does not know the packed form, as an earlier version, gets the same list,
 	// and a list after a change is a new one.
-	_, m := follow(t, l.self.Addr, watchcache.NewMirror())
-	plain, _ := l.list(&transport.Request{ID: 1, List: true})
-	if len(plain.Objects) != endpoints+1 || l.nPacked.Value() != 2 {
-		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.nPacked.Value())
+	_, m := watchAsProxy(t, l.self.Addr, watchcache.NewMirror())
+	plain, _ := l.listObjects(&transport.Request{ID: 1, List: true})
+	if len(plain.Objects) != endpoints+1 || l.listsEncodedTotal.Value() != 2 {
+		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.listsEncodedTotal.Value())
 	}
 	for _, o := range plain.Objects {
 		if held := m.Objects()[o.Key]; !reflect.DeepEqual(held, o) {
@@ -397,24 +397,24 @@
 
 // TestOneCheckAtATime: a storm of configurations is checked one by one; who waits
 // for too long is put off with a promise, and nothing is stored.
-func TestOneCheckAtATime(t *testing.T) {
-	g := newGroup(t, 1, nil)
+func TestConfigurationsAreValidatedOneAtATime(t *testing.T) {
+	g := newTestCluster(t, 1, nil)
 	l := g.nodes[0]
-	until(t, "a configuration is taken", func() bool { return l.Replace([]byte(fmt.Sprintf(text, 5))) == nil })
-	l.checking <- struct{}{} // somebody's check takes long
-	if err := l.Replace([]byte(fmt.Sprintf(text, 6))); apierror.KindOf(err) != apierror.Unavailable {
+	eventually(t, "a configuration is taken", func() bool { return l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
+	l.validationSlot <- struct{}{} // somebody's check takes long
+	if err := l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))); apierror.KindOf(err) != apierror.Unavailable {
 		t.Errorf("while another is checked: %v", err)
 	}
-	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(text, 5) {
+	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 5) {
 		t.Errorf("held is %q, %v", got, err)
 	}
-	<-l.checking
+	<-l.validationSlot
 	done := make(chan error, 8)
 	for v := range 8 {
 		go func() {
-			err := l.Replace([]byte(fmt.Sprintf(text, 7+v)))
+			err := l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 7+v)))
 			for apierror.KindOf(err) == apierror.Unavailable { // a slow machine puts it off
-				err = l.Replace([]byte(fmt.Sprintf(text, 7+v)))
+				err = l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 7+v)))
 			}
 			done <- err
 		}()
@@ -424,25 +424,25 @@
 			t.Error(err)
 		}
 	}
-	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(text, 14) || l.nBusy.Value() < 1 {
-		t.Errorf("held is %q, %v; %d put off", got, err, l.nBusy.Value())
+	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 14) || l.configurationsDeferredTotal.Value() < 1 {
+		t.Errorf("held is %q, %v; %d put off", got, err, l.configurationsDeferredTotal.Value())
 	}
 }
 
 // TestListsAreSpread: a proxy that would list at a node of another zone is sent to
 // the one of its own while that is up, and lists where it is otherwise.
-func TestListsAreSpread(t *testing.T) {
+func TestListIsRedirectedToNodeOfOwnZone(t *testing.T) {
 	zones := map[string]string{"z1": "r", "z2": "r", "z3": "r"}
-	g := newGroup(t, 3, func(s *settings.Settings) {
+	g := newTestCluster(t, 3, func(s *settings.Settings) {
 		s.RegionByZone, s.Zone = zones, fmt.Sprint("z", s.IPAddress[len(s.IPAddress)-1:])
 	})
 	l := g.nodes
-	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(fmt.Sprintf(text, 1))) == nil })
+	eventually(t, "a configuration is taken", func() bool { return l[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 1))) == nil })
 	ask := func(zone string) *transport.Response {
-		a, _ := l[0].open(&transport.Request{ID: 1, List: true, Packs: true, Zone: zone})
+		a, _ := l[0].listOrWatch(&transport.Request{ID: 1, List: true, Packs: true, Zone: zone})
 		return a
 	}
-	until(t, "a proxy of another zone is sent there", func() bool {
+	eventually(t, "a proxy of another zone is sent there", func() bool {
 		for _, n := range ask("z3").Nearer {
 			if n.Addr == l[2].self.Addr && n.Zone == "z3" {
 				return true
@@ -456,17 +456,17 @@
 		}
 	}
 	l[2].Close()
-	until(t, "with its node gone the proxy lists here", func() bool { a := ask("z3"); return !a.Failed && a.Packed != nil })
+	eventually(t, "with its node gone the proxy lists here", func() bool { a := ask("z3"); return !a.Failed && a.Packed != nil })
 	g.start(2, false)
 }
 
 // TestPeerThatShowsItself: a link that waits before its next attempt dials at once
 // when the peer connects here, as after a loss of power.
-func TestPeerThatShowsItself(t *testing.T) {
-	g := newGroup(t, 1, func(s *settings.Settings) { s.Bounds.ContactWindow = 1200 }) // an attempt every 12 s and more
+func TestIncomingPeerConnectionTriggersRedial(t *testing.T) {
+	g := newTestCluster(t, 1, func(s *settings.Settings) { s.Bounds.ContactWindow = 1200 }) // an attempt every 12 s and more
 	l := g.nodes[0]
 	addr := fmt.Sprintf("127.0.0.50:%d", controlplanetest.FreePort(t, "127.0.0.50"))
-	k := l.links.get(addr) // refused
+	k := l.peers.connection(addr) // refused
 	time.Sleep(200 * time.Millisecond)
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -486,13 +486,13 @@
 		t.Fatalf("not dialled when the peer showed itself: %v", err)
 	}
 	t.Cleanup(func() { c.Close() })
-	until(t, "the link is up", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return k.up })
+	eventually(t, "the link is up", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return k.isConnected })
 }
 
-// TestWorld drives three nodes of a global tier: directory, leases of proxies,
+// TestDirectoryWarmUpAndEvacuation drives three nodes of a global tier: directory, leases of proxies,
 // cold marks, evacuations that outlive the loss of all processes.
-func TestWorld(t *testing.T) {
-	g := newGroup(t, 3, func(s *settings.Settings) {
+func TestDirectoryWarmUpAndEvacuation(t *testing.T) {
+	g := newTestCluster(t, 3, func(s *settings.Settings) {
 		s.RegionByZone = map[string]string{"a": "r1", "b": "r2"}
 		s.Bounds.SlowStartOvershoot, s.Bounds.SlowStartSlack, s.Bounds.MaxTTL = 1.5, 8, 5
 		s.Bounds.AckTimeout = 8
@@ -500,13 +500,13 @@
 	})
 	l := g.nodes
 	config := `{"config_version":1,"listeners":[{"hostname":"h","rules":[]}],"clusters":[{"name":"s","health_check_path":"/health","cold_rate_s":6}]}`
-	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(config)) == nil })
+	eventually(t, "a configuration is taken", func() bool { return l[0].ReplaceConfiguration([]byte(config)) == nil })
 
 	// A proxy registers over its stream, says that it leaves, and is dropped once
 	// it is not heard of.
-	stream, _ := follow(t, l[1].self.Addr, watchcache.NewMirror())
+	stream, _ := watchAsProxy(t, l[1].self.Addr, watchcache.NewMirror())
 	self := &registry.Proxy{Name: "p", Address: "10.0.0.1:80", Zone: "a", Weight: 5}
-	places := func(n *Lathe) string {
+	places := func(n *Node) string {
 		got, ttl, err := n.Resolve("10.9.9.9", "h", "r1", "a")
 		return fmt.Sprint(got, ttl, err != nil)
 	}
@@ -514,7 +514,7 @@
 		t.Errorf("without proxies: %s", got)
 	}
 	// A node that a loaded machine has kept from its leader says that it does not know.
-	until(t, "a host that no configuration has is refused as such", func() bool {
+	eventually(t, "a host that no configuration has is refused as such", func() bool {
 		_, _, err := l[0].Resolve("10.9.9.9", "other", "r1", "a")
 		return apierror.KindOf(err) == apierror.NoRoute
 	})
@@ -525,17 +525,17 @@
 	}
 	report()
 	for i := range l {
-		until(t, "the directory knows the proxy", func() bool { return places(l[i]) == "[10.0.0.1:80] 1.25s false" })
+		eventually(t, "the directory knows the proxy", func() bool { return places(l[i]) == "[10.0.0.1:80] 1.25s false" })
 	}
 	self.Leaving = true
 	report()
-	until(t, "its leaving is known", func() bool {
+	eventually(t, "its leaving is known", func() bool {
 		l[2].mu.RLock()
 		defer l[2].mu.RUnlock()
-		return l[2].places[registry.ProxyPrefix+"p"].Draining
+		return l[2].directoryPlaces[registry.ProxyPrefix+"p"].Draining
 	})
 	stream.Close()
-	until(t, "its lease runs out", func() bool { return places(l[2]) == "[] 0s true" })
+	eventually(t, "its lease runs out", func() bool { return places(l[2]) == "[] 0s true" })
 
 	// A beat that tells of a cold start marks the endpoint, a later one ends it.
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, WarmUpSeconds: 3}
@@ -546,15 +546,15 @@
 		x, err := registry.DecodeEndpoint(o)
 		return err == nil && x.WarmingUp
 	}
-	if err := l[0].Beat(e); err != nil {
+	if err := l[0].Heartbeat(e); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the cold start is known", marked)
+	eventually(t, "the cold start is known", marked)
 	e.Sequence, e.WarmUpSeconds = 2, 0
-	if err := l[0].Beat(e); err != nil {
+	if err := l[0].Heartbeat(e); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the end of the cold start is known", func() bool { return !marked() })
+	eventually(t, "the end of the cold start is known", func() bool { return !marked() })
 
 	// Evacuations: odd orders are harmless, what is acknowledged stays.
 	waits := func() bool { return true }
@@ -568,7 +568,7 @@
 		t.Errorf("an unknown zone: %v", err)
 	}
 	for _, begin := range []bool{false, true, true} {
-		until(t, "the order is acknowledged", func() bool { return l[1].Evacuate("b", begin, waits) == nil })
+		eventually(t, "the order is acknowledged", func() bool { return l[1].Evacuate("b", begin, waits) == nil })
 	}
 	for i := range l {
 		l[i].Close()
@@ -576,7 +576,7 @@
 	for i := range l {
 		g.start(i, false)
 	}
-	until(t, "the evacuation is read back", func() bool {
+	eventually(t, "the evacuation is read back", func() bool {
 		got, err := l[2].Evacuations()
 		return err == nil && got["b"] == registry.Evacuated
 	})
@@ -584,8 +584,8 @@
 	// back only when both are taken back.
 	order := func(begin bool) (now registry.Evacuation) {
 		// Without a clear answer it is sent again, as an operator does.
-		until(t, "an order is acknowledged", func() bool { return l[0].Evacuate("b", begin, waits) == nil })
-		until(t, "a read point", func() bool { return l[0].ReadPoint() == nil })
+		eventually(t, "an order is acknowledged", func() bool { return l[0].Evacuate("b", begin, waits) == nil })
+		eventually(t, "a read point", func() bool { return l[0].ReadIndex() == nil })
 		l[0].mu.RLock()
 		defer l[0].mu.RUnlock()
 		o, _ := l[0].store.Get(registry.EvacuationPrefix + "b")
@@ -594,15 +594,15 @@
 	if now := order(true); now.BeginCount != 1 {
 		t.Errorf("a repeat after the loss of all: %+v", now)
 	}
-	until(t, "a second order counts", func() bool { return order(true).BeginCount == 2 })
+	eventually(t, "a second order counts", func() bool { return order(true).BeginCount == 2 })
 	if now := order(false); now.FinishCount != 1 || now.State() != registry.Evacuated {
 		t.Errorf("one finish of two: %+v", now)
 	}
-	until(t, "the second finish counts", func() bool { return order(false).FinishCount == 2 })
+	eventually(t, "the second finish counts", func() bool { return order(false).FinishCount == 2 })
 	if got, err := l[1].Evacuations(); err != nil || got["b"] != registry.Returning {
 		t.Errorf("after the finish: %v, %v", got, err)
 	}
-	until(t, "the zone is in ordinary use", func() bool {
+	eventually(t, "the zone is in ordinary use", func() bool {
 		got, err := l[1].Evacuations()
 		return err == nil && len(got) == 0
 	})
@@ -610,22 +610,22 @@
 
 // TestVotersAreSpread: with five voters over three regions, no region may hold a
 // majority of them, and no zone more than one.
-func TestVotersAreSpread(t *testing.T) {
+func TestVotersAreSpreadOverRegions(t *testing.T) {
 	zones := map[string]string{"0": "r0", "1": "r0", "2": "r0", "3": "r1", "4": "r1", "5": "r2", "6": "r2"}
-	g := newGroup(t, 7, func(s *settings.Settings) {
+	g := newTestCluster(t, 7, func(s *settings.Settings) {
 		s.RegionByZone, s.Zone = zones, fmt.Sprint(s.IPAddress[len(s.IPAddress)-1]-'1')
 		s.FaultTolerance.Machines, s.FaultTolerance.Regions = 2, 1
 	})
-	until(t, "five voters, two in a region at the most", func() bool {
+	eventually(t, "five voters, two in a region at the most", func() bool {
 		x := g.leader()
 		if x == nil {
 			return false
 		}
 		in, n := map[string]int{}, 0
 		for _, m := range x.Status().Members {
-			if m.Voter {
+			if m.IsVoter {
 				n++
-				in[zones[x.links.zone(m.Addr)]]++
+				in[zones[x.peers.zoneOf(m.Addr)]]++
 			}
 		}
 		return n == 5 && in["r0"] == 2 && in["r1"]+in["r2"] == 3 && in["r1"] > 0 && in["r2"] > 0
@@ -634,33 +634,33 @@
 
 // TestOutOfTouch: a node that has lost the others hands out nothing, confirms nothing
 // that it does not know to be committed, refuses nothing for good, and says so at once.
-func TestOutOfTouch(t *testing.T) {
-	g := newGroup(t, 3, nil)
+func TestIsolatedNodeRejectsCalls(t *testing.T) {
+	g := newTestCluster(t, 3, nil)
 	l := g.nodes[0]
-	held := []byte(fmt.Sprintf(text, 5))
-	until(t, "a configuration is taken", func() bool { return l.Replace(held) == nil })
+	held := []byte(fmt.Sprintf(configurationFormat, 5))
+	eventually(t, "a configuration is taken", func() bool { return l.ReplaceConfiguration(held) == nil })
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
 	for _, id := range []string{"i-1", "i-2"} {
 		e.ID = id
-		if err := l.Beat(e); err != nil {
+		if err := l.Heartbeat(e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	e.Draining = true
-	if err := errors.Join(l.Beat(e), l.ReadPoint()); err != nil {
+	if err := errors.Join(l.Heartbeat(e), l.ReadIndex()); err != nil {
 		t.Fatal(err)
 	}
 	g.nodes[1].Close()
 	g.nodes[2].Close()
-	until(t, "the node knows that it has lost touch", func() bool { return !l.again(time.Now().Add(time.Hour)) })
+	eventually(t, "the node knows that it has lost touch", func() bool { return !l.waitToRetry(time.Now().Add(time.Hour)) })
 
 	beat := func(id string, draining bool) error {
-		return l.Beat(registry.Endpoint{ID: id, Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 9, Draining: draining})
+		return l.Heartbeat(registry.Endpoint{ID: id, Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 9, Draining: draining})
 	}
 	_, readErr := l.Configuration()
 	_, cellErr := l.Cell("c")
 	_, _, watchErr := l.Watch("g.", 0, time.Second)
-	_, numberErr := l.Do(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
+	_, numberErr := l.Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
 	for what, err := range map[string]error{
 		"a configuration is read":     readErr,
 		"a cell is read":              cellErr,
@@ -669,47 +669,47 @@
 		"an ordinary beat":            beat("i-1", false),
 		"a drain that is new":         beat("i-1", true),
 		"an endpoint that is new":     beat("i-3", false),
-		"a sign-off":                  l.SignOff("i-1"),
-		"a higher configuration":      l.Replace([]byte(fmt.Sprintf(text, 6))),
-		"a lower one that is unknown": l.Replace([]byte(fmt.Sprintf(text, 4))),
+		"a sign-off":                  l.Deregister("i-1"),
+		"a higher configuration":      l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))),
+		"a lower one that is unknown": l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 4))),
 	} {
 		if apierror.KindOf(err) != apierror.Unavailable {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if a, _ := l.open(&transport.Request{ID: 1, List: true}); !a.Failed || l.fresh() {
-		t.Errorf("a list: %+v; in touch: %v", a, l.fresh())
+	if a, _ := l.listOrWatch(&transport.Request{ID: 1, List: true}); !a.Failed || l.isUpToDate() {
+		t.Errorf("a list: %+v; in touch: %v", a, l.isUpToDate())
 	}
 	// What is committed stays true.
-	for what, err := range map[string]error{"the configuration held, again": l.Replace(held), "a drain that was acknowledged": beat("i-2", true)} {
+	for what, err := range map[string]error{"the configuration held, again": l.ReplaceConfiguration(held), "a drain that was acknowledged": beat("i-2", true)} {
 		if err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if err := l.Replace(append(held, ' ')); apierror.KindOf(err) != apierror.Conflict {
+	if err := l.ReplaceConfiguration(append(held, ' ')); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("another content under the version held: %v", err)
 	}
 	// It does not count as in touch when it starts anew, from its first moment on.
 	l.Close()
 	g.start(0, false)
-	if l = g.nodes[0]; l.fresh() {
+	if l = g.nodes[0]; l.isUpToDate() {
 		t.Error("a node that has just started and heard nobody counts as in touch")
 	}
 	// What is committed stays true, but it knows no commit yet.
-	until(t, "the node knows that it has lost touch", func() bool { return !l.again(time.Now().Add(time.Hour)) })
-	if err := l.Replace(held); apierror.KindOf(err) != apierror.Unavailable {
+	eventually(t, "the node knows that it has lost touch", func() bool { return !l.waitToRetry(time.Now().Add(time.Hour)) })
+	if err := l.ReplaceConfiguration(held); apierror.KindOf(err) != apierror.Unavailable {
 		t.Errorf("the configuration held, again, before anything is known to be committed: %v", err)
 	}
 }
 
-func TestMergeOfDiskJobs(t *testing.T) {
+func TestMergeWrites(t *testing.T) {
 	e := func(i, term uint64) raft.Entry { return raft.Entry{Index: i, Term: term} }
-	j := merge(diskJob{entries: []raft.Entry{e(5, 1), e(6, 1), e(7, 1)}, hard: &raft.HardState{Term: 1}},
-		diskJob{entries: []raft.Entry{e(6, 2)}, hard: &raft.HardState{Term: 2}})
-	if len(j.entries) != 2 || j.entries[1].Term != 2 || j.hard.Term != 2 {
+	j := mergeWrites(writeRequest{entries: []raft.Entry{e(5, 1), e(6, 1), e(7, 1)}, hardState: &raft.HardState{Term: 1}},
+		writeRequest{entries: []raft.Entry{e(6, 2)}, hardState: &raft.HardState{Term: 2}})
+	if len(j.entries) != 2 || j.entries[1].Term != 2 || j.hardState.Term != 2 {
 		t.Errorf("a cut was lost in the merge: %+v", j.entries)
 	}
-	j = merge(diskJob{entries: []raft.Entry{e(5, 1), e(6, 1)}}, diskJob{entries: []raft.Entry{e(3, 2)}})
+	j = mergeWrites(writeRequest{entries: []raft.Entry{e(5, 1), e(6, 1)}}, writeRequest{entries: []raft.Entry{e(3, 2)}})
 	if len(j.entries) != 1 || j.entries[0].Index != 3 {
 		t.Errorf("a cut below the batch was lost: %+v", j.entries)
 	}
@@ -717,10 +717,10 @@
 
 // TestJoinThroughARelay: a node whose only seed is a relay is told of a node of the
 // core that does not lead, and joins all the same.
-func TestJoinThroughARelay(t *testing.T) {
-	g := newGroup(t, 3, nil)
-	var follower *Lathe
-	until(t, "a leader and one that follows it", func() bool {
+func TestJoinThroughRelay(t *testing.T) {
+	g := newTestCluster(t, 3, nil)
+	var follower *Node
+	eventually(t, "a leader and one that follows it", func() bool {
 		lead := g.leader()
 		for _, n := range g.nodes {
 			if s := n.Status(); lead != nil && n != lead && s.Leader == lead.Status().ID {
@@ -730,16 +730,16 @@
 		return follower != nil
 	})
 	const relay, joins = "127.0.0.28", "127.0.0.29"
-	controlplanetest.StartFakeRelay(t, fmt.Sprintf("%s:%d", relay, g.internal), transport.ControlNode{Addr: follower.self.Addr})
-	set := controlplanetest.Settings(t, joins, t.TempDir(), g.control, g.internal, []string{relay}, false)
+	controlplanetest.StartFakeRelay(t, fmt.Sprintf("%s:%d", relay, g.internalPort), transport.ControlNode{Addr: follower.self.Addr})
+	set := controlplanetest.Settings(t, joins, t.TempDir(), g.controlPort, g.internalPort, []string{relay}, false)
 	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	until(t, "the node is a member", func() bool {
+	eventually(t, "the node is a member", func() bool {
 		for _, m := range l.Status().Members {
-			if m.ID == hexID(l.self.ID) {
+			if m.ID == formatMemberID(l.self.ID) {
 				return true
 			}
 		}
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -17,62 +17,62 @@
 	"lichentray/rollout"
 )
 
-// duties are what the actor does by the clock.
-func (l *Lathe) duties() {
+// runPeriodicTasks are what the actor does by the clock.
+func (l *Node) runPeriodicTasks() {
 	now := l.now()
-	l.tendMembers(now)
-	if now-l.checkedAt < 4*l.timing.Heartbeat {
+	l.adjustMembership(now)
+	if now-l.periodicTasksAt < 4*l.timing.HeartbeatInterval {
 		return
 	}
-	l.checkedAt = now
-	l.publish() // this very tick may have made the node the leader
-	l.noteTime(now)
-	l.reportBeats(now)
-	l.countProxies(now)
-	ms := l.node.Membership()
-	if l.node.Role() != raft.Leader {
+	l.periodicTasksAt = now
+	l.publishConsensus() // this very tick may have made the node the leader
+	l.recordRevisionTime(now)
+	l.reportHeartbeats(now)
+	l.exchangeReports(now)
+	ms := l.raftNode.Membership()
+	if l.raftNode.Role() != raft.Leader {
 		// A voter without a leader for long may have been replaced meanwhile.
-		if !ms.IsMember(l.self.ID) || (l.node.LeaderID() == 0 && (!ms.IsVoter(l.self.ID) || now-l.node.LastQuorumContact() > l.timing.Dead)) {
-			l.join(ms)
+		if !ms.IsMember(l.self.ID) || (l.raftNode.LeaderID() == 0 && (!ms.IsVoter(l.self.ID) || now-l.raftNode.LastQuorumContact() > l.timing.DeadMemberTimeout)) {
+			l.requestJoin(ms)
 		}
 		return
 	}
-	l.findCrashed(now)
-	l.dropProxies(now)
-	l.endReturns(now)
-	l.guideRollouts(now)
-	l.trim(now)
+	l.checkEndpointLiveness(now)
+	l.expireProxies(now)
+	l.finishZoneReturns(now)
+	l.advanceRollouts(now)
+	l.trimHistory(now)
 }
 
-// noteTime remembers which revision was reached when.
-func (l *Lathe) noteTime(now time.Duration) {
-	if n := len(l.marks); n == 0 || now-l.marks[n-1].at >= time.Second {
-		l.marks = append(l.marks, mark{now, l.store.Revision()})
+// recordRevisionTime remembers which revision was reached when.
+func (l *Node) recordRevisionTime(now time.Duration) {
+	if n := len(l.revisionTimes); n == 0 || now-l.revisionTimes[n-1].at >= time.Second {
+		l.revisionTimes = append(l.revisionTimes, revisionTime{now, l.store.Revision()})
 	}
 }
 
-// acceptedMost is for how many versions it is remembered what was taken under them:
+// maxAcceptedDigests is for how many versions it is remembered what was taken under them:
 // a day and a half of 5,500 changes a day, some 200 bytes each.
-const acceptedMost = 8192
+const maxAcceptedDigests = 8192
 
-// trim forgets history that nobody may ask for any more.
-func (l *Lathe) trim(now time.Duration) {
-	keep := l.set.Bounds.HistoryRetention.Duration() * 3 / 2
-	if now-l.trimAt < keep/4 {
+// trimHistory forgets history that nobody may ask for any more.
+func (l *Node) trimHistory(now time.Duration) {
+	keep := l.settings.Bounds.HistoryRetention.Duration() * 3 / 2
+	if now-l.historyTrimmedAt < keep/4 {
 		return
 	}
 	var before uint64
 	i := 0
-	for i < len(l.marks) && now-l.marks[i].at > keep {
-		before = l.marks[i].revision
+	for i < len(l.revisionTimes) && now-l.revisionTimes[i].at > keep {
+		before = l.revisionTimes[i].revision
 		i++
 	}
 	if i == 0 {
 		return
 	}
-	l.marks = append([]mark(nil), l.marks[i:]...)
-	l.trimAt = now
-	l.node.Propose(registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.CompactHistory, CompactBefore: before}}))
+	l.revisionTimes = append([]revisionTime(nil), l.revisionTimes[i:]...)
+	l.historyTrimmedAt = now
+	l.raftNode.Propose(registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.CompactHistory, CompactBefore: before}}))
 	// Signs of the departed are kept as long as the history.
 	var drop registry.Txn
 	forget := func(o registry.Object) {
@@ -85,29 +85,29 @@
 		}
 	}
 	// So are digests of configurations, by number.
-	if marks := l.store.List(registry.AcceptedConfigPrefix); len(marks) > acceptedMost {
-		for _, o := range marks[:len(marks)-acceptedMost] {
+	if marks := l.store.List(registry.AcceptedConfigPrefix); len(marks) > maxAcceptedDigests {
+		for _, o := range marks[:len(marks)-maxAcceptedDigests] {
 			forget(o)
 		}
 	}
 	if len(drop.Then) > 0 {
-		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &drop}))
+		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &drop}))
 	}
 }
 
-// reportBeats sends the liveness seen here to the leader.
-func (l *Lathe) reportBeats(now time.Duration) {
+// reportHeartbeats sends the liveness seen here to the leader.
+func (l *Node) reportHeartbeats(now time.Duration) {
 	l.mu.Lock()
-	beats := l.beats
+	beats := l.heartbeatsToReport
 	if len(beats) == 0 {
 		l.mu.Unlock()
 		return
 	}
-	l.beats = map[string]time.Duration{}
+	l.heartbeatsToReport = map[string]time.Duration{}
 	l.mu.Unlock()
-	if l.node.Role() == raft.Leader {
+	if l.raftNode.Role() == raft.Leader {
 		for id, at := range beats {
-			l.alive[id] = max(l.alive[id], at)
+			l.endpointLastSeen[id] = max(l.endpointLastSeen[id], at)
 		}
 		return
 	}
@@ -115,27 +115,27 @@
 	for id, at := range beats {
 		out = append(out, transport.Heartbeat{ID: id, AgoMS: uint32((now - at).Milliseconds())})
 	}
-	l.links.tell(l.links.addr(l.node.LeaderID()), &transport.Frame{Beats: out})
+	l.peers.enqueue(l.peers.addrOf(l.raftNode.LeaderID()), &transport.Frame{Beats: out})
 }
 
-// countProxies lets every node know how many proxies there are, and what they
+// exchangeReports lets every node know how many proxies there are, and what they
 // ask of each service together.
-func (l *Lathe) countProxies(now time.Duration) {
+func (l *Node) exchangeReports(now time.Duration) {
 	loads := map[string]loadbalance.Load{}
 	here := map[string]uint64{}
 	trials := map[string]transport.RolloutReport{}
 	l.mu.Lock()
-	for s := range l.sessions {
-		if now-s.at > l.timing.Dead {
+	for s := range l.proxySessions {
+		if now-s.reportedAt > l.timing.DeadMemberTimeout {
 			continue // frozen, most likely
 		}
-		here[s.node] = max(here[s.node], s.seq)
-		addLoads(loads, s.loads)
-		gauge(trials, s.trials)
+		here[s.proxyName] = max(here[s.proxyName], s.reportSequence)
+		mergeLoads(loads, s.loads)
+		mergeTrialProgress(trials, s.trials)
 	}
-	for service, t := range l.tryOuts {
+	for service, t := range l.trialEvidence {
 		if r := l.rollouts[registry.RolloutPrefix+service]; r != nil && (r.OrderNumber > t.Order || r.OrderNumber == t.Order && r.State != rollout.InProgress) {
-			delete(l.tryOuts, service)
+			delete(l.trialEvidence, service)
 			continue
 		}
 		t.Proxies, t.Stage, t.AtBase = 0, 0, 0
@@ -145,43 +145,43 @@
 		t.Evidence = t.Evidence.Clone()
 		trials[service] = t
 	}
-	seen := l.seen
-	l.seen = map[string]loadbalance.Observation{}
+	seen := l.observationsToReport
+	l.observationsToReport = map[string]loadbalance.Observation{}
 	l.mu.Unlock()
-	if l.node.Role() != raft.Leader {
-		l.links.tell(l.links.addr(l.node.LeaderID()), &transport.Frame{Proxies: &transport.ProxyAggregate{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.life}})
+	if l.raftNode.Role() != raft.Leader {
+		l.peers.enqueue(l.peers.addrOf(l.raftNode.LeaderID()), &transport.Frame{Proxies: &transport.ProxyAggregate{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.incarnation}})
 		return
 	}
 	for name := range here {
-		l.proxies[name] = now
+		l.proxyLastSeen[name] = now
 	}
-	l.takeTrials(l.life, trials)
-	for id, c := range l.counts {
-		if now-c.at > l.timing.Dead {
-			delete(l.counts, id)
+	l.recordTrials(l.incarnation, trials)
+	for id, c := range l.nodeReports {
+		if now-c.receivedAt > l.timing.DeadMemberTimeout {
+			delete(l.nodeReports, id)
 			continue
 		}
-		for name, seq := range c.here {
+		for name, seq := range c.reportSequences {
 			here[name] = max(here[name], seq)
 		}
-		addLoads(loads, c.loads)
-		l.takeTrials(c.life, c.trials)
-		gauge(trials, c.trials)
-	}
-	l.trials = trials
-	rounds := l.share(now, here)
-	l.judge.Observe(seen)
-	verdicts := l.judge.Verdicts(now, l.byService())
+		mergeLoads(loads, c.loads)
+		l.recordTrials(c.incarnation, c.trials)
+		mergeTrialProgress(trials, c.trials)
+	}
+	l.trialProgress = trials
+	rounds := l.grantQuotas(now, here)
+	l.outlierJudge.Observe(seen)
+	verdicts := l.outlierJudge.Verdicts(now, l.endpointsByService())
 	l.mu.Lock()
-	l.sum, l.loads, l.rounds, l.verdicts = len(here), loads, rounds, verdicts
+	l.proxyCount, l.serviceLoads, l.quotaRounds, l.outlierVerdicts = len(here), loads, rounds, verdicts
 	l.mu.Unlock()
-	for _, m := range l.node.Membership().AllMembers() {
-		l.links.tell(m.Addr, &transport.Frame{Proxies: &transport.ProxyAggregate{Sum: len(here), Loads: loads, Rounds: rounds, Verdicts: verdicts}})
+	for _, m := range l.raftNode.Membership().AllMembers() {
+		l.peers.enqueue(m.Addr, &transport.Frame{Proxies: &transport.ProxyAggregate{Sum: len(here), Loads: loads, Rounds: rounds, Verdicts: verdicts}})
 	}
 }
 
-// byService lists the endpoints of each service.
-func (l *Lathe) byService() map[string][]string {
+// endpointsByService lists the endpoints of each service.
+func (l *Node) endpointsByService() map[string][]string {
 	out := map[string][]string{}
 	for _, e := range l.endpoints {
 		out[e.Service] = append(out[e.Service], e.ID)
@@ -189,63 +189,63 @@
 	return out
 }
 
-func addSeen(to, from map[string]loadbalance.Observation) {
+func mergeObservations(to, from map[string]loadbalance.Observation) {
 	for id, x := range from {
 		to[id] = to[id].Add(x)
 	}
 }
 
-func addLoads(to, from map[string]loadbalance.Load) {
+func mergeLoads(to, from map[string]loadbalance.Load) {
 	for name, x := range from {
 		to[name] = to[name].Add(x)
 	}
 }
 
-// findCrashed removes endpoints whose beats stopped and that do not answer a
+// checkEndpointLiveness removes endpoints whose beats stopped and that do not answer a
 // health probe either. Only a leader that a majority still hears judges, and
 // every endpoint has a fresh grace after a change of leader.
-func (l *Lathe) findCrashed(now time.Duration) {
-	if !l.node.HasQuorumContact(l.timing.Election) || now-l.leadSince < l.timing.Missed {
+func (l *Node) checkEndpointLiveness(now time.Duration) {
+	if !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) || now-l.leaderSince < l.timing.EndpointTimeout {
 		return
 	}
 	for _, e := range l.endpoints {
-		seen, ok := l.alive[e.ID]
+		seen, ok := l.endpointLastSeen[e.ID]
 		if !ok {
 			// First seen by this leader now.
-			l.alive[e.ID] = now
+			l.endpointLastSeen[e.ID] = now
 			continue
 		}
-		if now-seen <= l.timing.Missed || l.probing[e.ID] {
+		if now-seen <= l.timing.EndpointTimeout || l.healthChecksInFlight[e.ID] {
 			continue
 		}
-		l.probing[e.ID] = true
+		l.healthChecksInFlight[e.ID] = true
 		o, _ := l.store.Get(e.Key())
-		go l.probe(o, e)
+		go l.checkEndpointHealth(o, e)
 	}
-	for id := range l.alive {
-		if _, known := l.endpoints[registry.EndpointPrefix+id]; !known && now-l.alive[id] > l.timing.Missed {
-			delete(l.alive, id)
+	for id := range l.endpointLastSeen {
+		if _, known := l.endpoints[registry.EndpointPrefix+id]; !known && now-l.endpointLastSeen[id] > l.timing.EndpointTimeout {
+			delete(l.endpointLastSeen, id)
 		}
 	}
 }
 
-func (l *Lathe) healthPath(service string) string {
+func (l *Node) healthCheckPath(service string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, _ := l.cluster(service)
+	c, _ := l.clusterConfig(service)
 	return c.HealthPath
 }
 
-// probe asks an endpoint whose beats stopped for its health, and removes it
+// checkEndpointHealth asks an endpoint whose beats stopped for its health, and removes it
 // if it is not there.
-func (l *Lathe) probe(o registry.Object, e registry.Endpoint) {
-	path := l.healthPath(e.Service)
-	there := path != "" && probeOnce(e, path, l.timing.Silence)
-	l.board.Counter("probes_total").Inc()
+func (l *Node) checkEndpointHealth(o registry.Object, e registry.Endpoint) {
+	path := l.healthCheckPath(e.Service)
+	there := path != "" && isEndpointHealthy(e, path, l.timing.ConnectionTimeout)
+	l.metricsRegistry.Counter("probes_total").Inc()
 	defer l.post(func() {
-		delete(l.probing, e.ID)
+		delete(l.healthChecksInFlight, e.ID)
 		if there {
-			l.alive[e.ID] = l.now()
+			l.endpointLastSeen[e.ID] = l.now()
 		}
 	})
 	if there {
@@ -253,21 +253,21 @@
 	}
 	done := make(chan outcome, 1)
 	remove := func() string {
-		if l.now()-l.alive[e.ID] <= l.timing.Missed {
+		if l.now()-l.endpointLastSeen[e.ID] <= l.timing.EndpointTimeout {
 			return "" // it has beaten in the meantime
 		}
-		return l.propose(registry.Command{Txn: &registry.Txn{
+		return l.proposeOnLoop(registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 		}}, done)
 	}
-	if a := l.await(0, remove, done); !a.Failed && !a.Result.Conflict {
-		l.nRemoved.Inc()
-		l.log.Info("endpoint removed, no beats and no answer to a probe", "endpoint", e.ID, "service", e.Service)
+	if a := l.answerAsLeader(0, remove, done); !a.Failed && !a.Result.Conflict {
+		l.endpointsRemovedTotal.Inc()
+		l.logger.Info("endpoint removed, no beats and no answer to a probe", "endpoint", e.ID, "service", e.Service)
 	}
 }
 
-func probeOnce(e registry.Endpoint, path string, wait time.Duration) bool {
+func isEndpointHealthy(e registry.Endpoint, path string, wait time.Duration) bool {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -288,7 +288,7 @@
 // transact derives a conditional transaction from what this node holds and
 // puts it through; on a conflict it reads again and derives anew. derive gives
 // nil when there is nothing to write.
-func (l *Lathe) transact(derive func() (*registry.Txn, error)) (wrote bool, err error) {
+func (l *Node) transact(derive func() (*registry.Txn, error)) (wrote bool, err error) {
 	for range 6 {
 		l.mu.Lock()
 		txn, err := derive()
@@ -296,40 +296,40 @@
 		if txn == nil || err != nil {
 			return false, err
 		}
-		r, err := l.Do(registry.Command{Txn: txn})
+		r, err := l.Propose(registry.Command{Txn: txn})
 		if err != nil {
 			return false, err
 		}
 		if !r.Conflict {
 			return true, nil
 		}
-		if err := l.ReadPoint(); err != nil {
+		if err := l.ReadIndex(); err != nil {
 			return false, err
 		}
 	}
 	return false, apierror.New(apierror.Unavailable, "the object changes too often")
 }
 
-// Beat takes a heartbeat of an endpoint.
-func (l *Lathe) Beat(e registry.Endpoint) error {
-	l.nBeats.Inc()
+// Heartbeat takes a heartbeat of an endpoint.
+func (l *Node) Heartbeat(e registry.Endpoint) error {
+	l.heartbeatsTotal.Inc()
 	gone := registry.DepartedPrefix + e.ID
-	astray := l.outOfTouch() > l.timing.Silence
+	astray := l.sinceLastContact() > l.timing.ConnectionTimeout
 	_, err := l.transact(func() (*registry.Txn, error) {
 		if _, departed := l.store.Get(gone); departed {
 			return nil, nil // a late beat of a life that has signed off
 		}
-		l.beats[e.ID] = l.now()
+		l.heartbeatsToReport[e.ID] = l.now()
 		o, known := l.store.Get(e.Key())
 		// A node that has just started may not hold the configuration yet that
 		// bounds the service's cold endpoints, so all are marked.
-		e.WarmingUp = e.WarmUpSeconds > 0 && l.set.Bounds.SlowStartOvershoot > 0
+		e.WarmingUp = e.WarmUpSeconds > 0 && l.settings.Bounds.SlowStartOvershoot > 0
 		if !known {
 			txn := &registry.Txn{
 				If:   []registry.Compare{{Key: e.Key()}, {Key: gone}},
 				Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}},
 			}
-			l.nameBase(txn, e)
+			l.addBaseVersion(txn, e)
 			return txn, nil
 		}
 		old, err := registry.DecodeEndpoint(o)
@@ -352,8 +352,8 @@
 	return err
 }
 
-// SignOff removes an endpoint for good.
-func (l *Lathe) SignOff(id string) error {
+// Deregister removes an endpoint for good.
+func (l *Node) Deregister(id string) error {
 	key, gone := registry.EndpointPrefix+id, registry.DepartedPrefix+id
 	_, err := l.transact(func() (*registry.Txn, error) {
 		if _, departed := l.store.Get(gone); departed {
@@ -372,25 +372,25 @@
 	return err
 }
 
-// readConfig reads and checks a configuration, one at a time: to check one of 2000
+// validateConfiguration reads and checks a configuration, one at a time: to check one of 2000
 // routes takes some ten megabytes and longer than a storm leaves between two, and
 // whoever has waited for too long is better off at another node.
-func (l *Lathe) readConfig(text []byte) (*config.Configuration, error) {
-	wait := time.NewTimer(l.timing.Answer)
+func (l *Node) validateConfiguration(text []byte) (*config.Configuration, error) {
+	wait := time.NewTimer(l.timing.RequestTimeout)
 	defer wait.Stop()
 	select {
-	case l.checking <- struct{}{}:
-		defer func() { <-l.checking }()
+	case l.validationSlot <- struct{}{}:
+		defer func() { <-l.validationSlot }()
 		return config.Parse(text)
 	case <-wait.C:
-		l.nBusy.Inc()
+		l.configurationsDeferredTotal.Inc()
 		return nil, apierror.New(apierror.Unavailable, "too many configurations at once")
 	}
 }
 
-// Replace takes a whole configuration.
-func (l *Lathe) Replace(text []byte) error {
-	c, err := l.readConfig(text)
+// ReplaceConfiguration takes a whole configuration.
+func (l *Node) ReplaceConfiguration(text []byte) error {
+	c, err := l.validateConfiguration(text)
 	if apierror.KindOf(err) == apierror.Unavailable {
 		return err
 	}
@@ -407,22 +407,22 @@
 		return txn, nil
 	})
 	if apierror.KindOf(err) == apierror.Conflict {
-		l.nTaken.Inc()
+		l.configurationConflictsTotal.Inc()
 	}
 	if wrote {
-		l.log.Info("configuration acknowledged", "version", c.Version)
+		l.logger.Info("configuration acknowledged", "version", c.Version)
 	}
 	return err
 }
 
 // Configuration reads the newest configuration, whole.
-func (l *Lathe) Configuration() ([]byte, error) {
-	if err := l.ReadPoint(); err != nil {
+func (l *Node) Configuration() ([]byte, error) {
+	if err := l.ReadIndex(); err != nil {
 		return nil, err
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	_, text, ok := l.configuration()
+	_, text, ok := l.storedConfiguration()
 	if !ok {
 		return nil, apierror.New(apierror.NotFound, "no configuration yet")
 	}
@@ -430,8 +430,8 @@
 }
 
 // Cell reads a cell behind a read point.
-func (l *Lathe) Cell(name string) (coordination.Cell, error) {
-	if err := l.ReadPoint(); err != nil {
+func (l *Node) Cell(name string) (coordination.Cell, error) {
+	if err := l.ReadIndex(); err != nil {
 		return coordination.Cell{}, err
 	}
 	l.mu.RLock()
@@ -443,12 +443,12 @@
 	return c, nil
 }
 
-// watchersPart is the part of the descriptors that waiting watches may take.
-const watchersPart = 4
+// watchDescriptorDivisor is the part of the descriptors that waiting watches may take.
+const watchDescriptorDivisor = 4
 
 // Watch waits for puts in a group above after.
-func (l *Lathe) Watch(group string, after uint64, wait time.Duration) ([]coordination.Event, uint64, error) {
-	if err := l.ReadPoint(); err != nil {
+func (l *Node) Watch(group string, after uint64, wait time.Duration) ([]coordination.Event, uint64, error) {
+	if err := l.ReadIndex(); err != nil {
 		return nil, 0, err
 	}
 	l.mu.RLock()
@@ -462,28 +462,28 @@
 	}
 	ch := make(chan struct{}, 1)
 	l.mu.Lock()
-	if l.watchers >= l.set.Limits.MaxOpenFiles/watchersPart {
+	if l.groupWatcherCount >= l.settings.Limits.MaxOpenFiles/watchDescriptorDivisor {
 		l.mu.Unlock()
 		return nil, 0, apierror.New(apierror.Overloaded, "too many watches wait here")
 	}
-	l.watchers++
-	if l.groups[group] == nil {
-		l.groups[group] = map[chan struct{}]struct{}{}
+	l.groupWatcherCount++
+	if l.groupWatchers[group] == nil {
+		l.groupWatchers[group] = map[chan struct{}]struct{}{}
 	}
-	l.groups[group][ch] = struct{}{}
+	l.groupWatchers[group][ch] = struct{}{}
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		l.watchers--
-		delete(l.groups[group], ch)
-		if len(l.groups[group]) == 0 {
-			delete(l.groups, group)
+		l.groupWatcherCount--
+		delete(l.groupWatchers[group], ch)
+		if len(l.groupWatchers[group]) == 0 {
+			delete(l.groupWatchers, group)
 		}
 		l.mu.Unlock()
 	}()
 	end := time.NewTimer(wait)
 	defer end.Stop()
-	check := time.NewTicker(l.timing.Election / 2)
+	check := time.NewTicker(l.timing.ElectionTimeout / 2)
 	defer check.Stop()
 	for {
 		l.mu.RLock()
@@ -500,7 +500,7 @@
 		case <-end.C:
 			return nil, max(rev, after), nil
 		case <-check.C:
-			if !l.fresh() || l.closing.Load() {
+			if !l.isUpToDate() || l.isStopping.Load() {
 				return nil, 0, apierror.New(apierror.Unavailable, "this node has lost touch")
 			}
 		case <-l.ctx.Done():
@@ -509,16 +509,16 @@
 	}
 }
 
-func (l *Lathe) seeds() []string {
+func (l *Node) seedAddresses() []string {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return l.set.SeedNodes
+	return l.settings.SeedNodes
 }
 
 // SetSeeds takes the seed addresses of a settings file that has changed.
-func (l *Lathe) SetSeeds(seeds []string) {
+func (l *Node) SetSeeds(seeds []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set.SeedNodes = seeds
-	l.log.Info("settings read again", "seeds", fmt.Sprint(seeds))
+	l.settings.SeedNodes = seeds
+	l.logger.Info("settings read again", "seeds", fmt.Sprint(seeds))
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -13,9 +13,9 @@
 // byte and field by field.
 func TestGoldenStatus(t *testing.T) {
 	want := Status{
-		Node: "node-1", ID: "00000000000000aa", Role: "leader", Term: 1, Leader: "00000000000000bb", Commit: 2, Stable: 3, Revision: 4, Config: 5,
-		Endpoints: 6, Draining: 7, Fresh: true, Cold: 10, Sick: 11,
-		Members:  []MemberStatus{{ID: "00000000000000cc", Addr: "127.0.0.1:7001", API: "127.0.0.1:8001", Zone: "zone-a", Voter: true, Match: 8, AgoMS: 9}},
+		Node: "node-1", ID: "00000000000000aa", Role: "leader", Term: 1, Leader: "00000000000000bb", CommitIndex: 2, DurableIndex: 3, Revision: 4, ConfigVersion: 5,
+		Endpoints: 6, Draining: 7, IsUpToDate: true, WarmingUp: 10, Unhealthy: 11,
+		Members:  []MemberStatus{{ID: "00000000000000cc", Addr: "127.0.0.1:7001", API: "127.0.0.1:8001", Zone: "zone-a", IsVoter: true, MatchIndex: 8, LastContactMS: 9}},
 		Proxies:  []ProxyStatus{{Node: "proxy-1", Revision: 12}},
 		Zones:    map[string]string{"zone-b": "evacuated"},
 		Services: map[string]ServiceStatus{"payments": {Rollout: rollout.Rollout{Base: "v1", OrderNumber: 13, Target: "v2", State: rollout.InProgress, Stage: 14, DeadlineSeconds: 15.5, ElapsedSeconds: 16.5, Reason: "none yet"}, Endpoints: map[string]int{"v1": 17, "v2": 18}}},
--- a/internal/controlplane/members_test.go
+++ b/internal/controlplane/members_test.go
@@ -12,29 +12,29 @@
 	"lichentray/raft/rafttest"
 )
 
-// TestMembershipSteps compares the steps, taken to their end while nothing else
+// TestNextMembershipAgainstModel compares the steps, taken to their end while nothing else
 // changes, with a slow plain model that tries every set of voters.
-func TestMembershipSteps(t *testing.T) {
+func TestNextMembershipAgainstModel(t *testing.T) {
 	for seed := range int64(20000) {
 		r := rand.New(rand.NewSource(seed))
-		tol := tolerance{machines: 1 + r.Intn(2), places: r.Intn(2)}
-		of := map[uint64]standing{}
+		tol := faultTolerance{machines: 1 + r.Intn(2), failureDomains: r.Intn(2)}
+		of := map[uint64]memberHealth{}
 		var ms raft.Membership
 		for id := uint64(1); id <= uint64(1+r.Intn(9)); id++ {
-			s := standing{alive: true, caughtUp: true, match: uint64(r.Intn(9)), place: fmt.Sprint(r.Intn(3))}
+			s := memberHealth{isAlive: true, isCaughtUp: true, matchIndex: uint64(r.Intn(9)), failureDomain: fmt.Sprint(r.Intn(3))}
 			switch r.Intn(6) {
 			case 0:
-				s.alive, s.unheard = false, r.Intn(2) == 0
+				s.isAlive, s.isExpired = false, r.Intn(2) == 0
 			case 1:
-				s.leaving = true
+				s.isLeaving = true
 			case 2:
-				s.caughtUp = false
+				s.isCaughtUp = false
 			case 3:
-				s.replaced = r.Intn(3) == 0
+				s.isReplaced = r.Intn(3) == 0
 			}
 			m := raft.Member{ID: id, Uncounted: r.Intn(6) == 0}
 			if id == 1 {
-				s = standing{alive: true, caughtUp: true, place: "0"}
+				s = memberHealth{isAlive: true, isCaughtUp: true, failureDomain: "0"}
 			}
 			if id == 1 || r.Intn(2) == 0 {
 				ms.Voters = append(ms.Voters, m)
@@ -43,13 +43,13 @@
 			}
 			of[id] = s
 		}
-		get := func(m raft.Member) standing { return of[m.ID] }
+		get := func(m raft.Member) memberHealth { return of[m.ID] }
 		acks := func(ms raft.Membership) (serving, alive int) {
 			for _, m := range ms.Voters {
-				if s := of[m.ID]; s.serves() {
+				if s := of[m.ID]; s.isServing() {
 					serving++
 					alive++
-				} else if s.alive && !s.replaced {
+				} else if s.isAlive && !s.isReplaced {
 					alive++
 				}
 			}
@@ -68,7 +68,7 @@
 			for _, m := range append(ms.AllMembers(), next.AllMembers()...) {
 				if ms.IsVoter(m.ID) != next.IsVoter(m.ID) {
 					moved++
-					if m.Uncounted && next.IsVoter(m.ID) && len(ms.Voters) >= tol.least() {
+					if m.Uncounted && next.IsVoter(m.ID) && len(ms.Voters) >= tol.minVoters() {
 						t.Fatalf("seed %d: an uncounted node votes without need", seed)
 					}
 				}
@@ -82,7 +82,7 @@
 		best := -1
 		var ids []uint64
 		for _, m := range start.AllMembers() {
-			if s := of[m.ID]; s.serves() && (start.IsVoter(m.ID) || (s.caughtUp && !m.Uncounted)) {
+			if s := of[m.ID]; s.isServing() && (start.IsVoter(m.ID) || (s.isCaughtUp && !m.Uncounted)) {
 				ids = append(ids, m.ID)
 			}
 		}
@@ -90,13 +90,13 @@
 			in, n := map[string]int{}, 0
 			for i, id := range ids {
 				if set>>i&1 == 1 {
-					in[of[id].place]++
+					in[of[id].failureDomain]++
 					n++
 				}
 			}
-			ok := n%2 == 1 && n >= tol.least()
+			ok := n%2 == 1 && n >= tol.minVoters()
 			for _, k := range in {
-				ok = ok && k <= tol.share(n)
+				ok = ok && k <= tol.maxVotersPerDomain(n)
 			}
 			if ok {
 				best = max(best, n/2)
@@ -111,100 +111,103 @@
 
 // TestWhatALeaveWaitsFor: a leaver goes once every voter that serves holds what was
 // committed, and a spare that can still catch up has its vote.
-func TestWhatALeaveWaitsFor(t *testing.T) {
+func TestCanLeave(t *testing.T) {
 	m := func(id uint64) raft.Member { return raft.Member{ID: id} }
 	three := raft.Membership{Voters: []raft.Member{m(1), m(2), m(3)}}
 	five := raft.Membership{Voters: append([]raft.Member{m(4), m(5)}, three.Voters...)}
 	for _, c := range []struct {
 		name string
 		ms   raft.Membership
-		edit func(of map[uint64]standing)
+		edit func(of map[uint64]memberHealth)
 		want bool
 	}{
 		{"three, nobody to spare", three, nil, true},
-		{"a voter lacks the last entry", three, func(of map[uint64]standing) { of[2] = standing{alive: true, caughtUp: true, match: 9} }, false},
-		{"a voter is dead", three, func(of map[uint64]standing) { of[2] = standing{} }, false},
-		{"two leave at once", three, func(of map[uint64]standing) { of[2] = standing{alive: true, leaving: true, match: 10} }, false},
+		{"a voter lacks the last entry", three, func(of map[uint64]memberHealth) { of[2] = memberHealth{isAlive: true, isCaughtUp: true, matchIndex: 9} }, false},
+		{"a voter is dead", three, func(of map[uint64]memberHealth) { of[2] = memberHealth{} }, false},
+		{"two leave at once", three, func(of map[uint64]memberHealth) { of[2] = memberHealth{isAlive: true, isLeaving: true, matchIndex: 10} }, false},
 		{"a spare that will vote", three.WithLearner(m(4)), nil, false},
-		{"a spare that still catches up", three.WithLearner(m(4)), func(of map[uint64]standing) { of[4] = standing{alive: true} }, false},
-		{"a spare that is dead", three.WithLearner(m(4)), func(of map[uint64]standing) { of[4] = standing{} }, true},
+		{"a spare that still catches up", three.WithLearner(m(4)), func(of map[uint64]memberHealth) { of[4] = memberHealth{isAlive: true} }, false},
+		{"a spare that is dead", three.WithLearner(m(4)), func(of map[uint64]memberHealth) { of[4] = memberHealth{} }, true},
 		{"five", five, nil, true},
-		{"five, one dead", five, func(of map[uint64]standing) { of[2] = standing{} }, false},
+		{"five, one dead", five, func(of map[uint64]memberHealth) { of[2] = memberHealth{} }, false},
 		{"it follows only", five.WithLearner(m(3)), nil, true},
 	} {
-		of := map[uint64]standing{}
+		of := map[uint64]memberHealth{}
 		for id := uint64(1); id <= 5; id++ {
-			of[id] = standing{alive: true, caughtUp: true, match: 10, leaving: id == 3}
+			of[id] = memberHealth{isAlive: true, isCaughtUp: true, matchIndex: 10, isLeaving: id == 3}
 		}
 		if c.edit != nil {
 			c.edit(of)
 		}
-		if got := mayLeave(c.ms, 1, 3, tolerance{machines: 1}, 10, func(m raft.Member) standing { return of[m.ID] }); got != c.want {
+		if got := canLeave(c.ms, 1, 3, faultTolerance{machines: 1}, 10, func(m raft.Member) memberHealth { return of[m.ID] }); got != c.want {
 			t.Errorf("%s: let go %v", c.name, got)
 		}
 	}
 }
 
-// set is a state machine that remembers which commands it has applied.
-type set map[uint64]bool
+// commandSet is a state machine that remembers which commands it has applied.
+type commandSet map[uint64]bool
 
-func (s set) Apply(_ uint64, data []byte) any { s[binary.BigEndian.Uint64(data)] = true; return nil }
-func (s set) Snapshot() []byte {
+func (s commandSet) Apply(_ uint64, data []byte) any {
+	s[binary.BigEndian.Uint64(data)] = true
+	return nil
+}
+func (s commandSet) Snapshot() []byte {
 	var out []byte
 	for k := range s {
 		out = binary.BigEndian.AppendUint64(out, k)
 	}
 	return out
 }
-func (s set) Restore(data []byte) {
+func (s commandSet) Restore(data []byte) {
 	clear(s)
 	for ; len(data) > 0; data = data[8:] {
 		s[binary.BigEndian.Uint64(data)] = true
 	}
 }
 
-// core is a simulated core whose leaders tend their members as a node does.
-type core struct {
+// simulatedCore is a simulated core whose leaders tend their members as a node does.
+type simulatedCore struct {
 	*rafttest.Cluster
-	t      *testing.T
-	seed   int64
-	roster map[uint64]*roster
-	api    map[uint64]string // addresses of the lives that run
-	lastID uint64
-	tendAt time.Duration
-	asked  uint64
-	acked  []uint64
+	t                   *testing.T
+	seed                int64
+	planners            map[uint64]*membershipPlanner
+	addrs               map[uint64]string // addresses of the lives that run
+	lastID              uint64
+	membershipCheckedAt time.Duration
+	lastCommand         uint64
+	acknowledged        []uint64
 }
 
 const (
-	simElection = 150 * time.Millisecond
-	simDead     = 5 * simElection
-	simCatchUp  = 13 * simElection // as catch_up_s is to contact_s
+	simElectionTimeout   = 150 * time.Millisecond
+	simDeadMemberTimeout = 5 * simElectionTimeout
+	simCatchUpTime       = 13 * simElectionTimeout // as catch_up_s is to contact_s
 )
 
-func newCore(t *testing.T, seed int64, n int) *core {
-	c := &core{Cluster: rafttest.NewCluster(seed, 3, func() rafttest.StateMachine { return set{} }), t: t, seed: seed, roster: map[uint64]*roster{}, api: map[uint64]string{}}
+func newSimulatedCore(t *testing.T, seed int64, n int) *simulatedCore {
+	c := &simulatedCore{Cluster: rafttest.NewCluster(seed, 3, func() rafttest.StateMachine { return commandSet{} }), t: t, seed: seed, planners: map[uint64]*membershipPlanner{}, addrs: map[uint64]string{}}
 	for id := uint64(1); id <= uint64(n); id++ {
 		if id > 3 {
 			c.Add(id)
 		}
-		c.api[id] = fmt.Sprint("node-", id)
+		c.addrs[id] = fmt.Sprint("node-", id)
 	}
 	c.lastID = uint64(n)
-	c.pass(simCatchUp)
+	c.runFor(simCatchUpTime)
 	return c
 }
 
-// join starts a life with an empty disk.
-func (c *core) join(addr string) uint64 {
+// startWithEmptyDisk starts a life with an empty disk.
+func (c *simulatedCore) startWithEmptyDisk(addr string) uint64 {
 	c.lastID++
 	c.Add(c.lastID)
-	c.api[c.lastID] = addr
+	c.addrs[c.lastID] = addr
 	return c.lastID
 }
 
-// pass lets time pass under load; a node that is no member asks to be one.
-func (c *core) pass(span time.Duration) {
+// runFor lets time pass under load; a node that is no member asks to be one.
+func (c *simulatedCore) runFor(span time.Duration) {
 	for end := c.Now + span; c.Now < end; {
 		c.Run(c.StepInterval)
 		lead := c.Leader()
@@ -212,39 +215,39 @@
 			continue
 		}
 		if c.Rand.Intn(8) == 0 {
-			c.propose(lead.ID, nil)
+			c.proposeCommand(lead.ID, nil)
 		}
-		if c.Now-c.tendAt < 80*time.Millisecond {
+		if c.Now-c.membershipCheckedAt < 80*time.Millisecond {
 			continue
 		}
-		c.tendAt = c.Now
+		c.membershipCheckedAt = c.Now
 		n := lead.Raft
-		if next, why := c.of(n).next(n, c.Now); why != "" {
+		if next, why := c.plannerOf(n).nextChange(n, c.Now); why != "" {
 			_ = n.ProposeConfChange(next)
 			continue
 		}
 		for _, id := range c.IDs() {
 			if c.IsUp(id) && !n.Membership().IsMember(id) {
-				_ = n.ProposeConfChange(n.Membership().WithLearner(raft.Member{ID: id, Addr: c.api[id]}))
+				_ = n.ProposeConfChange(n.Membership().WithLearner(raft.Member{ID: id, Addr: c.addrs[id]}))
 				break
 			}
 		}
 	}
 }
 
-func (c *core) of(n *raft.Node) *roster {
-	if c.roster[n.ID()] == nil {
-		c.roster[n.ID()] = &roster{tol: tolerance{machines: 1}, dead: simDead, recent: simElection, leaves: simDead / 2, forget: 4 * simCatchUp, place: func(raft.Member) string { return "" }}
+func (c *simulatedCore) plannerOf(n *raft.Node) *membershipPlanner {
+	if c.planners[n.ID()] == nil {
+		c.planners[n.ID()] = &membershipPlanner{tolerance: faultTolerance{machines: 1}, deadMemberTimeout: simDeadMemberTimeout, catchUpWindow: simElectionTimeout, leaveRequestTTL: simDeadMemberTimeout / 2, learnerExpiry: 4 * simCatchUpTime, failureDomainOf: func(raft.Member) string { return "" }}
 	}
-	return c.roster[n.ID()]
+	return c.planners[n.ID()]
 }
 
-func (c *core) propose(id uint64, done func()) {
-	c.asked++
-	x := c.asked
+func (c *simulatedCore) proposeCommand(id uint64, done func()) {
+	c.lastCommand++
+	x := c.lastCommand
 	c.Propose(id, binary.BigEndian.AppendUint64(nil, x), func(_ any, ok bool) {
 		if ok {
-			c.acked = append(c.acked, x)
+			c.acknowledged = append(c.acknowledged, x)
 			if done != nil {
 				done()
 			}
@@ -252,15 +255,15 @@
 	})
 }
 
-// serves waits until a change is acknowledged again.
-func (c *core) serves(within time.Duration, after string) {
+// requireProgress waits until a change is acknowledged again.
+func (c *simulatedCore) requireProgress(within time.Duration, after string) {
 	c.t.Helper()
 	ok := false
 	for end := c.Now + within; !ok; {
 		if lead := c.Leader(); lead != nil {
-			c.propose(lead.ID, func() { ok = true })
+			c.proposeCommand(lead.ID, func() { ok = true })
 		}
-		c.pass(20 * time.Millisecond)
+		c.runFor(20 * time.Millisecond)
 		if c.Now > end {
 			for _, id := range c.IDs() {
 				n := c.Nodes[id].Raft
@@ -271,22 +274,22 @@
 	}
 }
 
-// leave is a process that is told to end: it asks until it is let go, and ends then,
+// shutDown is a process that is told to end: it asks until it is let go, and ends then,
 // or after some time.
-func (c *core) leave(id uint64) (letGo bool) {
-	for end := c.Now + 2*simCatchUp; c.Now < end && !letGo; {
+func (c *simulatedCore) shutDown(id uint64) (letGo bool) {
+	for end := c.Now + 2*simCatchUpTime; c.Now < end && !letGo; {
 		if lead := c.Leader(); lead != nil && lead.ID == id {
 			lead.Raft.TransferLeadership()
 		} else if lead != nil {
-			letGo = c.of(lead.Raft).leave(lead.Raft, c.Now, id)
+			letGo = c.plannerOf(lead.Raft).requestLeave(lead.Raft, c.Now, id)
 		}
-		c.pass(20 * time.Millisecond)
+		c.runFor(20 * time.Millisecond)
 	}
 	c.Crash(id)
 	return letGo
 }
 
-func (c *core) any(but uint64) uint64 {
+func (c *simulatedCore) anyRunning(but uint64) uint64 {
 	if lead := c.Leader(); lead != nil && lead.ID != but && c.Rand.Intn(2) == 0 {
 		return lead.ID
 	}
@@ -302,14 +305,14 @@
 // with an empty disk or as another machine, and the next one is lost as soon as the
 // tolerance allows; each time changes are soon acknowledged again, and none that was
 // acknowledged is forgotten.
-func TestSecondLoss(t *testing.T) {
+func TestSecondLossAfterRepair(t *testing.T) {
 	for seed := range int64(16) {
-		c := newCore(t, seed, 3+int(seed%4))
+		c := newSimulatedCore(t, seed, 3+int(seed%4))
 		for range 5 {
-			id := c.any(0)
+			id := c.anyRunning(0)
 			kind := c.Rand.Intn(6)
 			what := fmt.Sprintf("loss of kind %d of %d", kind, id)
-			down := time.Duration(c.Rand.Int63n(int64(3 * simDead)))
+			down := time.Duration(c.Rand.Int63n(int64(3 * simDeadMemberTimeout)))
 			hanging := false
 			switch kind {
 			case 0, 1, 2: // crash; the disk stays, or is lost, or another machine comes
@@ -320,31 +323,31 @@
 				c.HangDisk(id, down)
 				hanging = true
 			case 5:
-				c.leave(id)
+				c.shutDown(id)
 			}
 			if !hanging { // a leader whose disk hangs has to find that out
-				c.serves(10*simElection, what)
+				c.requireProgress(10*simElectionTimeout, what)
 			}
-			c.pass(down)
+			c.runFor(down)
 			switch kind {
 			case 0, 5:
 				c.Restart(id)
 			case 1, 2:
-				addr := c.api[id]
+				addr := c.addrs[id]
 				c.Remove(id)
 				if kind == 2 {
 					addr = fmt.Sprint("node-", c.lastID+1)
 				}
-				c.join(addr)
+				c.startWithEmptyDisk(addr)
 			case 3:
 				c.SetFrozen(id, false)
 			}
-			c.pass(simCatchUp)
+			c.runFor(simCatchUpTime)
 		}
-		c.serves(simElection, "the last repair")
-		c.pass(simDead)
-		for _, x := range c.acked {
-			if !c.Leader().StateMachine.(set)[x] {
+		c.requireProgress(simElectionTimeout, "the last repair")
+		c.runFor(simDeadMemberTimeout)
+		for _, x := range c.acknowledged {
+			if !c.Leader().StateMachine.(commandSet)[x] {
 				t.Fatalf("seed %d: %d was acknowledged and is forgotten", seed, x)
 			}
 		}
@@ -357,13 +360,13 @@
 // TestLossRightAfterALeave: of a core with a machine to spare one is told to end and,
 // as soon as its process has ended, another one is lost. With its disk it returns into
 // full strength; without a spare machine it is let go all the same.
-func TestLossRightAfterALeave(t *testing.T) {
+func TestLossRightAfterLeave(t *testing.T) {
 	for seed := range int64(24) {
 		n := 3 + int(seed%4)
-		c := newCore(t, seed, n)
-		id := c.any(0)
+		c := newSimulatedCore(t, seed, n)
+		id := c.anyRunning(0)
 		commit, changed := c.Leader().Raft.CommitIndex(), c.Leader().Raft.MembershipIndex()
-		if !c.leave(id) {
+		if !c.shutDown(id) {
 			t.Fatalf("seed %d: one of %d is not let go", seed, n)
 		}
 		for _, m := range c.Leader().Raft.Membership().Voters {
@@ -375,13 +378,13 @@
 			t.Fatalf("seed %d: a leave of one of %d changes the membership", seed, n)
 		}
 		if n > 3 {
-			c.Crash(c.any(id))
-			c.serves(10*simElection, "a leave and a loss")
+			c.Crash(c.anyRunning(id))
+			c.requireProgress(10*simElectionTimeout, "a leave and a loss")
 		}
 		for _, id := range c.IDs() {
 			c.Restart(id)
 		}
-		c.pass(2 * simCatchUp)
+		c.runFor(2 * simCatchUpTime)
 		if ms := c.Leader().Raft.Membership(); len(ms.Voters) != n-1+n%2 || len(ms.Learners) != 1-n%2 {
 			t.Fatalf("seed %d: %d voters and %d learners of %d", seed, len(ms.Voters), len(ms.Learners), n)
 		}
@@ -391,53 +394,53 @@
 // TestHangingDisk: a voter whose disk hangs is heard and of no use, so the one that
 // stands by votes in its stead before a further one is lost; and one that stands by
 // with a hanging disk, a few entries behind, gets no vote.
-func TestHangingDisk(t *testing.T) {
+func TestVoterWithHangingDiskIsReplaced(t *testing.T) {
 	for seed := range int64(16) {
-		c := newCore(t, seed, 4)
+		c := newSimulatedCore(t, seed, 4)
 		ms := c.Leader().Raft.Membership()
 		spare, hangs := ms.Learners[0].ID, ms.Voters[0].ID
 		if seed%2 == 1 {
 			hangs = spare
 		}
 		c.HangDisk(hangs, time.Hour)
-		c.pass(2 * simDead)
+		c.runFor(2 * simDeadMemberTimeout)
 		for _, m := range ms.Voters {
 			if m.ID != hangs {
 				c.Crash(m.ID)
 				break
 			}
 		}
-		c.serves(10*simElection, "a hanging disk and a loss")
-		c.pass(2 * simDead)
-		c.serves(simElection, "the repair")
+		c.requireProgress(10*simElectionTimeout, "a hanging disk and a loss")
+		c.runFor(2 * simDeadMemberTimeout)
+		c.requireProgress(simElectionTimeout, "the repair")
 	}
 }
 
 // TestLifeAfterAnElection: a leader that has just been elected has heard of both lives
-// of an address alike, and does not take the new one for the old.
-func TestLifeAfterAnElection(t *testing.T) {
-	c := newCore(t, 1, 3)
+// plannerOf an address alike, and does not take the new one for the old.
+func TestReplacementIsKeptAfterElection(t *testing.T) {
+	c := newSimulatedCore(t, 1, 3)
 	c.Crash(1)
-	c.serves(10*simElection, "the loss")
-	life := c.join("node-1")
-	for end := c.Now + simElection; c.Now < end && !c.Leader().Raft.Membership().IsMember(life); {
-		c.pass(c.StepInterval)
+	c.requireProgress(10*simElectionTimeout, "the loss")
+	life := c.startWithEmptyDisk("node-1")
+	for end := c.Now + simElectionTimeout; c.Now < end && !c.Leader().Raft.Membership().IsMember(life); {
+		c.runFor(c.StepInterval)
 	}
 	old := c.Leader()
 	for _, id := range c.IDs() {
 		c.SetLinkCut(life, id, true)
 	}
 	old.Raft.TransferLeadership()
-	c.Run(simElection)
+	c.Run(simElectionTimeout)
 	if c.Leader() == nil || c.Leader() == old {
 		t.Fatal("leadership was not handed on")
 	}
-	c.pass(3 * simElection)
+	c.runFor(3 * simElectionTimeout)
 	if !c.Leader().Raft.Membership().IsMember(life) {
 		t.Error("the new life was given up for the old one")
 	}
 	c.Heal()
-	c.pass(simDead)
+	c.runFor(simDeadMemberTimeout)
 	if ms := c.Leader().Raft.Membership(); ms.IsMember(1) || !ms.IsVoter(life) {
 		t.Errorf("the new life does not take the old one's place: %+v", ms)
 	}
@@ -445,23 +448,23 @@
 
 // TestDutiesOfANewLeader: the only voter of a core wins its election within a tick,
 // and its duties may be due in the same one, as after a slow start.
-func TestDutiesOfANewLeader(t *testing.T) {
-	l := newGroup(t, 1, nil).nodes[0]
-	until(t, "it leads", func() bool { return l.Status().Role == raft.Leader.String() })
+func TestPeriodicTasksOfNewLeader(t *testing.T) {
+	l := newTestCluster(t, 1, nil).nodes[0]
+	eventually(t, "it leads", func() bool { return l.Status().Role == raft.Leader.String() })
 	done := make(chan bool)
 	l.post(func() {
-		l.role, l.judge, l.granter, l.checkedAt = raft.Follower, nil, nil, -time.Hour
-		l.duties()
+		l.role, l.outlierJudge, l.quotaGranter, l.periodicTasksAt = raft.Follower, nil, nil, -time.Hour
+		l.runPeriodicTasks()
 		close(done)
 	})
 	<-done
 }
 
-// TestLeaveAndReturn drives real nodes: one of four is told to end, a second one is
+// TestLeaveAndRejoin drives real nodes: one of four is told to end, a second one is
 // lost at once, the first returns and has its vote; the lost one is away until it is
 // no member any more, and by its disk, on which it votes, finds back in.
-func TestLeaveAndReturn(t *testing.T) {
-	g := newGroup(t, 4, func(s *settings.Settings) {
+func TestLeaveAndRejoin(t *testing.T) {
+	g := newTestCluster(t, 4, func(s *settings.Settings) {
 		s.Bounds.Recovery, s.Bounds.CatchUp = 1, 1
 	})
 	voters := func(without string) (n, members int) {
@@ -470,7 +473,7 @@
 			return 0, 0
 		}
 		for _, m := range x.Status().Members {
-			if m.Voter && m.ID != without {
+			if m.IsVoter && m.ID != without {
 				n++
 			}
 			if m.ID != without {
@@ -479,30 +482,32 @@
 		}
 		return n, members
 	}
-	until(t, "three vote and one stands by", func() bool { n, all := voters(""); return n == 3 && all == 4 })
+	eventually(t, "three vote and one stands by", func() bool { n, all := voters(""); return n == 3 && all == 4 })
 	first := 0
 	for i, l := range g.nodes {
-		if s := l.Status(); s.Role != raft.Leader.String() && l.node != nil && i < 3 {
+		if s := l.Status(); s.Role != raft.Leader.String() && l.raftNode != nil && i < 3 {
 			first = i
 		}
 	}
-	id := hexID(g.nodes[first].self.ID)
-	g.nodes[first].Resign(30 * time.Second)
+	id := formatMemberID(g.nodes[first].self.ID)
+	g.nodes[first].PrepareShutdown(30 * time.Second)
 	if n, _ := voters(id); n != 3 {
 		t.Errorf("%d voters beside the one that leaves", n)
 	}
 	g.nodes[first].Close()
 	lost := (first + 1) % 3
 	g.nodes[lost].Close()
-	until(t, "a change is taken", func() bool { return g.nodes[3].Replace([]byte(fmt.Sprintf(text, 5))) == nil })
+	eventually(t, "a change is taken", func() bool {
+		return g.nodes[3].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil
+	})
 	g.start(first, false)
-	away := hexID(g.nodes[lost].self.ID)
-	until(t, "it votes in place of the lost one, which is no member any more", func() bool {
+	away := formatMemberID(g.nodes[lost].self.ID)
+	eventually(t, "it votes in place of the lost one, which is no member any more", func() bool {
 		n, all := voters("")
 		others, _ := voters(away)
 		return n == 3 && all == 3 && others == 3
 	})
 	g.start(lost, false)
-	until(t, "the lost one is a member again", func() bool { _, all := voters(""); return all == 4 })
-	until(t, "and follows", func() bool { return g.nodes[lost].ReadPoint() == nil })
+	eventually(t, "the lost one is a member again", func() bool { _, all := voters(""); return all == 4 })
+	eventually(t, "and follows", func() bool { return g.nodes[lost].ReadIndex() == nil })
 }
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -15,21 +15,21 @@
 // this node's steady clock.
 type rolloutRecord struct {
 	rollout.Rollout
-	revision uint64
-	at       time.Duration
+	revision  uint64
+	appliedAt time.Duration
 }
 
-// spent is how much of the order's time has passed.
-func (r *rolloutRecord) spent(now time.Duration) time.Duration {
-	return now - r.at + time.Duration(r.ElapsedSeconds*float64(time.Second))
+// elapsed is how much of the order's time has passed.
+func (r *rolloutRecord) elapsed(now time.Duration) time.Duration {
+	return now - r.appliedAt + time.Duration(r.ElapsedSeconds*float64(time.Second))
 }
 
-// tryOuts is what a node was told of each roll-out since its start, by service.
-type tryOuts map[string]transport.RolloutReport
+// trialEvidence is what a node was told of each roll-out since its start, by service.
+type trialEvidence map[string]transport.RolloutReport
 
 // add takes what one proxy saw since its last report. The caller has the node's
 // lock.
-func (t tryOuts) add(told map[string]transport.RolloutReport) {
+func (t trialEvidence) add(told map[string]transport.RolloutReport) {
 	for service, n := range told {
 		x := t[service]
 		if n.Order < x.Order {
@@ -43,9 +43,9 @@
 	}
 }
 
-// gauge sums where proxies stand: the least stage taken and all requests at the
+// mergeTrialProgress sums where proxies stand: the least stage taken and all requests at the
 // base. A node that no proxy follows any more has evidence, but nobody stands there.
-func gauge(to, from map[string]transport.RolloutReport) {
+func mergeTrialProgress(to, from map[string]transport.RolloutReport) {
 	for service, n := range from {
 		x := to[service]
 		switch {
@@ -59,37 +59,37 @@
 	}
 }
 
-// guide is what the leader keeps of a roll-out under way.
-type guide struct {
-	order   uint64
-	judge   *rollout.Analyzer
-	by      map[uint64]rollout.Evidence // by the life of the node that told it
-	stage   int
-	answers int // of the target when the stage was entered
-	asked   uint64
-	askedAt time.Duration
+// rolloutProgress is what the leader keeps of a roll-out under way.
+type rolloutProgress struct {
+	order               uint64
+	judge               *rollout.Analyzer
+	evidenceByNode      map[uint64]rollout.Evidence // by the life of the node that told it
+	stage               int
+	answersAtStageStart int // of the target when the stage was entered
+	proposedRevision    uint64
+	proposedAt          time.Duration
 }
 
-// takeTrials takes what a node was told since its start. What a node told that has
+// recordTrials takes what a node was told since its start. What a node told that has
 // ended since stays.
-func (l *Lathe) takeTrials(life uint64, told map[string]transport.RolloutReport) {
+func (l *Node) recordTrials(life uint64, told map[string]transport.RolloutReport) {
 	for service, t := range told {
-		g := l.guides[service]
+		g := l.rolloutsInProgress[service]
 		if g == nil || g.order < t.Order {
-			g = &guide{order: t.Order, judge: rollout.NewAnalyzer(), by: map[uint64]rollout.Evidence{}, stage: -1}
-			l.guides[service] = g
+			g = &rolloutProgress{order: t.Order, judge: rollout.NewAnalyzer(), evidenceByNode: map[uint64]rollout.Evidence{}, stage: -1}
+			l.rolloutsInProgress[service] = g
 		}
 		if g.order == t.Order {
-			g.by[life] = t.Evidence
+			g.evidenceByNode[life] = t.Evidence
 		}
 	}
 }
 
-// guideRollouts takes each roll-out one step further if the evidence says so. Each
+// advanceRollouts takes each roll-out one step further if the evidence says so. Each
 // step is written under the condition that the state read still stands, so that
 // of two leaders, or two steps, one holds.
-func (l *Lathe) guideRollouts(now time.Duration) {
-	if !l.node.HasQuorumContact(l.timing.Election) || now-l.leadSince < l.timing.Silence {
+func (l *Node) advanceRollouts(now time.Duration) {
+	if !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) || now-l.leaderSince < l.timing.ConnectionTimeout {
 		return
 	}
 	for key, r := range l.rollouts {
@@ -97,24 +97,24 @@
 		if r.State != rollout.InProgress {
 			continue
 		}
-		g := l.guides[service]
+		g := l.rolloutsInProgress[service]
 		if g == nil || g.order != r.OrderNumber {
-			l.takeTrials(l.life, map[string]transport.RolloutReport{service: {Order: r.OrderNumber}})
-			if g = l.guides[service]; g.order != r.OrderNumber {
+			l.recordTrials(l.incarnation, map[string]transport.RolloutReport{service: {Order: r.OrderNumber}})
+			if g = l.rolloutsInProgress[service]; g.order != r.OrderNumber {
 				continue // proxies know of an order that this node has still to apply
 			}
 		}
 		sum := rollout.Evidence{}
-		for _, e := range g.by {
+		for _, e := range g.evidenceByNode {
 			sum.Add(e)
 		}
 		answers := sum.TargetAnswers()
 		if g.stage != r.Stage {
-			g.stage, g.answers = r.Stage, answers
+			g.stage, g.answersAtStageStart = r.Stage, answers
 		}
 		f := rollout.Observation{
-			Elapsed: r.spent(now), StageElapsed: now - r.at, AnalysisDelay: l.timing.Pause, PropagationDelay: l.timing.Answer,
-			TotalAnswers: sum.TotalAnswers(), TargetAnswers: answers, StageTargetAnswers: answers - g.answers,
+			Elapsed: r.elapsed(now), StageElapsed: now - r.appliedAt, AnalysisDelay: l.timing.RolloutStagePause, PropagationDelay: l.timing.RequestTimeout,
+			TotalAnswers: sum.TotalAnswers(), TargetAnswers: answers, StageTargetAnswers: answers - g.answersAtStageStart,
 		}
 		endpoints := 0
 		for _, e := range l.endpoints {
@@ -130,28 +130,28 @@
 			}
 		}
 		f.Verdict = g.judge.Analyze(sum, endpoints)
-		t, told := l.trials[service]
+		t, told := l.trialProgress[service]
 		f.TrafficShifted = told && t.Proxies > 0 && t.Order == r.OrderNumber && t.Stage == r.Stage && t.AtBase == 0
 		next, changed := r.Advance(f)
-		if !changed || g.asked == r.revision && now-g.askedAt < l.timing.Election {
+		if !changed || g.proposedRevision == r.revision && now-g.proposedAt < l.timing.ElectionTimeout {
 			continue
 		}
-		g.asked, g.askedAt = r.revision, now
-		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+		g.proposedRevision, g.proposedAt = r.revision, now
+		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: key, ModRevision: r.revision}},
 			Then: []registry.Write{{Key: key, Value: next.Encode()}},
 		}}))
 	}
-	for service := range l.guides {
+	for service := range l.rolloutsInProgress {
 		if r := l.rollouts[registry.RolloutPrefix+service]; r == nil || r.State != rollout.InProgress {
-			delete(l.guides, service)
+			delete(l.rolloutsInProgress, service)
 		}
 	}
 }
 
-// noteRollout takes a change of a service's versions. The caller has the node's
+// applyRolloutEvent takes a change of a service's versions. The caller has the node's
 // lock.
-func (l *Lathe) noteRollout(e registry.Event) {
+func (l *Node) applyRolloutEvent(e registry.Event) {
 	was := l.rollouts[e.Object.Key]
 	if e.Type == registry.Deleted {
 		delete(l.rollouts, e.Object.Key)
@@ -159,22 +159,22 @@
 	}
 	r, err := rollout.Decode(e.Object.Value)
 	if err != nil {
-		l.log.Error("roll-out cannot be read", "key", e.Object.Key, "error", err)
+		l.logger.Error("roll-out cannot be read", "key", e.Object.Key, "error", err)
 		return
 	}
-	l.rollouts[e.Object.Key] = &rolloutRecord{Rollout: r, revision: e.Object.ModRevision, at: l.now()}
+	l.rollouts[e.Object.Key] = &rolloutRecord{Rollout: r, revision: e.Object.ModRevision, appliedAt: l.now()}
 	if r.State != "" && (was == nil || was.Rollout != r) {
-		l.log.Info("roll-out", "service", e.Object.Key[len(registry.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.ElapsedSeconds, "why", r.Reason)
+		l.logger.Info("roll-out", "service", e.Object.Key[len(registry.RolloutPrefix):], "target", r.Target, "state", string(r.State), "stage", r.Stage, "spent_s", r.ElapsedSeconds, "why", r.Reason)
 	}
 	if r.State != rollout.InProgress {
-		delete(l.tryOuts, e.Object.Key[len(registry.RolloutPrefix):])
+		delete(l.trialEvidence, e.Object.Key[len(registry.RolloutPrefix):])
 	}
 }
 
-// nameBase lets the first endpoint of a service tell which version is in use. The
+// addBaseVersion lets the first endpoint of a service tell which version is in use. The
 // caller has the node's lock.
-func (l *Lathe) nameBase(txn *registry.Txn, e registry.Endpoint) {
-	if !l.set.HasRollouts() {
+func (l *Node) addBaseVersion(txn *registry.Txn, e registry.Endpoint) {
+	if !l.settings.HasRollouts() {
 		return
 	}
 	key := registry.RolloutPrefix + e.Service
@@ -186,14 +186,14 @@
 	txn.Then = append([]registry.Write{{Key: key, Value: rollout.Rollout{Base: e.Version}.Encode()}}, txn.Then...)
 }
 
-var errNoRollouts = apierror.New(apierror.NoRoute, "this deployment does not tell versions apart")
+var errRolloutsDisabled = apierror.New(apierror.NoRoute, "this deployment does not tell versions apart")
 
 // BeginRollout takes an order to move a service's traffic to a version.
-func (l *Lathe) BeginRollout(service, target string, deadline time.Duration) error {
-	if !l.set.HasRollouts() {
-		return errNoRollouts
+func (l *Node) BeginRollout(service, target string, deadline time.Duration) error {
+	if !l.settings.HasRollouts() {
+		return errRolloutsDisabled
 	}
-	if err := l.ReadPoint(); err != nil {
+	if err := l.ReadIndex(); err != nil {
 		return err
 	}
 	key := registry.RolloutPrefix + service
@@ -205,7 +205,7 @@
 			if was, err = rollout.Decode(o.Value); err != nil {
 				return nil, apierror.New(apierror.Internal, "%v", err)
 			}
-		} else if _, known := l.cluster(service); !known {
+		} else if _, known := l.clusterConfig(service); !known {
 			return nil, apierror.New(apierror.BadRequest, "backend_service: %q is not known", service)
 		}
 		next, err := was.Start(target, deadline)
@@ -222,17 +222,17 @@
 		}, nil
 	})
 	if wrote {
-		l.log.Info("roll-out order acknowledged", "service", service, "target", target, "deadline", deadline.String())
+		l.logger.Info("roll-out order acknowledged", "service", service, "target", target, "deadline", deadline.String())
 	}
 	return err
 }
 
 // Rollout reads how the newest order of a service stands.
-func (l *Lathe) Rollout(service string) (rollout.Rollout, error) {
-	if !l.set.HasRollouts() {
-		return rollout.Rollout{}, errNoRollouts
+func (l *Node) Rollout(service string) (rollout.Rollout, error) {
+	if !l.settings.HasRollouts() {
+		return rollout.Rollout{}, errRolloutsDisabled
 	}
-	if err := l.ReadPoint(); err != nil {
+	if err := l.ReadIndex(); err != nil {
 		return rollout.Rollout{}, err
 	}
 	l.mu.RLock()
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -15,9 +15,9 @@
 	"lichentray/watchcache"
 )
 
-// proxy follows some node of a group and reports what a version under trial does
+// reportAsProxy follows some node of a group and reports what a version under trial does
 // there: nothing but failures if bad.
-func proxy(ctx context.Context, nodes []string, bad *atomic.Bool) {
+func reportAsProxy(ctx context.Context, nodes []string, bad *atomic.Bool) {
 	m := watchcache.NewMirror()
 	for i := 0; ctx.Err() == nil; i++ {
 		c, err := transport.Dial(ctx, nodes[i%len(nodes)], time.Second, transport.Hello{Role: transport.RoleProxy, Node: "p"})
@@ -67,26 +67,26 @@
 
 // TestGauge: where proxies of several nodes stand together; a node that nobody
 // follows any more holds nothing up.
-func TestGauge(t *testing.T) {
+func TestMergeTrialProgress(t *testing.T) {
 	to := map[string]transport.RolloutReport{}
 	for _, n := range []transport.RolloutReport{{Order: 1, Proxies: 1, Stage: 3, AtBase: 9}, {Order: 2, Proxies: 2, Stage: 3}, {Order: 2, Stage: 0}, {Order: 2, Proxies: 1, Stage: 2, AtBase: 4}, {Order: 1, Proxies: 1}} {
-		gauge(to, map[string]transport.RolloutReport{"s": n})
+		mergeTrialProgress(to, map[string]transport.RolloutReport{"s": n})
 	}
 	if x := to["s"]; x.Order != 2 || x.Proxies != 3 || x.Stage != 2 || x.AtBase != 4 {
 		t.Errorf("they stand at %+v", x)
 	}
 }
 
-// TestRollout drives three nodes through orders that are bad input, one that ends in
+// TestRolloutSucceedsAndRollsBack drives three nodes through orders that are bad input, one that ends in
 // success although its leader is lost on the way, one that is rolled back, and the
 // loss of all processes after that.
-func TestRollout(t *testing.T) {
-	g := newGroup(t, 3, func(s *settings.Settings) {
+func TestRolloutSucceedsAndRollsBack(t *testing.T) {
+	g := newTestCluster(t, 3, func(s *settings.Settings) {
 		s.Guarantees = []string{"rollout"}
 		s.Bounds.ConfigApply, s.Bounds.DrainApply = 1, 1
 	})
 	l := g.nodes
-	until(t, "a configuration is taken", func() bool { return l[0].Replace([]byte(fmt.Sprintf(text, 5))) == nil })
+	eventually(t, "a configuration is taken", func() bool { return l[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
 	if _, err := l[0].Rollout("s"); apierror.KindOf(err) != apierror.NotFound {
 		t.Errorf("reading before any order: %v", err)
 	}
@@ -99,7 +99,7 @@
 	for id := range 6 {
 		for v, kind := range []string{"old", "new"} {
 			e := registry.Endpoint{ID: fmt.Sprint(kind, "-", id), Service: "s", Version: fmt.Sprint("v", v+1), Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
-			until(t, "a beat is taken", func() bool { return l[id%3].Beat(e) == nil })
+			eventually(t, "a beat is taken", func() bool { return l[id%3].Heartbeat(e) == nil })
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -109,17 +109,17 @@
 	for _, x := range l {
 		nodes = append(nodes, x.self.Addr)
 	}
-	go proxy(ctx, nodes, &bad)
-	read := func(at *Lathe) (r rollout.Rollout) {
-		until(t, "the roll-out is read", func() bool {
+	go reportAsProxy(ctx, nodes, &bad)
+	read := func(at *Node) (r rollout.Rollout) {
+		eventually(t, "the roll-out is read", func() bool {
 			var err error
 			r, err = at.Rollout("s")
 			return err == nil
 		})
 		return r
 	}
-	begin := func(at *Lathe, target string, d time.Duration) {
-		until(t, "the order is acknowledged", func() bool { return at.BeginRollout("s", target, d) == nil })
+	begin := func(at *Node, target string, d time.Duration) {
+		eventually(t, "the order is acknowledged", func() bool { return at.BeginRollout("s", target, d) == nil })
 	}
 	begin(l[1], "v2", 14*time.Second)
 	begin(l[2], "v2", 14*time.Second) // once more, to another node
@@ -131,7 +131,7 @@
 	}
 	// The leader is lost and comes back; whoever follows goes on.
 	lost := 0
-	until(t, "a leader", func() bool {
+	eventually(t, "a leader", func() bool {
 		for i := range l {
 			if g.leader() == l[i] {
 				lost = i
@@ -142,13 +142,13 @@
 	})
 	l[lost].Close()
 	g.start(lost, false)
-	until(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != rollout.InProgress })
+	eventually(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != rollout.InProgress })
 	if r := read(l[lost]); r.State != rollout.Succeeded || r.Base != "v2" || r.OrderNumber != 1 {
 		t.Fatalf("ended: %+v", r)
 	}
 	bad.Store(true)
 	begin(l[0], "v3", time.Minute)
-	until(t, "the bad version is rolled back", func() bool { return read(l[1]).State != rollout.InProgress })
+	eventually(t, "the bad version is rolled back", func() bool { return read(l[1]).State != rollout.InProgress })
 	for i := range l {
 		l[i].Close()
 	}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -10,14 +10,14 @@
 
 // MemberStatus is one member of the core as the asked node sees it.
 type MemberStatus struct {
-	ID    string `json:"id"`
-	Addr  string `json:"internal_address"`
-	API   string `json:"control_plane"`
-	Zone  string `json:"zone"`
-	Voter bool   `json:"voter"`
-	// Match and AgoMS are known at the leader only; AgoMS is -1 elsewhere.
-	Match uint64 `json:"match_index"`
-	AgoMS int64  `json:"heard_ms_ago"`
+	ID      string `json:"id"`
+	Addr    string `json:"internal_address"`
+	API     string `json:"control_plane"`
+	Zone    string `json:"zone"`
+	IsVoter bool   `json:"voter"`
+	// MatchIndex and AgoMS are known at the leader only; AgoMS is -1 elsewhere.
+	MatchIndex    uint64 `json:"match_index"`
+	LastContactMS int64  `json:"heard_ms_ago"`
 }
 
 // ProxyStatus is one proxy node that watches at the asked node.
@@ -35,23 +35,23 @@
 
 // Status is what a control-plane node tells of itself.
 type Status struct {
-	Node      string         `json:"node"`
-	ID        string         `json:"id"`
-	Role      string         `json:"role"`
-	Term      uint64         `json:"term"`
-	Leader    string         `json:"leader"`
-	Commit    uint64         `json:"commit_index"`
-	Stable    uint64         `json:"durable_index"`
-	Revision  uint64         `json:"revision"`
-	Config    uint64         `json:"config_version"`
-	Endpoints int            `json:"endpoints"`
-	Draining  int            `json:"draining"`
-	Fresh     bool           `json:"in_touch"`
-	Members   []MemberStatus `json:"members"`
-	Proxies   []ProxyStatus  `json:"proxies"`
-	// Cold endpoints, and those that all proxies together find ill.
-	Cold int `json:"cold"`
-	Sick int `json:"sick"`
+	Node          string         `json:"node"`
+	ID            string         `json:"id"`
+	Role          string         `json:"role"`
+	Term          uint64         `json:"term"`
+	Leader        string         `json:"leader"`
+	CommitIndex   uint64         `json:"commit_index"`
+	DurableIndex  uint64         `json:"durable_index"`
+	Revision      uint64         `json:"revision"`
+	ConfigVersion uint64         `json:"config_version"`
+	Endpoints     int            `json:"endpoints"`
+	Draining      int            `json:"draining"`
+	IsUpToDate    bool           `json:"in_touch"`
+	Members       []MemberStatus `json:"members"`
+	Proxies       []ProxyStatus  `json:"proxies"`
+	// WarmingUp endpoints, and those that all proxies together find ill.
+	WarmingUp int `json:"cold"`
+	Unhealthy int `json:"sick"`
 	// Zones that are not in ordinary use, and the proxies in the directory.
 	Zones map[string]string `json:"zones"`
 	// Services tells, where versions are told apart, which versions there are.
@@ -59,22 +59,22 @@
 	Registered []registry.Proxy         `json:"registered"`
 }
 
-func hexID(id uint64) string { return fmt.Sprintf("%016x", id) }
+func formatMemberID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
 // Status tells the node's state.
-func (l *Lathe) Status() *Status {
+func (l *Node) Status() *Status {
 	got := make(chan *Status, 1)
 	l.post(func() {
-		n := l.node
+		n := l.raftNode
 		now := l.now()
-		s := &Status{Node: l.set.NodeName, ID: hexID(l.self.ID), Role: n.Role().String(), Term: n.Term(), Leader: hexID(n.LeaderID()), Commit: n.CommitIndex(), Stable: n.StableIndex()}
+		s := &Status{Node: l.settings.NodeName, ID: formatMemberID(l.self.ID), Role: n.Role().String(), Term: n.Term(), Leader: formatMemberID(n.LeaderID()), CommitIndex: n.CommitIndex(), DurableIndex: n.StableIndex()}
 		ms := n.Membership()
 		for _, m := range ms.AllMembers() {
-			st := MemberStatus{ID: hexID(m.ID), Addr: m.Addr, API: m.API, Zone: l.links.zone(m.Addr), Voter: ms.IsVoter(m.ID), AgoMS: -1}
+			st := MemberStatus{ID: formatMemberID(m.ID), Addr: m.Addr, API: m.API, Zone: l.peers.zoneOf(m.Addr), IsVoter: ms.IsVoter(m.ID), LastContactMS: -1}
 			if n.Role() == raft.Leader {
-				st.Match, st.AgoMS = n.MatchIndex(m.ID), 0
+				st.MatchIndex, st.LastContactMS = n.MatchIndex(m.ID), 0
 				if m.ID != l.self.ID {
-					st.AgoMS = (now - n.LastContact(m.ID)).Milliseconds()
+					st.LastContactMS = (now - n.LastContact(m.ID)).Milliseconds()
 				}
 			}
 			s.Members = append(s.Members, st)
@@ -83,7 +83,7 @@
 	})
 	select {
 	case s := <-got:
-		s.Fresh = l.fresh()
+		s.IsUpToDate = l.isUpToDate()
 		l.mu.RLock()
 		defer l.mu.RUnlock()
 		s.Revision = l.store.Revision()
@@ -94,13 +94,13 @@
 					s.Draining++
 				}
 				if e.WarmingUp {
-					s.Cold++
+					s.WarmingUp++
 				}
 			}
 		}
-		for _, v := range l.verdicts {
+		for _, v := range l.outlierVerdicts {
 			if v.Sick {
-				s.Sick++
+				s.Unhealthy++
 			}
 		}
 		for key, r := range l.rollouts {
@@ -114,18 +114,18 @@
 				x.Endpoints[e.Version]++
 			}
 		}
-		s.Zones = l.evacuations()
+		s.Zones = l.zoneStates()
 		for _, o := range l.store.List(registry.ProxyPrefix) {
 			if p, err := registry.DecodeProxy(o); err == nil {
 				s.Registered = append(s.Registered, p)
 			}
 		}
-		s.Config, _, _ = l.configuration()
-		for p := range l.sessions {
-			s.Proxies = append(s.Proxies, ProxyStatus{Node: p.node, Revision: p.acked.Load()})
+		s.ConfigVersion, _, _ = l.storedConfiguration()
+		for p := range l.proxySessions {
+			s.Proxies = append(s.Proxies, ProxyStatus{Node: p.proxyName, Revision: p.ackedRevision.Load()})
 		}
 		return s
 	case <-l.ctx.Done():
-		return &Status{Node: l.set.NodeName}
+		return &Status{Node: l.settings.NodeName}
 	}
 }
--- a/internal/controlplane/transfer.go
+++ b/internal/controlplane/transfer.go
@@ -11,28 +11,28 @@
 // and read points don't wait behind it. Consensus bounds how much is on its way, so
 // that the connections don't starve each other on the link that they share.
 
-// logLink gives the link to a peer that carries the log.
-func (s *linkSet) logLink(addr string) *link {
+// logConnection gives the link to a peer that carries the log.
+func (s *peerPool) logConnection(addr string) *peerConnection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.getLocked(addr)
-	if k.log == nil {
-		k.log = s.begin(k.ctx, addr, true)
+	k := s.connectionLocked(addr)
+	if k.logConnection == nil {
+		k.logConnection = s.startConnection(k.ctx, addr, true)
 	}
-	return k.log
+	return k.logConnection
 }
 
-// send queues messages for their peers: what carries the log alone, else those of
+// sendMessages queues messages for their peers: what carries the log alone, else those of
 // one peer in one frame.
-func (s *linkSet) send(ms []raft.Message) {
+func (s *peerPool) sendMessages(ms []raft.Message) {
 	var order []uint64
 	frames := map[uint64]*transport.Frame{}
 	for _, m := range ms {
-		addr := s.addr(m.To)
+		addr := s.addrOf(m.To)
 		switch {
-		case addr == "" || addr == s.l.self.Addr:
+		case addr == "" || addr == s.node.self.Addr:
 		case m.Type == raft.MsgAppend || m.Type == raft.MsgSnapshot:
-			offer(s.logLink(addr), &transport.Frame{Raft: []raft.Message{m}})
+			enqueueOrDrop(s.logConnection(addr), &transport.Frame{Raft: []raft.Message{m}})
 		case frames[m.To] == nil:
 			frames[m.To] = &transport.Frame{}
 			order = append(order, m.To)
@@ -42,49 +42,49 @@
 		}
 	}
 	for _, to := range order {
-		offer(s.get(s.addr(to)), frames[to])
+		enqueueOrDrop(s.connection(s.addrOf(to)), frames[to])
 	}
 }
 
-// offer queues a frame, or drops it.
-func offer(k *link, f *transport.Frame) {
+// enqueueOrDrop queues a frame, or drops it.
+func enqueueOrDrop(k *peerConnection, f *transport.Frame) {
 	select {
-	case k.queue <- f:
+	case k.sendQueue <- f:
 	default:
 	}
 }
 
-// resumeLog begins a new connection for the log: what was on its way on the one
+// resetLogConnection begins a new connection for the log: what was on its way on the one
 // before, or waited for it, is sent from what the peer is known to hold.
-func (l *Lathe) resumeLog(k *link) {
-	for len(k.queue) > 0 {
-		<-k.queue
+func (l *Node) resetLogConnection(k *peerConnection) {
+	for len(k.sendQueue) > 0 {
+		<-k.sendQueue
 	}
 	l.post(func() {
-		for _, m := range l.node.Membership().AllMembers() {
+		for _, m := range l.raftNode.Membership().AllMembers() {
 			if m.Addr == k.addr {
-				l.node.ReportReconnected(m.ID)
+				l.raftNode.ReportReconnected(m.ID)
 			}
 		}
 	})
 }
 
-// restore takes the state that the disk holds.
-func (l *Lathe) restore(saved raft.PersistentState) error {
+// restoreSaved takes the state that the disk holds.
+func (l *Node) restoreSaved(saved raft.PersistentState) error {
 	if saved.Snapshot.Data == nil {
 		return nil
 	}
 	return l.store.Restore(saved.Snapshot.Data)
 }
 
-// checkSnapshot restores a leader's snapshot beside the state held, which it replaces
+// restoreReceived restores a leader's snapshot beside the state held, which it replaces
 // once it is installed.
-func (l *Lathe) checkSnapshot(data []byte) error {
+func (l *Node) restoreReceived(data []byte) error {
 	s := registry.NewStore()
 	if err := s.Restore(data); err != nil {
-		l.log.Error("snapshot cannot be read, this node goes on lagging", "error", err)
+		l.logger.Error("snapshot cannot be read, this node goes on lagging", "error", err)
 		return err
 	}
-	l.restored = s
+	l.restoredStore = s
 	return nil
 }
--- a/internal/controlplane/transfer_test.go
+++ b/internal/controlplane/transfer_test.go
@@ -14,35 +14,35 @@
 	"lichentray/registry"
 )
 
-// strait is a link of so many bytes a second that several connections share.
-type strait struct {
-	mu    sync.Mutex
-	rate  int
-	free  time.Time
-	total int
+// throttledLink is a link of so many bytes a second that several connections share.
+type throttledLink struct {
+	mu             sync.Mutex
+	bytesPerSecond int
+	freeAt         time.Time
+	totalBytes     int
 }
 
-func (s *strait) sent() int {
+func (s *throttledLink) bytesSent() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.totalBytes
 }
 
-type straitConn struct {
+type throttledConn struct {
 	net.Conn
-	s *strait
+	link *throttledLink
 }
 
-func (c straitConn) Read(b []byte) (int, error) {
+func (c throttledConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b[:min(len(b), 4096)])
-	c.s.mu.Lock()
-	c.s.total += n
-	if now := time.Now(); c.s.free.Before(now) {
-		c.s.free = now
+	c.link.mu.Lock()
+	c.link.totalBytes += n
+	if now := time.Now(); c.link.freeAt.Before(now) {
+		c.link.freeAt = now
 	}
-	c.s.free = c.s.free.Add(time.Second * time.Duration(n) / time.Duration(c.s.rate))
-	wait := time.Until(c.s.free)
-	c.s.mu.Unlock()
+	c.link.freeAt = c.link.freeAt.Add(time.Second * time.Duration(n) / time.Duration(c.link.bytesPerSecond))
+	wait := time.Until(c.link.freeAt)
+	c.link.mu.Unlock()
 	time.Sleep(wait) // the pace of the link
 	return n, err
 }
@@ -51,24 +51,24 @@
 // connections' time-out, over a link that carries nothing else, while changes go on,
 // the first of them of a megabyte: that follows the snapshot at once.
 // The member is the core of consensus alone; the leader and the wire are whole.
-func TestSnapshotOverANarrowLink(t *testing.T) {
-	g := newGroup(t, 1, nil)
+func TestSnapshotOverNarrowLink(t *testing.T) {
+	g := newTestCluster(t, 1, nil)
 	l := g.nodes[0]
 	r := rand.New(rand.NewSource(1))
 	put := func(key string, size int) (err error) {
 		value := make([]byte, size)
 		r.Read(value)
-		_, err = l.Do(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key, Value: value}}}})
+		_, err = l.Propose(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key, Value: value}}}})
 		return err
 	}
 	const state = 3 << 20
-	until(t, "the state", func() bool { return put("account/large", state) == nil })
-	until(t, "a snapshot of it", func() bool {
+	eventually(t, "the state", func() bool { return put("account/large", state) == nil })
+	eventually(t, "a snapshot of it", func() bool {
 		if put("account/small", 200<<10) != nil {
 			return false // a disk that others use as well may be late
 		}
 		first := make(chan int, 1)
-		l.post(func() { first <- l.node.CompactableEntries() })
+		l.post(func() { first <- l.raftNode.CompactableEntries() })
 		return <-first < 3
 	})
 
@@ -79,7 +79,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	addr = ln.Addr().String()
-	s := &strait{rate: 1 << 20}
+	s := &throttledLink{bytesPerSecond: 1 << 20}
 	got := make(chan raft.Message, 64)
 	go func() {
 		for {
@@ -89,7 +89,7 @@
 			}
 			go func() {
 				defer raw.Close()
-				c, _, err := transport.Accept(straitConn{raw, s}, 30*time.Second)
+				c, _, err := transport.Accept(throttledConn{raw, s}, 30*time.Second)
 				for err == nil {
 					var f *transport.Frame
 					if f, err = c.Receive(0); err == nil {
@@ -111,10 +111,10 @@
 		t.Fatal(err)
 	}
 
-	n := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: l.timing.Heartbeat, ElectionTimeout: l.timing.Election, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
+	n := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: l.timing.HeartbeatInterval, ElectionTimeout: l.timing.ElectionTimeout, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
 	start := time.Now()
 	installed := 0
-	tick := time.NewTicker(l.timing.Tick)
+	tick := time.NewTicker(l.timing.TickInterval)
 	defer tick.Stop()
 	change := time.NewTicker(100 * time.Millisecond)
 	defer change.Stop()
@@ -123,7 +123,7 @@
 	size := 1 << 20
 	for n.AppliedIndex() == 0 || n.AppliedIndex() < last {
 		if time.Since(start) > time.Minute {
-			t.Fatalf("at %d of %d after %v, %d bytes were sent", n.AppliedIndex(), last, time.Since(start), s.sent())
+			t.Fatalf("at %d of %d after %v, %d bytes were sent", n.AppliedIndex(), last, time.Since(start), s.bytesSent())
 		}
 		select {
 		case m := <-got:
@@ -137,7 +137,7 @@
 				size = 2000
 				done := make(chan uint64, 1)
 				l.post(func() {
-					i, _, _ := l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: "account/tick", Value: value}}}}))
+					i, _, _ := l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: "account/tick", Value: value}}}}))
 					done <- i
 				})
 				last = max(last, <-done)
@@ -164,7 +164,7 @@
 			}
 		}
 	}
-	total := s.sent()
+	total := s.bytesSent()
 	t.Logf("caught up after %v, %d bytes were sent", time.Since(start), total)
 	if after := time.Since(start) - during; after > during+5*time.Second {
 		t.Errorf("the snapshot took %v, the entries after it %v", during, after)
@@ -179,12 +179,12 @@
 
 // TestUnreadableStateAtAStart: a node whose snapshot cannot be read doesn't end by
 // itself; it joins as a new member and has what the others have.
-func TestUnreadableStateAtAStart(t *testing.T) {
-	g := newGroup(t, 3, nil)
-	until(t, "a configuration", func() bool { return g.nodes[0].Replace(fmt.Appendf(nil, text, 5)) == nil })
+func TestUnreadableSnapshotAtStart(t *testing.T) {
+	g := newTestCluster(t, 3, nil)
+	eventually(t, "a configuration", func() bool { return g.nodes[0].ReplaceConfiguration(fmt.Appendf(nil, configurationFormat, 5)) == nil })
 	old := g.nodes[2].self.ID
 	g.nodes[2].Close()
-	c, _, saved, err := storage.Open(g.disk(2), 0, nil)
+	c, _, saved, err := storage.Open(g.dataDirectory(2), 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,8 +197,8 @@
 	if g.nodes[2].self.ID == old {
 		t.Error("the identity is used again")
 	}
-	until(t, "the node reads the configuration", func() bool {
+	eventually(t, "the node reads the configuration", func() bool {
 		got, err := g.nodes[2].Configuration()
-		return err == nil && string(got) == fmt.Sprintf(text, 5)
+		return err == nil && string(got) == fmt.Sprintf(configurationFormat, 5)
 	})
 }
--- a/internal/controlplane/world.go
+++ b/internal/controlplane/world.go
@@ -12,26 +12,26 @@
 	"lichentray/registry"
 )
 
-// table gives the compiled configuration that this node holds, or nil. The
+// routeTable gives the compiled configuration that this node holds, or nil. The
 // caller has the node's lock for writing.
-func (l *Lathe) table() *config.Table {
+func (l *Node) routeTable() *config.Table {
 	o, _ := l.store.Get(registry.ConfigKey)
-	if o.ModRevision == l.compiledAt {
-		return l.compiled
+	if o.ModRevision == l.compiledRevision {
+		return l.compiledTable
 	}
-	l.compiled, l.compiledAt = nil, o.ModRevision
+	l.compiledTable, l.compiledRevision = nil, o.ModRevision
 	if _, text, ok := registry.DecodeConfig(o); ok {
 		if c, err := config.DecodeValidated(text); err == nil {
-			l.compiled = config.Compile(c)
+			l.compiledTable = config.Compile(c)
 		}
 	}
-	return l.compiled
+	return l.compiledTable
 }
 
-// cluster gives a service as configured. The caller has the node's lock for
+// clusterConfig gives a service as configured. The caller has the node's lock for
 // writing.
-func (l *Lathe) cluster(name string) (config.Cluster, bool) {
-	t := l.table()
+func (l *Node) clusterConfig(name string) (config.Cluster, bool) {
+	t := l.routeTable()
 	if t == nil {
 		return config.Cluster{}, false
 	}
@@ -42,8 +42,8 @@
 	return t.Services[i], true
 }
 
-// register keeps a proxy's entry in the registry as the proxy itself says.
-func (l *Lathe) register(p registry.Proxy) error {
+// registerProxy keeps a proxy's entry in the registry as the proxy itself says.
+func (l *Node) registerProxy(p registry.Proxy) error {
 	_, err := l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(p.Key())
 		if old, err := registry.DecodeProxy(o); err == nil && old == p {
@@ -57,16 +57,16 @@
 	return err
 }
 
-// note takes a change of the registry into what the node keeps decoded of it.
+// applyEvent takes a change of the registry into what the node keeps decoded of it.
 // The caller has the node's lock.
-func (l *Lathe) note(e registry.Event) {
+func (l *Node) applyEvent(e registry.Event) {
 	switch key := e.Object.Key; {
 	case strings.HasPrefix(key, registry.ProxyPrefix):
-		l.noteProxy(e)
+		l.applyProxyEvent(e)
 	case strings.HasPrefix(key, registry.EvacuationPrefix):
-		l.noteOrder(e)
+		l.applyEvacuationEvent(e)
 	case strings.HasPrefix(key, registry.RolloutPrefix):
-		l.noteRollout(e)
+		l.applyRolloutEvent(e)
 	case strings.HasPrefix(key, registry.EndpointPrefix):
 		delete(l.endpoints, key)
 		if e.Type == registry.Deleted {
@@ -77,76 +77,76 @@
 		}
 	}
 	if isWatched(e.Object.Key) {
-		l.changedAt = e.Revision
+		l.watchedRevision = e.Revision
 	}
 }
 
-// noteAll does so for a state taken whole. The caller has the node's lock.
-func (l *Lathe) noteAll() {
-	clear(l.places)
+// rebuildFromStore does so for a state taken whole. The caller has the node's lock.
+func (l *Node) rebuildFromStore() {
+	clear(l.directoryPlaces)
 	clear(l.endpoints)
 	clear(l.rollouts)
 	for _, prefix := range [...]string{registry.ProxyPrefix, registry.EvacuationPrefix, registry.RolloutPrefix, registry.EndpointPrefix} {
 		for _, o := range l.store.List(prefix) {
-			l.note(registry.Event{Type: registry.Added, Object: o})
+			l.applyEvent(registry.Event{Type: registry.Added, Object: o})
 		}
 	}
-	l.changedAt = l.store.Revision()
+	l.watchedRevision = l.store.Revision()
 }
 
-func (l *Lathe) noteProxy(e registry.Event) {
+func (l *Node) applyProxyEvent(e registry.Event) {
 	if e.Type == registry.Deleted {
-		delete(l.places, e.Object.Key)
+		delete(l.directoryPlaces, e.Object.Key)
 		return
 	}
 	if p, err := registry.DecodeProxy(e.Object); err == nil {
-		l.places[e.Object.Key] = loadbalance.ProxyNode{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Draining: p.Leaving}
+		l.directoryPlaces[e.Object.Key] = loadbalance.ProxyNode{Address: p.Address, Zone: p.Zone, Weight: p.Weight, Draining: p.Leaving}
 	}
 }
 
-// resolveMost is how many addresses an answer of the directory may name.
-const resolveMost = 64
+// maxResolvedAddresses is how many addresses an answer of the directory may name.
+const maxResolvedAddresses = 64
 
 // Resolve tells a client which proxy nodes to go to, and for how long that
 // holds. A node that lost touch answers from what it still holds: proxies that
 // were there a while ago are better than none.
-func (l *Lathe) Resolve(client, host, region, zone string) ([]string, time.Duration, error) {
-	fresh := l.fresh()
+func (l *Node) Resolve(client, host, region, zone string) ([]string, time.Duration, error) {
+	fresh := l.isUpToDate()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.table(); t == nil || !t.HasHost(host) {
+	if t := l.routeTable(); t == nil || !t.HasHost(host) {
 		if !fresh || t == nil {
 			return nil, 0, apierror.New(apierror.Unavailable, "name %q is not known here yet", host)
 		}
 		return nil, 0, apierror.New(apierror.NoRoute, "name: no configuration has host %q", host)
 	}
-	if known, ok := l.set.RegionByZone[zone]; ok {
+	if known, ok := l.settings.RegionByZone[zone]; ok {
 		region = known
 	}
-	all := make([]loadbalance.ProxyNode, 0, len(l.places))
-	for _, p := range l.places {
+	all := make([]loadbalance.ProxyNode, 0, len(l.directoryPlaces))
+	for _, p := range l.directoryPlaces {
 		all = append(all, p)
 	}
-	out := loadbalance.SelectProxies(all, client, zone, region, func(z string) string { return l.set.RegionByZone[z] }, resolveMost)
+	out := loadbalance.SelectProxies(all, client, zone, region, func(z string) string { return l.settings.RegionByZone[z] }, maxResolvedAddresses)
 	if len(out) == 0 {
 		return nil, 0, apierror.New(apierror.Unavailable, "no proxy node is registered")
 	}
-	return out, l.timing.TTL, nil
+	return out, l.timing.DirectoryTTL, nil
 }
 
 // Evacuate empties a zone, or takes it back, as long as waits tells that the caller
 // still waits; else it is of kind Unavailable.
-func (l *Lathe) Evacuate(zone string, begin bool, waits func() bool) error {
-	if _, known := l.set.RegionByZone[zone]; !known {
+func (l *Node) Evacuate(zone string, begin bool, waits func() bool) error {
+	if _, known := l.settings.RegionByZone[zone]; !known {
 		return apierror.New(apierror.BadRequest, "of: zone %q is not known", zone)
 	}
 	// Whether there is anything to write is judged by a state that holds all that
 	// was acknowledged before: a node that is just back knows of no evacuation.
-	if err := l.ReadPoint(); err != nil {
+	if err := l.ReadIndex(); err != nil {
 		return err
 	}
 	key := registry.EvacuationPrefix + zone
-	bound := l.set.Bounds.AckTimeout.Duration()
+	bound := l.settings.Bounds.AckTimeout.Duration()
 	repeats := registry.RepeatWindow{Acknowledged: bound / 5, Unacknowledged: bound}
 	var now registry.Evacuation
 	wrote, err := l.transact(func() (*registry.Txn, error) {
@@ -155,7 +155,7 @@
 		}
 		o, _ := l.store.Get(key)
 		was := registry.DecodeEvacuation(o)
-		if now = was.ApplyOrder(begin, l.now()-l.ordered[orderKind{key, begin}], repeats); now == was {
+		if now = was.ApplyOrder(begin, l.now()-l.evacuationOrderedAt[evacuationOrder{key, begin}], repeats); now == was {
 			return nil, nil
 		}
 		return &registry.Txn{
@@ -164,24 +164,24 @@
 		}, nil
 	})
 	if wrote {
-		l.log.Info("evacuation order acknowledged", "zone", zone, "begin", begin, "state", now.State(), "open", now.BeginCount-now.FinishCount)
+		l.logger.Info("evacuation order acknowledged", "zone", zone, "begin", begin, "state", now.State(), "open", now.BeginCount-now.FinishCount)
 	}
 	if err == nil && now != now.Acknowledge(begin) {
-		time.AfterFunc(l.timing.Heartbeat, func() { l.answered(key, begin, now) })
+		time.AfterFunc(l.timing.HeartbeatInterval, func() { l.recordOrderAnswered(key, begin, now) })
 	}
 	return err
 }
 
-// orderKind is an evacuation's key, and whether it is begun or taken back.
-type orderKind struct {
-	key   string
-	begin bool
+// evacuationOrder is an evacuation's key, and whether it is begun or taken back.
+type evacuationOrder struct {
+	key     string
+	isBegin bool
 }
 
-// answered notes that this node lived on after it answered an order, so that a
+// recordOrderAnswered notes that this node lived on after it answered an order, so that a
 // further one of its kind is hardly a repeat. A note that does not come through
 // is not tried again: without it more orders count as repeats.
-func (l *Lathe) answered(key string, begin bool, order registry.Evacuation) {
+func (l *Node) recordOrderAnswered(key string, begin bool, order registry.Evacuation) {
 	_, _ = l.transact(func() (*registry.Txn, error) {
 		o, _ := l.store.Get(key)
 		now := registry.DecodeEvacuation(o)
@@ -196,30 +196,30 @@
 	})
 }
 
-func (l *Lathe) noteOrder(e registry.Event) {
+func (l *Node) applyEvacuationEvent(e registry.Event) {
 	order := registry.DecodeEvacuation(e.Object)
-	was := l.orders[e.Object.Key]
-	l.orders[e.Object.Key] = order
+	was := l.evacuationOrders[e.Object.Key]
+	l.evacuationOrders[e.Object.Key] = order
 	if order.BeginCount != was.BeginCount {
-		l.ordered[orderKind{e.Object.Key, true}] = l.now()
+		l.evacuationOrderedAt[evacuationOrder{e.Object.Key, true}] = l.now()
 	}
 	if order.FinishCount != was.FinishCount {
-		l.ordered[orderKind{e.Object.Key, false}] = l.now()
+		l.evacuationOrderedAt[evacuationOrder{e.Object.Key, false}] = l.now()
 	}
 }
 
 // Evacuations lists the zones that are not in ordinary use.
-func (l *Lathe) Evacuations() (map[string]string, error) {
-	if err := l.ReadPoint(); err != nil {
+func (l *Node) Evacuations() (map[string]string, error) {
+	if err := l.ReadIndex(); err != nil {
 		return nil, err
 	}
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return l.evacuations(), nil
+	return l.zoneStates(), nil
 }
 
-// evacuations reads what is held. The caller has the node's lock.
-func (l *Lathe) evacuations() map[string]string {
+// zoneStates reads what is held. The caller has the node's lock.
+func (l *Node) zoneStates() map[string]string {
 	out := map[string]string{}
 	for _, o := range l.store.List(registry.EvacuationPrefix) {
 		out[o.Key[len(registry.EvacuationPrefix):]] = registry.DecodeEvacuation(o).State()
@@ -227,78 +227,78 @@
 	return out
 }
 
-// endReturns takes zones back into ordinary use once their endpoints' beats
+// finishZoneReturns takes zones back into ordinary use once their endpoints' beats
 // have had the time to tell which are cold.
-func (l *Lathe) endReturns(now time.Duration) {
+func (l *Node) finishZoneReturns(now time.Duration) {
 	for _, o := range l.store.List(registry.EvacuationPrefix) {
 		if registry.DecodeEvacuation(o).State() != registry.Returning {
-			delete(l.returning, o.Key)
+			delete(l.returningZones, o.Key)
 			continue
 		}
-		since, ok := l.returning[o.Key]
+		since, ok := l.returningZones[o.Key]
 		if !ok || since.revision != o.ModRevision {
-			l.returning[o.Key] = mark{now, o.ModRevision}
+			l.returningZones[o.Key] = revisionTime{now, o.ModRevision}
 			continue
 		}
-		if now-since.at > 2*l.set.HeartbeatInterval.Duration()+l.timing.Silence {
-			l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+		if now-since.at > 2*l.settings.HeartbeatInterval.Duration()+l.timing.ConnectionTimeout {
+			l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 				If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 				Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 			}}))
-			l.returning[o.Key] = mark{now, o.ModRevision} // asked again if it did not come through
+			l.returningZones[o.Key] = revisionTime{now, o.ModRevision} // asked again if it did not come through
 		}
 	}
 }
 
-// dropProxies removes entries of proxies whose lease has run out. Every proxy
+// expireProxies removes entries of proxies whose lease has run out. Every proxy
 // has a fresh one after a change of leader.
-func (l *Lathe) dropProxies(now time.Duration) {
-	if !l.node.HasQuorumContact(l.timing.Election) || now-l.leadSince < l.timing.Lease {
+func (l *Node) expireProxies(now time.Duration) {
+	if !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) || now-l.leaderSince < l.timing.ProxyLease {
 		return
 	}
 	for _, o := range l.store.List(registry.ProxyPrefix) {
 		name := o.Key[len(registry.ProxyPrefix):]
-		seen, ok := l.proxies[name]
+		seen, ok := l.proxyLastSeen[name]
 		if !ok {
-			l.proxies[name] = now
+			l.proxyLastSeen[name] = now
 			continue
 		}
-		if now-seen <= l.timing.Lease {
+		if now-seen <= l.timing.ProxyLease {
 			continue
 		}
-		l.proxies[name] = now // asked again if it does not come through
-		l.board.Counter("proxies_removed_total").Inc()
-		l.node.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+		l.proxyLastSeen[name] = now // asked again if it does not come through
+		l.metricsRegistry.Counter("proxies_removed_total").Inc()
+		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 		}}))
 	}
 }
 
-// cold lists the cold endpoints, and which of the proxies told of may send to
+// warmingEndpoints lists the cold endpoints, and which of the proxies told of may send to
 // each: those of its zone, else of its region, else all. The caller has the
 // node's lock for writing.
-func (l *Lathe) cold(told map[string]uint64) []loadbalance.WarmingEndpoint {
+func (l *Node) warmingEndpoints(told map[string]uint64) []loadbalance.WarmingEndpoint {
 	var out []loadbalance.WarmingEndpoint
-	evac := l.evacuations()
+	evac := l.zoneStates()
 	var byZone, byRegion map[string][]string
 	var all []string
 	for _, e := range l.endpoints {
 		if e.Draining || (!e.WarmingUp && evac[e.Zone] != registry.Returning) {
 			continue
 		}
-		c, ok := l.cluster(e.Service)
+		c, ok := l.clusterConfig(e.Service)
 		if !ok || c.WarmupRatePerSecond <= 0 {
 			continue
 		}
 		if byZone == nil {
 			byZone, byRegion = map[string][]string{}, map[string][]string{}
 			for name := range told {
-				p, there := l.places[registry.ProxyPrefix+name]
+				p, there := l.directoryPlaces[registry.ProxyPrefix+name]
 				if !there || p.Draining {
 					continue
 				}
-				r := l.set.RegionByZone[p.Zone]
+				r := l.settings.RegionByZone[p.Zone]
 				byZone[p.Zone] = append(byZone[p.Zone], name)
 				byRegion[r] = append(byRegion[r], name)
 				all = append(all, name)
@@ -306,28 +306,28 @@
 		}
 		near := byZone[e.Zone]
 		if len(near) == 0 {
-			near = byRegion[l.set.RegionByZone[e.Zone]]
+			near = byRegion[l.settings.RegionByZone[e.Zone]]
 		}
 		if len(near) == 0 {
 			near = all
 		}
-		b := l.set.Bounds
+		b := l.settings.Bounds
 		out = append(out, loadbalance.WarmingEndpoint{ID: e.ID, Rate: c.WarmupRatePerSecond, MaxPerSecond: 0.9 * (c.WarmupRatePerSecond*b.SlowStartOvershoot + b.SlowStartSlack), Proxies: near})
 	}
 	slices.SortFunc(out, func(a, b loadbalance.WarmingEndpoint) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// share grants what cold endpoints may get to the proxies told of.
-func (l *Lathe) share(now time.Duration, told map[string]uint64) map[string]transport.QuotaGrants {
-	if l.set.Bounds.SlowStartOvershoot <= 0 || !l.node.HasQuorumContact(l.timing.Election) {
+// grantQuotas grants what cold endpoints may get to the proxies told of.
+func (l *Node) grantQuotas(now time.Duration, told map[string]uint64) map[string]transport.QuotaGrants {
+	if l.settings.Bounds.SlowStartOvershoot <= 0 || !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) {
 		return nil // nothing is bounded, or another may lead by now
 	}
 	l.mu.Lock()
-	cold := l.cold(told)
+	cold := l.warmingEndpoints(told)
 	l.mu.Unlock()
 	rounds := map[string]transport.QuotaGrants{}
-	for name, grants := range l.granter.Allocate(now, cold) {
+	for name, grants := range l.quotaGranter.Allocate(now, cold) {
 		rounds[name] = transport.QuotaGrants{Seq: told[name], Grants: grants}
 	}
 	return rounds
