--- a/cmd/lichentray-proxy/main.go
+++ b/cmd/lichentray-proxy/main.go
@@ -40,11 +40,11 @@
 		return fmt.Errorf("frontend: %w", err)
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- api.NewServer(p.Readiness, 64<<10).Serve(readiness) }()
-	front := proxy.NewFront(p, frontend)
+	go func() { failed <- api.NewServer(p.HandleReadiness, 64<<10).Serve(readiness) }()
+	front := proxy.NewFrontend(p, frontend)
 	go front.Run()
-	go p.Follow(ctx)
-	go p.LookForRelay(ctx)
+	go p.ListAndWatch(ctx)
+	go p.DetectRelay(ctx)
 	for {
 		select {
 		case err := <-failed:
@@ -53,7 +53,7 @@
 			p.SetSeeds(s.SeedNodes)
 		case <-sig.Stop:
 			log.Info("stopping")
-			front.Stop(set.Bounds.GracePeriod.Duration())
+			front.Shutdown(set.Bounds.GracePeriod.Duration())
 			return nil
 		}
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -40,9 +40,9 @@
 	return []string{host + "-" + region + "-" + zone}, 1250 * time.Millisecond, n.err
 }
 func (n *fakeNode) Heartbeat(e registry.Endpoint) error { n.received = e; return n.err }
-func (n *fakeNode) Deregister(id string) error        { n.received = id; return n.err }
-func (n *fakeNode) ReplaceConfiguration(b []byte) error         { n.received = string(b); return n.err }
-func (n *fakeNode) Configuration() ([]byte, error) { return []byte(`{"config_version":1}`), n.err }
+func (n *fakeNode) Deregister(id string) error          { n.received = id; return n.err }
+func (n *fakeNode) ReplaceConfiguration(b []byte) error { n.received = string(b); return n.err }
+func (n *fakeNode) Configuration() ([]byte, error)      { return []byte(`{"config_version":1}`), n.err }
 func (n *fakeNode) Cell(name string) (coordination.Cell, error) {
 	return coordination.Cell{Value: "v", Revision: 4}, n.err
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -13,9 +13,9 @@
 	"lichentray/registry"
 )
 
-// BenchmarkCopy is what a proxy's copy takes: memory for each endpoint and route,
+// BenchmarkApplyState is what a proxy's copy takes: memory for each endpoint and route,
 // and the work of one change.
-func BenchmarkCopy(b *testing.B) {
+func BenchmarkApplyState(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -29,7 +29,7 @@
 		for i := range n {
 			x := registry.Endpoint{ID: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprint("s", i%1500), Version: "v1", Address: fmt.Sprintf("10.0.%d.%d:8080", i>>8&255, i&255), Zone: "a", Capacity: 4}
 			o := registry.Object{Key: x.Key(), Value: x.Encode(), CreateRevision: uint64(i + 1), ModRevision: uint64(i + 1)}
-			if err := p.takeEvent(registry.Event{Type: registry.Added, Object: o, Revision: uint64(i + 1)}); err != nil {
+			if err := p.applyEvent(registry.Event{Type: registry.Added, Object: o, Revision: uint64(i + 1)}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -39,7 +39,7 @@
 			for b.Loop() {
 				rev++
 				x := registry.Endpoint{ID: fmt.Sprintf("i-%08x", int(rev)%n*7919), Service: fmt.Sprint("s", int(rev)%n%1500), Version: "v1", Address: "10.0.0.1:8080", Zone: "a", Capacity: 4, Sequence: rev}
-				if err := p.takeEvent(registry.Event{Type: registry.Modified, Object: registry.Object{Key: x.Key(), Value: x.Encode(), ModRevision: rev}, Revision: rev}); err != nil {
+				if err := p.applyEvent(registry.Event{Type: registry.Modified, Object: registry.Object{Key: x.Key(), Value: x.Encode(), ModRevision: rev}, Revision: rev}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -67,13 +67,13 @@
 			return registry.EncodeConfig(version, []byte(sb.String()))
 		}
 		before := heap()
-		p.takeConfig(registry.Object{Key: registry.ConfigKey, Value: text(1)})
+		p.applyConfig(registry.Object{Key: registry.ConfigKey, Value: text(1)})
 		each, size := (heap()-before)/float64(n), len(text(1))
 		version := uint64(1)
 		b.Run(fmt.Sprint("configuration of ", n, " routes"), func(b *testing.B) {
 			for b.Loop() {
 				version++
-				p.takeConfig(registry.Object{Key: registry.ConfigKey, Value: text(version)})
+				p.applyConfig(registry.Object{Key: registry.ConfigKey, Value: text(version)})
 			}
 			b.ReportMetric(each, "heap-bytes/route")
 			b.ReportMetric(float64(size)/float64(n), "text-bytes/route")
--- a/internal/proxy/follow.go
+++ b/internal/proxy/follow.go
@@ -10,49 +10,49 @@
 	"lichentray/registry"
 )
 
-// stream is an open stream of one control-plane node.
-type stream struct {
-	addr   string
-	conn   *transport.Conn
-	list   bool // the answer is a list, else the watch went on
-	answer *transport.Response
-	began  time.Time
-	told   bool // a report has been sent
-	frames chan *transport.Frame
-	broken chan error
-	ended  chan struct{}
+// watchStream is an open stream of one control-plane node.
+type watchStream struct {
+	addr        string
+	conn        *transport.Conn
+	isList      bool // the answer is a list, else the watch went on
+	firstAnswer *transport.Response
+	openedAt    time.Time
+	hasReported bool // a report has been sent
+	frames      chan *transport.Frame
+	failure     chan error
+	closed      chan struct{}
 }
 
-func (s *stream) close() {
-	close(s.ended)
+func (s *watchStream) close() {
+	close(s.closed)
 	s.conn.Close()
 }
 
-// read hands the frames on until the stream breaks.
-func (s *stream) read() {
+// readFrames hands the frames on until the stream breaks.
+func (s *watchStream) readFrames() {
 	for {
 		f, err := s.conn.Receive(0)
 		if err != nil {
-			s.broken <- err
+			s.failure <- err
 			return
 		}
 		select {
 		case s.frames <- f:
-		case <-s.ended:
+		case <-s.closed:
 			return
 		}
 	}
 }
 
-// Follow keeps the copy up to date until the context ends: one list, then the
+// ListAndWatch keeps the copy up to date until the context ends: one list, then the
 // watch, from whichever control-plane node is in touch.
 //
 // A stream that falls quiet is kept while another is sought, and whichever speaks
 // first is followed: a node whose own link is full hears late of everything, and to
 // break off what is on its way there makes it later still.
-func (p *Plane) Follow(ctx context.Context) {
-	var cur *stream
-	var found chan *stream
+func (p *Proxy) ListAndWatch(ctx context.Context) {
+	var cur *watchStream
+	var found chan *watchStream
 	var cancel context.CancelFunc
 	closer := false // what is sought is a node that lies nearer, while cur is well
 	stop := func() {
@@ -69,18 +69,18 @@
 		closer = nearer
 		var sctx context.Context
 		sctx, cancel = context.WithCancel(ctx)
-		to := make(chan *stream)
+		to := make(chan *watchStream)
 		found = to
-		want := transport.Request{ID: 1, Least: p.mirror.Revision(), Watch: p.mirror.HasSynced(), List: !p.mirror.HasSynced(), Packs: true}
-		if !p.movedOnce {
-			want.Zone = p.set.Zone
+		want := transport.Request{ID: 1, Least: p.store.Revision(), Watch: p.store.HasSynced(), List: !p.store.HasSynced(), Packs: true}
+		if !p.hasMovedNearer {
+			want.Zone = p.settings.Zone
 		}
 		go func() {
-			var s *stream
+			var s *watchStream
 			if nearer {
-				s = p.approach(sctx, avoid, want)
+				s = p.findNearerStream(sctx, avoid, want)
 			} else {
-				s = p.search(sctx, avoid, want)
+				s = p.findStream(sctx, avoid, want)
 			}
 			select {
 			case to <- s:
@@ -92,11 +92,11 @@
 		}()
 	}
 	drop := func(err error) {
-		if !errors.Is(err, errNearer) {
+		if !errors.Is(err, errNearerNode) {
 			p.log.Info("stream lost", "from", cur.addr, "error", err)
-			p.n.streamLost.Inc()
+			p.counters.streamsLost.Inc()
 		}
-		p.stream.Store(nil)
+		p.controlConn.Store(nil)
 		cur.close()
 		cur = nil
 	}
@@ -106,7 +106,7 @@
 			cur.close()
 		}
 	}()
-	silence := time.NewTimer(p.timing.Silence)
+	silence := time.NewTimer(p.timeouts.streamSilence)
 	defer silence.Stop()
 	sweep := time.Now()
 	seek("", false)
@@ -114,7 +114,7 @@
 		var frames chan *transport.Frame
 		var broken chan error
 		if cur != nil {
-			frames, broken = cur.frames, cur.broken
+			frames, broken = cur.frames, cur.failure
 		}
 		select {
 		case <-ctx.Done():
@@ -133,25 +133,25 @@
 				continue
 			}
 			if cur != nil {
-				why := errQuiet
+				why := errStreamTimeout
 				if closer {
-					why = errNearer
+					why = errNearerNode
 				}
 				drop(why)
 			}
 			cur = s
-			silence.Reset(p.timing.Silence)
-			if err := p.opened(s); err != nil {
+			silence.Reset(p.timeouts.streamSilence)
+			if err := p.startStream(s); err != nil {
 				drop(err)
 				seek("", false)
 			}
 		case f := <-frames:
-			silence.Reset(p.timing.Silence)
+			silence.Reset(p.timeouts.streamSilence)
 			avoid := cur.addr
-			err := p.take(cur, f, &sweep)
+			err := p.handleFrame(cur, f, &sweep)
 			switch {
-			case errors.Is(err, errNearer):
-				cur.began = time.Now() // if nobody there answers, it is asked again later
+			case errors.Is(err, errNearerNode):
+				cur.openedAt = time.Now() // if nobody there answers, it is asked again later
 				seek(cur.addr, true)
 			case err != nil:
 				stop() // a search under way may count on a copy that no longer holds
@@ -164,49 +164,49 @@
 	}
 }
 
-var errNearer = errors.New("proxy: a nearer control-plane node is known")
+var errNearerNode = errors.New("proxy: a nearer control-plane node is known")
 
-var errPointed = errors.New("proxy: a relay told where the core is")
+var errReferred = errors.New("proxy: a relay told where the core is")
 
-var errQuiet = errors.New("proxy: quiet, and another control-plane node answered")
+var errStreamTimeout = errors.New("proxy: quiet, and another control-plane node answered")
 
-var errRefused = errors.New("proxy: refused by the control-plane node")
+var errRejected = errors.New("proxy: refused by the control-plane node")
 
-// search asks one candidate after the other until one opens a stream. A next one is
+// findStream asks one candidate after the other until one opens a stream. A next one is
 // asked when one has failed or is slow to answer; those asked before may answer
 // still.
-func (p *Plane) search(ctx context.Context, avoid string, want transport.Request) *stream {
+func (p *Proxy) findStream(ctx context.Context, avoid string, want transport.Request) *watchStream {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type result struct {
 		addr string
-		s    *stream
+		s    *watchStream
 		err  error
 	}
 	results := make(chan result)
-	stagger := p.timing.Call / 2
+	stagger := p.timeouts.openHedgeDelay / 2
 	if want.List {
-		stagger = p.timing.Call // to answer takes work, and after a loss of power all ask
+		stagger = p.timeouts.openHedgeDelay // to answer takes work, and after a loss of power all ask
 	}
-	pause := p.timing.Dial / 4
+	pause := p.timeouts.dial / 4
 	out := 0
 	// Without a view all that counts is to find a node that is up: after a loss of power
 	// most are not yet, and an attempt at one hangs. With one, the way may be a full link.
-	dial := p.timing.Open
+	dial := p.timeouts.openStream
 	if want.List {
-		dial = p.timing.Call / 2
+		dial = p.timeouts.openHedgeDelay / 2
 	}
 	// Relays that told where the core is. They lie as near as any node, this one's own
 	// machine among them, and would be asked first for ever.
 	relays := map[string]bool{}
 	for ctx.Err() == nil {
-		wait := func(span time.Duration) (*stream, error) {
+		wait := func(span time.Duration) (*watchStream, error) {
 			t := time.NewTimer(span)
 			defer t.Stop()
 			select {
 			case r := <-results:
 				out--
-				if errors.Is(r.err, errPointed) {
+				if errors.Is(r.err, errReferred) {
 					relays[r.addr] = true
 				}
 				return r.s, r.err
@@ -216,14 +216,14 @@
 			return nil, nil
 		}
 		again := false // more candidates are known now
-		for _, addr := range p.line.Candidates(avoid) {
+		for _, addr := range p.controlNodes.Candidates(avoid) {
 			if relays[addr] {
 				continue
 			}
-			if out < openMost {
+			if out < maxConcurrentOpens {
 				out++
 				go func(want transport.Request) {
-					s, err := p.open(ctx, addr, want, dial)
+					s, err := p.openStream(ctx, addr, want, dial)
 					select {
 					case results <- result{addr, s, err}:
 					case <-ctx.Done():
@@ -237,10 +237,10 @@
 			if s != nil {
 				return s
 			}
-			if errors.Is(err, errNearer) {
+			if errors.Is(err, errNearerNode) {
 				want.Zone = ""
 			}
-			if again = errors.Is(err, errNearer) || errors.Is(err, errPointed); again || ctx.Err() != nil {
+			if again = errors.Is(err, errNearerNode) || errors.Is(err, errReferred); again || ctx.Err() != nil {
 				break
 			}
 		}
@@ -257,7 +257,7 @@
 			left -= now.Sub(end)
 			end = now
 		}
-		most := p.timing.Call
+		most := p.timeouts.openHedgeDelay
 		if want.List {
 			most /= 8 // without a view every moment counts
 		}
@@ -266,33 +266,33 @@
 	return nil
 }
 
-// approach asks the nodes that lie nearer than one that is followed, once.
-func (p *Plane) approach(ctx context.Context, addr string, want transport.Request) *stream {
-	for _, a := range p.line.NodesNearerThan(addr) {
-		if s, _ := p.open(ctx, a, want, p.timing.Open); s != nil {
+// findNearerStream asks the nodes that lie nearer than one that is followed, once.
+func (p *Proxy) findNearerStream(ctx context.Context, addr string, want transport.Request) *watchStream {
+	for _, a := range p.controlNodes.NodesNearerThan(addr) {
+		if s, _ := p.openStream(ctx, a, want, p.timeouts.openStream); s != nil {
 			return s
 		}
 	}
 	return nil
 }
 
-// openMost is how many control-plane nodes are asked at a time.
-const openMost = 4
+// maxConcurrentOpens is how many control-plane nodes are asked at a time.
+const maxConcurrentOpens = 4
 
-// open asks one node for a list or for the watch to go on.
-func (p *Plane) open(ctx context.Context, addr string, want transport.Request, wait time.Duration) (*stream, error) {
-	conn, err := transport.Dial(ctx, addr, wait, transport.Hello{Role: transport.RoleProxy, Node: p.set.NodeName})
+// openStream asks one node for a list or for the watch to go on.
+func (p *Proxy) openStream(ctx context.Context, addr string, want transport.Request, wait time.Duration) (*watchStream, error) {
+	conn, err := transport.Dial(ctx, addr, wait, transport.Hello{Role: transport.RoleProxy, Node: p.settings.NodeName})
 	if err != nil {
 		return nil, err
 	}
-	conn.WriteTimeout = p.timing.Silence
+	conn.WriteTimeout = p.timeouts.streamSilence
 	release := context.AfterFunc(ctx, conn.Close)
 	for {
 		if err := conn.Send(&transport.Frame{Ask: &want}); err != nil {
 			conn.Close()
 			return nil, err
 		}
-		f, err := conn.Receive(p.timing.Open)
+		f, err := conn.Receive(p.timeouts.openStream)
 		if err != nil {
 			conn.Close()
 			return nil, err
@@ -300,13 +300,13 @@
 		a := f.Answer
 		switch {
 		case a == nil && f.Bookmark != nil && len(f.Bookmark.Control) > 0:
-			p.line.UpdateNodes(f.Bookmark.Control)
-			err = errPointed
+			p.controlNodes.UpdateNodes(f.Bookmark.Control)
+			err = errReferred
 		case a == nil || a.Failed:
-			err = errRefused
+			err = errRejected
 		case a.Nearer != nil:
-			p.line.UpdateNodes(a.Nearer)
-			err = errNearer
+			p.controlNodes.UpdateNodes(a.Nearer)
+			err = errNearerNode
 		case a.Gone:
 			want = transport.Request{ID: want.ID + 1, Least: want.Least, List: true, Packs: true}
 			continue
@@ -315,90 +315,90 @@
 			conn.Close()
 			return nil, errors.Join(err, ctx.Err())
 		}
-		s := &stream{addr: addr, conn: conn, list: want.List, answer: a, began: time.Now(),
-			frames: make(chan *transport.Frame), broken: make(chan error, 1), ended: make(chan struct{})}
-		go s.read()
+		s := &watchStream{addr: addr, conn: conn, isList: want.List, firstAnswer: a, openedAt: time.Now(),
+			frames: make(chan *transport.Frame), failure: make(chan error, 1), closed: make(chan struct{})}
+		go s.readFrames()
 		return s, nil
 	}
 }
 
-// opened takes the answer with which a stream began.
-func (p *Plane) opened(s *stream) error {
-	if s.list {
-		p.n.lists.Inc()
-		objects, err := s.answer.UnpackObjects()
+// startStream takes the answer with which a stream began.
+func (p *Proxy) startStream(s *watchStream) error {
+	if s.isList {
+		p.counters.lists.Inc()
+		objects, err := s.firstAnswer.UnpackObjects()
 		if err != nil {
 			return err
 		}
-		if err := p.mirror.Replace(s.answer.Revision, objects); err != nil {
+		if err := p.store.Replace(s.firstAnswer.Revision, objects); err != nil {
 			return err
 		}
-		p.rebuild()
+		p.resync()
 	} else {
-		p.n.watches.Inc()
+		p.counters.watches.Inc()
 	}
-	s.answer = nil
-	p.log.Info("following", "from", s.addr, "revision", p.mirror.Revision())
-	p.stream.Store(s.conn)
+	s.firstAnswer = nil
+	p.log.Info("following", "from", s.addr, "revision", p.store.Revision())
+	p.controlConn.Store(s.conn)
 	return nil
 }
 
-// take takes one frame and reports when it is time to.
-func (p *Plane) take(s *stream, f *transport.Frame, sweep *time.Time) error {
+// handleFrame takes one frame and reports when it is time to.
+func (p *Proxy) handleFrame(s *watchStream, f *transport.Frame, sweep *time.Time) error {
 	events, err := f.UnpackEvents()
 	if err != nil {
 		return err
 	}
-	if err := p.takeEvents(events); err != nil {
+	if err := p.applyEvents(events); err != nil {
 		return err
 	}
 	if f.Account != nil {
-		p.account.acked(f.Account)
+		p.audit.acknowledge(f.Account)
 	}
 	if b := f.Bookmark; b != nil {
-		p.mirror.ApplyBookmark(b.Revision)
-		p.heard.Store(int64(p.now()))
-		p.line.UpdateNodes(b.Control)
+		p.store.ApplyBookmark(b.Revision)
+		p.lastBookmarkAt.Store(int64(p.now()))
+		p.controlNodes.UpdateNodes(b.Control)
 		if b.Control != nil {
-			p.setProxies(b.Proxies)
-			p.told(b.Loads)
+			p.setProxyCount(b.Proxies)
+			p.applyLoads(b.Loads)
 		}
 		if b.Judged {
-			p.judged(b.Verdicts)
+			p.applyVerdicts(b.Verdicts)
 		}
 		if b.Round != nil {
-			p.granted(b.Round)
+			p.applyGrants(b.Round)
 		}
 		// A node that lies nearer takes over, but not in a hurry: it may have
 		// been left because it was not well.
-		if p.line.HasNearer(s.addr) && (!p.movedOnce || time.Since(s.began) > p.set.Bounds.ContactWindow.Duration()) {
-			p.movedOnce = true
-			return errNearer
+		if p.controlNodes.HasNearer(s.addr) && (!p.hasMovedNearer || time.Since(s.openedAt) > p.settings.Bounds.ContactWindow.Duration()) {
+			p.hasMovedNearer = true
+			return errNearerNode
 		}
 	}
-	rev := p.mirror.Revision()
-	p.n.revision.Set(int64(rev))
+	rev := p.store.Revision()
+	p.counters.registryRevision.Set(int64(rev))
 	if f.Gone {
 		return errors.New("proxy: cut off as too slow")
 	}
-	if span := time.Since(*sweep); span > 2*p.timing.Silence/3 || (!s.told && f.Bookmark != nil) {
-		s.told = true
-		if span > p.timing.Silence/3 {
+	if span := time.Since(*sweep); span > 2*p.timeouts.streamSilence/3 || (!s.hasReported && f.Bookmark != nil) {
+		s.hasReported = true
+		if span > p.timeouts.streamSilence/3 {
 			*sweep = time.Now()
 		}
-		if r := p.routing.Load(); r != nil {
-			p.sweep(r.services)
+		if r := p.snapshot.Load(); r != nil {
+			p.closeExpiredConnections(r.services)
 		}
-		return s.conn.Send(&transport.Frame{Ack: rev, Report: p.report(span)})
+		return s.conn.Send(&transport.Frame{Ack: rev, Report: p.buildReport(span)})
 	}
 	return nil
 }
 
-// takeEvents takes changes in order. If one doesn't fit, the copy is listed anew.
-func (p *Plane) takeEvents(events []registry.Event) error {
+// applyEvents takes changes in order. If one doesn't fit, the copy is listed anew.
+func (p *Proxy) applyEvents(events []registry.Event) error {
 	for _, e := range events {
-		if err := p.takeEvent(e); err != nil {
-			p.mirror.Invalidate()
+		if err := p.applyEvent(e); err != nil {
+			p.store.Invalidate()
 			return err
 		}
 	}
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -14,21 +14,21 @@
 	"lichentray/registry"
 )
 
-// control is a stand-in control-plane node: it answers lists and watches and sends
+// stubControlNode is a stand-in control-plane node: it answers lists and watches and sends
 // what it is told to.
-type control struct {
-	opened atomic.Int64
-	say    chan *transport.Frame
-	answer func(*transport.Request) *transport.Response
+type stubControlNode struct {
+	streamsOpened atomic.Int64
+	frames        chan *transport.Frame
+	respond       func(*transport.Request) *transport.Response
 }
 
-func newControl(t *testing.T, addr string, answer func(*transport.Request) *transport.Response) *control {
-	c := &control{say: make(chan *transport.Frame), answer: answer}
+func newStubControlNode(t *testing.T, addr string, answer func(*transport.Request) *transport.Response) *stubControlNode {
+	c := &stubControlNode{frames: make(chan *transport.Frame), respond: answer}
 	controlplanetest.StartFakeNode(t, addr, c.serve)
 	return c
 }
 
-func (c *control) serve(conn *transport.Conn) {
+func (c *stubControlNode) serve(conn *transport.Conn) {
 	gone, open := make(chan struct{}), make(chan struct{}, 1)
 	go func() {
 		defer close(gone)
@@ -38,12 +38,12 @@
 				return
 			}
 			if f.Ask != nil {
-				a := c.answer(f.Ask)
+				a := c.respond(f.Ask)
 				if a == nil {
 					continue // it hears and does not answer
 				}
 				if !a.Failed {
-					c.opened.Add(1)
+					c.streamsOpened.Add(1)
 				}
 				if conn.Send(&transport.Frame{Answer: a}) != nil {
 					return
@@ -56,7 +56,7 @@
 	for {
 		select {
 		case <-open:
-			say = c.say
+			say = c.frames
 		case f := <-say:
 			if conn.Send(f) != nil {
 				return
@@ -80,13 +80,13 @@
 	var deaf atomic.Bool
 	deaf.Store(true)
 	asked := make(chan struct{}, 100)
-	first := newControl(t, address("127.0.0.21"), func(a *transport.Request) *transport.Response {
+	first := newStubControlNode(t, address("127.0.0.21"), func(a *transport.Request) *transport.Response {
 		if a.Watch {
 			return nil
 		}
 		return list(a)
 	})
-	second := newControl(t, address("127.0.0.22"), func(a *transport.Request) *transport.Response {
+	second := newStubControlNode(t, address("127.0.0.22"), func(a *transport.Request) *transport.Response {
 		if a.Watch { // only a stream that is sought anew asks to go on
 			asked <- struct{}{}
 		}
@@ -98,7 +98,7 @@
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); p.Follow(ctx) }()
+	go func() { defer close(done); p.ListAndWatch(ctx) }()
 	defer func() { stop(); <-done }()
 	until := func(what string, ok func() bool) {
 		t.Helper()
@@ -108,34 +108,34 @@
 			}
 		}
 	}
-	until("a list", func() bool { return p.n.lists.Value() == 1 })
+	until("a list", func() bool { return p.counters.lists.Value() == 1 })
 	<-asked // the first has been quiet: the second is asked, and does not answer
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "a"}
-	first.say <- &transport.Frame{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &transport.Bookmark{Revision: 2}}
-	until("what the quiet stream said", func() bool { return p.n.revision.Value() == 2 })
-	if p.n.streamLost.Value() != 0 || first.opened.Load() != 1 {
-		t.Errorf("the stream was broken off: %d lost, opened %d times", p.n.streamLost.Value(), first.opened.Load())
+	first.frames <- &transport.Frame{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &transport.Bookmark{Revision: 2}}
+	until("what the quiet stream said", func() bool { return p.counters.registryRevision.Value() == 2 })
+	if p.counters.streamsLost.Value() != 0 || first.streamsOpened.Load() != 1 {
+		t.Errorf("the stream was broken off: %d lost, opened %d times", p.counters.streamsLost.Value(), first.streamsOpened.Load())
 	}
 	deaf.Store(false)
-	until("the other node is followed", func() bool { return second.opened.Load() > 0 && p.n.watches.Value() > 0 })
-	second.say <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 7}}
-	until("what the other node said", func() bool { return p.n.revision.Value() == 7 })
+	until("the other node is followed", func() bool { return second.streamsOpened.Load() > 0 && p.counters.watches.Value() > 0 })
+	second.frames <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 7}}
+	until("what the other node said", func() bool { return p.counters.registryRevision.Value() == 7 })
 }
 
 // TestSeedsAreRelays: a proxy whose seeds are all relays is told where the core is
 // and follows it.
-func TestSeedsAreRelays(t *testing.T) {
+func TestRelaySeedsReferToCore(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.24", "127.0.0.25")
 	set := controlplanetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
 	core := set.InternalAddr("127.0.0.25:1")
-	newControl(t, core, func(a *transport.Request) *transport.Response { return &transport.Response{ID: a.ID, Revision: 1} })
+	newStubControlNode(t, core, func(a *transport.Request) *transport.Response { return &transport.Response{ID: a.ID, Revision: 1} })
 	controlplanetest.StartFakeRelay(t, set.InternalAddr("127.0.0.24:1"), transport.ControlNode{Addr: core})
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); p.Follow(ctx) }()
+	go func() { defer close(done); p.ListAndWatch(ctx) }()
 	defer func() { stop(); <-done }()
-	for end := time.Now().Add(30 * time.Second); p.n.lists.Value() == 0; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); p.counters.lists.Value() == 0; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the core was never found")
 		}
@@ -144,7 +144,7 @@
 
 // TestNearerThatIsDead: a nearer node that is named and does not answer costs the
 // stream that is followed nothing; one that answers takes over.
-func TestNearerThatIsDead(t *testing.T) {
+func TestDeadNearerNodeKeepsStream(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.41", "127.0.0.42")
 	set := controlplanetest.Settings(t, "127.0.0.43", "", 1, port, []string{"127.0.0.41"}, false)
 	set.Bounds.ContactWindow = 0.2
@@ -152,27 +152,27 @@
 	list := func(a *transport.Request) *transport.Response {
 		return &transport.Response{ID: a.ID, Revision: max(1, a.Least)}
 	}
-	far := newControl(t, address("127.0.0.41"), list)
+	far := newStubControlNode(t, address("127.0.0.41"), list)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); p.Follow(ctx) }()
+	go func() { defer close(done); p.ListAndWatch(ctx) }()
 	defer func() { stop(); <-done }()
 	control := []transport.ControlNode{{Addr: address("127.0.0.41"), Zone: "b"}, {Addr: address("127.0.0.42"), Zone: "a"}}
 	for rev := uint64(2); rev < 12; rev++ {
-		far.say <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: rev, Control: control}}
+		far.frames <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: rev, Control: control}}
 		time.Sleep(set.Bounds.ContactWindow.Duration() / 4) // what is nearer is sought at each span of contact
 	}
-	if far.opened.Load() != 1 {
-		t.Errorf("the stream was opened %d times", far.opened.Load())
+	if far.streamsOpened.Load() != 1 {
+		t.Errorf("the stream was opened %d times", far.streamsOpened.Load())
 	}
-	near := newControl(t, address("127.0.0.42"), list)
-	for end := time.Now().Add(30 * time.Second); near.opened.Load() == 0; time.Sleep(10 * time.Millisecond) {
+	near := newStubControlNode(t, address("127.0.0.42"), list)
+	for end := time.Now().Add(30 * time.Second); near.streamsOpened.Load() == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the nearer node was never followed")
 		}
 		select {
-		case far.say <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 20, Control: control}}:
+		case far.frames <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 20, Control: control}}:
 		default:
 		}
 	}
@@ -194,13 +194,13 @@
 			_, err = conn.Receive(0)
 		}
 	})
-	newControl(t, address(core), func(a *transport.Request) *transport.Response {
+	newStubControlNode(t, address(core), func(a *transport.Request) *transport.Response {
 		return &transport.Response{ID: a.ID, Revision: max(1, a.Least)}
 	})
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
-	s := p.search(ctx, "", transport.Request{ID: 1, List: true, Packs: true})
+	s := p.findStream(ctx, "", transport.Request{ID: 1, List: true, Packs: true})
 	if s == nil {
 		t.Fatalf("the core was never followed, the relay was asked %d times", asked.Load())
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -21,90 +21,90 @@
 )
 
 // Answers are counted by route in these kinds.
-var answers = [6]string{"2xx", "4xx", "5xx", "unavailable", "bad_gateway", "deadline"}
+var responseClasses = [6]string{"2xx", "4xx", "5xx", "unavailable", "bad_gateway", "deadline"}
 
 const (
-	// wholeBody is how much of an answer is held until it is whole, so that it can
+	// maxBufferedResponse is how much of an answer is held until it is whole, so that it can
 	// be fetched anew where it breaks off. Longer ones are passed on as they come: on
-	// a narrow link the way in takes as long as the way out.
-	wholeBody = 32 << 10
-	// prefetch is how much of a request's body is read before it is handled.
-	prefetch = 256 << 10
+	// response narrow link the way in takes as long as the way out.
+	maxBufferedResponse = 32 << 10
+	// maxBufferedRequest is how much of a request's body is read before it is handled.
+	maxBufferedRequest = 256 << 10
 )
 
 // request is one client's try on its way.
 type request struct {
-	ctx    *fasthttp.RequestCtx
-	route  *config.Route
-	homes  uint64 // a bit for each region that may serve it; 0 for all
-	stats  *routeStats
-	svc    *service
-	head   []byte // request line and headers, without the end
-	body   []byte
-	feed   io.Reader // a long body, readable once
-	size   int       // of feed, or -1
-	id     []byte
-	began  time.Time
-	until  time.Time
-	isHead bool
+	ctx        *fasthttp.RequestCtx
+	route      *config.Route
+	regionMask uint64 // a bit for each region that may serve it; 0 for all
+	stats      *routeStats
+	service    *service
+	head       []byte // request line and headers, without the end
+	body       []byte
+	bodyStream io.Reader // a long body, readable once
+	streamSize int       // of feed, or -1
+	attemptID  []byte
+	startedAt  time.Time
+	deadline   time.Time
+	isHead     bool
 
 	// What is known of the tries so far.
-	arrived bool // an endpoint may have got it
-	ran     bool // an endpoint may have run it
-	fed     bool // feed was touched: the body cannot be sent twice
-	tried   []*loadbalance.Endpoint
+	mayHaveArrived  bool // an endpoint may have got it
+	mayHaveExecuted bool // an endpoint may have run it
+	bodyConsumed    bool // feed was touched: the body cannot be sent twice
+	triedEndpoints  []*loadbalance.Endpoint
 }
 
-var heads = sync.Pool{New: func() any { b := make([]byte, 0, 2048); return &b }}
+var headBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 2048); return &b }}
 
-// Serve handles one request of a client.
-func (p *Plane) Serve(ctx *fasthttp.RequestCtx) {
-	p.n.requests.Inc()
-	p.account.begin()
+// HandleRequest handles one request of a client.
+func (p *Proxy) HandleRequest(ctx *fasthttp.RequestCtx) {
+	p.counters.requests.Inc()
+	p.audit.requestStarted()
 	defer func() {
-		p.account.end()
-		if p.stopping.Load() {
+		p.audit.requestFinished()
+		if p.isDraining.Load() {
 			ctx.SetConnectionClose()
 		}
 	}()
-	r := p.routing.Load()
+	r := p.snapshot.Load()
 	if r == nil {
-		if r = p.awaitView(ctx); r == nil {
-			p.refuse(ctx, apierror.New(apierror.Unavailable, "no configuration yet"))
+		if r = p.awaitConfig(ctx); r == nil {
+			p.writeError(ctx, apierror.New(apierror.Unavailable, "no configuration yet"))
 			if ctx.IsGet() || ctx.IsHead() {
-				p.account.note(&ctx.Request.Header, "", audit.Failed, 503, ctx.Time())
+				p.audit.record(&ctx.Request.Header, "", audit.Failed, 503, ctx.Time())
 			} else {
-				p.account.note(&ctx.Request.Header, "", audit.NotExecuted, 503, ctx.Time())
+				p.audit.record(&ctx.Request.Header, "", audit.NotExecuted, 503, ctx.Time())
 			}
 			// The first view comes soon after a start, or not for long.
-			ctx.Response.Header.Set("Retry-After", seconds(p.timing.Dial+p.timing.Dial*time.Duration(rand.Intn(100))/100))
+			ctx.Response.Header.Set("Retry-After", formatSeconds(p.timeouts.dial+p.timeouts.dial*time.Duration(rand.Intn(100))/100))
 			return
 		}
 	}
-	buf := heads.Get().(*[]byte)
-	defer heads.Put(buf)
-	req := request{ctx: ctx, began: ctx.Time(), isHead: ctx.IsHead()}
+	buf := headBuffers.Get().(*[]byte)
+	defer headBuffers.Put(buf)
+	req := request{ctx: ctx, startedAt: ctx.Time(), isHead: ctx.IsHead()}
 	if err := req.read(r, (*buf)[:0]); err != nil {
 		if apierror.KindOf(err) != apierror.NoRoute {
 			ctx.SetConnectionClose()
 		}
-		p.refuse(ctx, err)
+		p.writeError(ctx, err)
 		return
 	}
 	*buf = req.head
-	req.svc = r.services[req.route.PickService(rand.Float64())]
-	req.stats = r.routes[req.route.Index]
-	req.homes = r.homes[req.route.Index]
+	req.service = r.services[req.route.PickService(rand.Float64())]
+	req.stats = r.routeStats[req.route.Index]
+	req.regionMask = r.regionMasks[req.route.Index]
 	p.forward(&req)
 }
 
-// awaitView lets a request that came before the first view wait for it. The view
+// awaitConfig lets a request that came before the first view wait for it. The view
 // comes soon after a start, so one that came right after it is worth holding for
-// a fair part of its time: a client that has been refused may not come back. Later
+// response fair part of its time: a client that has been refused may not come back. Later
 // there is none to come soon, and it is told at once.
-func (p *Plane) awaitView(ctx *fasthttp.RequestCtx) *routing {
-	wait, part := p.timing.Dial, time.Duration(10)
-	if young := p.timing.Call - p.now(); young > wait {
+func (p *Proxy) awaitConfig(ctx *fasthttp.RequestCtx) *routingSnapshot {
+	wait, part := p.timeouts.dial, time.Duration(10)
+	if young := p.timeouts.openHedgeDelay - p.now(); young > wait {
 		wait, part = young, 4
 	}
 	if ms, err := strconv.Atoi(string(ctx.Request.Header.Peek("X-Deadline"))); err == nil {
@@ -113,16 +113,16 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-p.viewed:
+	case <-p.firstConfig:
 	case <-t.C:
 	}
-	return p.routing.Load()
+	return p.snapshot.Load()
 }
 
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
 // read checks the request's framing and builds what goes to the endpoint.
-func (q *request) read(r *routing, head []byte) error {
+func (q *request) read(r *routingSnapshot, head []byte) error {
 	h := &q.ctx.Request.Header
 	limits := &r.table.Limits
 	raw := h.RawHeaders()
@@ -155,7 +155,7 @@
 			break
 		}
 		i := bytes.IndexByte(line, ':')
-		if i <= 0 || !tokenChars(line[:i]) || bytes.ContainsAny(line, "\r\x00") {
+		if i <= 0 || !isToken(line[:i]) || bytes.ContainsAny(line, "\r\x00") {
 			return apierror.New(apierror.BadRequest, "header line")
 		}
 		name, value := line[:i], bytes.Trim(line[i+1:], " \t")
@@ -164,7 +164,7 @@
 			host = value
 			hosts++
 		case equalFold(name, "content-length"):
-			if lengths++; len(value) == 0 || !digits(value) {
+			if lengths++; len(value) == 0 || !isDigits(value) {
 				return apierror.New(apierror.BadRequest, "content-length")
 			}
 			continue
@@ -179,10 +179,10 @@
 		case equalFold(name, "connection"):
 			named = append(append(named, value...), ',')
 			continue
-		case hopByHop(name):
+		case isHopByHop(name):
 			continue
 		case equalFold(name, "x-attempt-id"):
-			q.id = value
+			q.attemptID = value
 			ids++
 		}
 		head = append(head, line...)
@@ -192,41 +192,41 @@
 		return apierror.New(apierror.BadRequest, "host, framing or id headers are missing or double")
 	}
 	if len(named) > 0 {
-		head = dropNamed(head, named)
+		head = removeConnectionHeaders(head, named)
 	}
 	if q.route = r.table.Match(host, path); q.route == nil {
 		return apierror.New(apierror.NoRoute, "")
 	}
 	if q.route.Timeout > 0 {
-		q.until = q.began.Add(q.route.Timeout)
+		q.deadline = q.startedAt.Add(q.route.Timeout)
 	} else {
-		q.until = q.began.Add(10 * time.Minute)
+		q.deadline = q.startedAt.Add(10 * time.Minute)
 	}
 	if len(deadline) > 0 {
 		ms, err := strconv.ParseFloat(string(deadline), 64)
 		if err != nil || ms < 0 {
 			return apierror.New(apierror.BadRequest, "x-deadline")
 		}
-		if t := q.began.Add(time.Duration(min(ms, 1e9) * float64(time.Millisecond))); t.Before(q.until) {
-			q.until = t
+		if t := q.startedAt.Add(time.Duration(min(ms, 1e9) * float64(time.Millisecond))); t.Before(q.deadline) {
+			q.deadline = t
 		}
 	}
 	q.head = head
 	most := limits.MaxBodyBytes
-	q.size = h.ContentLength()
-	if most > 0 && float64(q.size) > most {
-		return apierror.New(apierror.BodyTooLarge, "%d bytes", q.size)
+	q.streamSize = h.ContentLength()
+	if most > 0 && float64(q.streamSize) > most {
+		return apierror.New(apierror.BodyTooLarge, "%d bytes", q.streamSize)
 	}
 	if q.ctx.Request.IsBodyStream() {
 		feed := q.ctx.RequestBodyStream()
 		if most <= 0 {
 			most = 1 << 40
 		}
-		q.feed = &bounded{feed, int64(most)}
+		q.bodyStream = &limitedBody{feed, int64(most)}
 		// What fits is held, so that it can be sent twice.
-		whole, err := io.ReadAll(io.LimitReader(q.feed, prefetch+1))
+		whole, err := io.ReadAll(io.LimitReader(q.bodyStream, maxBufferedRequest+1))
 		if err != nil {
-			if errors.Is(err, errTooLong) {
+			if errors.Is(err, errBodyTooLarge) {
 				return apierror.New(apierror.BodyTooLarge, "over %d bytes", int64(most))
 			}
 			var ne net.Error
@@ -236,13 +236,13 @@
 			return apierror.New(apierror.BadRequest, "body")
 		}
 		// The library ends a body of a stated length where its client hangs up.
-		if q.size >= 0 && len(whole) < min(q.size, prefetch+1) {
-			return apierror.New(apierror.BadRequest, "%d bytes of a body of %d", len(whole), q.size)
+		if q.streamSize >= 0 && len(whole) < min(q.streamSize, maxBufferedRequest+1) {
+			return apierror.New(apierror.BadRequest, "%d bytes of a body of %d", len(whole), q.streamSize)
 		}
-		if len(whole) <= prefetch {
-			q.body, q.feed, q.size = whole, nil, len(whole)
+		if len(whole) <= maxBufferedRequest {
+			q.body, q.bodyStream, q.streamSize = whole, nil, len(whole)
 		} else {
-			q.feed = io.MultiReader(bytes.NewReader(whole), q.feed)
+			q.bodyStream = io.MultiReader(bytes.NewReader(whole), q.bodyStream)
 		}
 		return nil
 	}
@@ -253,23 +253,23 @@
 	return nil
 }
 
-var errTooLong = errors.New("proxy: body is too long")
+var errBodyTooLarge = errors.New("proxy: body is too long")
 
-// bounded fails when a body is longer than it may be.
-type bounded struct {
-	r    io.Reader
-	left int64
+// limitedBody fails when a body is longer than it may be.
+type limitedBody struct {
+	reader    io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	n, err := b.r.Read(p)
-	if b.left -= int64(n); b.left < 0 {
-		return 0, errTooLong
+func (b *limitedBody) Read(p []byte) (int, error) {
+	n, err := b.reader.Read(p)
+	if b.remaining -= int64(n); b.remaining < 0 {
+		return 0, errBodyTooLarge
 	}
 	return n, err
 }
 
-func digits(b []byte) bool {
+func isDigits(b []byte) bool {
 	for _, c := range b {
 		if c < '0' || c > '9' {
 			return false
@@ -278,7 +278,7 @@
 	return true
 }
 
-func tokenChars(b []byte) bool {
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 127 || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
 			return false
@@ -287,9 +287,9 @@
 	return true
 }
 
-// hopByHop names the headers that concern one connection only, and those that
+// isHopByHop names the headers that concern one connection only, and those that
 // this node writes itself.
-func hopByHop(name []byte) bool {
+func isHopByHop(name []byte) bool {
 	for _, s := range [...]string{"keep-alive", "proxy-connection", "te", "trailer", "upgrade", "expect", "x-target-instance"} {
 		if equalFold(name, s) {
 			return true
@@ -298,8 +298,8 @@
 	return false
 }
 
-// dropNamed removes the headers that a Connection header names.
-func dropNamed(head, named []byte) []byte {
+// removeConnectionHeaders removes the headers that a Connection header names.
+func removeConnectionHeaders(head, named []byte) []byte {
 	for _, t := range bytes.Split(named, []byte{','}) {
 		t = bytes.TrimSpace(t)
 		if len(t) == 0 || equalFold(t, "close") || equalFold(t, "keep-alive") || equalFold(t, "host") || equalFold(t, "x-attempt-id") {
@@ -320,154 +320,154 @@
 
 // outcome is how one hop ended.
 type outcome struct {
-	at     phase
-	err    error     // what ended it there, if not a whole answer
-	answer *answer   // if one was read
-	u      *upstream // the connection, while streaming
-	// stale tells that the connection had rested and ended without a byte of an
+	phase    phase
+	err      error         // what ended it there, if not a whole answer
+	response *response     // if one was read
+	conn     *upstreamConn // the connection, while streaming
+	// isStale tells that the connection had rested and ended without a byte of an
 	// answer: the endpoint had forgotten it.
-	stale  bool
-	rested time.Duration
+	isStale bool
+	idleFor time.Duration
 }
 
-// exchange sends the request to one endpoint and reads its answer, and settles what
+// attempt sends the request to one endpoint and reads its answer, and settles what
 // becomes of the connection.
-func (p *Plane) exchange(q *request, e *loadbalance.Endpoint, sh *shelf) outcome {
+func (p *Proxy) attempt(q *request, e *loadbalance.Endpoint, sh *connPool) outcome {
 	now := time.Now()
-	left := q.until.Sub(now)
+	left := q.deadline.Sub(now)
 	if left <= 0 {
-		return outcome{at: dialling, err: errDeadline}
+		return outcome{phase: phaseDialing, err: errDeadlineExceeded}
 	}
-	var u *upstream
-	if len(q.id) > 0 { // without an id only a new connection tells whose an answer is
-		u = sh.take(now, q.svc.rest(p.now()))
+	var u *upstreamConn
+	if len(q.attemptID) > 0 { // without an id only a new connection tells whose an answer is
+		u = sh.get(now, q.service.idleLimit(p.now()))
 	}
 	if u == nil {
 		var err error
-		if u, err = dialUpstream(e.Address, min(p.timing.Dial, left), p.timing.Dark); err != nil {
-			p.n.dialFailed.Inc()
-			return outcome{at: dialling, err: err}
+		if u, err = dialUpstream(e.Address, min(p.timeouts.dial, left), p.timeouts.unacknowledged); err != nil {
+			p.counters.dialFailures.Inc()
+			return outcome{phase: phaseDialing, err: err}
 		}
 		now = time.Now()
-		u.since, u.until = now, now.Add(p.timing.IdleUnsaid)
+		u.idleSince, u.expiresAt = now, now.Add(p.timeouts.defaultKeepAlive)
 	}
-	if !now.Before(q.until) {
+	if !now.Before(q.deadline) {
 		sh.put(u) // untouched
-		return outcome{at: unsent, err: errDeadline}
+		return outcome{phase: phaseUnsent, err: errDeadlineExceeded}
 	}
-	o := p.talk(q, e, u, now)
-	o.stale = u.rested > 0 && o.at <= sentWhole && broken(o.err)
-	o.rested = u.rested
+	o := p.roundTrip(q, e, u, now)
+	o.isStale = u.idleFor > 0 && o.phase <= phaseSent && isConnectionClosed(o.err)
+	o.idleFor = u.idleFor
 	switch {
-	case o.at == streaming:
-		o.u = u
-	case hops[o.at].reuse && o.answer.rest == nil:
-		p.shelve(sh, u, o.answer)
+	case o.phase == phaseStreaming:
+		o.conn = u
+	case retryTable[o.phase].reusesConnection && o.response.stream == nil:
+		p.recycleConnection(sh, u, o.response)
 	default:
-		u.raw.Close()
+		u.tcp.Close()
 	}
 	return o
 }
 
-// talk is the hop on a connection, up to its end or to a long body.
-func (p *Plane) talk(q *request, e *loadbalance.Endpoint, u *upstream, now time.Time) (o outcome) {
-	buf := heads.Get().(*[]byte)
-	defer heads.Put(buf)
-	b := q.framed((*buf)[:0], e.ID, q.until.Sub(now))
+// roundTrip is the hop on a connection, up to its end or to a long body.
+func (p *Proxy) roundTrip(q *request, e *loadbalance.Endpoint, u *upstreamConn, now time.Time) (o outcome) {
+	buf := headBuffers.Get().(*[]byte)
+	defer headBuffers.Put(buf)
+	b := q.appendHead((*buf)[:0], e.ID, q.deadline.Sub(now))
 	long := q.body
-	if len(long) < pacedFrom || p.pacer.rate <= 0 {
+	if len(long) < minPacedSize || p.pacer.bytesPerSecond <= 0 {
 		b, long = append(b, long...), nil
 	}
 	*buf = b
-	p.pacer.take(now, len(b))
-	if err := u.raw.SetDeadline(q.until); err != nil {
-		return outcome{at: unsent, err: err}
+	p.pacer.reserve(now, len(b))
+	if err := u.tcp.SetDeadline(q.deadline); err != nil {
+		return outcome{phase: phaseUnsent, err: err}
 	}
-	n, err := u.raw.Write(b)
+	n, err := u.tcp.Write(b)
 	if n == 0 && err != nil {
-		return outcome{at: unsent, err: err}
+		return outcome{phase: phaseUnsent, err: err}
 	}
 	if err == nil && long != nil {
-		_, err = io.Copy(onlyWriter{u.raw}, &paced{p.pacer, long, q.until})
+		_, err = io.Copy(writerOnly{u.tcp}, &pacedReader{p.pacer, long, q.deadline})
 	}
-	if err == nil && q.feed != nil {
-		q.fed = true
-		err = sendFeed(u, q)
+	if err == nil && q.bodyStream != nil {
+		q.bodyConsumed = true
+		err = sendBodyStream(u, q)
 	}
-	o.at = sentWhole
+	o.phase = phaseSent
 	if err != nil {
 		// An endpoint that answers early may close before it has read all; what it said
 		// stands before the end.
-		o.at, o.err = sentPart, err
-		if !broken(err) {
+		o.phase, o.err = phasePartlySent, err
+		if !isConnectionClosed(err) {
 			return o
 		}
 	}
-	if _, err := u.br.Peek(1); err != nil {
+	if _, err := u.reader.Peek(1); err != nil {
 		if o.err == nil {
 			o.err = err
 		}
 		return o
 	}
-	a, err := readAnswer(u.br, q.isHead, wholeBody)
+	a, err := readResponse(u.reader, q.isHead, maxBufferedResponse)
 	if err != nil {
 		switch o.err = err; {
-		case errors.Is(err, errAnswer):
-			o.at = foreign
+		case errors.Is(err, errInvalidResponse):
+			o.phase = phaseInvalid
 		case a == nil:
-			o.at = headPart
+			o.phase = phasePartialHead
 		default:
-			o.at = bodyPart
+			o.phase = phasePartialBody
 		}
 		return o
 	}
-	if o.at == sentPart {
-		a.reuse = false
+	if o.phase == phasePartlySent {
+		a.isReusable = false
 	}
-	o.answer, o.err = a, nil
+	o.response, o.err = a, nil
 	switch {
-	case !a.belongs(q.id, u.rested > 0):
-		o.at, o.err = foreign, fmt.Errorf("%w: of another request", errAnswer)
-	case a.status < 300 && a.get("X-Server-Signature") == nil:
-		o.at, o.err = foreign, fmt.Errorf("%w: success without a signature", errAnswer)
-	case a.get("X-Not-Executed") != nil || a.status == 421:
-		o.at = turnedAway
-	case a.rest != nil:
-		o.at = streaming
+	case !a.belongsTo(q.attemptID, u.idleFor > 0):
+		o.phase, o.err = phaseInvalid, fmt.Errorf("%w: of another request", errInvalidResponse)
+	case a.status < 300 && a.headerValue("X-Server-Signature") == nil:
+		o.phase, o.err = phaseInvalid, fmt.Errorf("%w: success without a signature", errInvalidResponse)
+	case a.headerValue("X-Not-Executed") != nil || a.status == 421:
+		o.phase = phaseUnprocessed
+	case a.stream != nil:
+		o.phase = phaseStreaming
 	case a.status >= 500:
-		o.at = failed
+		o.phase = phaseFailed
 	default:
-		o.at = answered
+		o.phase = phaseAnswered
 	}
 	return o
 }
 
-// framed appends the request's head as it goes to an endpoint, with the framing of the
+// appendHead appends the request's head as it goes to an endpoint, with the framing of the
 // body.
-func (q *request) framed(b []byte, endpoint string, left time.Duration) []byte {
+func (q *request) appendHead(b []byte, endpoint string, left time.Duration) []byte {
 	b = append(b, q.head...)
 	b = append(b, "X-Deadline: "...)
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	b = append(b, "\r\nX-Target-Instance: "...)
 	b = append(b, endpoint...)
 	switch {
-	case q.feed != nil && q.size < 0:
+	case q.bodyStream != nil && q.streamSize < 0:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
-	case q.size > 0 || len(q.body) > 0 || !(q.isHead || q.ctx.IsGet()):
+	case q.streamSize > 0 || len(q.body) > 0 || !(q.isHead || q.ctx.IsGet()):
 		b = append(b, "\r\nContent-Length: "...)
 		n := len(q.body)
-		if q.feed != nil {
-			n = q.size
+		if q.bodyStream != nil {
+			n = q.streamSize
 		}
 		b = strconv.AppendInt(b, int64(n), 10)
 	}
 	return append(b, "\r\n\r\n"...)
 }
 
-// belongs tells whether an answer is to the request with an id: one in excess may
+// belongsTo tells whether an answer is to the request with an id: one in excess may
 // stand where that is due. On a connection that has served another request the id must
 // be there.
-func (a *answer) belongs(id []byte, served bool) bool {
+func (a *response) belongsTo(id []byte, served bool) bool {
 	named := false
 	for _, h := range a.headers {
 		if equalFold(h.name, "X-Attempt-Id") {
@@ -480,65 +480,65 @@
 	return named || !served
 }
 
-// shelve keeps a connection for the next request, if it may be used again.
-func (p *Plane) shelve(sh *shelf, u *upstream, a *answer) {
-	if !a.reuse || u.br.Buffered() > 0 {
-		u.raw.Close()
+// recycleConnection keeps a connection for the next request, if it may be used again.
+func (p *Proxy) recycleConnection(sh *connPool, u *upstreamConn, a *response) {
+	if !a.isReusable || u.reader.Buffered() > 0 {
+		u.tcp.Close()
 		return
 	}
-	idle := p.timing.IdleUnsaid
-	if a.keep > 0 {
-		idle = a.keep - min(a.keep/2, time.Second)
+	idle := p.timeouts.defaultKeepAlive
+	if a.keepAlive > 0 {
+		idle = a.keepAlive - min(a.keepAlive/2, time.Second)
 	}
-	u.since = time.Now()
-	u.until = u.since.Add(idle)
+	u.idleSince = time.Now()
+	u.expiresAt = u.idleSince.Add(idle)
 	sh.put(u)
 }
 
-// broken tells an end of the connection from a time that is up.
-func broken(err error) bool {
+// isConnectionClosed tells an end of the connection from a time that is up.
+func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// onlyWriter hides all but Write, so that a copy goes piece by piece.
-type onlyWriter struct{ io.Writer }
+// writerOnly hides all but Write, so that a copy goes piece by piece.
+type writerOnly struct{ io.Writer }
 
 var (
-	errDeadline = errors.New("proxy: deadline reached")
-	// errClient says that the client, not the endpoint, broke the request off.
-	errClient = errors.New("proxy: client broke its request off")
+	errDeadlineExceeded = errors.New("proxy: deadline reached")
+	// errClientAborted says that the client, not the endpoint, broke the request off.
+	errClientAborted = errors.New("proxy: client broke its request off")
 )
 
-// feeder marks the errors of the client's side of a body.
-type feeder struct{ r io.Reader }
+// clientBody marks the errors of the client's side of a body.
+type clientBody struct{ reader io.Reader }
 
-func (f feeder) Read(b []byte) (int, error) {
-	n, err := f.r.Read(b)
+func (f clientBody) Read(b []byte) (int, error) {
+	n, err := f.reader.Read(b)
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = fmt.Errorf("%w: %w", errClient, err)
+		err = fmt.Errorf("%w: %w", errClientAborted, err)
 	}
 	return n, err
 }
 
-// sendFeed passes on a body as the client sends it.
-func sendFeed(u *upstream, q *request) error {
-	if q.size >= 0 {
-		n, err := io.Copy(onlyWriter{u.raw}, io.LimitReader(feeder{q.feed}, int64(q.size)))
-		if err == nil && n != int64(q.size) {
-			err = fmt.Errorf("%w: %w", errClient, io.ErrUnexpectedEOF)
+// sendBodyStream passes on a body as the client sends it.
+func sendBodyStream(u *upstreamConn, q *request) error {
+	if q.streamSize >= 0 {
+		n, err := io.Copy(writerOnly{u.tcp}, io.LimitReader(clientBody{q.bodyStream}, int64(q.streamSize)))
+		if err == nil && n != int64(q.streamSize) {
+			err = fmt.Errorf("%w: %w", errClientAborted, io.ErrUnexpectedEOF)
 		}
 		return err
 	}
 	buf := make([]byte, 32<<10)
 	for {
-		n, err := feeder{q.feed}.Read(buf)
+		n, err := clientBody{q.bodyStream}.Read(buf)
 		if n > 0 {
-			if _, werr := fmt.Fprintf(u.raw, "%x\r\n%s\r\n", n, buf[:n]); werr != nil {
+			if _, werr := fmt.Fprintf(u.tcp, "%x\r\n%s\r\n", n, buf[:n]); werr != nil {
 				return werr
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			_, err = io.WriteString(u.raw, "0\r\n\r\n")
+			_, err = io.WriteString(u.tcp, "0\r\n\r\n")
 			return err
 		}
 		if err != nil {
@@ -548,18 +548,18 @@
 }
 
 // forward tries endpoints until one answers or nothing more may be tried.
-func (p *Plane) forward(q *request) {
-	svc := q.svc
-	rank := svc.arrive(string(q.ctx.RemoteIP()), q.route.Priority)
-	arm := svc.arm(p, q.route.Index)
+func (p *Proxy) forward(q *request) {
+	svc := q.service
+	rank := svc.recordArrival(string(q.ctx.RemoteIP()), q.route.Priority)
+	arm := svc.drawArm(p, q.route.Index)
 	skip := func(e *loadbalance.Endpoint) bool {
-		if !svc.takes(e, arm) {
+		if !svc.accepts(e, arm) {
 			return true
 		}
-		if q.homes != 0 && (e.RegionIndex < 0 || q.homes>>min(e.RegionIndex, 62)&1 == 0) {
+		if q.regionMask != 0 && (e.RegionIndex < 0 || q.regionMask>>min(e.RegionIndex, 62)&1 == 0) {
 			return true
 		}
-		for _, t := range q.tried {
+		for _, t := range q.triedEndpoints {
 			if t == e {
 				return true
 			}
@@ -570,162 +570,162 @@
 	var d decision
 	sent, dials := 0, 0
 	// after takes that a hop has ended.
-	after := func(at phase) step {
-		q.arrived = q.arrived || at >= sentPart
-		if at == dialling || at == unsent {
+	after := func(at phase) action {
+		q.mayHaveArrived = q.mayHaveArrived || at >= phasePartlySent
+		if at == phaseDialing || at == phaseUnsent {
 			dials++
-		} else if at != waiting {
+		} else if at != phaseQueued {
 			sent++
 		}
-		d = at.next(state{
-			repeatable: q.route.Idempotent, consumed: q.fed, ran: q.ran, inTime: time.Now().Before(q.until),
-			tries: sent < q.route.MaxAttempts && dials < 4, budget: at != failed || p.mayRepeat(svc),
+		d = at.decide(retryState{
+			isIdempotent: q.route.Idempotent, bodyConsumed: q.bodyConsumed, mayHaveExecuted: q.mayHaveExecuted, beforeDeadline: time.Now().Before(q.deadline),
+			attemptsLeft: sent < q.route.MaxAttempts && dials < 4, budgetLeft: at != phaseFailed || p.retryBudgetAllows(svc),
 		})
-		q.ran = d.ran
-		return d.next
+		q.mayHaveExecuted = d.mayHaveExecuted
+		return d.action
 	}
 	for {
 		var e *loadbalance.Endpoint
-		var sh *shelf
-		if left := time.Until(q.until); left > 0 {
-			e, sh = svc.acquireArm(p, rank, min(q.route.TargetLatency/6, left/4), skip, &arm)
+		var sh *connPool
+		if left := time.Until(q.deadline); left > 0 {
+			e, sh = svc.acquireForArm(p, rank, min(q.route.TargetLatency/6, left/4), skip, &arm)
 		}
 		if e == nil {
-			after(waiting)
+			after(phaseQueued)
 			break
 		}
 		to := arm
-		watch := svc.watch(p, q, e, to)
-		if q.arrived {
+		watch := svc.watchAttempt(p, q, e, to)
+		if q.mayHaveArrived {
 			svc.mu.Lock()
-			ok := svc.budget.TryWithdraw()
+			ok := svc.retryBudget.TryWithdraw()
 			svc.mu.Unlock()
 			if !ok {
-				p.n.budgetOut.Inc()
-				svc.release(p, e, true, 0)
-				watch.end()
-				after(waiting)
+				p.counters.retryBudgetExhausted.Inc()
+				svc.releaseEndpoint(p, e, true, 0)
+				watch.stop()
+				after(phaseQueued)
 				break
 			}
-			p.n.retries.Inc()
+			p.counters.retries.Inc()
 		}
 		began := time.Now()
-		o := p.exchange(q, e, sh)
+		o := p.attempt(q, e, sh)
 		took := time.Since(began)
-		q.tried = append(q.tried, e)
-		next := after(o.at)
+		q.triedEndpoints = append(q.triedEndpoints, e)
+		next := after(o.phase)
 		if o.err != nil {
 			why = o.err.Error()
-			watch.broke(o, time.Now().Before(q.until))
-			if o.stale {
+			watch.recordBroken(o, time.Now().Before(q.deadline))
+			if o.isStale {
 				// That the endpoint itself has ended shows at the next connection.
-				p.n.stale.Inc()
-				svc.forgot(p.now(), o.rested, p.timing.EjectMost)
-				sh.drop()
+				p.counters.staleConnections.Inc()
+				svc.noteStaleConnection(p.now(), o.idleFor, p.timeouts.ejectionMax)
+				sh.closeIdle()
 			}
-			svc.release(p, e, o.stale || errors.Is(o.err, errDeadline) || errors.Is(o.err, errClient), 0)
-			if errors.Is(o.err, errAnswer) {
-				p.n.badAnswers.Inc()
+			svc.releaseEndpoint(p, e, o.isStale || errors.Is(o.err, errDeadlineExceeded) || errors.Is(o.err, errClientAborted), 0)
+			if errors.Is(o.err, errInvalidResponse) {
+				p.counters.invalidResponses.Inc()
 			}
-			arm = svc.elsewhere(arm, o.at >= sentPart)
-		} else if o.at == turnedAway {
+			arm = svc.retryArm(arm, o.phase >= phasePartlySent)
+		} else if o.phase == phaseUnprocessed {
 			why = "endpoints turned the request away"
-			svc.turnedAway(p, e, o.answer.status)
-			watch.end()
-			arm = svc.elsewhere(arm, true)
+			svc.noteUnprocessed(p, e, o.response.status)
+			watch.stop()
+			arm = svc.retryArm(arm, true)
 		} else {
 			ratio := 0.0
-			ok := o.answer.status < 500
-			watch.answered(took, ok)
+			ok := o.response.status < 500
+			watch.recordResponse(took, ok)
 			if ok {
-				ratio = q.stats.learn(took.Seconds(), to == loadbalance.BaseVersion)
+				ratio = q.stats.observe(took.Seconds(), to == loadbalance.BaseVersion)
 			} else {
 				svc.mu.Lock()
 				svc.pool.RecordServerError(e)
 				svc.mu.Unlock()
 			}
-			if next == pass {
-				p.pass(q, svc, e, sh, o, ratio)
+			if next == actionRelay {
+				p.relayResponse(q, svc, e, sh, o, ratio)
 				return
 			}
 			why = "endpoint failed"
-			svc.release(p, e, true, 0)
-			arm = svc.elsewhere(arm, true)
+			svc.releaseEndpoint(p, e, true, 0)
+			arm = svc.retryArm(arm, true)
 		}
-		if next == giveUp {
+		if next == actionFail {
 			break
 		}
 	}
-	q.stats.count(d.kind)
+	q.stats.countError(d.errorKind)
 	switch {
 	case q.route.Idempotent:
-		p.noteTry(q, audit.Failed, d.kind.Status())
-	case q.ran:
-		p.noteTry(q, audit.MaybeExecuted, d.kind.Status())
+		p.recordAttempt(q, audit.Failed, d.errorKind.Status())
+	case q.mayHaveExecuted:
+		p.recordAttempt(q, audit.MaybeExecuted, d.errorKind.Status())
 	default:
-		p.noteTry(q, audit.NotExecuted, d.kind.Status())
+		p.recordAttempt(q, audit.NotExecuted, d.errorKind.Status())
 	}
-	p.refuse(q.ctx, apierror.New(d.kind, "%s", why))
+	p.writeError(q.ctx, apierror.New(d.errorKind, "%s", why))
 }
 
-// mayRepeat tells whether the budget would bear another try now.
-func (p *Plane) mayRepeat(s *service) bool {
+// retryBudgetAllows tells whether the budget would bear another try now.
+func (p *Proxy) retryBudgetAllows(s *service) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Balance() >= 1
+	return s.retryBudget.Balance() >= 1
 }
 
-// turnedAway takes an endpoint's word that it did not run a request.
-func (s *service) turnedAway(p *Plane, e *loadbalance.Endpoint, status int) {
+// noteUnprocessed takes an endpoint's word that it did not run a request.
+func (s *service) noteUnprocessed(p *Proxy, e *loadbalance.Endpoint, status int) {
 	if status == 421 {
-		s.release(p, e, false, 0)
+		s.releaseEndpoint(p, e, false, 0)
 		return
 	}
 	s.mu.Lock()
 	s.pool.RecordRejection(p.now(), e)
 	s.mu.Unlock()
-	s.release(p, e, true, 0)
+	s.releaseEndpoint(p, e, true, 0)
 }
 
-// learn takes the time of an answer and gives it over what is usual. What a
+// observe takes the time of an answer and gives it over what is usual. What a
 // version under trial takes is not usual.
-func (s *routeStats) learn(took float64, usual bool) float64 {
+func (s *routeStats) observe(took float64, usual bool) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.usual == 0 {
-		s.usual = took
+	if s.typicalSeconds == 0 {
+		s.typicalSeconds = took
 	}
-	ratio := took / max(s.usual, 1e-4)
+	ratio := took / max(s.typicalSeconds, 1e-4)
 	if !usual {
 		return ratio
 	}
-	s.usual += 0.02 * (min(took, 4*s.usual) - s.usual)
+	s.typicalSeconds += 0.02 * (min(took, 4*s.typicalSeconds) - s.typicalSeconds)
 	return ratio
 }
 
-// ordinary is what an answer usually takes; 0 while that is not known.
-func (s *routeStats) ordinary() time.Duration {
+// typicalLatency is what an answer usually takes; 0 while that is not known.
+func (s *routeStats) typicalLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(s.usual * float64(time.Second))
+	return time.Duration(s.typicalSeconds * float64(time.Second))
 }
 
-func (s *routeStats) count(k apierror.Kind) {
+func (s *routeStats) countError(k apierror.Kind) {
 	switch k {
 	case apierror.Unavailable:
-		s.answer[3].Inc()
+		s.responses[3].Inc()
 	case apierror.BadGateway:
-		s.answer[4].Inc()
+		s.responses[4].Inc()
 	default:
-		s.answer[5].Inc()
+		s.responses[5].Inc()
 	}
 }
 
-// pass gives an endpoint's answer to the client.
-func (p *Plane) pass(q *request, svc *service, e *loadbalance.Endpoint, sh *shelf, o outcome, ratio float64) {
-	a := o.answer
-	status := passed(a.status, q.route.Idempotent)
-	q.stats.answer[max(0, min(2, status/200-1+status/500))].Inc()
+// relayResponse gives an endpoint's answer to the client.
+func (p *Proxy) relayResponse(q *request, svc *service, e *loadbalance.Endpoint, sh *connPool, o outcome, ratio float64) {
+	a := o.response
+	status := relayedStatus(a.status, q.route.Idempotent)
+	q.stats.responses[max(0, min(2, status/200-1+status/500))].Inc()
 	resp := &q.ctx.Response
 	resp.SetStatusCode(status)
 	for _, h := range a.headers {
@@ -736,102 +736,102 @@
 			resp.Header.AddBytesKV(h.name, h.value)
 		}
 	}
-	if q.isHead && a.length >= 0 {
+	if q.isHead && a.contentLength >= 0 {
 		resp.SkipBody = true
-		resp.Header.SetContentLength(int(a.length))
+		resp.Header.SetContentLength(int(a.contentLength))
 	}
-	if a.rest == nil {
-		p.noteAnswer(q, status)
+	if a.stream == nil {
+		p.recordResponse(q, status)
 	}
-	if a.rest != nil {
-		svc.release(p, e, true, ratio) // its work is done, the rest is the links'
-		resp.SetBodyStream(&tail{p: p, q: q, svc: svc, e: e, sh: sh, u: o.u, a: a}, int(a.length))
+	if a.stream != nil {
+		svc.releaseEndpoint(p, e, true, ratio) // its work is done, the rest is the links'
+		resp.SetBodyStream(&responseStream{proxy: p, request: q, service: svc, endpoint: e, connPool: sh, conn: o.conn, response: a}, int(a.contentLength))
 		return
 	}
-	svc.release(p, e, true, ratio)
-	if len(a.body) >= pacedFrom && p.pacer.rate > 0 {
-		resp.SetBodyStream(&paced{p.pacer, a.body, q.until}, len(a.body))
+	svc.releaseEndpoint(p, e, true, ratio)
+	if len(a.body) >= minPacedSize && p.pacer.bytesPerSecond > 0 {
+		resp.SetBodyStream(&pacedReader{p.pacer, a.body, q.deadline}, len(a.body))
 		return
 	}
-	p.pacer.take(time.Now(), len(a.body))
+	p.pacer.reserve(time.Now(), len(a.body))
 	resp.SetBodyRaw(a.body)
 }
 
-// noteTry notes how a try of a client ended.
-func (p *Plane) noteTry(q *request, kind audit.Kind, status int) {
-	p.account.note(&q.ctx.Request.Header, q.route.Name, kind, status, q.began)
+// recordAttempt notes how a try of a client ended.
+func (p *Proxy) recordAttempt(q *request, kind audit.Kind, status int) {
+	p.audit.record(&q.ctx.Request.Header, q.route.Name, kind, status, q.startedAt)
 }
 
-// noteAnswer notes an endpoint's whole answer.
-func (p *Plane) noteAnswer(q *request, status int) {
-	if p.account == nil {
+// recordResponse notes an endpoint's whole answer.
+func (p *Proxy) recordResponse(q *request, status int) {
+	if p.audit == nil {
 		return
 	}
 	switch {
 	case status < 300 && !q.route.Idempotent:
-		p.noteTry(q, audit.Executed, status)
+		p.recordAttempt(q, audit.Executed, status)
 	case status >= 500 && !q.route.Idempotent:
-		p.noteTry(q, audit.MaybeExecuted, status)
+		p.recordAttempt(q, audit.MaybeExecuted, status)
 	case status >= 500:
-		p.noteTry(q, audit.Failed, status)
+		p.recordAttempt(q, audit.Failed, status)
 	}
-	if status < 300 && q.route.TargetLatency > 0 && time.Since(q.began) > q.route.TargetLatency {
-		p.noteTry(q, audit.MissedLatencyTarget, status)
+	if status < 300 && q.route.TargetLatency > 0 && time.Since(q.startedAt) > q.route.TargetLatency {
+		p.recordAttempt(q, audit.MissedLatencyTarget, status)
 	}
 }
 
-// tail passes on the rest of a long answer as it comes, in pieces that the link has
+// responseStream passes on the rest of a long answer as it comes, in pieces that the link has
 // room for.
-type tail struct {
-	p   *Plane
-	q   *request
-	svc *service
-	e   *loadbalance.Endpoint
-	sh  *shelf
-	u   *upstream
-	a   *answer
-	got int64
-	// broke tells that the endpoint, not the client, ended it.
-	broke bool
-}
-
-func (t *tail) Read(b []byte) (int, error) {
-	n, err := t.a.rest.Read(b[:min(len(b), pacedPiece)])
-	t.got += int64(n)
-	if errors.Is(err, io.EOF) && t.got < t.a.length {
+type responseStream struct {
+	proxy    *Proxy
+	request  *request
+	service  *service
+	endpoint *loadbalance.Endpoint
+	connPool *connPool
+	conn     *upstreamConn
+	response *response
+	received int64
+	// endpointFailed tells that the endpoint, not the client, ended it.
+	endpointFailed bool
+}
+
+func (t *responseStream) Read(b []byte) (int, error) {
+	n, err := t.response.stream.Read(b[:min(len(b), pacedChunk)])
+	t.received += int64(n)
+	if errors.Is(err, io.EOF) && t.received < t.response.contentLength {
 		err = io.ErrUnexpectedEOF // the client must not take a part for the whole
 	}
-	t.broke = err != nil && !errors.Is(err, io.EOF) && time.Until(t.q.until) > 0
-	t.p.pacer.wait(n, t.a.length-t.got, t.q.until)
+	t.endpointFailed = err != nil && !errors.Is(err, io.EOF) && time.Until(t.request.deadline) > 0
+	t.proxy.pacer.wait(n, t.response.contentLength-t.received, t.request.deadline)
 	return n, err
 }
 
 // Close ends the exchange, whole or not.
-func (t *tail) Close() error {
-	if t.got == t.a.length {
-		t.p.noteAnswer(t.q, t.a.status)
-		t.p.shelve(t.sh, t.u, t.a)
+func (t *responseStream) Close() error {
+	if t.received == t.response.contentLength {
+		t.proxy.recordResponse(t.request, t.response.status)
+		t.proxy.recycleConnection(t.connPool, t.conn, t.response)
 		return nil
 	}
-	t.u.raw.Close()
-	if !t.broke {
+	t.conn.tcp.Close()
+	if !t.endpointFailed {
 		return nil
 	}
-	t.p.noteTry(t.q, audit.Truncated, t.a.status)
-	t.svc.mu.Lock()
-	t.svc.pool.RecordFailure(t.p.now(), t.e)
-	t.svc.mu.Unlock()
+	t.proxy.recordAttempt(t.request, audit.Truncated, t.response.status)
+	t.service.mu.Lock()
+	t.service.pool.RecordFailure(t.proxy.now(), t.endpoint)
+	t.service.mu.Unlock()
 	return nil
 }
 
-// refuse answers with an error of this system's own.
-func (p *Plane) refuse(ctx *fasthttp.RequestCtx, err error) {
+// writeError answers with an error of this system's own.
+func (p *Proxy) writeError(ctx *fasthttp.RequestCtx, err error) {
 	kind := apierror.KindOf(err)
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(kind.Status())
 	if s := kind.Status(); s == 503 || s == 429 {
-		p.n.refused.Inc()
-		ctx.Response.Header.Set("Retry-After", seconds(p.timing.Dial*2/3+p.timing.Dial*2/3*time.Duration(rand.Intn(100))/100))
+		p.counters.rejections.Inc()
+		ctx.Response.Header.Set("Retry-After", formatSeconds(p.timeouts.dial*2/3+p.timeouts.dial*2/3*time.Duration(rand.Intn(100))/100))
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBodyString(`{"error":"` + kind.String() + `"}`)
--- a/internal/proxy/hop_test.go
+++ b/internal/proxy/hop_test.go
@@ -6,39 +6,39 @@
 	"lichentray/internal/apierror"
 )
 
-// TestHops holds the table against the rules for every phase and every state of a
+// TestRetryTable holds the table against the rules for every phase and every state of a
 // request.
-func TestHops(t *testing.T) {
-	for p := waiting; p < phases; p++ {
+func TestRetryTable(t *testing.T) {
+	for p := phaseQueued; p < phaseCount; p++ {
 		for bits := range 1 << 6 {
 			on := func(i int) bool { return bits>>i&1 == 1 }
-			s := state{on(0), on(1), on(2), on(3), on(4), on(5)}
-			d := p.next(s)
-			left := p >= sentPart && p != turnedAway
-			whole := p >= turnedAway
-			promise := d.kind == apierror.Unavailable || d.kind.Status() == 408 || d.kind.Status() == 429
+			s := retryState{on(0), on(1), on(2), on(3), on(4), on(5)}
+			d := p.decide(s)
+			left := p >= phasePartlySent && p != phaseUnprocessed
+			whole := p >= phaseUnprocessed
+			promise := d.errorKind == apierror.Unavailable || d.errorKind.Status() == 408 || d.errorKind.Status() == 429
 			switch {
-			case d.ran != (s.ran || left):
-				t.Errorf("%d %+v: ran %v", p, s, d.ran)
-			case hops[p].reuse && !whole:
+			case d.mayHaveExecuted != (s.mayHaveExecuted || left):
+				t.Errorf("%d %+v: ran %v", p, s, d.mayHaveExecuted)
+			case retryTable[p].reusesConnection && !whole:
 				t.Errorf("%d: a connection is kept without a whole answer", p)
-			case d.next == elsewhere && (p == waiting || p >= answered || !s.inTime || !s.tries || s.consumed || left && !s.repeatable):
+			case d.action == actionRetry && (p == phaseQueued || p >= phaseAnswered || !s.beforeDeadline || !s.attemptsLeft || s.bodyConsumed || left && !s.isIdempotent):
 				t.Errorf("%d %+v: sent again", p, s)
-			case d.next == pass && p < failed:
+			case d.action == actionRelay && p < phaseFailed:
 				t.Errorf("%d %+v: passes an answer that is none", p, s)
-			case d.next == giveUp && (p >= failed || promise == d.ran):
-				t.Errorf("%d %+v: given up with %v", p, s, d.kind)
+			case d.action == actionFail && (p >= phaseFailed || promise == d.mayHaveExecuted):
+				t.Errorf("%d %+v: given up with %v", p, s, d.errorKind)
 			}
 			// What may be tried again is, so that no rule is kept by doing nothing.
-			may := s.inTime && s.tries && !s.consumed && p != waiting && p < answered
-			if may && (!left || s.repeatable && (s.budget || p != failed)) != (d.next == elsewhere) {
+			may := s.beforeDeadline && s.attemptsLeft && !s.bodyConsumed && p != phaseQueued && p < phaseAnswered
+			if may && (!left || s.isIdempotent && (s.budgetLeft || p != phaseFailed)) != (d.action == actionRetry) {
 				t.Errorf("%d %+v: %v", p, s, d)
 			}
 		}
 	}
 	for status, want := range map[int]int{200: 200, 400: 400, 408: 502, 429: 502, 500: 500, 503: 502, 504: 504} {
-		if passed(status, false) != want || passed(status, true) != status {
-			t.Errorf("%d is passed as %d and %d", status, passed(status, false), passed(status, true))
+		if relayedStatus(status, false) != want || relayedStatus(status, true) != status {
+			t.Errorf("%d is passed as %d and %d", status, relayedStatus(status, false), relayedStatus(status, true))
 		}
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -25,238 +25,238 @@
 	"lichentray/watchcache"
 )
 
-// Timing are the node's own figures, all derived from the bounds.
-type Timing struct {
-	Dial       time.Duration // a new connection to an endpoint
-	Dark       time.Duration // unacknowledged bytes at an endpoint
-	Silence    time.Duration // of the stream from the control plane
-	Call       time.Duration // a list or watch to be answered, before another is asked
-	Open       time.Duration // it is waited for no longer than this
-	EjectBase  time.Duration
-	EjectMost  time.Duration
-	IdleUnsaid time.Duration // an idle connection whose endpoint names no time
-	Lease      time.Duration // of a roll-out's share, without news
-	Grant      time.Duration // a share of a cold endpoint, from the report on
-}
-
-// TimingOf derives the figures.
-func TimingOf(s *settings.Settings) Timing {
+// timeouts are the node's own figures, all derived from the bounds.
+type timeouts struct {
+	dial             time.Duration // a new connection to an endpoint
+	unacknowledged   time.Duration // unacknowledged bytes at an endpoint
+	streamSilence    time.Duration // of the stream from the control plane
+	openHedgeDelay   time.Duration // a list or watch to be answered, before another is asked
+	openStream       time.Duration // it is waited for no longer than this
+	ejectionBase     time.Duration
+	ejectionMax      time.Duration
+	defaultKeepAlive time.Duration // an idle connection whose endpoint names no time
+	rolloutLease     time.Duration // of a roll-out's share, without news
+	slowStartGrant   time.Duration // a share of a cold endpoint, from the report on
+}
+
+// deriveTimeouts derives the figures.
+func deriveTimeouts(s *settings.Settings) timeouts {
 	contact := s.Bounds.ContactWindow.Duration()
 	fast := s.PropagationBound()
-	return Timing{
-		Dial:       contact / 20,
-		Dark:       contact / 6,
-		Silence:    fast * 3 / 10,
-		Call:       fast / 4,
-		Open:       contact / 2,
-		EjectBase:  contact / 6,
-		EjectMost:  contact,
-		IdleUnsaid: contact,
-		Lease:      s.RolloutLease(),
-		Grant:      s.QuotaGrantLifetime(),
-	}
-}
-
-// Plane is a running proxy node.
-type Plane struct {
-	set    *settings.Settings
-	timing Timing
-	log    *slog.Logger
-	board  *metrics.Registry
-	start  time.Time
-	line   *discovery.Locator
-
-	routing  atomic.Pointer[routing]
-	viewed   chan struct{} // closed once there is a first view
-	stopping atomic.Bool
-	proxies  atomic.Int64
-	heard    atomic.Int64 // when a control-plane node in touch was last heard
-	sharing  atomic.Bool  // this machine's link, with a relay
+	return timeouts{
+		dial:             contact / 20,
+		unacknowledged:   contact / 6,
+		streamSilence:    fast * 3 / 10,
+		openHedgeDelay:   fast / 4,
+		openStream:       contact / 2,
+		ejectionBase:     contact / 6,
+		ejectionMax:      contact,
+		defaultKeepAlive: contact,
+		rolloutLease:     s.RolloutLease(),
+		slowStartGrant:   s.QuotaGrantLifetime(),
+	}
+}
+
+// Proxy is a running proxy node.
+type Proxy struct {
+	settings     *settings.Settings
+	timeouts     timeouts
+	log          *slog.Logger
+	metrics      *metrics.Registry
+	startedAt    time.Time
+	controlNodes *discovery.Locator
+
+	snapshot            atomic.Pointer[routingSnapshot]
+	firstConfig         chan struct{} // closed once there is a first view
+	isDraining          atomic.Bool
+	proxyCount          atomic.Int64
+	lastBookmarkAt      atomic.Int64 // when a control-plane node in touch was last heard
+	sharesLinkWithRelay atomic.Bool  // this machine's link, with a relay
 
 	// Owned by the follower goroutine.
-	mirror   *watchcache.Mirror
-	services map[string]*service
-	zones    map[string]loadbalance.ZoneState // those that are not in ordinary use
-	sentAt   map[uint64]time.Duration         // of the latest reports
-	seq      uint64
-	// movedOnce tells that a nearer control-plane node has been sought.
-	movedOnce bool
+	store        *watchcache.Mirror
+	services     map[string]*service
+	zoneStates   map[string]loadbalance.ZoneState // those that are not in ordinary use
+	reportSentAt map[uint64]time.Duration         // of the latest reports
+	reportSeq    uint64
+	// hasMovedNearer tells that a nearer control-plane node has been sought.
+	hasMovedNearer bool
 
-	// region gives each region a dense index; this node's is here.
-	region  map[string]int
-	here    int
-	stream  atomic.Pointer[transport.Conn]
-	pacer   *pacer
-	account *account
+	// regionIndex gives each region a dense index; this node's is here.
+	regionIndex map[string]int
+	ownRegion   int
+	controlConn atomic.Pointer[transport.Conn]
+	pacer       *pacer
+	audit       *auditRecorder
 
-	n counters
+	counters counters
 }
 
 type counters struct {
-	requests, retries, budgetOut, ejected, refused, streamLost, lists, watches, badAnswers, dialFailed, stale *metrics.Counter
-	revision, config                                                                                          *metrics.Counter
+	requests, retries, retryBudgetExhausted, ejections, rejections, streamsLost, lists, watches, invalidResponses, dialFailures, staleConnections *metrics.Counter
+	registryRevision, configVersion                                                                                                               *metrics.Counter
 }
 
-// routing is what one request is handled by, swapped whole.
-type routing struct {
-	table    *config.Table
-	services []*service
-	routes   []*routeStats
-	homes    []uint64 // by route: a bit for each region that may serve it; 0 for all
+// routingSnapshot is what one request is handled by, swapped whole.
+type routingSnapshot struct {
+	table       *config.Table
+	services    []*service
+	routeStats  []*routeStats
+	regionMasks []uint64 // by route: a bit for each region that may serve it; 0 for all
 }
 
 type routeStats struct {
-	name   string
-	mu     sync.Mutex
-	usual  float64 // seconds of an ordinary answer
-	answer [6]*metrics.Counter
+	name           string
+	mu             sync.Mutex
+	typicalSeconds float64 // seconds of an ordinary answer
+	responses      [6]*metrics.Counter
 }
 
-// service is the pool of one service and what this node keeps beside it.
+// ensureService is the pool of one service and what this node keeps beside it.
 type service struct {
-	name    string
-	mu      sync.Mutex
-	pool    *loadbalance.Pool
-	budget  *loadbalance.RetryBudget
-	shelves map[*loadbalance.Endpoint]*shelf
-	queue   []*queued
-	arrived int // requests since the last report
-	// recent counts them by client, so that in a queue those who ask often
+	name        string
+	mu          sync.Mutex
+	pool        *loadbalance.Pool
+	retryBudget *loadbalance.RetryBudget
+	connPools   map[*loadbalance.Endpoint]*connPool
+	waiters     []*waiter
+	arrivals    int // requests since the last report
+	// arrivalsByClient counts them by client, so that in a queue those who ask often
 	// stand behind those who do not.
-	recent map[string]int
-	share  *loadbalance.AdmissionLimiter
-	trial  trial
+	arrivalsByClient map[string]int
+	admission        *loadbalance.AdmissionLimiter
+	rollout          rolloutState
 	// Connections that have rested for longer than restMost are not used until
 	// restUntil: endpoints have been seen to forget such.
-	restMost  time.Duration
-	restUntil time.Duration
+	maxIdle      time.Duration
+	maxIdleUntil time.Duration
 }
 
-// rest is how long a connection may have rested to be used again.
-func (s *service) rest(now time.Duration) time.Duration {
+// idleLimit is how long a connection may have rested to be used again.
+func (s *service) idleLimit(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now < s.restUntil {
-		return s.restMost
+	if now < s.maxIdleUntil {
+		return s.maxIdle
 	}
 	return time.Hour
 }
 
-// forgot notes that an endpoint had forgotten a connection that had rested.
-func (s *service) forgot(now, rested, lasts time.Duration) {
+// noteStaleConnection notes that an endpoint had forgotten a connection that had rested.
+func (s *service) noteStaleConnection(now, rested, lasts time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now >= s.restUntil {
-		s.restMost = time.Hour
+	if now >= s.maxIdleUntil {
+		s.maxIdle = time.Hour
 	}
-	s.restMost = min(s.restMost, rested/2)
-	s.restUntil = now + lasts
+	s.maxIdle = min(s.maxIdle, rested/2)
+	s.maxIdleUntil = now + lasts
 }
 
-type queued struct {
-	rank rank
+type waiter struct {
+	rank queueRank
 	wake chan struct{}
 }
 
-// rank orders a queue: by the route's priority, then by how often the client
+// queueRank orders a queue: by the route's priority, then by how often the client
 // has asked lately (fair queuing by flow).
-type rank struct{ priority, asked int }
+type queueRank struct{ priority, recentRequests int }
 
-func (r rank) before(o rank) bool {
+func (r queueRank) before(o queueRank) bool {
 	if r.priority != o.priority {
 		return r.priority < o.priority
 	}
-	return r.asked < o.asked
+	return r.recentRequests < o.recentRequests
 }
 
 // New makes a proxy node that knows nothing yet.
-func New(set *settings.Settings, log *slog.Logger, board *metrics.Registry) *Plane {
-	p := &Plane{
-		set: set, timing: TimingOf(set), log: log, board: board, start: time.Now(), mirror: watchcache.NewMirror(),
-		viewed: make(chan struct{}), services: map[string]*service{}, zones: map[string]loadbalance.ZoneState{},
-		line: discovery.NewLocator(set), sentAt: map[uint64]time.Duration{}, region: map[string]int{},
+func New(set *settings.Settings, log *slog.Logger, board *metrics.Registry) *Proxy {
+	p := &Proxy{
+		settings: set, timeouts: deriveTimeouts(set), log: log, metrics: board, startedAt: time.Now(), store: watchcache.NewMirror(),
+		firstConfig: make(chan struct{}), services: map[string]*service{}, zoneStates: map[string]loadbalance.ZoneState{},
+		controlNodes: discovery.NewLocator(set), reportSentAt: map[uint64]time.Duration{}, regionIndex: map[string]int{},
 		// A later life of this node begins above the sequences of an earlier one.
-		seq: uint64(time.Now().UnixMilli()), pacer: newPacer(set.Limits.BandwidthMbps),
+		reportSeq: uint64(time.Now().UnixMilli()), pacer: newPacer(set.Limits.BandwidthMbps),
 	}
 	for _, r := range set.RegionByZone {
-		if _, there := p.region[r]; !there {
-			p.region[r] = len(p.region)
+		if _, there := p.regionIndex[r]; !there {
+			p.regionIndex[r] = len(p.regionIndex)
 		}
 	}
-	p.here = p.regionOf(set.Zone)
-	p.account = newAccount(set, board)
+	p.ownRegion = p.regionIndexOf(set.Zone)
+	p.audit = newAuditRecorder(set, board)
 	c := board.Counter
-	p.n = counters{
-		requests: c("requests_total"), retries: c("retries_total"), budgetOut: c("retry_budget_refused_total"),
-		ejected: c("ejections_total"), refused: c("refused_total"), streamLost: c("stream_lost_total"),
+	p.counters = counters{
+		requests: c("requests_total"), retries: c("retries_total"), retryBudgetExhausted: c("retry_budget_refused_total"),
+		ejections: c("ejections_total"), rejections: c("refused_total"), streamsLost: c("stream_lost_total"),
 		lists: c("stream_lists_total"), watches: c("stream_watches_total"),
-		badAnswers: c("endpoint_bad_answers_total"), dialFailed: c("endpoint_dial_failures_total"), stale: c("endpoint_connections_forgotten_total"),
-		revision: c("registry_revision"), config: c("config_version"),
+		invalidResponses: c("endpoint_bad_answers_total"), dialFailures: c("endpoint_dial_failures_total"), staleConnections: c("endpoint_connections_forgotten_total"),
+		registryRevision: c("registry_revision"), configVersion: c("config_version"),
 	}
 	return p
 }
 
 // SetSeeds takes the seed addresses of a settings file that has changed.
-func (p *Plane) SetSeeds(seeds []string) {
-	p.line.SetSeeds(seeds)
+func (p *Proxy) SetSeeds(seeds []string) {
+	p.controlNodes.SetSeeds(seeds)
 	p.log.Info("settings read again", "seeds", fmt.Sprint(seeds))
 }
 
-func (p *Plane) now() time.Duration { return time.Since(p.start) }
+func (p *Proxy) now() time.Duration { return time.Since(p.startedAt) }
 
 // Ready tells whether this node wants new connections.
-func (p *Plane) Ready() bool {
-	return !p.stopping.Load() && p.routing.Load() != nil && !p.standsBack() && (p.account == nil || p.account.known.Load())
+func (p *Proxy) Ready() bool {
+	return !p.isDraining.Load() && p.snapshot.Load() != nil && !p.yieldsToPeers() && (p.audit == nil || p.audit.isRegistered.Load())
 }
 
-// standsBack tells whether this node leaves the clients to others: it shares its
+// yieldsToPeers tells whether this node leaves the clients to others: it shares its
 // machine's link with a relay of the control plane, whose calls are small and
 // urgent, and the zones have so many proxies that one is not missed.
-func (p *Plane) standsBack() bool {
-	return p.sharing.Load() && int(p.proxies.Load()) >= plenty*max(1, len(p.set.RegionByZone))
+func (p *Proxy) yieldsToPeers() bool {
+	return p.sharesLinkWithRelay.Load() && int(p.proxyCount.Load()) >= proxiesPerZoneToYield*max(1, len(p.settings.RegionByZone))
 }
 
-const plenty = 10
+const proxiesPerZoneToYield = 10
 
-// LookForRelay notices whether a relay runs on this machine, until the context
+// DetectRelay notices whether a relay runs on this machine, until the context
 // ends. Relays run on machines that hold no disk of the core; they take
 // connections at the internal port as a core node would.
-func (p *Plane) LookForRelay(ctx context.Context) {
-	if p.set.QuorumMember || p.set.EntryType == settings.EntryTypeDirectory {
+func (p *Proxy) DetectRelay(ctx context.Context) {
+	if p.settings.QuorumMember || p.settings.EntryType == settings.EntryTypeDirectory {
 		return
 	}
 	for {
-		c, err := net.DialTimeout("tcp4", p.set.InternalAddr(p.set.IPAddress), p.timing.Dial)
+		c, err := net.DialTimeout("tcp4", p.settings.InternalAddr(p.settings.IPAddress), p.timeouts.dial)
 		if err == nil {
 			c.Close()
 		}
-		p.sharing.Store(err == nil)
+		p.sharesLinkWithRelay.Store(err == nil)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(p.set.Bounds.ContactWindow.Duration()):
+		case <-time.After(p.settings.Bounds.ContactWindow.Duration()):
 		}
 	}
 }
 
-// regionOf gives the dense index of a zone's region; -1 is unknown.
-func (p *Plane) regionOf(zone string) int {
-	if r, ok := p.region[p.set.RegionByZone[zone]]; ok {
+// regionIndexOf gives the dense index of a zone's region; -1 is unknown.
+func (p *Proxy) regionIndexOf(zone string) int {
+	if r, ok := p.regionIndex[p.settings.RegionByZone[zone]]; ok {
 		return r
 	}
 	return -1
 }
 
-func (p *Plane) service(name string) *service {
+func (p *Proxy) ensureService(name string) *service {
 	s := p.services[name]
 	if s == nil {
 		s = &service{
-			name: name, shelves: map[*loadbalance.Endpoint]*shelf{}, recent: map[string]int{},
-			pool:   loadbalance.NewPool(loadbalance.PoolConfig{Zone: p.set.Zone, BaseEjectionTime: p.timing.EjectBase, MaxEjectionTime: p.timing.EjectMost, ZoneBias: 0.6, RegionIndex: p.here, RegionBias: 1.5}),
-			share:  loadbalance.NewAdmissionLimiter(8 * p.timing.Silence / 3),
-			budget: loadbalance.NewRetryBudget(p.set.Bounds.RetryBudgetRatio*0.95, 1),
+			name: name, connPools: map[*loadbalance.Endpoint]*connPool{}, arrivalsByClient: map[string]int{},
+			pool:        loadbalance.NewPool(loadbalance.PoolConfig{Zone: p.settings.Zone, BaseEjectionTime: p.timeouts.ejectionBase, MaxEjectionTime: p.timeouts.ejectionMax, ZoneBias: 0.6, RegionIndex: p.ownRegion, RegionBias: 1.5}),
+			admission:   loadbalance.NewAdmissionLimiter(8 * p.timeouts.streamSilence / 3),
+			retryBudget: loadbalance.NewRetryBudget(p.settings.Bounds.RetryBudgetRatio*0.95, 1),
 		}
-		for zone, z := range p.zones {
+		for zone, z := range p.zoneStates {
 			s.pool.SetZoneState(zone, z)
 		}
 		p.services[name] = s
@@ -264,51 +264,51 @@
 	return s
 }
 
-// setProxies takes how many proxy nodes there are: slack and connections are
+// setProxyCount takes how many proxy nodes there are: slack and connections are
 // shared among them.
-func (p *Plane) setProxies(n int) {
-	if n < 1 || p.proxies.Swap(int64(n)) == int64(n) {
+func (p *Proxy) setProxyCount(n int) {
+	if n < 1 || p.proxyCount.Swap(int64(n)) == int64(n) {
 		return
 	}
 	for _, s := range p.services {
-		p.share(s)
+		p.applyProxyCount(s)
 	}
 }
 
-func (p *Plane) share(s *service) {
-	n := int(p.proxies.Load())
+func (p *Proxy) applyProxyCount(s *service) {
+	n := int(p.proxyCount.Load())
 	if n < 1 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// A quarter of the slack is kept back for nodes that are not counted yet.
-	s.budget.SetMaxTokens(max(1, p.set.Bounds.RetryBudgetSlack*0.75/float64(n)))
+	s.retryBudget.SetMaxTokens(max(1, p.settings.Bounds.RetryBudgetSlack*0.75/float64(n)))
 	s.pool.SetPeerCount(n)
 }
 
-// rebuild takes the whole copy, as after a list.
-func (p *Plane) rebuild() {
+// resync takes the whole copy, as after a list.
+func (p *Proxy) resync() {
 	have := map[string]bool{}
-	for _, o := range p.mirror.Objects() {
+	for _, o := range p.store.Objects() {
 		have[o.Key] = true
 		if o.Key != registry.ConfigKey {
-			p.takeObject(o, false)
+			p.applyObject(o, false)
 		}
 	}
-	for zone := range p.zones {
+	for zone := range p.zoneStates {
 		if !have[registry.EvacuationPrefix+zone] {
-			p.setZone(zone, loadbalance.ZoneActive)
+			p.setZoneState(zone, loadbalance.ZoneActive)
 		}
 	}
 	for name, s := range p.services {
-		if s.trial.Base != "" && !have[registry.RolloutPrefix+name] {
+		if s.rollout.Base != "" && !have[registry.RolloutPrefix+name] {
 			p.setRollout(s, rollout.Rollout{})
 		}
 	}
 	// Last, so that no request meets routes without endpoints.
-	if o, ok := p.mirror.Objects()[registry.ConfigKey]; ok {
-		p.takeConfig(o)
+	if o, ok := p.store.Objects()[registry.ConfigKey]; ok {
+		p.applyConfig(o)
 	}
 	for _, s := range p.services {
 		s.mu.Lock()
@@ -320,27 +320,27 @@
 		}
 		s.mu.Unlock()
 		for _, id := range gone {
-			s.remove(id)
+			s.removeEndpoint(id)
 		}
 	}
 }
 
-func (s *service) remove(id string) {
+func (s *service) removeEndpoint(id string) {
 	s.mu.Lock()
 	e := s.pool.Remove(id)
-	sh := s.shelves[e]
-	delete(s.shelves, e)
+	sh := s.connPools[e]
+	delete(s.connPools, e)
 	s.mu.Unlock()
 	if sh != nil {
 		sh.close()
 	}
 }
 
-// takeObject takes one object's new state. live tells that it has just
+// applyObject takes one object's new state. live tells that it has just
 // happened.
-func (p *Plane) takeObject(o registry.Object, live bool) {
+func (p *Proxy) applyObject(o registry.Object, live bool) {
 	if o.Key == registry.ConfigKey {
-		p.takeConfig(o)
+		p.applyConfig(o)
 		return
 	}
 	if zone, ok := strings.CutPrefix(o.Key, registry.EvacuationPrefix); ok {
@@ -348,11 +348,11 @@
 		if registry.DecodeEvacuation(o).State() == registry.Returning {
 			z = loadbalance.ZoneReturning
 		}
-		p.setZone(zone, z)
+		p.setZoneState(zone, z)
 		return
 	}
 	if name, ok := strings.CutPrefix(o.Key, registry.RolloutPrefix); ok {
-		p.takeRollout(name, o)
+		p.applyRollout(name, o)
 		return
 	}
 	e, err := registry.DecodeEndpoint(o)
@@ -364,13 +364,13 @@
 	if live {
 		cold = time.Duration(e.WarmUpSeconds * float64(time.Second))
 	}
-	s := p.service(e.Service)
+	s := p.ensureService(e.Service)
 	s.mu.Lock()
-	ep := s.pool.Upsert(p.now(), loadbalance.EndpointSpec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, WarmingUp: e.WarmingUp, RegionIndex: p.regionOf(e.Zone)}, cold)
-	sh := s.shelves[ep]
+	ep := s.pool.Upsert(p.now(), loadbalance.EndpointSpec{ID: e.ID, Address: e.Address, Zone: e.Zone, Version: e.Version, Capacity: e.Capacity, Draining: e.Draining, WarmingUp: e.WarmingUp, RegionIndex: p.regionIndexOf(e.Zone)}, cold)
+	sh := s.connPools[ep]
 	if sh == nil {
-		sh = new(shelf)
-		s.shelves[ep] = sh
+		sh = new(connPool)
+		s.connPools[ep] = sh
 	}
 	s.mu.Unlock()
 	if e.Draining {
@@ -378,15 +378,15 @@
 	}
 }
 
-// setZone takes how a zone is used.
-func (p *Plane) setZone(zone string, z loadbalance.ZoneState) {
-	if p.zones[zone] == z {
+// setZoneState takes how a zone is used.
+func (p *Proxy) setZoneState(zone string, z loadbalance.ZoneState) {
+	if p.zoneStates[zone] == z {
 		return
 	}
 	if z == loadbalance.ZoneActive {
-		delete(p.zones, zone)
+		delete(p.zoneStates, zone)
 	} else {
-		p.zones[zone] = z
+		p.zoneStates[zone] = z
 	}
 	for _, s := range p.services {
 		s.mu.Lock()
@@ -396,28 +396,28 @@
 	p.log.Info("zone changes its use", "zone", zone, "use", z)
 }
 
-func (p *Plane) takeEvent(e registry.Event) error {
-	changed, err := p.mirror.ApplyEvent(e)
+func (p *Proxy) applyEvent(e registry.Event) error {
+	changed, err := p.store.ApplyEvent(e)
 	if err != nil || !changed {
 		return err
 	}
 	if e.Type != registry.Deleted {
-		p.takeObject(p.mirror.Objects()[e.Object.Key], true)
+		p.applyObject(p.store.Objects()[e.Object.Key], true)
 		return nil
 	}
 	if zone, ok := strings.CutPrefix(e.Object.Key, registry.EvacuationPrefix); ok {
-		p.setZone(zone, loadbalance.ZoneActive)
+		p.setZoneState(zone, loadbalance.ZoneActive)
 	}
 	if id, ok := strings.CutPrefix(e.Object.Key, registry.EndpointPrefix); ok {
 		for _, s := range p.services {
-			s.remove(id)
+			s.removeEndpoint(id)
 		}
 	}
 	return nil
 }
 
-// takeConfig compiles a configuration and puts it in force, whole.
-func (p *Plane) takeConfig(o registry.Object) {
+// applyConfig compiles a configuration and puts it in force, whole.
+func (p *Proxy) applyConfig(o registry.Object) {
 	_, text, ok := registry.DecodeConfig(o)
 	if !ok {
 		return
@@ -427,20 +427,20 @@
 		p.log.Error("configuration cannot be read, the old one stays", "error", err)
 		return
 	}
-	old := p.routing.Load()
+	old := p.snapshot.Load()
 	if old != nil && old.table.Version >= c.Version {
 		return // never back
 	}
-	r := &routing{table: config.Compile(c)}
+	r := &routingSnapshot{table: config.Compile(c)}
 	stats := map[string]*routeStats{}
 	if old != nil {
-		for _, s := range old.routes {
+		for _, s := range old.routeStats {
 			stats[s.name] = s
 		}
 	}
 	for _, cl := range r.table.Services {
-		s := p.service(cl.Name)
-		p.share(s)
+		s := p.ensureService(cl.Name)
+		p.applyProxyCount(s)
 		s.mu.Lock()
 		s.pool.SetMaxConnections(int(cl.MaxConnections))
 		s.pool.SetWarmupRate(cl.WarmupRatePerSecond)
@@ -451,84 +451,84 @@
 		st := stats[rt.Name]
 		if st == nil {
 			st = &routeStats{name: rt.Name}
-			for i, what := range answers {
-				st.answer[i] = p.board.Counter("answers_total", "route", rt.Name, "answer", what)
+			for i, what := range responseClasses {
+				st.responses[i] = p.metrics.Counter("answers_total", "route", rt.Name, "answer", what)
 			}
 		}
-		r.routes = append(r.routes, st)
-		r.homes = append(r.homes, p.homes(rt.Regions))
+		r.routeStats = append(r.routeStats, st)
+		r.regionMasks = append(r.regionMasks, p.regionMask(rt.Regions))
 	}
-	p.routing.Store(r)
+	p.snapshot.Store(r)
 	if old == nil {
-		close(p.viewed)
+		close(p.firstConfig)
 	}
-	p.n.config.Set(int64(c.Version))
+	p.counters.configVersion.Set(int64(c.Version))
 	p.log.Info("configuration in force", "version", c.Version)
 }
 
-// homes gives the regions that may serve a route as bits. Regions that no zone
+// regionMask gives the regions that may serve a route as bits. Regions that no zone
 // belongs to have none, so that a route at home nowhere else is served nowhere.
-func (p *Plane) homes(regions []string) uint64 {
+func (p *Proxy) regionMask(regions []string) uint64 {
 	if len(regions) == 0 {
 		return 0
 	}
 	mask := uint64(1) << 63
 	for _, r := range regions {
-		if i, known := p.region[r]; known {
+		if i, known := p.regionIndex[r]; known {
 			mask |= 1 << min(i, 62)
 		}
 	}
 	return mask
 }
 
-// sweep closes idle connections whose time is up.
-func (p *Plane) sweep(services []*service) {
+// closeExpiredConnections closes idle connections whose time is up.
+func (p *Proxy) closeExpiredConnections(services []*service) {
 	now := time.Now()
 	for _, s := range services {
 		s.mu.Lock()
-		for e, sh := range s.shelves {
-			sh.sweep(now)
-			e.IdleConnections = sh.count()
+		for e, sh := range s.connPools {
+			sh.closeExpired(now)
+			e.IdleConnections = sh.idleCount()
 		}
 		s.mu.Unlock()
 	}
 }
 
-// pick chooses an endpoint within this node's share.
-func (s *service) pick(p *Plane, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, int) {
+// pickEndpoint chooses an endpoint within this node's share.
+func (s *service) pickEndpoint(p *Proxy, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, int) {
 	now := p.now()
 	slots, inflight := s.pool.SlotsAndInflight(now)
-	limit, limited := s.share.Limit(now, slots)
+	limit, limited := s.admission.Limit(now, slots)
 	if limited && inflight >= limit {
 		return nil, limit
 	}
 	return s.pool.Pick(now, rand.Float64, skip), limit
 }
 
-// arrive counts a request of a client and gives its rank in a queue.
-func (s *service) arrive(client string, priority int) rank {
+// recordArrival counts a request of a client and gives its rank in a queue.
+func (s *service) recordArrival(client string, priority int) queueRank {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Deposit()
-	s.arrived++
-	n := s.recent[client]
-	if n > 0 || len(s.recent) < clientsCounted {
-		s.recent[client] = n + 1
+	s.retryBudget.Deposit()
+	s.arrivals++
+	n := s.arrivalsByClient[client]
+	if n > 0 || len(s.arrivalsByClient) < maxTrackedClients {
+		s.arrivalsByClient[client] = n + 1
 	}
 	// Few and a few more are alike: only those who press stand back.
-	return rank{priority, n / 4}
+	return queueRank{priority, n / 4}
 }
 
-// clientsCounted bounds how many clients are told apart between two reports.
-const clientsCounted = 4096
+// maxTrackedClients bounds how many clients are told apart between two reports.
+const maxTrackedClients = 4096
 
-// acquire picks an endpoint, waiting for a free place up to wait, in the order
+// acquireEndpoint picks an endpoint, waiting for a free place up to wait, in the order
 // of ranks; a wait that cannot end in time is not begun.
-func (s *service) acquire(p *Plane, r rank, wait time.Duration, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, *shelf) {
+func (s *service) acquireEndpoint(p *Proxy, r queueRank, wait time.Duration, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, *connPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ahead := 0
-	for _, x := range s.queue {
+	for _, x := range s.waiters {
 		if !r.before(x.rank) {
 			ahead++
 		}
@@ -536,18 +536,18 @@
 	limit := 0
 	if ahead == 0 {
 		var e *loadbalance.Endpoint
-		if e, limit = s.pick(p, skip); e != nil {
-			return e, s.shelves[e]
+		if e, limit = s.pickEndpoint(p, skip); e != nil {
+			return e, s.connPools[e]
 		}
 	}
 	if wait <= 0 || ahead > max(limit, 8)/2 {
 		return nil, nil
 	}
-	q := &queued{rank: r, wake: make(chan struct{}, 1)}
-	at := sort.Search(len(s.queue), func(i int) bool { return r.before(s.queue[i].rank) })
-	s.queue = append(s.queue, nil)
-	copy(s.queue[at+1:], s.queue[at:])
-	s.queue[at] = q
+	q := &waiter{rank: r, wake: make(chan struct{}, 1)}
+	at := sort.Search(len(s.waiters), func(i int) bool { return r.before(s.waiters[i].rank) })
+	s.waiters = append(s.waiters, nil)
+	copy(s.waiters[at+1:], s.waiters[at:])
+	s.waiters[at] = q
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
@@ -559,103 +559,103 @@
 			over = true
 		}
 		s.mu.Lock()
-		e, _ := s.pick(p, skip)
+		e, _ := s.pickEndpoint(p, skip)
 		if e == nil && !over {
 			continue
 		}
-		for i, x := range s.queue {
+		for i, x := range s.waiters {
 			if x == q {
-				s.queue = append(s.queue[:i], s.queue[i+1:]...)
+				s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
 				break
 			}
 		}
-		s.wakeFirst()
-		return e, s.shelves[e]
+		s.wakeNext()
+		return e, s.connPools[e]
 	}
 }
 
-func (s *service) wakeFirst() {
-	if len(s.queue) > 0 {
+func (s *service) wakeNext() {
+	if len(s.waiters) > 0 {
 		select {
-		case s.queue[0].wake <- struct{}{}:
+		case s.waiters[0].wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// release gives an endpoint's place back and wakes the first in the queue.
-func (s *service) release(p *Plane, e *loadbalance.Endpoint, ok bool, took float64) {
+// releaseEndpoint gives an endpoint's place back and wakes the first in the queue.
+func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, ok bool, took float64) {
 	s.mu.Lock()
-	if sh := s.shelves[e]; sh != nil {
-		e.IdleConnections = sh.count()
+	if sh := s.connPools[e]; sh != nil {
+		e.IdleConnections = sh.idleCount()
 	}
 	s.pool.Finish(p.now(), e, ok, took)
-	s.wakeFirst()
+	s.wakeNext()
 	s.mu.Unlock()
 	if !ok {
-		p.n.ejected.Inc()
+		p.counters.ejections.Inc()
 	}
 }
 
-// inZone names the load of a service in one zone.
-func inZone(service, zone string) string { return service + "\x00" + zone }
+// zoneLoadKey names the load of a service in one zone.
+func zoneLoadKey(service, zone string) string { return service + "\x00" + zone }
 
-// report gives what this node asks of each service, for the sum over all; with
+// buildReport gives what this node asks of each service, for the sum over all; with
 // more than one region, for each zone as well.
-func (p *Plane) report(span time.Duration) *transport.ProxyReport {
+func (p *Proxy) buildReport(span time.Duration) *transport.ProxyReport {
 	out := map[string]loadbalance.Load{}
 	seen := map[string]loadbalance.Observation{}
 	for name, s := range p.services {
 		s.mu.Lock()
 		s.pool.CollectObservations(seen)
 		_, inflight := s.pool.SlotsAndInflight(p.now())
-		if span > p.timing.Silence/3 { // else too short to tell a rate
-			s.share.Observe(loadbalance.Load{Rate: float64(s.arrived) / span.Seconds(), Inflight: float64(inflight)})
-			s.arrived = 0
-			clear(s.recent)
+		if span > p.timeouts.streamSilence/3 { // else too short to tell a rate
+			s.admission.Observe(loadbalance.Load{Rate: float64(s.arrivals) / span.Seconds(), Inflight: float64(inflight)})
+			s.arrivals = 0
+			clear(s.arrivalsByClient)
 		}
-		out[name] = s.share.OwnLoad()
-		if len(p.region) > 1 {
+		out[name] = s.admission.OwnLoad()
+		if len(p.regionIndex) > 1 {
 			for _, e := range s.pool.Endpoints() {
 				if n := e.Inflight(); n > 0 {
-					key := inZone(name, e.Zone)
+					key := zoneLoadKey(name, e.Zone)
 					out[key] = out[key].Add(loadbalance.Load{Inflight: float64(n)})
 				}
 			}
 		}
 		s.mu.Unlock()
 	}
-	p.seq++
+	p.reportSeq++
 	now := p.now()
-	p.sentAt[p.seq] = now
-	for seq, at := range p.sentAt {
-		if now-at > p.timing.Grant {
-			delete(p.sentAt, seq)
+	p.reportSentAt[p.reportSeq] = now
+	for seq, at := range p.reportSentAt {
+		if now-at > p.timeouts.slowStartGrant {
+			delete(p.reportSentAt, seq)
 		}
 	}
-	return &transport.ProxyReport{Seq: p.seq, Loads: out, Seen: seen, Self: p.self(), Trials: p.trials(), Account: p.account.report()}
+	return &transport.ProxyReport{Seq: p.reportSeq, Loads: out, Seen: seen, Self: p.registration(), Trials: p.rolloutReports(), Account: p.audit.reportBatch()}
 }
 
-// self is this node's entry in the registry, where clients find proxies there.
-func (p *Plane) self() *registry.Proxy {
-	if p.set.EntryType != settings.EntryTypeDirectory || (!p.Ready() && !p.stopping.Load()) {
+// registration is this node's entry in the registry, where clients find proxies there.
+func (p *Proxy) registration() *registry.Proxy {
+	if p.settings.EntryType != settings.EntryTypeDirectory || (!p.Ready() && !p.isDraining.Load()) {
 		return nil
 	}
-	return &registry.Proxy{Name: p.set.NodeName, Address: p.set.Listen.Frontend, Zone: p.set.Zone, Leaving: p.stopping.Load(), Weight: p.set.Limits.BandwidthMbps}
+	return &registry.Proxy{Name: p.settings.NodeName, Address: p.settings.Listen.Frontend, Zone: p.settings.Zone, Leaving: p.isDraining.Load(), Weight: p.settings.Limits.BandwidthMbps}
 }
 
-// leave tells the control plane at once that this node ends.
-func (p *Plane) leave() {
-	p.stopping.Store(true)
-	if c, self := p.stream.Load(), p.self(); c != nil && self != nil {
+// announceShutdown tells the control plane at once that this node ends.
+func (p *Proxy) announceShutdown() {
+	p.isDraining.Store(true)
+	if c, self := p.controlConn.Load(), p.registration(); c != nil && self != nil {
 		_ = c.Send(&transport.Frame{Report: &transport.ProxyReport{Self: self}}) // the next report tells it again
 	}
 }
 
-// granted takes this node's shares of cold endpoints. They hold from when the
-// report went out that they answer.
-func (p *Plane) granted(r *transport.QuotaGrants) {
-	sent, ok := p.sentAt[r.Seq]
+// applyGrants takes this node's shares of cold endpoints. They hold from when the
+// buildReport went out that they answer.
+func (p *Proxy) applyGrants(r *transport.QuotaGrants) {
+	sent, ok := p.reportSentAt[r.Seq]
 	if !ok {
 		return
 	}
@@ -663,19 +663,19 @@
 	for _, g := range r.Grants {
 		for _, s := range p.services {
 			s.mu.Lock()
-			s.pool.ApplyGrant(now, g, sent+p.timing.Grant)
+			s.pool.ApplyGrant(now, g, sent+p.timeouts.slowStartGrant)
 			s.mu.Unlock()
 		}
 	}
 }
 
-// judged takes what all proxy nodes together make of the endpoints.
-func (p *Plane) judged(verdicts []loadbalance.Verdict) {
+// applyVerdicts takes what all proxy nodes together make of the endpoints.
+func (p *Proxy) applyVerdicts(verdicts []loadbalance.Verdict) {
 	of := make(map[string]loadbalance.Verdict, len(verdicts))
 	for _, v := range verdicts {
 		of[v.Endpoint] = v
 	}
-	until := p.now() + 8*p.timing.Silence/3
+	until := p.now() + 8*p.timeouts.streamSilence/3
 	for _, s := range p.services {
 		s.mu.Lock()
 		s.pool.SetVerdicts(until, of)
@@ -683,25 +683,25 @@
 	}
 }
 
-// told takes the sums over all proxy nodes.
-func (p *Plane) told(loads map[string]loadbalance.Load) {
+// applyLoads takes the sums over all proxy nodes.
+func (p *Proxy) applyLoads(loads map[string]loadbalance.Load) {
 	now := p.now()
 	for name, sum := range loads {
 		if s := p.services[name]; s != nil {
 			s.mu.Lock()
-			s.share.SetTotalLoad(now, sum)
+			s.admission.SetTotalLoad(now, sum)
 			slots, _ := s.pool.SlotsAndInflight(now)
 			s.pool.SetUtilization(sum.Inflight / float64(max(1, slots)))
 			s.mu.Unlock()
 		}
 	}
-	if len(p.region) < 2 {
+	if len(p.regionIndex) < 2 {
 		return
 	}
 	for name, s := range p.services {
 		inflight := map[string]float64{}
-		for zone := range p.set.RegionByZone {
-			inflight[zone] = loads[inZone(name, zone)].Inflight
+		for zone := range p.settings.RegionByZone {
+			inflight[zone] = loads[zoneLoadKey(name, zone)].Inflight
 		}
 		s.mu.Lock()
 		s.pool.SetZoneLoads(inflight)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -14,106 +14,106 @@
 	"lichentray/internal/settings"
 )
 
-// Front serves clients. The limits of the configuration in force when a
+// Frontend serves clients. The limits of the configuration in force when a
 // connection arrives hold for its life.
-type Front struct {
-	p    *Plane
-	ln   net.Listener
-	mu   sync.Mutex
-	srv  *fasthttp.Server
-	held config.Limits
-	// open holds every client connection; true while a request is on it.
-	open map[net.Conn]bool
-	done chan struct{}
+type Frontend struct {
+	proxy         *Proxy
+	listener      net.Listener
+	mu            sync.Mutex
+	current       *fasthttp.Server
+	currentLimits config.Limits
+	// connections holds every client connection; true while a request is on it.
+	connections map[net.Conn]bool
+	done        chan struct{}
 }
 
-// NewFront makes the server of a listener that hatch.Listen made.
-func NewFront(p *Plane, ln net.Listener) *Front {
-	return &Front{p: p, ln: ln, open: map[net.Conn]bool{}, done: make(chan struct{})}
+// NewFrontend makes the server of a listener that hatch.Listen made.
+func NewFrontend(p *Proxy, ln net.Listener) *Frontend {
+	return &Frontend{proxy: p, listener: ln, connections: map[net.Conn]bool{}, done: make(chan struct{})}
 }
 
-func orElse(s float64, other time.Duration) time.Duration {
+func secondsOr(s float64, other time.Duration) time.Duration {
 	if s <= 0 {
 		return other
 	}
 	return time.Duration(s * float64(time.Second))
 }
 
-// server gives the server that fits the present limits.
-func (f *Front) server() *fasthttp.Server {
+// serverForLimits gives the server that fits the present limits.
+func (f *Frontend) serverForLimits() *fasthttp.Server {
 	var limits config.Limits
-	if r := f.p.routing.Load(); r != nil {
+	if r := f.proxy.snapshot.Load(); r != nil {
 		limits = r.table.Limits
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.srv != nil && f.held == limits {
-		return f.srv
+	if f.current != nil && f.currentLimits == limits {
+		return f.current
 	}
-	s := api.NewServer(f.p.Serve, prefetch)
+	s := api.NewServer(f.proxy.HandleRequest, maxBufferedRequest)
 	s.StreamRequestBody = true
 	s.ReadBufferSize = int(max(4<<10, min(limits.MaxHeaderBytes, 256<<10))) + 1<<10
-	s.ReadTimeout = orElse(limits.HeaderTimeoutSeconds, f.p.set.Bounds.ContactWindow.Duration())
-	s.IdleTimeout = orElse(limits.IdleTimeoutSeconds, 5*f.p.set.Bounds.ContactWindow.Duration())
+	s.ReadTimeout = secondsOr(limits.HeaderTimeoutSeconds, f.proxy.settings.Bounds.ContactWindow.Duration())
+	s.IdleTimeout = secondsOr(limits.IdleTimeoutSeconds, 5*f.proxy.settings.Bounds.ContactWindow.Duration())
 	s.HeaderReceived = func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 		return fasthttp.RequestConfig{ReadTimeout: 4 * s.ReadTimeout}
 	}
-	s.ErrorHandler = f.unreadable
-	s.ConnState = f.track
-	f.srv, f.held = s, limits
+	s.ErrorHandler = f.handleReadError
+	s.ConnState = f.trackState
+	f.current, f.currentLimits = s, limits
 	return s
 }
 
-func (f *Front) track(c net.Conn, state fasthttp.ConnState) {
+func (f *Frontend) trackState(c net.Conn, state fasthttp.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, there := f.open[c]; there {
-		f.open[c] = state == fasthttp.StateActive
+	if _, there := f.connections[c]; there {
+		f.connections[c] = state == fasthttp.StateActive
 	}
 }
 
-// client is a client's connection. One that never sent a byte ends without an
+// clientConn is a client's connection. One that never sent a byte ends without an
 // answer, as no request waits on it.
-type client struct {
+type clientConn struct {
 	net.Conn
-	spoke bool
+	hasSentData bool
 }
 
-func (c *client) Read(b []byte) (int, error) {
+func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.spoke = true
-	} else if err != nil && !c.spoke {
+		c.hasSentData = true
+	} else if err != nil && !c.hasSentData {
 		err = io.EOF
 	}
 	return n, err
 }
 
-func (f *Front) serve(s *fasthttp.Server, c net.Conn) {
+func (f *Frontend) serveConn(s *fasthttp.Server, c net.Conn) {
 	f.mu.Lock()
-	f.open[c] = false
+	f.connections[c] = false
 	f.mu.Unlock()
 	_ = s.ServeConn(c) // a broken client connection is no event
 	f.mu.Lock()
-	delete(f.open, c)
+	delete(f.connections, c)
 	f.mu.Unlock()
 }
 
-// endIdle ends the connections on which no request is. A deadline in the past
+// closeIdle ends the connections on which no request is. A deadline in the past
 // ends only a read that has nothing: what was read goes on.
-func (f *Front) endIdle() (left int) {
+func (f *Frontend) closeIdle() (left int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for c, busy := range f.open {
+	for c, busy := range f.connections {
 		if !busy {
 			_ = c.SetReadDeadline(time.Unix(1, 0)) // a closed connection needs none
 		}
 	}
-	return len(f.open)
+	return len(f.connections)
 }
 
-// unreadable answers a request that could not be read.
-func (f *Front) unreadable(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read.
+func (f *Frontend) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var ne net.Error
 	status := 400
@@ -125,45 +125,45 @@
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		status = 413
 	}
-	f.p.board.Counter("unreadable_total", "status", fasthttp.StatusMessage(status)).Inc()
+	f.proxy.metrics.Counter("unreadable_total", "status", fasthttp.StatusMessage(status)).Inc()
 	ctx.SetConnectionClose()
 	ctx.SetStatusCode(status)
 }
 
 // Run accepts until the listener is closed.
-func (f *Front) Run() {
+func (f *Frontend) Run() {
 	defer close(f.done)
 	for {
-		c, err := f.ln.Accept()
+		c, err := f.listener.Accept()
 		if err != nil {
 			return // see hatch.Listen
 		}
-		go f.serve(f.server(), &client{Conn: c})
+		go f.serveConn(f.serverForLimits(), &clientConn{Conn: c})
 	}
 }
 
-// Stop ends in order: not ready at once, no kept connections, and out once all
+// Shutdown ends in order: not ready at once, no kept connections, and out once all
 // that was read is answered, within grace.
-func (f *Front) Stop(grace time.Duration) {
-	f.p.leave()
+func (f *Frontend) Shutdown(grace time.Duration) {
+	f.proxy.announceShutdown()
 	end := time.Now().Add(grace * 9 / 10)
 	// The platform needs two missed calls to hand out no new connections; those
 	// whom the directory sent here may hold its answer for three times its time.
 	wait := grace * 2 / 5
-	if f.p.set.EntryType == settings.EntryTypeDirectory {
+	if f.proxy.settings.EntryType == settings.EntryTypeDirectory {
 		wait = grace * 3 / 5
 	}
 	time.Sleep(wait)
-	f.ln.Close()
+	f.listener.Close()
 	<-f.done
-	for f.endIdle() > 0 && time.Now().Before(end) {
+	for f.closeIdle() > 0 && time.Now().Before(end) {
 		time.Sleep(grace / 300)
 	}
-	f.p.closeAccount(end.Add(grace / 20))
+	f.proxy.closeAudit(end.Add(grace / 20))
 }
 
-// Readiness serves the platform's question and the counters.
-func (p *Plane) Readiness(ctx *fasthttp.RequestCtx) {
+// HandleReadiness serves the platform's question and the counters.
+func (p *Proxy) HandleReadiness(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/api/readiness":
 		if !p.Ready() {
@@ -173,7 +173,7 @@
 		ctx.SetBodyString("{}")
 	case "/metrics":
 		ctx.SetContentType("text/plain; version=0.0.4")
-		ctx.SetBody(api.RenderMetrics(p.board))
+		ctx.SetBody(api.RenderMetrics(p.metrics))
 	default:
 		ctx.SetStatusCode(404)
 	}
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -11,38 +11,38 @@
 	"lichentray/rollout"
 )
 
-func (p *Plane) order(r rollout.Rollout) {
-	p.takeObject(registry.Object{Key: registry.RolloutPrefix + "s", Value: r.Encode()}, true)
+func (p *Proxy) applyTestRollout(r rollout.Rollout) {
+	p.applyObject(registry.Object{Key: registry.RolloutPrefix + "s", Value: r.Encode()}, true)
 }
 
-func (p *Plane) version(id, version string, e *endpoint) {
-	x := registry.Endpoint{ID: id, Service: "s", Version: version, Address: e.ln.Addr().String(), Zone: "a", Capacity: 40}
-	p.takeObject(registry.Object{Key: x.Key(), Value: x.Encode()}, true)
+func (p *Proxy) addVersionedEndpoint(id, version string, e *stubEndpoint) {
+	x := registry.Endpoint{ID: id, Service: "s", Version: version, Address: e.listener.Addr().String(), Zone: "a", Capacity: 40}
+	p.applyObject(registry.Object{Key: x.Key(), Value: x.Encode()}, true)
 }
 
 // TestVersionsSentTo: what a proxy sends where in each state of a roll-out, by the
 // rule written out: without an order, after a roll-back, and without news, the
-// version in use alone; in the canary a small part; all at the end; and a request
+// addVersionedEndpoint in use alone; in the canary a small part; all at the end; and a request
 // that failed at the target goes on to the version in use if it may run again.
-func TestVersionsSentTo(t *testing.T) {
+func TestRolloutDecidesVersion(t *testing.T) {
 	failing := "HTTP/1.1 500 Broken\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: 0\r\n\r\n"
-	old := newEndpoint(t, func(int, string) string { return ok("old") })
+	old := newStubEndpoint(t, func(int, string) string { return okResponse("old") })
 	var mended atomic.Bool
-	fresh := newEndpoint(t, func(int, string) string {
+	fresh := newStubEndpoint(t, func(int, string) string {
 		if mended.Load() {
-			return ok("new")
+			return okResponse("new")
 		}
 		return failing
 	})
-	p, f := newFront(t)
-	p.set.Guarantees = []string{"rollout"}
-	addr := f.ln.Addr().String()
-	p.version("i-old", "v1", old)
-	p.version("i-new", "v2", fresh)
+	p, f := startFrontend(t)
+	p.settings.Guarantees = []string{"rollout"}
+	addr := f.listener.Addr().String()
+	p.addVersionedEndpoint("i-old", "v1", old)
+	p.addVersionedEndpoint("i-new", "v2", fresh)
 	heard := func(on bool) {
-		p.heard.Store(int64(p.now()))
+		p.lastBookmarkAt.Store(int64(p.now()))
 		if !on {
-			p.heard.Store(-int64(p.timing.Lease) * 2)
+			p.lastBookmarkAt.Store(-int64(p.timeouts.rolloutLease) * 2)
 		}
 	}
 	trial := func(stage int) rollout.Rollout {
@@ -64,19 +64,19 @@
 		{"all, without news", trial(3), false, 0, 0, false},
 		{"rolled back", rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.RolledBack, Stage: 3}, true, 0, 0, false},
 	} {
-		p.order(c.r)
+		p.applyTestRollout(c.r)
 		for _, path := range []string{"/safe/a", "/once/a"} {
 			before, failed := len(fresh.requests()), 0
 			for range n {
 				heard(c.heard)
 				for range 5 { // a budget in hand
-					p.services["s"].budget.Deposit()
+					p.services["s"].retryBudget.Deposit()
 				}
-				request := get(path)
+				request := getRequest(path)
 				if path == "/once/a" {
-					request = post(path)
+					request = postRequest(path)
 				}
-				switch s := status(send(t, addr, request, 1)); {
+				switch s := statusOf(sendRaw(t, addr, request, 1)); {
 				case s == 500 && path == "/once/a":
 					failed++
 				case s != 200:
@@ -89,7 +89,7 @@
 			}
 		}
 		if c.r.State == rollout.InProgress {
-			told := p.trials()["s"]
+			told := p.rolloutReports()["s"]
 			sum := rollout.Counts{}
 			for _, a := range told.Evidence {
 				sum = sum.Add(a.Target)
@@ -101,11 +101,11 @@
 	}
 	// All have moved, the old endpoints are stopped, and this node has not heard.
 	mended.Store(true)
-	p.order(trial(3))
+	p.applyTestRollout(trial(3))
 	heard(false)
-	old.ln.Close()
-	p.services["s"].shelves[p.services["s"].pool.Endpoints()[0]].drop()
-	if s := status(send(t, addr, post("/once/a"), 1)); s != 200 {
+	old.listener.Close()
+	p.services["s"].connPools[p.services["s"].pool.Endpoints()[0]].closeIdle()
+	if s := statusOf(sendRaw(t, addr, postRequest("/once/a"), 1)); s != 200 {
 		t.Errorf("after the old endpoints were stopped unheard: %d", s)
 	}
 }
@@ -116,12 +116,12 @@
 	for _, c := range []struct{ endpoints, stage, front int }{{300, 0, 5}, {300, 1, 20}, {300, 3, 300}, {5, 0, 4}, {2, 0, 2}} {
 		var first string
 		for range 2 {
-			p, _ := newFront(t)
-			e := newEndpoint(t, func(int, string) string { return ok("x") })
+			p, _ := startFrontend(t)
+			e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 			for i := range c.endpoints {
-				p.version(fmt.Sprint("i-", i), "v2", e)
+				p.addVersionedEndpoint(fmt.Sprint("i-", i), "v2", e)
 			}
-			p.order(rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.InProgress, Stage: c.stage})
+			p.applyTestRollout(rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.InProgress, Stage: c.stage})
 			pool := p.services["s"].pool
 			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
 			var front []string
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -15,26 +15,26 @@
 	"lichentray/internal/transport"
 )
 
-// upstream is one connection to an endpoint.
-type upstream struct {
-	raw    *net.TCPConn
-	rc     syscall.RawConn
-	br     *bufio.Reader
-	until  time.Time     // idle no longer than this
-	since  time.Time     // idle since; of a new one, since it came up
-	rested time.Duration // how long it was idle before its present use; 0: it is new
+// upstreamConn is one connection to an endpoint.
+type upstreamConn struct {
+	tcp       *net.TCPConn
+	rawConn   syscall.RawConn
+	reader    *bufio.Reader
+	expiresAt time.Time     // idle no longer than this
+	idleSince time.Time     // idle since; of a new one, since it came up
+	idleFor   time.Duration // how long it was idle before its present use; 0: it is new
 }
 
-// shelf keeps the idle connections of one endpoint.
-type shelf struct {
+// connPool keeps the idle connections of one endpoint.
+type connPool struct {
 	mu     sync.Mutex
-	idle   []*upstream
+	idle   []*upstreamConn
 	closed bool
 }
 
-// take gives the idle connection used last that is still sound, or nil. One that
+// headerValue gives the idle connection used last that is still sound, or nil. One that
 // has rested for over most is not taken.
-func (s *shelf) take(now time.Time, most time.Duration) *upstream {
+func (s *connPool) get(now time.Time, most time.Duration) *upstreamConn {
 	for {
 		s.mu.Lock()
 		n := len(s.idle)
@@ -45,71 +45,71 @@
 		u := s.idle[n-1]
 		s.idle = s.idle[:n-1]
 		s.mu.Unlock()
-		if u.rested = max(1, now.Sub(u.since)); now.Before(u.until) && u.rested <= most && u.silent() {
+		if u.idleFor = max(1, now.Sub(u.idleSince)); now.Before(u.expiresAt) && u.idleFor <= most && u.isQuiet() {
 			return u
 		}
-		u.raw.Close()
+		u.tcp.Close()
 	}
 }
 
-func (s *shelf) put(u *upstream) {
+func (s *connPool) put(u *upstreamConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		u.raw.Close()
+		u.tcp.Close()
 		return
 	}
 	s.idle = append(s.idle, u)
 }
 
-// count is how many connections are idle.
-func (s *shelf) count() int {
+// idleCount is how many connections are idle.
+func (s *connPool) idleCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.idle)
 }
 
-// drop closes all idle connections.
-func (s *shelf) drop() {
+// closeIdle closes all idle connections.
+func (s *connPool) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.empty()
+	s.closeIdleLocked()
 }
 
-// empty does what drop does, under the lock.
-func (s *shelf) empty() {
+// closeIdleLocked does what drop does, under the lock.
+func (s *connPool) closeIdleLocked() {
 	for _, u := range s.idle {
-		u.raw.Close()
+		u.tcp.Close()
 	}
 	s.idle = nil
 }
 
-// sweep closes connections whose time is up; close ends the shelf.
-func (s *shelf) sweep(now time.Time) {
+// closeExpired closes connections whose time is up; close ends the shelf.
+func (s *connPool) closeExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keep := s.idle[:0]
 	for _, u := range s.idle {
-		if now.Before(u.until) {
+		if now.Before(u.expiresAt) {
 			keep = append(keep, u)
 		} else {
-			u.raw.Close()
+			u.tcp.Close()
 		}
 	}
 	s.idle = keep
 }
 
-func (s *shelf) close() {
+func (s *connPool) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.empty()
+	s.closeIdleLocked()
 }
 
-// silent tells that nothing has come on an idle connection.
-func (u *upstream) silent() bool { return u.br.Buffered() == 0 && transport.IsIdle(u.rc) }
+// isQuiet tells that nothing has come on an idle connection.
+func (u *upstreamConn) isQuiet() bool { return u.reader.Buffered() == 0 && transport.IsIdle(u.rawConn) }
 
-func dialUpstream(addr string, wait, silence time.Duration) (*upstream, error) {
+func dialUpstream(addr string, wait, silence time.Duration) (*upstreamConn, error) {
 	d := net.Dialer{Timeout: wait, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	c, err := d.Dial("tcp4", addr)
 	if err != nil {
@@ -122,25 +122,25 @@
 		t.Close()
 		return nil, err
 	}
-	return &upstream{raw: t, rc: rc, br: bufio.NewReaderSize(t, 4096)}, nil
+	return &upstreamConn{tcp: t, rawConn: rc, reader: bufio.NewReaderSize(t, 4096)}, nil
 }
 
 // header is one header line of an answer.
 type header struct{ name, value []byte }
 
-// answer is a whole answer of an endpoint.
-type answer struct {
+// response is a whole answer of an endpoint.
+type response struct {
 	status  int
 	headers []header
 	body    []byte
 	// rest, if not nil, is what of the body has not been read yet.
-	rest   io.Reader
-	length int64
-	reuse  bool
-	keep   time.Duration
+	stream        io.Reader
+	contentLength int64
+	isReusable    bool
+	keepAlive     time.Duration
 }
 
-func (a *answer) get(name string) []byte {
+func (a *response) headerValue(name string) []byte {
 	for _, h := range a.headers {
 		if equalFold(h.name, name) {
 			return h.value
@@ -162,9 +162,9 @@
 	return true
 }
 
-var errAnswer = errors.New("not a whole HTTP answer")
+var errInvalidResponse = errors.New("not a whole HTTP answer")
 
-const maxAnswerHeader = 64 << 10
+const maxResponseHeader = 64 << 10
 
 func readLine(br *bufio.Reader, left *int) ([]byte, error) {
 	line, err := br.ReadSlice('\n')
@@ -180,39 +180,39 @@
 		return nil, err
 	}
 	if *left -= len(line); *left < 0 {
-		return nil, fmt.Errorf("%w: header too long", errAnswer)
+		return nil, fmt.Errorf("%w: header too long", errInvalidResponse)
 	}
 	line = bytes.TrimSuffix(bytes.TrimSuffix(line, []byte{'\n'}), []byte{'\r'})
 	if bytes.ContainsAny(line, "\r\x00") {
-		return nil, fmt.Errorf("%w: bare CR or NUL", errAnswer)
+		return nil, fmt.Errorf("%w: bare CR or NUL", errInvalidResponse)
 	}
 	return line, nil
 }
 
-// mostChunked bounds an answer in chunks, which is held until it is whole.
-const mostChunked = 1 << 20
+// maxChunkedBody bounds an answer in chunks, which is held until it is whole.
+const maxChunkedBody = 1 << 20
 
-// readAnswer reads an answer up to the body, and bodies of a known length up to whole
+// readResponse reads an answer up to the body, and bodies of a known length up to whole
 // bytes. With an error, an answer tells that its head was whole. Errors that are no
-// errAnswer are the connection's.
-func readAnswer(br *bufio.Reader, head bool, whole int) (*answer, error) {
-	a := &answer{length: -1}
+// errInvalidResponse are the connection's.
+func readResponse(br *bufio.Reader, head bool, whole int) (*response, error) {
+	a := &response{contentLength: -1}
 	for {
-		left := maxAnswerHeader
+		left := maxResponseHeader
 		line, err := readLine(br, &left)
 		if err != nil {
 			return nil, err
 		}
 		if len(line) < 12 || string(line[:7]) != "HTTP/1." || line[8] != ' ' || (len(line) > 12 && line[12] != ' ') {
-			return nil, fmt.Errorf("%w: status line", errAnswer)
+			return nil, fmt.Errorf("%w: status line", errInvalidResponse)
 		}
 		minor := line[7]
 		a.status, err = strconv.Atoi(string(line[9:12]))
 		if err != nil || a.status < 100 || (minor != '0' && minor != '1') {
-			return nil, fmt.Errorf("%w: status line", errAnswer)
+			return nil, fmt.Errorf("%w: status line", errInvalidResponse)
 		}
 		a.headers = a.headers[:0]
-		a.reuse = minor == '1'
+		a.isReusable = minor == '1'
 		chunked := false
 		for {
 			line, err := readLine(br, &left)
@@ -223,60 +223,60 @@
 				break
 			}
 			i := bytes.IndexByte(line, ':')
-			if i <= 0 || !tokenChars(line[:i]) { // a space before the colon hides a framing header
-				return nil, fmt.Errorf("%w: header line", errAnswer)
+			if i <= 0 || !isToken(line[:i]) { // a space before the colon hides a framing header
+				return nil, fmt.Errorf("%w: header line", errInvalidResponse)
 			}
 			h := header{append([]byte(nil), line[:i]...), append([]byte(nil), bytes.Trim(line[i+1:], " \t")...)}
 			switch {
 			case equalFold(h.name, "content-length"):
 				n, err := strconv.ParseInt(string(h.value), 10, 63)
-				if err != nil || !digits(h.value) || (a.length >= 0 && a.length != n) {
-					return nil, fmt.Errorf("%w: content-length", errAnswer)
+				if err != nil || !isDigits(h.value) || (a.contentLength >= 0 && a.contentLength != n) {
+					return nil, fmt.Errorf("%w: content-length", errInvalidResponse)
 				}
-				a.length = n
+				a.contentLength = n
 			case equalFold(h.name, "transfer-encoding"):
 				if !equalFold(h.value, "chunked") || chunked {
-					return nil, fmt.Errorf("%w: transfer-encoding", errAnswer)
+					return nil, fmt.Errorf("%w: transfer-encoding", errInvalidResponse)
 				}
 				chunked = true
 			case equalFold(h.name, "connection"):
-				if tokenIn(h.value, "close") {
-					a.reuse = false
+				if containsToken(h.value, "close") {
+					a.isReusable = false
 				}
 			case equalFold(h.name, "keep-alive"):
-				a.keep = keepAlive(h.value)
+				a.keepAlive = parseKeepAlive(h.value)
 			}
 			a.headers = append(a.headers, h)
 		}
 		if a.status == 101 {
-			return nil, fmt.Errorf("%w: switched protocols", errAnswer)
+			return nil, fmt.Errorf("%w: switched protocols", errInvalidResponse)
 		}
 		if a.status < 200 {
-			a.length = -1
+			a.contentLength = -1
 			continue
 		}
 		switch {
-		case chunked && a.length >= 0:
-			return nil, fmt.Errorf("%w: two framings", errAnswer)
+		case chunked && a.contentLength >= 0:
+			return nil, fmt.Errorf("%w: two framings", errInvalidResponse)
 		case head || a.status == 204 || a.status == 304:
 			return a, nil
 		case chunked:
-			a.body, err = readChunked(br, mostChunked)
+			a.body, err = readChunkedBody(br, maxChunkedBody)
 			return a, err
-		case a.length < 0:
+		case a.contentLength < 0:
 			// The end of the connection cannot tell a whole body from a part.
-			return nil, fmt.Errorf("%w: no length", errAnswer)
-		case a.length > int64(whole):
-			a.rest = io.LimitReader(br, a.length)
+			return nil, fmt.Errorf("%w: no length", errInvalidResponse)
+		case a.contentLength > int64(whole):
+			a.stream = io.LimitReader(br, a.contentLength)
 			return a, nil
 		}
-		a.body = make([]byte, a.length)
+		a.body = make([]byte, a.contentLength)
 		_, err = io.ReadFull(br, a.body)
 		return a, err
 	}
 }
 
-func tokenIn(list []byte, token string) bool {
+func containsToken(list []byte, token string) bool {
 	for _, t := range bytes.Split(list, []byte{','}) {
 		if equalFold(bytes.TrimSpace(t), token) {
 			return true
@@ -285,7 +285,7 @@
 	return false
 }
 
-func keepAlive(v []byte) time.Duration {
+func parseKeepAlive(v []byte) time.Duration {
 	for _, p := range bytes.Split(v, []byte{','}) {
 		if k, n, ok := bytes.Cut(bytes.TrimSpace(p), []byte{'='}); ok && equalFold(k, "timeout") {
 			if s, err := strconv.Atoi(string(n)); err == nil && s > 0 {
@@ -296,7 +296,7 @@
 	return 0
 }
 
-func readChunked(br *bufio.Reader, most int) ([]byte, error) {
+func readChunkedBody(br *bufio.Reader, most int) ([]byte, error) {
 	var body []byte
 	for {
 		left := 1024
@@ -309,13 +309,13 @@
 		}
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(line)), 16, 31)
 		if err != nil {
-			return nil, fmt.Errorf("%w: chunk size", errAnswer)
+			return nil, fmt.Errorf("%w: chunk size", errInvalidResponse)
 		}
 		if n == 0 {
 			break
 		}
 		if len(body)+int(n) > most {
-			return nil, fmt.Errorf("%w: chunked body of over %d bytes", errAnswer, most)
+			return nil, fmt.Errorf("%w: chunked body of over %d bytes", errInvalidResponse, most)
 		}
 		at := len(body)
 		body = append(body, make([]byte, n)...)
@@ -323,10 +323,10 @@
 			return nil, err
 		}
 		if line, err := readLine(br, &left); err != nil || len(line) != 0 {
-			return nil, fmt.Errorf("%w: chunk end", errAnswer)
+			return nil, fmt.Errorf("%w: chunk end", errInvalidResponse)
 		}
 	}
-	for left := maxAnswerHeader; ; { // trailers are dropped
+	for left := maxResponseHeader; ; { // trailers are dropped
 		line, err := readLine(br, &left)
 		if err != nil {
 			return nil, err
