--- a/raft/election.go
+++ b/raft/election.go
@@ -1,27 +1,35 @@
 package raft
 
-import (
-	"time"
-)
+import "time"
 
-// Leader election: PreVote, votes, CheckQuorum and leadership transfer.
+// Leader election (the paper, section 5.2) with PreVote (thesis, section 9.6), leases of
+// the leader (thesis, sections 4.2.3 and 6.4.1) and leadership transfer (thesis, section
+// 3.10).
 
-func (n *Node) resetElection(leader uint64) {
-	n.leaderID = leader
+// randomElectionTimeout draws a timeout between one and two election timeouts.
+func (n *Node) randomElectionTimeout() time.Duration {
+	return n.config.ElectionTimeout + time.Duration(n.config.RandInt63n(int64(n.config.ElectionTimeout)))
+}
+
+// resetElection forgets the votes and a transfer of leadership, and restarts the
+// election timer.
+func (n *Node) resetElection(leaderID uint64) {
+	n.leaderID = leaderID
 	n.votes = nil
 	n.isForcedCampaign = false
 	n.transferTarget = 0
-	span := int64(n.config.ElectionTimeout)
-	n.electionDeadline = n.now + n.config.ElectionTimeout + time.Duration(n.config.RandInt63n(span))
+	n.electionDeadline = n.now + n.randomElectionTimeout()
 }
 
-// shortenElectionDeadline sets a short election timer. It is for nodes that only ask whether an
-// election would be welcome, which disturbs nobody.
+// shortenElectionDeadline sets a short election timer, for a node that only asks whether
+// an election could succeed, which disturbs nobody.
 func (n *Node) shortenElectionDeadline() {
-	n.electionDeadline = n.now + n.config.HeartbeatInterval + time.Duration(n.config.RandInt63n(int64(n.config.ElectionTimeout/2)))
+	jitter := time.Duration(n.config.RandInt63n(int64(n.config.ElectionTimeout / 2)))
+	n.electionDeadline = n.now + n.config.HeartbeatInterval + jitter
 }
 
-func (n *Node) becomeRole(role Role, term, leader uint64) {
+// becomeRole changes to a role in a term, under a leader if one is known.
+func (n *Node) becomeRole(role Role, term, leaderID uint64) {
 	if term != n.hardState.Term {
 		n.hardState = HardState{Term: term}
 		n.hardStateChanged = true
@@ -30,135 +38,172 @@
 		n.rejectPendingReads()
 	}
 	n.role = role
-	n.resetElection(leader)
+	n.resetElection(leaderID)
 }
 
-// Campaign makes a voter stand for election now.
+// Campaign makes a voter stand for election now, beginning with a pre-vote. It does
+// nothing at a leader or a learner.
 func (n *Node) Campaign() {
 	if n.role != Leader && n.Membership().IsVoter(n.config.ID) {
 		n.campaignAs(PreCandidate, false)
 	}
 }
 
-func (n *Node) campaignAs(role Role, force bool) {
-	term := n.hardState.Term
+// campaignAs asks all voters for their votes, as PreCandidate or Candidate. A forced
+// campaign is one that the leader asked for.
+func (n *Node) campaignAs(role Role, isForced bool) {
 	if role == Candidate {
-		term++
-		n.becomeRole(Candidate, term, 0)
+		n.becomeRole(Candidate, n.hardState.Term+1, 0)
 		n.hardState.Vote = n.config.ID
 		n.hardStateChanged = true
 	} else {
-		n.becomeRole(PreCandidate, term, 0)
+		n.becomeRole(PreCandidate, n.hardState.Term, 0)
 		n.shortenElectionDeadline()
-		term++
 	}
-	n.isForcedCampaign = force
+	n.isForcedCampaign = isForced
 	n.votes = map[uint64]bool{n.config.ID: true}
 	if n.hasWonElection() {
 		n.advanceCampaign()
 		return
 	}
+	n.requestVotes()
+}
+
+func (n *Node) requestVotes() {
+	request := Message{
+		Term:    n.hardState.Term,
+		Index:   n.log.lastIndex(),
+		LogTerm: n.log.lastTerm(),
+		Force:   n.isForcedCampaign,
+	}
 	for _, m := range n.Membership().Voters {
 		if m.ID == n.config.ID {
 			continue
 		}
-		msg := Message{To: m.ID, Term: term, Index: n.lastIndex(), LogTerm: n.lastTerm(), Force: force}
-		if role == Candidate {
-			msg.Type = MsgVote
-			n.sendAfterAppend(msg)
+		request.To = m.ID
+		if n.role == Candidate {
+			request.Type = MsgVote
+			n.sendAfterAppend(request) // once this node's own vote is durable
 		} else {
-			msg.Type = MsgPreVote
-			n.send(msg)
+			request.Type = MsgPreVote
+			request.Term = n.hardState.Term + 1
+			n.send(request)
 		}
 	}
 }
 
-func (n *Node) hasWonElection() bool {
-	voters := n.Membership().Voters
-	yes := 0
-	for _, m := range voters {
-		if n.votes[m.ID] {
-			yes++
+// countVotes counts the voters that have granted and rejected their votes.
+func (n *Node) countVotes() (granted, rejected int) {
+	for _, m := range n.Membership().Voters {
+		isGranted, hasVoted := n.votes[m.ID]
+		switch {
+		case isGranted:
+			granted++
+		case hasVoted:
+			rejected++
 		}
 	}
-	return yes > len(voters)/2
+	return granted, rejected
 }
 
+func (n *Node) hasWonElection() bool {
+	granted, _ := n.countVotes()
+	return isMajority(granted, len(n.Membership().Voters))
+}
+
+// hasLostElection reports whether the voters that have not answered cannot make up a
+// majority any more.
 func (n *Node) hasLostElection() bool {
-	voters := n.Membership().Voters
-	no := 0
-	for _, m := range voters {
-		if v, ok := n.votes[m.ID]; ok && !v {
-			no++
-		}
-	}
-	return no > len(voters)/2 || (len(voters)%2 == 0 && no >= len(voters)/2)
+	_, rejected := n.countVotes()
+	return 2*rejected >= len(n.Membership().Voters)
 }
 
+// advanceCampaign turns a pre-candidate that has won into a candidate, and a candidate
+// into the leader.
 func (n *Node) advanceCampaign() {
 	if n.role == PreCandidate {
 		n.campaignAs(Candidate, n.isForcedCampaign)
-		return
+	} else {
+		n.becomeLeader()
 	}
+}
+
+func (n *Node) becomeLeader() {
 	n.becomeRole(Leader, n.hardState.Term, n.config.ID)
 	n.electionDeadline = n.now + n.config.ElectionTimeout
+	n.reads.round = 0
+	n.diskLagIndex = 0
 	n.progress = map[uint64]*progress{}
-	n.readRound, n.diskLagIndex = 0, 0
 	for _, m := range n.Membership().AllMembers() {
 		if m.ID != n.config.ID {
 			n.ensureProgress(m.ID)
 		}
 	}
-	n.termStartIndex = n.lastIndex() + 1
-	n.appendEntry(Entry{Type: EntryNormal}) // commits what earlier terms left behind
+	// An empty entry of the own term commits what earlier terms have left behind.
+	n.termStartIndex = n.log.lastIndex() + 1
+	n.appendEntry(Entry{Type: EntryNormal})
 	n.broadcastHeartbeat()
 }
 
-// TransferLeadership hands leadership to the best follower, if there is one.
-func (n *Node) TransferLeadership() bool {
-	if n.role != Leader {
-		return false
+// handlePreVote answers whether this node would vote for the sender.
+func (n *Node) handlePreVote(m *Message) {
+	isGranted := m.Term > n.hardState.Term && n.log.isUpToDate(m.Index, m.LogTerm) && !n.inLeaderLease()
+	resp := Message{Type: MsgPreVoteResp, To: m.From, Term: m.Term, Reject: !isGranted}
+	if !isGranted {
+		resp.Term = n.hardState.Term
 	}
-	var best uint64
-	var bestMatch uint64
-	for _, m := range n.Membership().Voters {
-		p := n.progress[m.ID]
-		if m.ID == n.config.ID || p == nil || n.now-p.lastContact > n.config.ElectionTimeout {
-			continue
-		}
-		if best == 0 || p.matchIndex > bestMatch {
-			best, bestMatch = m.ID, p.matchIndex
+	n.sendAfterAppend(resp)
+}
+
+// handleVote grants a vote of the current term, to one candidate only.
+func (n *Node) handleVote(m *Message) {
+	canVote := n.hardState.Vote == 0 || n.hardState.Vote == m.From
+	isGranted := canVote && n.leaderID == 0 && n.log.isUpToDate(m.Index, m.LogTerm)
+	if isGranted {
+		if n.hardState.Vote != m.From {
+			n.hardState.Vote = m.From
+			n.hardStateChanged = true
 		}
+		n.electionDeadline = n.now + n.randomElectionTimeout()
 	}
-	if best == 0 {
-		return false
-	}
-	n.transferTarget, n.transferStartedAt = best, n.now
-	n.maybeSendTimeoutNow()
-	return true
+	n.sendAfterAppend(Message{Type: MsgVoteResp, To: m.From, Reject: !isGranted})
 }
 
-func (n *Node) maybeSendTimeoutNow() {
-	if p := n.progress[n.transferTarget]; p != nil && p.matchIndex == n.lastIndex() {
-		n.send(Message{Type: MsgTimeoutNow, To: n.transferTarget})
+// handleVoteResp counts a vote, if it belongs to the present campaign. Only the first
+// answer of a voter counts.
+func (n *Node) handleVoteResp(m *Message) {
+	isPreVote := n.role == PreCandidate && m.Type == MsgPreVoteResp
+	isVote := n.role == Candidate && m.Type == MsgVoteResp
+	if !isPreVote && !isVote {
+		return
+	}
+	if _, hasVoted := n.votes[m.From]; !hasVoted {
+		n.votes[m.From] = !m.Reject
+	}
+	switch {
+	case n.hasWonElection():
+		n.advanceCampaign()
+	case n.hasLostElection():
+		n.becomeRole(Follower, n.hardState.Term, 0)
 	}
 }
 
-// heardFromMajority tells whether a leader has heard from a majority within span, however old what
-// it heard was: enough to go on leading, as over a slow link, not to count on it.
+// heardFromMajority reports whether a leader has received any message from a majority
+// within span. A message may have been long on its way, so this is enough to go on
+// leading over a slow link, but it is no lease; see HasQuorumContact.
 func (n *Node) heardFromMajority(span time.Duration) bool {
-	count := 0
 	voters := n.Membership().Voters
+	heard := 0
 	for _, m := range voters {
 		if p := n.progress[m.ID]; m.ID == n.config.ID || p != nil && n.now-p.lastContact <= span {
-			count++
+			heard++
 		}
 	}
-	return count > len(voters)/2
+	return isMajority(heard, len(voters))
 }
 
-// inLeaderLease tells whether this node has a living leader, so that a vote asked for
-// by somebody else is not answered.
+// inLeaderLease reports whether this node has a live leader, or is one, so that it does
+// not vote for anybody else.
 func (n *Node) inLeaderLease() bool {
 	if n.role == Leader {
 		return n.heardFromMajority(n.config.ElectionTimeout)
@@ -166,47 +211,38 @@
 	return n.leaderID != 0 && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-func (n *Node) isLogUpToDate(m Message) bool {
-	t := n.lastTerm()
-	return m.LogTerm > t || (m.LogTerm == t && m.Index >= n.lastIndex())
-}
-
-func (n *Node) handlePreVote(m Message) {
-	ok := m.Term > n.hardState.Term && n.isLogUpToDate(m) && !n.inLeaderLease()
-	resp := Message{Type: MsgPreVoteResp, To: m.From, Term: m.Term, Reject: !ok}
-	if !ok {
-		resp.Term = n.hardState.Term
+// TransferLeadership starts to hand leadership to the voter with the longest log among
+// those heard within an election timeout. It returns false if this node does not lead
+// or there is no such voter. Until the target leads, or an election timeout has passed,
+// proposals are refused.
+func (n *Node) TransferLeadership() bool {
+	if n.role != Leader {
+		return false
 	}
-	n.sendAfterAppend(resp)
-}
-
-func (n *Node) handleVote(m Message) {
-	ok := (n.hardState.Vote == 0 || n.hardState.Vote == m.From) && n.leaderID == 0 && n.isLogUpToDate(m)
-	if ok {
-		if n.hardState.Vote != m.From {
-			n.hardState.Vote = m.From
-			n.hardStateChanged = true
+	var target, targetMatch uint64
+	for _, m := range n.Membership().Voters {
+		p := n.progress[m.ID]
+		if m.ID == n.config.ID || p == nil || n.now-p.lastContact > n.config.ElectionTimeout {
+			continue
 		}
-		n.electionDeadline = n.now + n.config.ElectionTimeout + time.Duration(n.config.RandInt63n(int64(n.config.ElectionTimeout)))
+		if target == 0 || p.matchIndex > targetMatch {
+			target = m.ID
+			targetMatch = p.matchIndex
+		}
+	}
+	if target == 0 {
+		return false
 	}
-	n.sendAfterAppend(Message{Type: MsgVoteResp, To: m.From, Reject: !ok})
+	n.transferTarget = target
+	n.transferStartedAt = n.now
+	n.maybeSendTimeoutNow()
+	return true
 }
 
-func (n *Node) handleVoteResp(m Message) {
-	want := MsgVoteResp
-	if n.role == PreCandidate {
-		want = MsgPreVoteResp
-	}
-	if (n.role != PreCandidate && n.role != Candidate) || m.Type != want {
-		return
-	}
-	if _, seen := n.votes[m.From]; !seen {
-		n.votes[m.From] = !m.Reject
-	}
-	switch {
-	case n.hasWonElection():
-		n.advanceCampaign()
-	case n.hasLostElection():
-		n.becomeRole(Follower, n.hardState.Term, 0)
+// maybeSendTimeoutNow tells the target of a transfer to campaign, once it holds the
+// whole log.
+func (n *Node) maybeSendTimeoutNow() {
+	if p := n.progress[n.transferTarget]; p != nil && p.matchIndex == n.log.lastIndex() {
+		n.send(Message{Type: MsgTimeoutNow, To: n.transferTarget})
 	}
 }
--- a/raft/explore_test.go
+++ b/raft/fingerprint_test.go
@@ -9,10 +9,13 @@
 // TestFingerprintIsComplete: a field that is new in a node, or in anything that
 // it holds, fails this until Clone and Fingerprint know of it.
 func TestFingerprintIsComplete(t *testing.T) {
-	for of, fields := range map[reflect.Type]string{
-		reflect.TypeFor[Node](): "config now hardState role leaderID lastLeaderContact lastQuorumContact pendingProof newestProof electionDeadline votes isForcedCampaign snapshot entries compactedTail incomingSnapshot stableIndex commitIndex appliedIndex memberships " +
-			"progress lastHeartbeatAt readRound pendingReads deferredReads transferTarget transferStartedAt termStartIndex diskLagIndex diskLagSince hardStateChanged entriesToWrite snapshotToInstall messages messagesAfterAppend readStates",
-		reflect.TypeFor[progress]():         "matchIndex nextIndex lastSentAt lastContact ackedHeartbeatSentAt peerClock lastProgressAt ackedReadRound flow pendingSnapshot resentFrom resentThrough resentAt",
+	for typ, fields := range map[reflect.Type]string{
+		reflect.TypeFor[Node](): "config now hardState role log leaderID lastLeaderContact electionDeadline votes isForcedCampaign incomingSnapshot contact " +
+			"progress lastHeartbeatAt reads transferTarget transferStartedAt termStartIndex diskLagIndex diskLagSince hardStateChanged snapshotToInstall messages messagesAfterAppend",
+		reflect.TypeFor[raftLog]():          "snapshot entries compactedTail entriesToWrite stableIndex commitIndex appliedIndex memberships",
+		reflect.TypeFor[quorumContact]():    "last pendingProof newestProof",
+		reflect.TypeFor[readOnly]():         "round pending deferred states",
+		reflect.TypeFor[progress]():         "matchIndex nextIndex lastSentAt lastContact lastProgressAt ackedHeartbeatSentAt peerClock ackedReadRound flow pendingSnapshot resentFrom resentThrough resentAt",
 		reflect.TypeFor[pendingRead]():      "requestID round readIndex",
 		reflect.TypeFor[loggedMembership](): "index membership",
 		reflect.TypeFor[Message]():          "Type From To Term Index LogTerm Commit Reject Hint Context Force Sent Echo Touch Entries Snap Offset Size Sum",
@@ -31,11 +34,11 @@
 		reflect.TypeFor[ReadState]():        "RequestID Index Confirmed",
 	} {
 		var have []string
-		for f := range of.Fields() {
+		for f := range typ.Fields() {
 			have = append(have, f.Name)
 		}
 		if got := strings.Join(have, " "); got != fields {
-			t.Errorf("%s has the fields\n%s\nClone and Fingerprint know\n%s", of, got, fields)
+			t.Errorf("%s has the fields\n%s\nClone and Fingerprint know\n%s", typ, got, fields)
 		}
 	}
 }
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -2,120 +2,115 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/gob"
 	"fmt"
-	"slices"
-	"time"
 )
 
-// Changes of membership, one voter at a time.
+// Member is one node of the group. The field names are part of the wire format.
+type Member struct {
+	// ID is the identity of one incarnation of a disk; see Config.ID.
+	ID   uint64
+	Addr string // address for the other members
+	API  string // address for clients
+	// Uncounted marks a node that may disappear at any time and on which the group's
+	// fault tolerance does not depend.
+	Uncounted bool
+}
 
-type loggedMembership struct {
-	index      uint64
-	membership Membership
+// Membership is the configuration of the group (the paper, section 6): the members that
+// vote, and the learners (thesis, section 4.2.1), which receive the log and do not. It
+// is a value; its methods do not change it. The field names are part of the wire format.
+type Membership struct {
+	Voters   []Member
+	Learners []Member
 }
 
-// Encode writes a membership as an entry's data.
-func (m Membership) Encode() []byte {
-	var b bytes.Buffer
-	_ = gob.NewEncoder(&b).Encode(m) // a struct of plain fields always encodes
-	return b.Bytes()
+// IsVoter reports whether id is a voter.
+func (m Membership) IsVoter(id uint64) bool { return indexOfMember(m.Voters, id) >= 0 }
+
+// IsMember reports whether id is a voter or a learner.
+func (m Membership) IsMember(id uint64) bool {
+	return m.IsVoter(id) || indexOfMember(m.Learners, id) >= 0
 }
 
-// DecodeMembership reads an entry's data.
-func DecodeMembership(data []byte) (Membership, error) {
-	var m Membership
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&m); err != nil {
-		return m, fmt.Errorf("raft: membership: %w", err)
-	}
-	return m, nil
+// AllMembers returns the voters, followed by the learners, in a new slice.
+func (m Membership) AllMembers() []Member {
+	return append(append([]Member(nil), m.Voters...), m.Learners...)
 }
 
-func (n *Node) trackMembership(e Entry) {
-	if e.Type != EntryConfChange {
-		return
-	}
-	if m, err := DecodeMembership(e.Data); err == nil {
-		n.memberships = append(n.memberships, loggedMembership{e.Index, m})
+// WithLearner returns the membership with x as a learner, whatever it was before.
+func (m Membership) WithLearner(x Member) Membership {
+	return Membership{
+		Voters:   withoutMember(m.Voters, x.ID),
+		Learners: append(withoutMember(m.Learners, x.ID), x),
 	}
 }
 
-// Membership is the newest membership in the log, committed or not.
-func (n *Node) Membership() Membership { return n.memberships[len(n.memberships)-1].membership }
+// WithVoter returns the membership with x as a voter, whatever it was before.
+func (m Membership) WithVoter(x Member) Membership {
+	return Membership{
+		Voters:   append(withoutMember(m.Voters, x.ID), x),
+		Learners: withoutMember(m.Learners, x.ID),
+	}
+}
 
-// MembershipIndex is where the newest membership stands in the log.
-func (n *Node) MembershipIndex() uint64 { return n.memberships[len(n.memberships)-1].index }
+// Without returns the membership without id.
+func (m Membership) Without(id uint64) Membership {
+	return Membership{
+		Voters:   withoutMember(m.Voters, id),
+		Learners: withoutMember(m.Learners, id),
+	}
+}
 
-// HasPendingConfChange tells whether a change of membership is still on its way, or the
-// leader has not yet committed in its own term.
-func (n *Node) HasPendingConfChange() bool {
-	return n.memberships[len(n.memberships)-1].index > n.commitIndex || n.commitIndex < n.termStartIndex
+// Encode returns the membership as the data of an EntryConfChange.
+func (m Membership) Encode() []byte {
+	var b bytes.Buffer
+	_ = gob.NewEncoder(&b).Encode(m) // cannot fail: the fields are plain values
+	return b.Bytes()
 }
 
-// StalledFor tells for how long a member has lacked entries and acknowledged none: it may
-// be heard all the same, as one whose disk hangs is.
-func (n *Node) StalledFor(id uint64) time.Duration {
-	p := n.progress[id]
-	if p == nil || p.matchIndex >= n.lastIndex() {
-		return 0
+// DecodeMembership reads the data of an EntryConfChange.
+func DecodeMembership(data []byte) (Membership, error) {
+	var m Membership
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&m); err != nil {
+		return m, fmt.Errorf("raft: decode membership: %w", err)
 	}
-	return n.now - p.lastProgressAt
+	return m, nil
 }
 
-// ProposeConfChange appends a membership that differs from the present one by at
-// most one voter.
-func (n *Node) ProposeConfChange(m Membership) error {
-	switch {
-	case n.role != Leader || n.transferTarget != 0:
-		return fmt.Errorf("raft: not the leader")
-	case n.HasPendingConfChange():
-		return fmt.Errorf("raft: another change is on its way")
-	case voterDifference(n.Membership().Voters, m.Voters) > 1:
-		return fmt.Errorf("raft: more than one voter changed")
-	case !m.IsVoter(n.config.ID):
-		return fmt.Errorf("raft: a leader does not remove itself")
-	}
-	n.appendEntry(Entry{Type: EntryConfChange, Data: m.Encode()})
-	for _, x := range m.AllMembers() {
-		if x.ID != n.config.ID {
-			n.ensureProgress(x.ID)
+// indexOfMember returns the position of id in members, or -1.
+func indexOfMember(members []Member, id uint64) int {
+	for i := range members {
+		if members[i].ID == id {
+			return i
 		}
 	}
-	return nil
+	return -1
 }
 
-func voterDifference(a, b []Member) int {
-	d := 0
-	for _, m := range a {
-		if indexOfMember(b, m.ID) < 0 {
-			d++
-		}
-	}
-	for _, m := range b {
-		if indexOfMember(a, m.ID) < 0 {
-			d++
+// withoutMember returns a copy of members without id.
+func withoutMember(members []Member, id uint64) []Member {
+	rest := make([]Member, 0, len(members))
+	for _, m := range members {
+		if m.ID != id {
+			rest = append(rest, m)
 		}
 	}
-	return d
+	return rest
 }
 
-// majorityValue gives the largest value that more than half of the voters have reached, own
-// for this node and of for the others; zero where nothing is known of one, or nobody
-// votes.
-func majorityValue[T cmp.Ordered](n *Node, own T, of func(*progress) T) (reached T) {
-	voters := n.Membership().Voters
-	if len(voters) == 0 {
-		return reached
-	}
-	all := make([]T, len(voters))
-	for i, m := range voters {
-		if m.ID == n.config.ID {
-			all[i] = own
-		} else if p := n.progress[m.ID]; p != nil {
-			all[i] = of(p)
+// voterDifference returns how many members are in only one of a and b.
+func voterDifference(a, b []Member) int {
+	return countMissing(a, b) + countMissing(b, a)
+}
+
+// countMissing returns how many of members are not in others.
+func countMissing(members, others []Member) int {
+	missing := 0
+	for _, m := range members {
+		if indexOfMember(others, m.ID) < 0 {
+			missing++
 		}
 	}
-	slices.Sort(all)
-	return all[(len(all)-1)/2]
+	return missing
 }
--- /dev/null
+++ b/raft/read_only.go
@@ -0,0 +1,102 @@
+package raft
+
+// Linearizable reads without log entries (ReadIndex; thesis, section 6.4).
+
+// ReadState answers a call of ReadIndex.
+type ReadState struct {
+	RequestID uint64 // as given to ReadIndex
+	// Index is the read index: a state machine that has applied all entries up to it
+	// may answer the read.
+	Index uint64
+	// Confirmed is false if this node does not lead, or lost its leadership before a
+	// majority confirmed it. Index means nothing then.
+	Confirmed bool
+}
+
+// readOnly holds the reads that a leader has been asked for.
+type readOnly struct {
+	round    uint64        // number of the newest heartbeat round
+	pending  []pendingRead // in the order of their rounds
+	deferred []uint64      // requests that wait for the first commit of the leader's term
+	states   []ReadState   // answers for the next Ready
+}
+
+// pendingRead waits until a majority has answered a heartbeat of its round.
+type pendingRead struct {
+	requestID uint64
+	round     uint64
+	readIndex uint64
+}
+
+// needsRound reports whether a read waits for a heartbeat round that has not begun.
+func (r *readOnly) needsRound() bool {
+	return len(r.pending) > 0 && r.pending[len(r.pending)-1].round > r.round
+}
+
+func (r *readOnly) reject(requestID uint64) {
+	r.states = append(r.states, ReadState{RequestID: requestID})
+}
+
+func (r *readOnly) confirm(requestID, index uint64) {
+	r.states = append(r.states, ReadState{RequestID: requestID, Index: index, Confirmed: true})
+}
+
+// ReadIndex asks for a read index, which a later Ready returns in ReadStates under
+// requestID. The request is answered after a majority has confirmed that this node
+// still leads; at a leader that has committed nothing in its term yet, not before it
+// has. All reads between two calls of Ready share a heartbeat round.
+func (n *Node) ReadIndex(requestID uint64) {
+	switch {
+	case n.role != Leader:
+		n.reads.reject(requestID)
+	case !n.hasCommittedInTerm():
+		n.reads.deferred = append(n.reads.deferred, requestID)
+	case len(n.Membership().Voters) == 1:
+		n.reads.confirm(requestID, n.log.commitIndex)
+	default:
+		n.reads.pending = append(n.reads.pending, pendingRead{
+			requestID: requestID,
+			round:     n.reads.round + 1,
+			readIndex: n.log.commitIndex,
+		})
+	}
+}
+
+// startDeferredReads starts the reads that were asked for before the leader had
+// committed an entry of its term, once it has.
+func (n *Node) startDeferredReads() {
+	if len(n.reads.deferred) == 0 || !n.hasCommittedInTerm() {
+		return
+	}
+	deferred := n.reads.deferred
+	n.reads.deferred = nil
+	for _, requestID := range deferred {
+		n.ReadIndex(requestID)
+	}
+}
+
+// confirmReads answers the reads whose round a majority has answered.
+func (n *Node) confirmReads() {
+	confirmedRound := majorityValue(n, n.reads.round, func(p *progress) uint64 { return p.ackedReadRound })
+	waiting := n.reads.pending[:0]
+	for _, r := range n.reads.pending {
+		if r.round <= confirmedRound {
+			n.reads.confirm(r.requestID, r.readIndex)
+		} else {
+			waiting = append(waiting, r)
+		}
+	}
+	n.reads.pending = waiting
+}
+
+// rejectPendingReads answers all reads of a leader that has been deposed.
+func (n *Node) rejectPendingReads() {
+	for _, r := range n.reads.pending {
+		n.reads.reject(r.requestID)
+	}
+	for _, requestID := range n.reads.deferred {
+		n.reads.reject(requestID)
+	}
+	n.reads.pending = nil
+	n.reads.deferred = nil
+}
--- a/raft/snapshot.go
+++ b/raft/snapshot.go
@@ -2,145 +2,173 @@
 
 import "hash/crc32"
 
-// Snapshots and compaction of the log. A lagging member is sent a snapshot in
-// parts (InstallSnapshot), each after the one before is acknowledged, so that
-// heartbeats and entries for others go on meanwhile. It asks for the part that it
-// lacks and may go on after a broken connection or under another leader.
+// Snapshots and compaction of the log (the paper, section 7).
+//
+// A leader sends a snapshot in chunks, each after the one before is acknowledged, so
+// that heartbeats, and entries for other members, are sent between them. The receiver
+// asks for the offset that it lacks, and continues after a new connection or under
+// another leader with the same snapshot.
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// snapshotTransfer is a snapshot on its way to a member.
+// snapshotTransfer is a snapshot that a leader is sending to a member.
 type snapshotTransfer struct {
 	snapshot      Snapshot // stays as it is when the leader compacts its log meanwhile
 	checksum      uint32
-	ackedOffset   int  // up to here the member has it
-	isAwaitingAck bool // for the acknowledgement of what was sent
+	ackedOffset   int  // the member has the bytes before it
+	isAwaitingAck bool // a chunk is in flight
 }
 
-// incomingSnapshot is a snapshot of which a part has come.
+// incomingSnapshot is a snapshot of which a node has received a part.
 type incomingSnapshot struct {
-	snapshot  Snapshot
+	snapshot  Snapshot // Data is what has arrived so far
 	totalSize int
 	checksum  uint32
 }
 
-// startSnapshotTransfer begins to send the newest snapshot.
+// accepts reports whether a chunk belongs to this snapshot.
+func (in *incomingSnapshot) accepts(m *Message) bool {
+	return in.snapshot.Index == m.Snap.Index && in.snapshot.Term == m.Snap.Term &&
+		in.totalSize == m.Size && in.checksum == m.Sum
+}
+
+// addChunk adds a chunk, if it is the next one, and reports whether the snapshot is
+// complete. One that has all its bytes and is damaged begins anew.
+func (in *incomingSnapshot) addChunk(m *Message) (isComplete bool) {
+	if m.Offset == len(in.snapshot.Data) {
+		if m.Offset == 0 && len(m.Snap.Data) < m.Size {
+			in.snapshot.Data = make([]byte, 0, m.Size)
+		}
+		in.snapshot.Data = append(in.snapshot.Data, m.Snap.Data...)
+	}
+	if len(in.snapshot.Data) < in.totalSize {
+		return false
+	}
+	if crc32.Checksum(in.snapshot.Data, castagnoliTable) != in.checksum {
+		in.snapshot.Data = in.snapshot.Data[:0]
+		return false
+	}
+	return len(in.snapshot.Data) == in.totalSize
+}
+
+// clone returns an independent copy; in may be nil.
+func (in *incomingSnapshot) clone() *incomingSnapshot {
+	if in == nil {
+		return nil
+	}
+	c := *in
+	c.snapshot.Data = append([]byte{}, in.snapshot.Data...)
+	return &c
+}
+
+// startSnapshotTransfer begins to send the newest snapshot, if its data is in memory.
 func (n *Node) startSnapshotTransfer(to uint64, p *progress) {
-	if n.snapshot.Data == nil {
+	snapshot := n.log.snapshot
+	if snapshot.Data == nil {
 		return
 	}
 	p.flow.reset()
-	p.pendingSnapshot = &snapshotTransfer{snapshot: n.snapshot, checksum: crc32.Checksum(n.snapshot.Data, castagnoliTable)}
+	p.pendingSnapshot = &snapshotTransfer{
+		snapshot: snapshot,
+		checksum: crc32.Checksum(snapshot.Data, castagnoliTable),
+	}
 	n.sendSnapshotChunk(to, p)
 }
 
-// sendSnapshotChunk sends the next part, as large as the link is known to take at once.
+// sendSnapshotChunk sends the next chunk, of as many bytes as the flow control permits
+// at once. It does nothing while a chunk is in flight.
 func (n *Node) sendSnapshotChunk(to uint64, p *progress) {
 	t := p.pendingSnapshot
 	if t.isAwaitingAck {
 		return
 	}
-	if _, ok := n.termAt(t.snapshot.Index); !ok {
-		n.startSnapshotTransfer(to, p) // entries after the old one are gone
+	if _, ok := n.log.termAt(t.snapshot.Index); !ok {
+		n.startSnapshotTransfer(to, p) // the entries after this snapshot are compacted
 		return
 	}
-	s := t.snapshot
-	end := min(t.ackedOffset+p.flow.windowBytes, len(s.Data))
-	s.Data = s.Data[t.ackedOffset:end]
-	n.send(Message{Type: MsgSnapshot, To: to, Snap: &s, Offset: t.ackedOffset, Size: len(t.snapshot.Data), Sum: t.checksum})
-	t.isAwaitingAck, p.lastSentAt, p.nextIndex = true, n.now, s.Index+1
-	p.flow.recordSent(n.now, uint64(end), len(s.Data))
+	chunk := t.snapshot
+	end := min(t.ackedOffset+p.flow.windowBytes, len(chunk.Data))
+	chunk.Data = chunk.Data[t.ackedOffset:end]
+	n.send(Message{
+		Type:   MsgSnapshot,
+		To:     to,
+		Snap:   &chunk,
+		Offset: t.ackedOffset,
+		Size:   len(t.snapshot.Data),
+		Sum:    t.checksum,
+	})
+	t.isAwaitingAck = true
+	p.lastSentAt = n.now
+	p.nextIndex = chunk.Index + 1
+	p.flow.recordSent(n.now, uint64(end), len(chunk.Data))
 }
 
-func (n *Node) handleSnapshotResp(m Message, p *progress) {
+// handleSnapshotResp sends a member the chunk that it asks for.
+func (n *Node) handleSnapshotResp(m *Message, p *progress) {
 	t := p.pendingSnapshot
 	if t == nil || m.Index != t.snapshot.Index || m.Sum != t.checksum || m.Offset == t.ackedOffset || m.Offset > len(t.snapshot.Data) {
 		return
 	}
 	if m.Offset > t.ackedOffset {
-		p.flow.recordAck(n, uint64(m.Offset))
+		p.flow.recordAck(&n.config, n.now, uint64(m.Offset))
 	}
 	p.flow.reset()
 	p.lastProgressAt = n.now
-	t.ackedOffset, t.isAwaitingAck = m.Offset, false
+	t.ackedOffset = m.Offset
+	t.isAwaitingAck = false
 	n.sendSnapshotChunk(m.From, p)
 }
 
-func (n *Node) handleSnapshot(m Message) {
-	s := m.Snap
-	if s == nil {
+// handleSnapshot takes a chunk of a snapshot, and installs the snapshot once it is
+// complete and valid.
+func (n *Node) handleSnapshot(m *Message) {
+	if m.Snap == nil {
 		return
 	}
-	if t, ok := n.termAt(s.Index); s.Index <= n.commitIndex || (ok && t == s.Term) {
-		n.commitTo(min(s.Index, n.lastIndex()))
-		n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: n.commitIndex})
+	if index := m.Snap.Index; index <= n.log.commitIndex || n.log.holds(index, m.Snap.Term) {
+		n.log.commitTo(min(index, n.log.lastIndex()))
+		n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: n.log.commitIndex})
 		return
 	}
-	in := n.incomingSnapshot
-	if in == nil || in.snapshot.Index != s.Index || in.snapshot.Term != s.Term || in.totalSize != m.Size || in.checksum != m.Sum {
-		in = &incomingSnapshot{snapshot: *s, totalSize: m.Size, checksum: m.Sum}
-		in.snapshot.Data = []byte{}
-		n.incomingSnapshot = in
+	if n.incomingSnapshot == nil || !n.incomingSnapshot.accepts(m) {
+		n.incomingSnapshot = &incomingSnapshot{snapshot: *m.Snap, totalSize: m.Size, checksum: m.Sum}
+		n.incomingSnapshot.snapshot.Data = []byte{}
 	}
-	if m.Offset == len(in.snapshot.Data) {
-		if m.Offset == 0 && len(s.Data) < m.Size {
-			in.snapshot.Data = make([]byte, 0, m.Size)
-		}
-		in.snapshot.Data = append(in.snapshot.Data, s.Data...)
-	}
-	if len(in.snapshot.Data) >= in.totalSize && crc32.Checksum(in.snapshot.Data, castagnoliTable) != in.checksum {
-		in.snapshot.Data = in.snapshot.Data[:0] // damaged on its way; from the start
-	} else if len(in.snapshot.Data) == in.totalSize {
-		if n.config.ValidateSnapshot != nil && n.config.ValidateSnapshot(in.snapshot.Data) != nil {
-			return
-		}
-		n.installSnapshot(in.snapshot)
-		n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: s.Index})
+	in := n.incomingSnapshot
+	if !in.addChunk(m) {
+		n.sendAfterHardState(Message{
+			Type:   MsgSnapshotResp,
+			To:     m.From,
+			Index:  m.Snap.Index,
+			Offset: len(in.snapshot.Data),
+			Sum:    in.checksum,
+		})
 		return
 	}
-	resp := Message{Type: MsgSnapshotResp, To: m.From, Index: s.Index, Offset: len(in.snapshot.Data), Sum: in.checksum}
-	if n.hardStateChanged {
-		n.sendAfterAppend(resp)
-	} else {
-		n.send(resp)
+	if n.config.ValidateSnapshot != nil && n.config.ValidateSnapshot(in.snapshot.Data) != nil {
+		return
 	}
+	n.installSnapshot(in.snapshot)
+	n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: m.Snap.Index})
 }
 
+// installSnapshot replaces the log, and with the next Ready the state machine, by s.
 func (n *Node) installSnapshot(s Snapshot) {
-	n.entries, n.entriesToWrite, n.compactedTail, n.incomingSnapshot = nil, nil, nil, nil
-	n.snapshot = s
-	n.commitIndex, n.appliedIndex, n.stableIndex = s.Index, s.Index, s.Index
-	n.memberships = []loggedMembership{{s.Index, s.Members}}
+	n.incomingSnapshot = nil
+	n.log.restore(s)
 	n.snapshotToInstall = &s
 }
 
-// Compact drops the log up to a snapshot that the caller made of its state at
-// index. The newest entries that it stands for stay in memory, as many bytes as the
-// snapshot has at most: a member that lacks less, or has just got the snapshot
-// before, is sent them.
+// Compact drops the log up to index, which must not be beyond AppliedIndex, and keeps a
+// snapshot instead, which the caller has made of its state machine at that index. It
+// returns the snapshot to be stored, and false if there is nothing to compact.
+//
+// The newest of the entries dropped stay in memory, up to as many bytes as the snapshot
+// has. They are sent to a member that lacks no more than them, or has just received the
+// snapshot before.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, bool) {
-	t, ok := n.termAt(index)
-	if !ok || index <= n.snapshot.Index || index > n.appliedIndex {
+	if !n.log.compact(index, data) {
 		return Snapshot{}, false
 	}
-	var members Membership
-	for len(n.memberships) > 1 && n.memberships[1].index <= index {
-		n.memberships = n.memberships[1:]
-	}
-	members = n.memberships[0].membership
-	if len(members.AllMembers()) == 0 {
-		return Snapshot{}, false // one that joins, before the entry that names it
-	}
-	n.memberships[0].index = index
-	k := index - n.snapshot.Index
-	old := append(n.compactedTail[:len(n.compactedTail):len(n.compactedTail)], n.entries[:k]...)
-	keep, size := len(old), 0
-	for keep > 0 && size+entrySize(old[keep-1]) <= len(data) {
-		keep--
-		size += entrySize(old[keep])
-	}
-	n.compactedTail = append([]Entry(nil), old[keep:]...)
-	n.entries = append([]Entry(nil), n.entries[k:]...)
-	n.snapshot = Snapshot{Index: index, Term: t, Members: members, Data: data}
-	return n.snapshot, true
+	return n.log.snapshot, true
 }
