--- a/raft/modelcheck/explore_test.go
+++ b/raft/modelcheck/modelcheck_test.go
@@ -9,26 +9,30 @@
 	. "lichentray/raft/modelcheck"
 )
 
-var extraDepth = flag.Int("explore.depth", 0, "steps to explore beyond the depth of each exploration")
+var extraDepth = flag.Int("explore.depth", 0, "events to explore beyond the depth of each exploration")
 
-// joinSteps makes a start out of lines, a list of them in each text.
+// joinSteps returns the lines of a trace, which each part lists with commas between them.
 func joinSteps(parts ...string) []string {
-	var out []string
-	for _, p := range parts {
-		for _, line := range strings.Split(p, ",") {
-			out = append(out, strings.TrimSpace(line))
+	var lines []string
+	for _, part := range parts {
+		for _, line := range strings.Split(part, ",") {
+			lines = append(lines, strings.TrimSpace(line))
 		}
 	}
-	return out
+	return lines
 }
 
+// Parts of traces.
 const (
-	leaderElected = "tick 1, settle, tick 1, settle"                        // 1 leads, all hold the same
-	leaderDeposed = "forget, tick 3, forget, tick 2, elect 2 3, settle 2 3" // 2 leads, 1 does not know
-	// 1 has an entry that nobody else has, and 2 leads.
+	// Node 1 leads, and all nodes have the same log.
+	leaderElected = "tick 1, settle, tick 1, settle"
+	// Node 2 leads, and node 1, which led before, does not know it.
+	leaderDeposed = "forget, tick 3, forget, tick 2, elect 2 3, settle 2 3"
+	// Node 2 leads, and node 1 has an entry that no other node has.
 	uncommittedTail = "propose 1, settle, tick 1, settle, propose 1, sync 1, forget, tick 3, forget, tick 2, elect 2 3"
-	// 3 has an entry of term 2 and 1 an older one, with which it leads in term 3. 2
-	// has taken the older one, its answer is on its way, and is asked for its vote by 3.
+	// Node 3 has an entry of term 2, and node 1 an older one, with which it leads in
+	// term 3. Node 2 has taken the older one, its acknowledgement is in flight, and node
+	// 3 asks it for its vote (the paper, figure 8).
 	olderTermEntry = "propose 1, sync 1, forget, tick 2, forget, tick 3, elect 3 2, sync 3, forget, " +
 		"tick 3, tick 3, forget, tick 1, tick 1, forget, tick 1, settle 1 2, forget, tick 1, elect 1 2 3, sync 1, " +
 		"deliver append 1>2 term 3 at 2/1 commit 1 [3/3 ], deliver append-resp 2>1 term 3 at 2/0 hint 1 reject, " +
@@ -55,17 +59,18 @@
 	{"alone", Exploration{Voters: 1, Learners: 1, Depth: 8, Budget: Budget{Tick: 3, Crash: 2, Propose: 2, ConfChange: 1, ReadIndex: 1}}},
 }
 
-// TestExplorationsFindNoViolation looks at everything that can happen to the core within bounds.
+// TestExplorationsFindNoViolation checks the invariants in all states within the bounds
+// of each exploration.
 func TestExplorationsFindNoViolation(t *testing.T) {
 	for _, x := range explorations {
 		t.Run(x.name, func(t *testing.T) {
 			x.Depth += *extraDepth
-			begin := time.Now()
+			startedAt := time.Now()
 			got, err := x.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("depth %d, %d states, %d transitions, %v", got.Depth, got.States, got.Transitions, time.Since(begin).Round(10*time.Millisecond))
+			t.Logf("depth %d, %d states, %d transitions, %v", got.Depth, got.States, got.Transitions, time.Since(startedAt).Round(10*time.Millisecond))
 			if got.Violation != "" {
 				t.Errorf("%s\n\t%s", got.Violation, strings.Join(got.Trace, "\n\t"))
 			}
@@ -73,16 +78,17 @@
 	}
 }
 
-// TestExplorerSeesReusedIdentity: a disk that is lost and comes back under its
-// old identity has forgotten its vote. The trace that shows it plays again.
+// TestExplorerDetectsReusedIdentity: a node that lost its disk and returns under its
+// former ID has forgotten its vote. The explorer finds the second vote, and its trace can
+// be replayed.
 func TestExplorerDetectsReusedIdentity(t *testing.T) {
 	x := Exploration{Voters: 3, Start: joinSteps("tick 1, tick 2, tick 3, settle 1 3"), Depth: 7, Budget: Budget{Tick: 1, ReuseDisk: 1}}
 	got, err := x.Run()
 	if err != nil || got.Violation == "" {
 		t.Fatalf("%+v %v", got, err)
 	}
-	if again, err := x.Replay(got.Trace); again != got.Violation || err != nil {
-		t.Errorf("%q played again gives %q, %v", got.Violation, again, err)
+	if replayed, err := x.Replay(got.Trace); replayed != got.Violation || err != nil {
+		t.Errorf("%q replayed gives %q, %v", got.Violation, replayed, err)
 	}
 	t.Log(got.Violation, "after", strings.Join(got.Trace, ", "))
 }
