--- /dev/null
+++ b/raft/lease_test.go
@@ -0,0 +1,78 @@
+package raft_test
+
+import (
+	"testing"
+	"time"
+
+	"lichentray/raft"
+	"lichentray/raft/rafttest"
+)
+
+// checkQuorumContact checks that each running node has applied all that was acknowledged
+// before its last quorum contact, at a follower less one election timeout. It counts the
+// checks by node.
+func checkQuorumContact(t *testing.T, c *rafttest.Cluster, acked map[string]time.Duration, checks map[uint64]int) {
+	t.Helper()
+	for _, id := range c.IDs() {
+		n := c.Nodes[id]
+		if !c.IsUp(id) || n.Raft.LastQuorumContact() == 0 {
+			continue
+		}
+		appliedUntil := n.Raft.LastQuorumContact()
+		if n.Raft.Role() != raft.Leader {
+			appliedUntil -= rafttest.ElectionTimeout
+		}
+		var before []string
+		for command, at := range acked {
+			if at < appliedUntil {
+				before = append(before, command)
+			}
+		}
+		if !containsAll(n.StateMachine.(*commandList), before) {
+			t.Fatalf("node %d, whose last quorum contact was at %v, lacks a value acknowledged before", id, n.Raft.LastQuorumContact())
+		}
+		checks[id]++
+	}
+}
+
+// TestQuorumContactAgesWhileIsolated: the last quorum contact of a node does not advance
+// while the node is cut off in either direction, or frozen, and messages that waited for
+// it meanwhile prove nothing newer.
+func TestQuorumContactAgesWhileIsolated(t *testing.T) {
+	for _, fault := range []string{"receiving nothing", "sending nothing", "frozen"} {
+		for seed := int64(1); seed <= 6; seed++ {
+			c := rafttest.NewCluster(seed, 3, newCommandList)
+			c.Run(time.Second)
+			leader := c.Leader().ID
+			for _, id := range []uint64{leader, leader%3 + 1} {
+				before := c.Nodes[id].Raft.LastQuorumContact()
+				if c.Now-before > rafttest.ElectionTimeout {
+					t.Fatalf("seed %d: without faults, node %d had its last quorum contact at %v, now %v", seed, id, before, c.Now)
+				}
+				isolatedAt := c.Now
+				for _, other := range c.IDs() {
+					c.SetLinkCut(other, id, fault == "receiving nothing")
+					c.SetLinkCut(id, other, fault == "sending nothing")
+				}
+				c.SetFrozen(id, fault == "frozen")
+				c.Run(20 * time.Second)
+				if fault == "frozen" {
+					// It reads what waited in its socket, and nothing newer arrives.
+					for _, other := range c.IDs() {
+						c.SetLinkCut(id, other, true)
+					}
+					c.SetFrozen(id, false)
+					c.Run(c.StepInterval)
+				}
+				if at := c.Nodes[id].Raft.LastQuorumContact(); at > isolatedAt+rafttest.ElectionTimeout/2 {
+					t.Errorf("seed %d: node %d, %s since %v, reports a quorum contact at %v", seed, id, fault, isolatedAt, at)
+				}
+				if c.Nodes[id].Raft.HasQuorumContact(rafttest.ElectionTimeout) {
+					t.Errorf("seed %d: node %d, %s, reports that it has contact with a majority", seed, id, fault)
+				}
+				c.Heal()
+				c.Run(2 * time.Second)
+			}
+		}
+	}
+}
