--- a/registry/codec.go
+++ b/registry/codec.go
@@ -9,74 +9,164 @@
 	"lichentray/coordination"
 )
 
-// Commands stand in the log in a small binary form of their own: gob would
-// write its type descriptions into every entry.
-
+// A command stands in the log in a compact binary form: a byte for the kind, then
+// uvarints and byte strings with their length before them. Gob would write its type
+// descriptions into every entry. The form is stored data; new kinds get new bytes.
 const (
 	commandTxn          = 1
 	commandCoordination = 2
-	commandAudit        = 3 // the batch as JSON, since it is rare and read by people too
+	commandAudit        = 3 // followed by JSON: it is rare, and people read it too
 
 	writeFlagDelete = 1
 	writeFlagDelta  = 2
 )
 
-var ErrMalformedCommand = errors.New("registry: command is cut short or of an unknown form")
-
-func appendBytes(b []byte, s []byte) []byte {
-	b = binary.AppendUvarint(b, uint64(len(s)))
-	return append(b, s...)
-}
+// ErrMalformedCommand says that bytes are not the encoded form of a command: they
+// are cut short, too long, or of an unknown kind.
+var ErrMalformedCommand = errors.New("registry: malformed command")
 
-// EncodeCommand writes a command for the log.
+// EncodeCommand returns the form of a command in the log.
 func EncodeCommand(c Command) []byte {
-	if c.Audit != nil {
+	switch {
+	case c.Audit != nil:
 		return append([]byte{commandAudit}, marshalValue(c.Audit)...)
+	case c.Coordination != nil:
+		return encodeCoordination(c.Coordination)
+	case c.Txn != nil:
+		return encodeTxn(c.Txn)
 	}
-	if l := c.Coordination; l != nil {
-		b := []byte{commandCoordination, byte(l.Operation)}
-		b = appendBytes(b, []byte(l.Name))
-		b = appendBytes(b, []byte(l.Holder))
-		b = appendBytes(b, []byte(l.Value))
-		has := uint64(0)
-		if l.HasExpectedRevision {
-			has = 1
-		}
-		for _, v := range []uint64{l.FencingToken, l.LeaseMS, l.ExpiredToken, l.ExpiredGrant, l.ExpectedRevision, has, l.CompactBefore} {
-			b = binary.AppendUvarint(b, v)
-		}
-		return b
+	return encodeTxn(&Txn{})
+}
+
+func encodeCoordination(c *coordination.Command) []byte {
+	b := []byte{commandCoordination, byte(c.Operation)}
+	b = appendBytes(b, []byte(c.Name))
+	b = appendBytes(b, []byte(c.Holder))
+	b = appendBytes(b, []byte(c.Value))
+	b = binary.AppendUvarint(b, c.FencingToken)
+	b = binary.AppendUvarint(b, c.LeaseMS)
+	b = binary.AppendUvarint(b, c.ExpiredToken)
+	b = binary.AppendUvarint(b, c.ExpiredGrant)
+	b = binary.AppendUvarint(b, c.ExpectedRevision)
+	if c.HasExpectedRevision {
+		b = binary.AppendUvarint(b, 1)
+	} else {
+		b = binary.AppendUvarint(b, 0)
 	}
+	return binary.AppendUvarint(b, c.CompactBefore)
+}
+
+func encodeTxn(txn *Txn) []byte {
 	b := []byte{commandTxn}
-	if c.Txn == nil {
-		c.Txn = &Txn{}
-	}
-	b = binary.AppendUvarint(b, uint64(len(c.Txn.If)))
-	for _, x := range c.Txn.If {
-		b = appendBytes(b, []byte(x.Key))
-		b = binary.AppendUvarint(b, x.ModRevision)
+	b = binary.AppendUvarint(b, uint64(len(txn.If)))
+	for _, c := range txn.If {
+		b = appendBytes(b, []byte(c.Key))
+		b = binary.AppendUvarint(b, c.ModRevision)
 	}
-	b = binary.AppendUvarint(b, uint64(len(c.Txn.Then)))
-	for _, x := range c.Txn.Then {
-		b = appendBytes(b, []byte(x.Key))
-		how := uint64(0)
-		if x.IsDelete {
-			how |= writeFlagDelete
+	b = binary.AppendUvarint(b, uint64(len(txn.Then)))
+	for _, w := range txn.Then {
+		b = appendBytes(b, []byte(w.Key))
+		flags := uint64(0)
+		if w.IsDelete {
+			flags |= writeFlagDelete
 		}
-		if x.IsDelta {
-			how |= writeFlagDelta
+		if w.IsDelta {
+			flags |= writeFlagDelta
 		}
-		b = binary.AppendUvarint(b, how)
-		b = appendBytes(b, x.Value)
+		b = binary.AppendUvarint(b, flags)
+		b = appendBytes(b, w.Value)
 	}
 	return b
 }
 
+// DecodeCommand reads a command from its form in the log. The error is
+// ErrMalformedCommand. The command shares no memory with b.
+func DecodeCommand(b []byte) (Command, error) {
+	if len(b) == 0 {
+		return Command{}, ErrMalformedCommand
+	}
+	var c Command
+	r := &byteReader{rest: b[1:]}
+	switch b[0] {
+	case commandAudit:
+		c.Audit = new(audit.Batch)
+		if json.Unmarshal(r.rest, c.Audit) != nil {
+			return Command{}, ErrMalformedCommand
+		}
+		return c, nil
+	case commandCoordination:
+		c.Coordination = decodeCoordination(r)
+	case commandTxn:
+		c.Txn = decodeTxn(r)
+	default:
+		return Command{}, ErrMalformedCommand
+	}
+	if r.malformed || len(r.rest) != 0 {
+		return Command{}, ErrMalformedCommand
+	}
+	return c, nil
+}
+
+func decodeCoordination(r *byteReader) *coordination.Command {
+	// The fields are read in the order in which they are written here.
+	return &coordination.Command{
+		Operation:           coordination.Operation(r.byte()),
+		Name:                string(r.bytes()),
+		Holder:              string(r.bytes()),
+		Value:               string(r.bytes()),
+		FencingToken:        r.uvarint(),
+		LeaseMS:             r.uvarint(),
+		ExpiredToken:        r.uvarint(),
+		ExpiredGrant:        r.uvarint(),
+		ExpectedRevision:    r.uvarint(),
+		HasExpectedRevision: r.uvarint() == 1,
+		CompactBefore:       r.uvarint(),
+	}
+}
+
+func decodeTxn(r *byteReader) *Txn {
+	txn := &Txn{}
+	for i, n := 0, r.count(); i < n && !r.malformed; i++ {
+		txn.If = append(txn.If, Compare{Key: string(r.bytes()), ModRevision: r.uvarint()})
+	}
+	for i, n := 0, r.count(); i < n && !r.malformed; i++ {
+		w := Write{Key: string(r.bytes())}
+		flags := r.uvarint()
+		if flags > writeFlagDelete|writeFlagDelta {
+			r.malformed = true
+		}
+		w.IsDelete = flags&writeFlagDelete != 0
+		w.IsDelta = flags&writeFlagDelta != 0
+		w.Value = r.bytes()
+		txn.Then = append(txn.Then, w)
+	}
+	return txn
+}
+
+// appendBytes appends a byte string with its length before it.
+func appendBytes(b, s []byte) []byte {
+	b = binary.AppendUvarint(b, uint64(len(s)))
+	return append(b, s...)
+}
+
+// byteReader reads what binary.AppendUvarint and appendBytes wrote. Once something
+// cannot be read, malformed is set and stays set, so that a caller may read several
+// items and check once.
 type byteReader struct {
 	rest      []byte
 	malformed bool
 }
 
+func (r *byteReader) byte() byte {
+	if len(r.rest) == 0 {
+		r.malformed = true
+		return 0
+	}
+	b := r.rest[0]
+	r.rest = r.rest[1:]
+	return b
+}
+
 func (r *byteReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
@@ -87,69 +177,26 @@
 	return v
 }
 
+// bytes reads a byte string into memory of its own.
 func (r *byteReader) bytes() []byte {
 	n := r.uvarint()
 	if r.malformed || n > uint64(len(r.rest)) {
 		r.malformed = true
 		return nil
 	}
-	out := append([]byte(nil), r.rest[:n]...)
+	s := append([]byte(nil), r.rest[:n]...)
 	r.rest = r.rest[n:]
-	return out
+	return s
 }
 
+// count reads the number of items that follow. Each takes a byte at least, so a
+// greater number than there are bytes left is malformed; this bounds the memory that
+// a corrupt entry can ask for.
 func (r *byteReader) count() int {
 	n := r.uvarint()
-	if n > uint64(len(r.rest)) { // every item takes a byte at least
+	if n > uint64(len(r.rest)) {
 		r.malformed = true
 		return 0
 	}
 	return int(n)
 }
-
-// DecodeCommand reads a command from the log.
-func DecodeCommand(b []byte) (Command, error) {
-	if len(b) < 1 {
-		return Command{}, ErrMalformedCommand
-	}
-	r := &byteReader{rest: b[1:]}
-	var c Command
-	switch b[0] {
-	case commandAudit:
-		c.Audit = new(audit.Batch)
-		if json.Unmarshal(r.rest, c.Audit) != nil {
-			return Command{}, ErrMalformedCommand
-		}
-		return c, nil
-	case commandCoordination:
-		if len(b) < 2 {
-			return Command{}, ErrMalformedCommand
-		}
-		r.rest = b[2:]
-		l := &coordination.Command{Operation: coordination.Operation(b[1])}
-		l.Name, l.Holder, l.Value = string(r.bytes()), string(r.bytes()), string(r.bytes())
-		l.FencingToken, l.LeaseMS, l.ExpiredToken, l.ExpiredGrant = r.uvarint(), r.uvarint(), r.uvarint(), r.uvarint()
-		l.ExpectedRevision, l.HasExpectedRevision, l.CompactBefore = r.uvarint(), r.uvarint() == 1, r.uvarint()
-		c.Coordination = l
-	case commandTxn:
-		t := &Txn{}
-		for i, n := 0, r.count(); i < n && !r.malformed; i++ {
-			t.If = append(t.If, Compare{Key: string(r.bytes()), ModRevision: r.uvarint()})
-		}
-		for i, n := 0, r.count(); i < n && !r.malformed; i++ {
-			w := Write{Key: string(r.bytes())}
-			how := r.uvarint()
-			r.malformed = r.malformed || how > writeFlagDelete|writeFlagDelta
-			w.IsDelete, w.IsDelta = how&writeFlagDelete != 0, how&writeFlagDelta != 0
-			w.Value = r.bytes()
-			t.Then = append(t.Then, w)
-		}
-		c.Txn = t
-	default:
-		return Command{}, ErrMalformedCommand
-	}
-	if r.malformed || len(r.rest) != 0 {
-		return Command{}, ErrMalformedCommand
-	}
-	return c, nil
-}
--- a/registry/delta.go
+++ b/registry/delta.go
@@ -7,80 +7,110 @@
 	"hash/maphash"
 )
 
-// A delta writes a new value as copies from the old one and bytes that are
-// new: uvarints offset and length of a copy, length of what follows, and that,
-// again and again. An update still replaces the whole object; the delta is only
-// how it travels and is logged, and it is tied to the revision that it was made
-// against.
+// A delta describes a new value as copies of parts of the old one and literal bytes
+// between them: any number of times the offset and the length of a copy as uvarints,
+// then literal bytes with their length before them. An update still replaces the
+// whole object; the delta is only its form in the log and on the wire, and is tied
+// to the revision of the value that it was made against.
 
+// ErrDeltaMismatch says that a delta is malformed or was made against another value.
 var ErrDeltaMismatch = errors.New("registry: delta does not fit the value")
 
+// Blocks end after the first closing brace behind minBlockSize bytes, so that an
+// object of a JSON text is found again after it moved as a whole, and after
+// maxBlockSize bytes at the latest.
+const (
+	minBlockSize = 24
+	maxBlockSize = 512
+)
+
+// blockHashSeed may differ between processes: hashes never leave ComputeDelta.
 var blockHashSeed = maphash.MakeSeed()
 
-// blockEnd gives where the block that begins at i ends: behind the first
-// closing brace after a few bytes, so that an object moved as a whole is found
-// again.
-func blockEnd(b []byte, i int) int {
-	const least, most = 24, 512
-	if i+least >= len(b) {
+// blockEnd returns where the block of b that begins at start ends.
+func blockEnd(b []byte, start int) int {
+	if start+minBlockSize >= len(b) {
 		return len(b)
 	}
-	window := b[i+least : min(len(b), i+most)]
-	if j := bytes.IndexByte(window, '}'); j >= 0 {
-		return i + least + j + 1
+	limit := min(len(b), start+maxBlockSize)
+	window := b[start+minBlockSize : limit]
+	if i := bytes.IndexByte(window, '}'); i >= 0 {
+		return start + minBlockSize + i + 1
 	}
-	return min(len(b), i+most)
+	return limit
 }
 
-// ComputeDelta gives the short form of value against old.
-func ComputeDelta(old, value []byte) []byte {
-	at := make(map[uint64]int, len(old)/64+1)
-	for i := 0; i < len(old); {
-		end := blockEnd(old, i)
-		at[maphash.Bytes(blockHashSeed, old[i:end])] = i
-		i = end
+// indexBlocks returns the offset of each block of b by its hash.
+func indexBlocks(b []byte) map[uint64]int {
+	offsets := make(map[uint64]int, len(b)/64+1)
+	for start := 0; start < len(b); {
+		end := blockEnd(b, start)
+		offsets[maphash.Bytes(blockHashSeed, b[start:end])] = start
+		start = end
+	}
+	return offsets
+}
+
+// commonPrefixLength returns how many bytes a and b have in common at their start,
+// of which the first known are known to be.
+func commonPrefixLength(a, b []byte, known int) int {
+	n := known
+	for n < len(a) && n < len(b) && a[n] == b[n] {
+		n++
 	}
-	var out []byte
-	fresh, off, n := 0, 0, 0 // value[fresh:i] is new and follows the copy
-	put := func(i int) {
-		if n > 0 || i > fresh {
-			out = binary.AppendUvarint(out, uint64(off))
-			out = binary.AppendUvarint(out, uint64(n))
-			out = appendBytes(out, value[fresh:i])
+	return n
+}
+
+// ComputeDelta returns the delta that makes value from old (see ApplyDelta). It may
+// be longer than value if the two have little in common.
+func ComputeDelta(old, value []byte) []byte {
+	oldBlocks := indexBlocks(old)
+	var delta []byte
+	copyOffset, copyLength, literalStart := 0, 0, 0
+	// appendPart writes the copy found last and the literal between it and end.
+	appendPart := func(end int) {
+		if copyLength == 0 && end == literalStart {
+			return
 		}
+		delta = binary.AppendUvarint(delta, uint64(copyOffset))
+		delta = binary.AppendUvarint(delta, uint64(copyLength))
+		delta = appendBytes(delta, value[literalStart:end])
 	}
-	for i := 0; i < len(value); {
-		end := blockEnd(value, i)
-		from, ok := at[maphash.Bytes(blockHashSeed, value[i:end])]
-		if !ok || !bytes.HasPrefix(old[from:], value[i:end]) {
-			i = end
+	for position := 0; position < len(value); {
+		end := blockEnd(value, position)
+		block := value[position:end]
+		offset, found := oldBlocks[maphash.Bytes(blockHashSeed, block)]
+		if !found || !bytes.HasPrefix(old[offset:], block) {
+			position = end
 			continue
 		}
-		put(i)
-		off, n = from, end-i
-		for i+n < len(value) && off+n < len(old) && value[i+n] == old[off+n] {
-			n++
-		}
-		i += n
-		fresh = i
+		appendPart(position)
+		copyOffset = offset
+		copyLength = commonPrefixLength(value[position:], old[offset:], len(block))
+		position += copyLength
+		literalStart = position
 	}
-	put(len(value))
-	return out
+	appendPart(len(value))
+	return delta
 }
 
-// ApplyDelta makes the value that a delta stands for.
+// ApplyDelta returns the value that a delta makes from old. The error is
+// ErrDeltaMismatch. That the result is the value meant is certain only if old is the
+// value that the delta was made against, which callers ensure by its revision.
 func ApplyDelta(old, delta []byte) ([]byte, error) {
 	r := &byteReader{rest: delta}
-	out := make([]byte, 0, len(old)+len(delta))
+	value := make([]byte, 0, len(old)+len(delta))
 	for len(r.rest) > 0 {
-		off, n := r.uvarint(), r.uvarint()
-		if r.malformed || off > uint64(len(old)) || n > uint64(len(old))-off {
+		offset := r.uvarint()
+		length := r.uvarint()
+		if r.malformed || offset > uint64(len(old)) || length > uint64(len(old))-offset {
 			return nil, ErrDeltaMismatch
 		}
-		out = append(append(out, old[off:off+n]...), r.bytes()...)
+		value = append(value, old[offset:offset+length]...)
+		value = append(value, r.bytes()...)
 		if r.malformed {
 			return nil, ErrDeltaMismatch
 		}
 	}
-	return out, nil
+	return value, nil
 }
--- a/registry/evacuation.go
+++ b/registry/evacuation.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// The states of a zone that is not in ordinary use. While it returns, its
-// endpoints count as cold until their beats have told.
+// The states of a zone other than ordinary use, which is the empty string. Values
+// written by earlier versions hold these strings alone, and the status API returns
+// them. While a zone is returning, its endpoints count as warming up until their
+// heartbeats say otherwise.
 const (
 	Evacuated = "evacuated"
 	Returning = "returning"
 )
 
-// Evacuation is a zone that is not in ordinary use, as kept under EvacPrefix +
-// the zone; the zero value stands for a zone in ordinary use.
+// Evacuation is the state of a zone, as it is stored under EvacuationPrefix. The
+// zero value is a zone in ordinary use.
 //
-// Several operators may empty one zone at a time, and it is back only when each
-// has taken back its own order, so orders are counted. They carry no identity,
-// and one whose answer was lost is sent again: a repeat is told from a new order
-// by its age and by whether the order before it was answered.
+// Several operators may evacuate one zone at the same time. The zone returns only
+// when each of them has finished, so begin and finish orders are counted. Orders
+// carry no identity, and an operator whose answer was lost sends the order again: a
+// repeat is told from a new order by its age and by whether the order before it was
+// acknowledged.
 type Evacuation struct {
 	BeginCount  int `json:"begins,omitempty"`
 	FinishCount int `json:"finishes,omitempty"`
-	// Acknowledged says that the node that took the newest order of a kind lived on after
-	// its answer.
+	// BeginAcknowledged and FinishAcknowledged say that the node that took the newest
+	// order of the kind was still alive after it had answered.
 	BeginAcknowledged  bool `json:"begin_told,omitempty"`
 	FinishAcknowledged bool `json:"finish_told,omitempty"`
 }
 
-// State tells how the zone is used; it is empty for ordinary use.
+// State returns Evacuated, Returning or, for ordinary use, the empty string.
 func (e Evacuation) State() string {
 	switch {
 	case e.BeginCount == 0:
@@ -36,38 +39,48 @@
 	return Returning
 }
 
-// RepeatWindow bound how long after an order another of its kind may be the same one:
-// Acknowledged for one that was answered, Untold for one that may not have been.
+// RepeatWindow is how long after an order another one of its kind counts as a
+// repeat of it: Acknowledged applies if the earlier order was acknowledged,
+// Unacknowledged, which is longer, if its answer may have been lost.
 type RepeatWindow struct{ Acknowledged, Unacknowledged time.Duration }
 
-// ApplyOrder gives the state after an order; age is the time since the newest one of
-// its kind. What is a repeat, or changes nothing, gives the same state.
-func (e Evacuation) ApplyOrder(begin bool, age time.Duration, r RepeatWindow) Evacuation {
-	had, told := e.FinishCount > 0, e.FinishAcknowledged
-	if begin {
-		had, told = e.BeginCount > 0, e.BeginAcknowledged
+// ApplyOrder returns the state after an order to begin or to finish an evacuation.
+// age is the time since the newest order of the same kind. A repeat, and a finish
+// without an evacuation, return the state unchanged.
+func (e Evacuation) ApplyOrder(begin bool, age time.Duration, window RepeatWindow) Evacuation {
+	if e.isRepeat(begin, age, window) {
+		return e
 	}
-	bound := r.Unacknowledged
-	if told {
-		bound = r.Acknowledged
+	if begin {
+		e.BeginCount++
+		e.BeginAcknowledged = false
+		return e
 	}
-	switch {
-	case begin && e.State() == Returning: // new, whatever came before
-	case had && age < bound:
+	if e.State() != Evacuated {
 		return e
-	case !begin && e.State() != Evacuated:
-		return e // nothing to take back
 	}
+	e.FinishCount++
+	e.FinishAcknowledged = false
+	return e
+}
+
+// isRepeat reports whether an order counts as a repeat of the newest one of its kind.
+func (e Evacuation) isRepeat(begin bool, age time.Duration, window RepeatWindow) bool {
+	count, acknowledged := e.FinishCount, e.FinishAcknowledged
 	if begin {
-		e.BeginCount, e.BeginAcknowledged = e.BeginCount+1, false
-	} else {
-		e.FinishCount, e.FinishAcknowledged = e.FinishCount+1, false
+		count, acknowledged = e.BeginCount, e.BeginAcknowledged
 	}
-	return e
+	if count == 0 || begin && e.State() == Returning {
+		return false // a begin after all have finished is new, whatever its age
+	}
+	if acknowledged {
+		return age < window.Acknowledged
+	}
+	return age < window.Unacknowledged
 }
 
-// Acknowledge gives the state once the node that took the newest order of a kind has
-// lived on after its answer.
+// Acknowledge returns the state after the node that took the newest order of a kind
+// was seen alive after its answer.
 func (e Evacuation) Acknowledge(begin bool) Evacuation {
 	if begin {
 		e.BeginAcknowledged = e.BeginCount > 0
@@ -77,23 +90,25 @@
 	return e
 }
 
-// Encode writes the evacuation as an object's value.
+// Encode returns the evacuation as the value of an object.
 func (e Evacuation) Encode() []byte { return marshalValue(e) }
 
-// DecodeEvacuation reads an object's value. Where there is none, the zone is in
-// ordinary use; what cannot be read counts as emptied, the safer side. Earlier
-// versions wrote the state alone.
+// DecodeEvacuation reads an evacuation from an object's value. No value is a zone in
+// ordinary use. A value that cannot be read counts as evacuated, the safer side.
+// Earlier versions wrote the name of the state alone, without counts.
 func DecodeEvacuation(o Object) Evacuation {
-	once := Evacuation{BeginCount: 1, BeginAcknowledged: true}
+	evacuatedOnce := Evacuation{BeginCount: 1, BeginAcknowledged: true}
 	switch string(o.Value) {
 	case "":
 		return Evacuation{}
 	case Returning:
-		once.FinishCount, once.FinishAcknowledged = 1, true
-		return once
+		returning := evacuatedOnce
+		returning.FinishCount = 1
+		returning.FinishAcknowledged = true
+		return returning
 	}
 	if e, err := unmarshalValue[Evacuation](o); err == nil && e.BeginCount > 0 {
 		return e
 	}
-	return once
+	return evacuatedOnce
 }
