--- a/registry/account_test.go
+++ b/registry/audit_test.go
@@ -12,29 +12,29 @@
 	"lichentray/registry"
 )
 
-// TestAccountIsWhatWasCaused: proxies cause failures of every kind on purpose, each
-// try of a commitment at another proxy, and hand their records to the real core
-// while its nodes crash, freeze and are cut, acknowledgements get lost, batches come
-// twice and late, and proxies are killed or end in order. A plain list of what was
-// causedAttempt stands beside. What the account holds is that list: every failure under its
-// tenant and request, none doubled; and what a killed proxy had not handed over is
-// no more than its gap says.
+// TestAuditLogMatchesCausedFailures lets proxies cause failures of every kind, each
+// attempt of a commitment at another proxy, and send their records to a cluster whose
+// nodes crash, freeze and are partitioned, while acknowledgements are lost, batches come
+// twice and late, and proxies are killed or shut down gracefully. The model is a plain
+// list of what was caused. The audit log must hold that list: every failure under its
+// tenant and request, none twice; and what a killed proxy had not sent must be within
+// the gap that the log reports.
 func TestAuditLogMatchesCausedFailures(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runAuditSimulation(t, seed) })
 	}
 }
 
-// causedAttempt is one try as it truly was.
+// causedAttempt is one attempt as it truly was.
 type causedAttempt struct {
 	incarnation string
 	audit.Record
 }
 
-// expectedKind is the slow and plain reading of all tries of one commitment.
-func expectedKind(tries []causedAttempt) audit.Kind {
+// expectedKind is the model of what all attempts of one commitment amount to.
+func expectedKind(attempts []causedAttempt) audit.Kind {
 	ran, unsure := 0, 0
-	for _, c := range tries {
+	for _, c := range attempts {
 		if c.Kind == audit.Executed {
 			ran++
 		}
@@ -62,10 +62,10 @@
 	})
 	c.Run(time.Second)
 	type proxy struct {
-		stub *audit.Recorder
-		life string
-		n    int
-		// known tells that the life is in the book: before, it takes no requests.
+		recorder    *audit.Recorder
+		incarnation string
+		n           int
+		// known says that the log knows the incarnation: before, it takes no requests.
 		known bool
 	}
 	var all [proxies]*proxy
@@ -74,15 +74,15 @@
 		if all[i] != nil {
 			n = all[i].n + 1
 		}
-		life := fmt.Sprintf("p%d-%d", i, n)
-		all[i] = &proxy{stub: audit.NewRecorder(life, fmt.Sprint("p", i), 10000), life: life, n: n}
+		incarnation := fmt.Sprintf("p%d-%d", i, n)
+		all[i] = &proxy{recorder: audit.NewRecorder(incarnation, fmt.Sprint("p", i), 10000), incarnation: incarnation, n: n}
 	}
 	for i := range all {
 		open(i)
 	}
 	ms := func() int64 { return c.Now.Milliseconds() }
 	send := func(p *proxy, closed bool) {
-		b := p.stub.NextBatch(ms(), perBatch)
+		b := p.recorder.NextBatch(ms(), perBatch)
 		b.PerS, b.Out, b.Closed, b.Most = 100, 2, closed && len(b.Records) < perBatch, 100000
 		data := registry.EncodeCommand(registry.Command{Audit: &b})
 		ids := c.IDs()
@@ -93,17 +93,17 @@
 		lost := c.Rand.Intn(4) == 0
 		done := func(res any, ok bool) {
 			if r, is := res.(registry.Result); ok && is && !lost {
-				p.stub.Acknowledge(p.life, r.Account)
+				p.recorder.Acknowledge(p.incarnation, r.Account)
 				p.known = true
 			}
 		}
 		c.Propose(id, data, done)
-		if c.Rand.Intn(5) == 0 { // it comes twice
+		if c.Rand.Intn(5) == 0 { // the batch comes twice
 			c.Propose(id, data, done)
 		}
 	}
 	var truth []causedAttempt
-	gone := map[string][]causedAttempt{} // of killed lives, what was not acknowledged
+	gone := map[string][]causedAttempt{} // by killed incarnation, what was not acknowledged
 	kinds := []audit.Kind{audit.MissedLatencyTarget, audit.Failed, audit.Truncated}
 	evidence := []audit.Kind{audit.Executed, audit.Executed, audit.MaybeExecuted, audit.NotExecuted}
 	at := 0
@@ -113,8 +113,8 @@
 		}
 		at++
 		r.Attempt, r.AtMS, r.Route = fmt.Sprint("a", at), ms(), "r"
-		p.stub.Append(r)
-		truth = append(truth, causedAttempt{p.life, r})
+		p.recorder.Append(r)
+		truth = append(truth, causedAttempt{p.incarnation, r})
 	}
 	for round := range 160 {
 		id := c.IDs()[c.Rand.Intn(3)]
@@ -123,7 +123,7 @@
 		for range c.Rand.Intn(3) {
 			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
 		}
-		for range c.Rand.Intn(4) { // the tries of one commitment
+		for range c.Rand.Intn(4) { // the attempts of one commitment
 			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[c.Rand.Intn(4)]})
 		}
 		for _, p := range all {
@@ -131,11 +131,11 @@
 				send(p, false)
 			}
 		}
-		if c.Rand.Intn(12) == 0 { // killed: what it holds goes with it
+		if c.Rand.Intn(12) == 0 { // killed: what is pending is lost with it
 			i := c.Rand.Intn(proxies)
-			held := all[i].stub.NextBatch(ms(), 1<<30).Records
-			for _, r := range held {
-				gone[all[i].life] = append(gone[all[i].life], causedAttempt{all[i].life, r})
+			pending := all[i].recorder.NextBatch(ms(), 1<<30).Records
+			for _, r := range pending {
+				gone[all[i].incarnation] = append(gone[all[i].incarnation], causedAttempt{all[i].incarnation, r})
 			}
 			open(i)
 		}
@@ -158,39 +158,39 @@
 	store := c.Nodes[1].StateMachine.(*simulatedStore).store
 	for _, id := range c.IDs()[1:] {
 		if got := c.Nodes[id].StateMachine.(*simulatedStore).store.AuditLog().Query(audit.Filter{}); !reflect.DeepEqual(got, store.AuditLog().Query(audit.Filter{})) {
-			t.Fatalf("node %d holds another account", id)
+			t.Fatalf("node %d holds another audit log", id)
 		}
 	}
-	// A snapshot brings the account along.
+	// A snapshot includes the audit log.
 	image, err := store.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := registry.NewStore()
 	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.AuditLog().Query(audit.Filter{}), store.AuditLog().Query(audit.Filter{})) {
-		t.Fatalf("the account does not come back from a snapshot: %v", err)
+		t.Fatalf("the audit log does not come back from a snapshot: %v", err)
 	}
 	account := store.AuditLog().Query(audit.Filter{})
-	// What is certainly in: all but what killed lives had not been acknowledged, of
-	// which some may have been taken in without an answer.
+	// The log certainly holds all but what was not acknowledged to killed incarnations,
+	// some of which may have been ingested without an answer.
 	unknown := map[string]bool{}
-	for life, rs := range gone {
+	for incarnation, rs := range gone {
 		for _, r := range rs {
-			unknown[life+r.Attempt] = true
+			unknown[incarnation+r.Attempt] = true
 		}
-		if g, told := account.Gaps[life]; !told || g.MayMiss < 2 {
+		if g, listed := account.Gaps[incarnation]; !listed || g.MayMiss < 2 {
 			if len(rs) > 0 {
-				t.Errorf("%s ended with %d records in hand and the account says %+v", life, len(rs), g)
+				t.Errorf("%s ended with %d records pending and the audit log says %+v", incarnation, len(rs), g)
 			}
 		}
 	}
 	in := map[string]bool{}
 	for _, f := range account.Failures {
-		for _, try := range f.Attempts {
-			if in[try.Attempt] {
-				t.Errorf("%s is there twice", try.Attempt)
+		for _, attempt := range f.Attempts {
+			if in[attempt.Attempt] {
+				t.Errorf("%s is there twice", attempt.Attempt)
 			}
-			in[try.Attempt] = true
+			in[attempt.Attempt] = true
 		}
 	}
 	commits := map[string][]causedAttempt{}
@@ -205,14 +205,14 @@
 		}
 		want[fmt.Sprint(x.Tenant, " ", x.Request, " ", x.Kind, " ", x.Attempt)] = true
 	}
-	doubtful := map[string]bool{} // commitments with a try that may not have come in
+	doubtful := map[string]bool{} // commitments with an attempt that may not have been ingested
 	for _, rs := range gone {
 		for _, r := range rs {
 			doubtful[r.Tenant+" "+r.Request] = true
 		}
 	}
-	for key, tries := range commits {
-		if kind := expectedKind(tries); kind != "" && !doubtful[key] {
+	for key, attempts := range commits {
+		if kind := expectedKind(attempts); kind != "" && !doubtful[key] {
 			want[key+" "+string(kind)] = true
 		}
 	}
@@ -229,10 +229,10 @@
 		}
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the account differs from what was caused: %v", diffSets(got, want))
+		t.Errorf("the audit log differs from what was caused: %v", diffSets(got, want))
 	}
 	if len(got) < 50 || len(gone) == 0 {
-		t.Errorf("little was tried: %d failures, %d killed lives", len(got), len(gone))
+		t.Errorf("too little was tried: %d failures, %d killed incarnations", len(got), len(gone))
 	}
 }
 
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -17,8 +17,8 @@
 	s.Apply(registry.Command{Txn: &registry.Txn{If: []registry.Compare{{Key: e.Key()}}, Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}}}})
 }
 
-// BenchmarkEndpoints is what the registry holds and does for each endpoint: one
-// conditional create, the memory, and the snapshot.
+// BenchmarkEndpoints measures what an endpoint costs the registry: a conditional create,
+// the memory it takes, its part of a snapshot and of a list.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, n := range []int{11000, 44000} {
 		s := registry.NewStore()
--- a/registry/delta_test.go
+++ b/registry/delta_test.go
@@ -10,8 +10,8 @@
 	"lichentray/registry"
 )
 
-// TestDelta: whatever the two values, the delta makes the second of the first;
-// a small change to a large configuration stays small.
+// TestDeltaRoundTrip checks that the delta between two configurations makes the second
+// from the first, and that it is short where little changed.
 func TestDeltaRoundTrip(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -41,7 +41,7 @@
 			t.Fatalf("seed %d: %v, %q became %q", seed, err, value, got)
 		}
 		if len(value) > 8000 && len(d) > len(value)/4 {
-			t.Errorf("seed %d: %d bytes tell a change to %d", seed, len(d), len(value))
+			t.Errorf("seed %d: a delta of %d bytes for a value of %d", seed, len(d), len(value))
 		}
 	}
 }
@@ -49,7 +49,7 @@
 func FuzzApplyDelta(f *testing.F) {
 	f.Add([]byte("abc"), registry.ComputeDelta([]byte("abc"), []byte("abd")))
 	f.Add([]byte("abc"), []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 9, 0})
-	f.Fuzz(func(t *testing.T, old, delta []byte) {
-		_, _ = registry.ApplyDelta(old, delta) // refused or made, never a crash
+	f.Fuzz(func(_ *testing.T, old, delta []byte) {
+		_, _ = registry.ApplyDelta(old, delta) // any outcome but a panic
 	})
 }
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -7,26 +7,25 @@
 	"time"
 )
 
-// TestEvacuationOrderInterleavings plays two operators that empty the same zone, over every
-// short interleaving of their orders and of answers that are lost and orders sent
-// again. The model is what each operator knows: the zone must be empty from the
-// first answer to an order until that operator takes it back, and in the end it
-// must come back.
+// TestEvacuationOrderInterleavings lets two operators evacuate the same zone, in every
+// short interleaving of their orders, of lost answers and of repeated orders. The model
+// is what each operator knows: the zone must be evacuated from the first answer to an
+// operator's order until that operator finishes, and must return in the end.
 func TestEvacuationOrderInterleavings(t *testing.T) {
 	r := RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
 	type order struct {
 		at           int
 		who          int
 		begin, first bool
-		lost         bool // the node that took it dies before its answer
+		lost         bool // the node that carried it out crashes before its answer
 	}
 	played := 0
-	// An order that is lost arrives once more a second or three later.
+	// An order whose answer is lost is repeated one or three seconds later.
 	for begin2 := 3; begin2 <= 7; begin2++ {
 		for finish1 := 4; finish1 <= 12; finish1++ {
 			for finish2 := begin2 + 4; finish2 <= 16; finish2++ {
 				if d := finish1 - finish2; d > -6 && d < 6 {
-					continue // see the note: finishes this near may count as repeats
+					continue // orders to finish this near to each other may count as repeats
 				}
 				for lost := range 16 {
 					for _, again := range []int{1, 3} {
@@ -58,11 +57,11 @@
 								holds[o.who] = false
 							}
 							if (holds[0] || holds[1]) && e.State() != Evacuated {
-								t.Fatalf("%s: at %d the zone is %q while an operator has it emptied", name, o.at, e.State())
+								t.Fatalf("%s: at %d the zone is %q while an operator has it evacuated", name, o.at, e.State())
 							}
 						}
 						if e.State() != Returning {
-							t.Fatalf("%s: all orders are taken back, the zone is %+v", name, e)
+							t.Fatalf("%s: all orders are finished, the zone is %+v", name, e)
 						}
 						played++
 					}
@@ -71,7 +70,7 @@
 		}
 	}
 	if played < 1000 {
-		t.Fatalf("only %d interleavings played", played)
+		t.Fatalf("only %d interleavings were run", played)
 	}
 }
 
--- /dev/null
+++ b/registry/fault_test.go
@@ -0,0 +1,202 @@
+package registry_test
+
+import (
+	"fmt"
+	"time"
+
+	"lichentray/coordination"
+	"lichentray/raft"
+	"lichentray/registry"
+)
+
+// injectFaults starts callers and watchers and injects one fault after another.
+func (sim *simulation) injectFaults() {
+	for i := range 12 {
+		p := &caller{sim: sim, name: fmt.Sprint("c", i), cells: map[string]uint64{}}
+		p.scheduleNextCall()
+	}
+	for i := range 6 {
+		sim.runWatcher(fmt.Sprintf("g%d.", i%2), 0)
+	}
+	for _, k := range sim.cluster.Rand.Perm(8) {
+		ids := sim.cluster.IDs()
+		id := ids[sim.cluster.Rand.Intn(len(ids))]
+		if l := sim.cluster.Leader(); l != nil && sim.cluster.Rand.Intn(2) == 0 {
+			id = l.ID
+		}
+		sim.faultyNodeID = id
+		span := 3 * time.Second
+		if k < 3 {
+			sim.probeFaultyNode()
+		}
+		switch k {
+		case 0, 1, 2: // partitions: both ways, incoming only, outgoing only
+			for _, o := range ids {
+				sim.cluster.SetLinkCut(id, o, k != 1)
+				sim.cluster.SetLinkCut(o, id, k != 2)
+			}
+			span = partitionDuration
+		case 3, 4:
+			if l := sim.cluster.Leader(); l != nil {
+				sim.faultyNodeID = l.ID
+			}
+			for _, o := range ids { // in one of the two cases the node thaws while partitioned
+				sim.cluster.SetLinkCut(sim.faultyNodeID, o, k == 4)
+				sim.cluster.SetLinkCut(o, sim.faultyNodeID, k == 4)
+			}
+			sim.cluster.SetFrozen(sim.faultyNodeID, true)
+			sim.run(sim.randomDuration(4 * time.Second))
+			sim.probeFaultyNode()
+			sim.run(time.Second)
+			sim.cluster.SetFrozen(sim.faultyNodeID, false)
+			sim.runDueEvents() // what waits in its socket may be read before its timers run
+		case 5:
+			for range 10 {
+				sim.cluster.HangDisk(ids[sim.cluster.Rand.Intn(len(ids))], sim.randomDuration(time.Second))
+				sim.run(300 * time.Millisecond)
+			}
+		case 6:
+			if l := sim.cluster.Leader(); l != nil { // it and half of the others cannot sync for a while
+				sim.cluster.HangDisk(l.ID, time.Second)
+				for i, left := 0, len(ids)/2; left > 0; i++ {
+					if ids[i] != l.ID {
+						sim.cluster.HangDisk(ids[i], time.Second)
+						left--
+					}
+				}
+			}
+			sim.probeFaultyNode()
+			sim.run(200 * time.Millisecond)
+			for _, o := range ids {
+				sim.cluster.Crash(o)
+			}
+			for _, o := range ids {
+				sim.schedule(sim.randomDuration(time.Second), func() { sim.cluster.Restart(o) })
+			}
+		case 7:
+			sim.loseDisk(id)
+		}
+		sim.run(span)
+		sim.cluster.Heal()
+		sim.run(2 * time.Second)
+	}
+}
+
+// probeFaultyNode reads from the faulty node at a high rate while others are put to.
+func (sim *simulation) probeFaultyNode() {
+	object := fmt.Sprintf("g0.%d", sim.cluster.Rand.Intn(3))
+	for k := range 120 {
+		sim.schedule(sim.randomDuration(time.Second), func() {
+			if k%3 > 0 {
+				sim.callNode(sim.faultyNodeID, &call{object: object}, func() {})
+				return
+			}
+			sim.probePuts++
+			c := coordination.Command{Operation: coordination.PutCell, Name: object, Value: fmt.Sprint("probe ", sim.probePuts)}
+			sim.callNode(sim.pickNode(), &call{object: object, command: registry.Command{Coordination: &c}}, func() {})
+		})
+	}
+}
+
+// loseDisk ends a voter for good; a new member is to take its place.
+func (sim *simulation) loseDisk(id uint64) {
+	l := sim.cluster.Leader()
+	if l == nil || !l.Raft.Membership().IsVoter(id) {
+		return
+	}
+	sim.lostNodeID = id
+	sim.cluster.Remove(id)
+	sim.faultyNodeID = sim.nextNodeID
+	sim.cluster.Add(sim.nextNodeID)
+	sim.nextNodeID++
+	sim.admitReplacement()
+}
+
+// admitReplacement takes the next step of the membership change that replaces a lost
+// voter by a new member, until the new member is a voter.
+func (sim *simulation) admitReplacement() {
+	if l := sim.cluster.Leader(); l != nil && !l.Raft.HasPendingConfChange() {
+		ms, id := l.Raft.Membership(), sim.nextNodeID-1
+		m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
+		switch {
+		case !ms.IsMember(id):
+			_ = l.Raft.ProposeConfChange(ms.WithLearner(m)) // retried
+		case ms.IsMember(sim.lostNodeID):
+			_ = l.Raft.ProposeConfChange(ms.Without(sim.lostNodeID))
+		case !ms.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
+			_ = l.Raft.ProposeConfChange(ms.WithVoter(m))
+		case ms.IsVoter(id):
+			sim.lostNodeID = 0
+			return
+		}
+	}
+	sim.schedule(50*time.Millisecond, sim.admitReplacement)
+}
+
+// healAndReadAll ends all faults, crashes all nodes once more, and then asks every node
+// for every object: each must answer, and no lock stays with a holder whose lease has
+// run out.
+func (sim *simulation) healAndReadAll() {
+	sim.isOver = true
+	sim.run(5 * time.Second)
+	if sim.lostNodeID != 0 {
+		sim.t.Error("the new member never became a voter")
+	}
+	// Four holders never release their locks, whose grants are then in snapshots only.
+	const leaseDuration = 4 * time.Second
+	acquire := func(k int, holder string, lease time.Duration) {
+		c := coordination.Command{Operation: coordination.AcquireLock, Name: fmt.Sprint("l", k), Holder: holder, LeaseMS: uint64(lease.Milliseconds())}
+		sim.callNode(sim.pickNode(), &call{object: c.Name, command: registry.Command{Coordination: &c}}, func() {})
+	}
+	for k := range 4 {
+		acquire(k, "sleeper", leaseDuration)
+	}
+	for range 300 {
+		c := coordination.Command{Operation: coordination.NextNumber, Name: "n0"}
+		sim.callNode(sim.pickNode(), &call{object: c.Name, command: registry.Command{Coordination: &c}}, func() {})
+	}
+	sim.run(500 * time.Millisecond)
+	for _, id := range sim.cluster.IDs() {
+		sim.cluster.Crash(id)
+	}
+	for _, id := range sim.cluster.IDs() {
+		sim.cluster.Restart(id)
+	}
+	for round := range 30 {
+		for k := range 4 {
+			acquire(k, fmt.Sprint("late", round), 100*time.Millisecond)
+		}
+		sim.run(leaseDuration / 20)
+	}
+	mustAnswer := func(id uint64, object string, c *coordination.Command) {
+		for attempt := 0; ; attempt++ {
+			x := &call{object: object, command: registry.Command{Coordination: c}}
+			sim.callNode(id, x, func() {})
+			sim.run(callerTimeout + 100*time.Millisecond)
+			if x.outcome == answered && (c == nil || x.result.Latch.Code == coordination.OK) {
+				return
+			}
+			if attempt == 3 {
+				sim.t.Errorf("node %d: %s does not answer after all faults: %+v", id, object, x)
+				return
+			}
+		}
+	}
+	for _, id := range sim.cluster.IDs() {
+		mustAnswer(id, registry.ConfigKey, nil)
+		for k := range 6 {
+			mustAnswer(id, fmt.Sprintf("g%d.%d", k/3, k%3), nil)
+		}
+	}
+	for k := range 4 {
+		mustAnswer(sim.cluster.IDs()[0], fmt.Sprint("l", k), &coordination.Command{Operation: coordination.AcquireLock, Name: fmt.Sprint("l", k), Holder: "last", LeaseMS: 100})
+	}
+	for k := range 2 {
+		mustAnswer(sim.cluster.IDs()[1], fmt.Sprint("n", k), &coordination.Command{Operation: coordination.NextNumber, Name: fmt.Sprint("n", k)})
+		group := fmt.Sprintf("g%d.", k)
+		for _, id := range sim.cluster.IDs() {
+			events, rev, _ := sim.cluster.Nodes[id].StateMachine.(*replica).store.Coordination().EventsSince(group, 0)
+			sim.checkWatchedEvents(group, 0, events, rev)
+		}
+	}
+}
--- a/registry/feed_test.go
+++ b/registry/replay_test.go
@@ -12,12 +12,13 @@
 	"lichentray/registry"
 )
 
-// TestFeedReplaysAlike: five nodes with freezes, cuts one way and both, crashes,
-// hanging disks, a lost disk whose machine joins anew, and snapshots; watchers that
-// move from node to node. A plain list of the puts that took effect stands beside.
-// No watcher meets a gap, a double or another value, none is told that a revision is
-// gone that it had within the retention, and in the end every node, also the one
-// that joined from a snapshot, replays the same from every revision it holds.
+// TestEventLogReplaysAlikeOnAllReplicas runs five nodes with freezes, partitions in one
+// direction and both, crashes, hanging disks, a lost disk whose machine joins as a new
+// member, and snapshots, while watchers move from node to node. The model is a plain
+// list of the puts that took effect. No watcher may see a gap, a duplicate or another
+// value, none may find a revision gone that it had within the retention, and in the end
+// every node, also the one that joined from a snapshot, must replay the same from every
+// revision that it holds.
 func TestEventLogReplaysAlikeOnAllReplicas(t *testing.T) {
 	for seed := int64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runReplaySimulation(t, seed) })
@@ -51,7 +52,7 @@
 	type watcher struct {
 		group string
 		after uint64
-		at    time.Duration // when it got there
+		at    time.Duration // when it got to revision after
 	}
 	watchers := make([]watcher, 6)
 	for i := range watchers {
@@ -71,14 +72,15 @@
 	var marks []mark
 	seen, gone, lost := 0, 0, uint64(0)
 	next := uint64(6)
-	// takeIn goes one step towards the new member's vote in place of the lost one.
-	takeIn := func() {
+	// admitReplacement takes the next step to make the new member a voter in place of the
+	// lost one.
+	admitReplacement := func() {
 		if l := c.Leader(); l != nil && lost != 0 && !l.Raft.HasPendingConfChange() {
 			ms, id := l.Raft.Membership(), next-1
 			m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 			switch {
 			case ms.IsMember(lost):
-				_ = l.Raft.ProposeConfChange(ms.Without(lost)) // tried again next round
+				_ = l.Raft.ProposeConfChange(ms.Without(lost)) // retried in the next round
 			case !ms.IsMember(id):
 				_ = l.Raft.ProposeConfChange(ms.WithLearner(m))
 			case !ms.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
@@ -100,7 +102,7 @@
 			c.Add(next)
 			next++
 		}
-		takeIn()
+		admitReplacement()
 		for k := range 4 {
 			name := fmt.Sprintf("g%d.%d", c.Rand.Intn(2), c.Rand.Intn(3))
 			e := coordination.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
@@ -120,7 +122,7 @@
 		}
 		for i := range watchers {
 			if c.Rand.Intn(2) == 0 {
-				continue // away, or slow
+				continue // disconnected or slow
 			}
 			id, w, was := ids[c.Rand.Intn(len(ids))], &watchers[i], watchers[i]
 			l := c.Leader()
@@ -129,7 +131,7 @@
 			}
 			store, lead := c.Nodes[id].StateMachine.(*simulatedStore).store, l.StateMachine.(*simulatedStore).store
 			tab := store.Coordination()
-			c.Read(l.ID, func(ok bool) { // a read point, which any node that has reached it serves
+			c.Read(l.ID, func(ok bool) { // a read index, behind which any node that has reached it may serve
 				if !ok || *w != was || store.Revision() < lead.Revision() {
 					return
 				}
@@ -165,11 +167,11 @@
 		c.SetFrozen(id, false)
 	}
 	for range 100 {
-		takeIn()
+		admitReplacement()
 		c.Run(50 * time.Millisecond)
 	}
 	if lost != 0 {
-		t.Error("the new member was never taken in")
+		t.Error("the new member never became a voter")
 	}
 	propose(&coordination.Command{Operation: coordination.PutCell, Name: "g0.0", Value: "last"}, func(coordination.Result) {})
 	c.Run(3 * time.Second)
--- /dev/null
+++ b/registry/retry_test.go
@@ -0,0 +1,298 @@
+package registry_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"lichentray/coordination"
+	"lichentray/raft/rafttest"
+	"lichentray/registry"
+)
+
+// TestConcurrentRetriedOrders sends eight orders of each kind at once, to eight nodes,
+// while the leader crashes, freezes, is partitioned or nothing happens. Each answer is
+// lost at first, and each order is sent to one node after another until it is answered
+// twice.
+//
+//   - Configurations 1 to 8: each is written at most once, in rising order, and the
+//     newest is in force in the end. Whether an older one ever was cannot be told from
+//     its answer, as one that is not newer than the present one is acknowledged too.
+//   - Locks under one holder's name: there is one fencing token, and nobody else gets the
+//     lock meanwhile. Two programs under one name cannot be told apart, nor can an
+//     acquisition that arrives after the release be told from a new one: it keeps the lock
+//     until the lease runs out.
+//   - Puts: both answers have the same revision; of eight that expect an empty cell
+//     exactly one is carried out. A repeat is recognised as long as the history is kept.
+func TestConcurrentRetriedOrders(t *testing.T) {
+	for seed := int64(1); seed <= 12; seed++ {
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
+			t.Parallel()
+			runConcurrentOrders(t, seed)
+		})
+	}
+}
+
+func runConcurrentOrders(t *testing.T, seed int64) {
+	sim := newSimulation(t, seed, 8)
+	ids := sim.cluster.IDs()
+	open := 0
+	// retry sends one order until an answer after the second comes back.
+	retry := func(k int, send func(id uint64, done func(o outcome))) {
+		open++
+		attempt := 0
+		var next func(o outcome)
+		next = func(o outcome) {
+			if attempt++; attempt > 2 && o == answered {
+				open--
+				return
+			}
+			sim.schedule(sim.randomDuration(200*time.Millisecond), func() { send(ids[(k+3*attempt)%8], next) })
+		}
+		next(unknown)
+	}
+	coordinate := func(c coordination.Command) func(id uint64, done func(o outcome)) {
+		return func(id uint64, done func(o outcome)) {
+			sim.sendCounts[c.Value]++
+			x := &call{object: c.Name, command: registry.Command{Coordination: &c}}
+			sim.callNode(id, x, func() { done(x.outcome) })
+		}
+	}
+	for k := range 8 {
+		retry(k, func(id uint64, done func(o outcome)) { sim.replaceConfig(id, uint64(k+1), done) })
+		retry(k, coordinate(coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: "one", LeaseMS: 10_000}))
+		retry(k, coordinate(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: fmt.Sprint("put ", k)}))
+		retry(k, coordinate(coordination.Command{Operation: coordination.PutCell, Name: "e.a", Value: fmt.Sprint("first ", k), HasExpectedRevision: true}))
+		sim.schedule(2*time.Second+sim.randomDuration(6*time.Second), func() {
+			coordinate(coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: fmt.Sprint("other ", k), LeaseMS: 1000})(ids[k], func(outcome) {})
+		})
+	}
+	sim.run(sim.randomDuration(250 * time.Millisecond))
+	leader := sim.cluster.Leader().ID
+	switch seed % 4 {
+	case 1:
+		sim.cluster.Crash(leader)
+	case 2:
+		sim.cluster.SetFrozen(leader, true)
+	case 3:
+		for _, o := range ids {
+			sim.cluster.SetLinkCut(leader, o, true)
+			sim.cluster.SetLinkCut(o, leader, true)
+		}
+	}
+	sim.run(3 * time.Second)
+	sim.cluster.Heal()
+	sim.cluster.Restart(leader)
+	sim.run(6 * time.Second)
+	if open != 0 {
+		t.Errorf("%d orders were never answered", open)
+	}
+	sim.checkHistory()
+	newest, fence := uint64(0), uint64(0)
+	for _, x := range sim.calls { // in the order of sending
+		if c := x.command.Coordination; c != nil && c.Holder == "one" && x.outcome == answered {
+			if fence == 0 {
+				fence = x.result.Latch.Fence
+			}
+			if x.result.Latch.Code != coordination.OK || x.result.Latch.Fence != fence {
+				t.Errorf("one holder got %+v and fence %d", x.result.Latch, fence)
+			}
+		}
+	}
+	writes := map[uint64]uint64{} // versions, by revision
+	for _, x := range sim.calls {
+		if e, took := sim.effects[x.tag]; took && x.command.Txn != nil && !e.result.Conflict {
+			writes[e.result.Revision], _, _ = registry.DecodeConfig(registry.Object{Value: []byte(x.value)})
+		}
+	}
+	for _, revision := range slices.Sorted(maps.Keys(writes)) {
+		if v := writes[revision]; v <= newest {
+			t.Errorf("version %d was written after %d", v, newest)
+		}
+		newest = writes[revision]
+	}
+	t.Logf("%d calls, %d configurations written", len(sim.calls), len(writes))
+	if newest != 8 {
+		t.Errorf("version %d stands in the end", newest)
+	}
+	tab := sim.cluster.Nodes[ids[0]].StateMachine.(*replica).store.Coordination()
+	if a, b := tab.GroupRevision("g."), tab.GroupRevision("e."); a != 8 || b != 1 {
+		t.Errorf("%d puts of 8 were taken, and %d of those that expected none", a, b)
+	}
+}
+
+// replaceConfig carries out the order to replace the configuration as a control-plane
+// node does.
+func (sim *simulation) replaceConfig(id, version uint64, done func(o outcome)) {
+	sim.submitOrder(id, false, registry.ConfigKey, func(_ *replica, held registry.Object) []byte {
+		if v, _, ok := registry.DecodeConfig(held); ok && v >= version {
+			return nil
+		}
+		return registry.EncodeConfig(version, fmt.Append(nil, "version ", version))
+	}, done)
+}
+
+// submitOrder lets a node carry out an order on one object, on the condition that its
+// replica is up to date, and otherwise once more behind a read index. derive returns nil
+// if there is nothing to write.
+func (sim *simulation) submitOrder(id uint64, point bool, key string, derive func(r *replica, held registry.Object) []byte, done func(o outcome)) {
+	over := false
+	once := func(o outcome) {
+		if !over {
+			over = true
+			done(o)
+		}
+	}
+	sim.schedule(callerTimeout, func() { once(unknown) })
+	sim.schedule(sim.randomDuration(10*time.Millisecond), func() {
+		if !sim.cluster.IsUp(id) {
+			once(rejected)
+			return
+		}
+		incarnation := sim.cluster.Nodes[id].StateMachine
+		sim.inIncarnation(id, incarnation, func() { sim.transact(id, incarnation, point, key, derive, sim.now()+outcomeTimeout, 6, once) })
+	})
+}
+
+func (sim *simulation) transact(id uint64, incarnation rafttest.StateMachine, point bool, key string, derive func(r *replica, held registry.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
+	if point {
+		sim.awaitReadIndex(id, incarnation, end, func(ok bool) {
+			if !ok {
+				done(rejected)
+				return
+			}
+			sim.transact(id, incarnation, false, key, derive, end, tries, done)
+		})
+		return
+	}
+	r := incarnation.(*replica)
+	o, _ := r.store.Get(key)
+	value := derive(r, o)
+	switch {
+	case value == nil:
+		done(answered)
+		return
+	case tries == 0:
+		done(rejected)
+		return
+	}
+	x := &call{object: key, value: string(value), command: registry.Command{Txn: &registry.Txn{
+		If:   []registry.Compare{{Key: key, ModRevision: o.ModRevision}},
+		Then: []registry.Write{{Key: key, Value: value}},
+	}}}
+	sim.startCall(x, func() {
+		if x.outcome != answered || !x.result.Conflict {
+			done(x.outcome)
+			return
+		}
+		sim.inIncarnation(id, incarnation, func() { sim.transact(id, incarnation, true, key, derive, end, tries-1, done) })
+	})
+	sim.executeCommand(id, incarnation, x, end)
+}
+
+// submitEvacuation carries out an evacuation order as a control-plane node does, and
+// acknowledges it shortly after its answer if the node is still alive.
+func (sim *simulation) submitEvacuation(id uint64, begin bool) {
+	told := func(_ *replica, held registry.Object) []byte {
+		if e := registry.DecodeEvacuation(held); e != e.Acknowledge(begin) {
+			return e.Acknowledge(begin).Encode()
+		}
+		return nil
+	}
+	asked := sim.now()
+	sim.submitOrder(id, true, evacuationKey, func(r *replica, held registry.Object) []byte {
+		if sim.now()-asked > callerTimeout {
+			return nil // its caller has closed the connection and gone on to another node
+		}
+		e := registry.DecodeEvacuation(held)
+		if now := e.ApplyOrder(begin, sim.now()-r.lastOrderAt[begin], repeatWindow); now != e {
+			return now.Encode()
+		}
+		return nil
+	}, func(o outcome) {
+		if o == answered {
+			sim.schedule(20*time.Millisecond, func() { sim.submitOrder(id, false, evacuationKey, told, func(outcome) {}) })
+		}
+	})
+}
+
+var repeatWindow = registry.RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
+
+// TestRetriedEvacuationAppliesOnce sends one order to evacuate a zone to eight nodes at
+// once, and to eight again within the repeat window: it must count once, and so must the
+// order to finish, sent in the same way.
+//
+// Orders carry no identity. The orders of eight operators within that window cannot be
+// told from one order sent eight times: they count as one, and the first to finish
+// finishes for all. An order that is repeated after the window counts as new, also one
+// that waited in a frozen node's socket: the zone then stays evacuated until as many
+// orders to finish have come, and a late order to finish ends whatever evacuation began
+// since.
+func TestRetriedEvacuationAppliesOnce(t *testing.T) {
+	for seed := int64(1); seed <= 12; seed++ {
+		sim := newSimulation(t, seed, 8)
+		ids := sim.cluster.IDs()
+		often := func(begin bool) {
+			for k := range 8 {
+				sim.submitEvacuation(ids[k], begin)
+				sim.schedule(callerTimeout+sim.randomDuration(200*time.Millisecond), func() { sim.submitEvacuation(ids[(k+3)%8], begin) })
+			}
+			sim.run(sim.randomDuration(50 * time.Millisecond))
+			leader := sim.cluster.Leader().ID
+			switch seed % 3 {
+			case 1:
+				sim.cluster.Crash(leader)
+			case 2:
+				sim.cluster.SetFrozen(leader, true)
+			}
+			sim.run(3 * time.Second)
+			sim.cluster.Heal()
+			sim.cluster.Restart(leader)
+			sim.run(4 * time.Second)
+			want := registry.Evacuation{BeginCount: 1, BeginAcknowledged: true}
+			if !begin {
+				want.FinishCount, want.FinishAcknowledged = 1, true
+			}
+			for _, id := range ids {
+				if got := sim.cluster.Nodes[id].StateMachine.(*replica).evacuation; got != want {
+					t.Errorf("seed %d, node %d: %+v, want %+v", seed, id, got, want)
+				}
+			}
+		}
+		often(true)
+		sim.run(repeatWindow.Unacknowledged)
+		often(false)
+		sim.checkHistory()
+	}
+}
+
+// TestDelayedEvacuationOrder delays an order to finish in a frozen node's socket while it
+// is repeated and answered elsewhere. It must not finish the evacuation that another
+// operator began since.
+func TestDelayedEvacuationOrder(t *testing.T) {
+	sim := newSimulation(t, 1, 5)
+	leader := sim.cluster.Leader().ID
+	frozen, other := leader%5+1, leader
+	sim.submitEvacuation(other, true)
+	sim.run(repeatWindow.Unacknowledged)
+	sim.submitEvacuation(frozen, false)
+	sim.run(300 * time.Millisecond)
+	sim.cluster.SetFrozen(frozen, true) // its answer is lost, and the order is repeated
+	sim.submitEvacuation(frozen, false)
+	sim.run(500 * time.Millisecond)
+	sim.submitEvacuation(other, false)
+	sim.run(2 * repeatWindow.Acknowledged)
+	sim.submitEvacuation(other, true) // by another operator
+	sim.run(300 * time.Millisecond)
+	if e := sim.cluster.Nodes[other].StateMachine.(*replica).evacuation; e.State() != registry.Evacuated {
+		t.Fatalf("before the late order: %+v", e)
+	}
+	sim.cluster.SetFrozen(frozen, false)
+	sim.runDueEvents()
+	sim.run(time.Second)
+	if e := sim.cluster.Nodes[other].StateMachine.(*replica).evacuation; e.State() != registry.Evacuated {
+		t.Errorf("after the late order: %+v, %s", e, e.State())
+	}
+}
--- /dev/null
+++ b/registry/simulation_test.go
@@ -0,0 +1,516 @@
+package registry_test
+
+import (
+	"encoding/binary"
+	"reflect"
+	"sort"
+	"testing"
+	"time"
+
+	"lichentray/coordination"
+	"lichentray/raft"
+	"lichentray/raft/rafttest"
+	"lichentray/registry"
+)
+
+const (
+	outcomeTimeout    = 900 * time.Millisecond  // how long a node waits for an outcome
+	callerTimeout     = 1200 * time.Millisecond // how long a caller waits for an answer
+	maxLeaseMS        = 2000                    // of the locks that callers acquire
+	partitionDuration = 20 * time.Second
+
+	evacuationKey = registry.EvacuationPrefix + "z"
+)
+
+// outcome is how a call ended for its caller.
+type outcome uint8
+
+const (
+	unknown  outcome = iota // timed out: it may take effect at any later time
+	rejected                // it has no effect and never will
+	answered                // the caller has the result
+)
+
+// call is one call of one caller. Its command is logged under a tag that the store
+// does not see, which shows afterwards whether the call took effect.
+type call struct {
+	tag     uint64
+	object  string
+	command registry.Command // zero for a read
+
+	outcome                outcome
+	result                 registry.Result
+	revision               uint64 // of the object read
+	value                  string
+	sentAt, returnedAt     time.Duration
+	callOrder, returnOrder int64 // positions in the order of all calls and returns
+	done                   func()
+}
+
+// replica is a node's store with lease timers as a control-plane node keeps them: each
+// runs from when this replica applied the grant, and anew after a snapshot or a start.
+type replica struct {
+	sim    *simulation
+	store  *registry.Store
+	timers map[string]lockTimer
+	// The evacuation of the only zone, and when this replica applied its newest order
+	// to begin (true) and to finish (false).
+	evacuation  registry.Evacuation
+	lastOrderAt map[bool]time.Duration
+}
+
+type lockTimer struct {
+	grant     uint64
+	expiresAt time.Duration
+}
+
+func (r *replica) Apply(index uint64, data []byte) any {
+	cmd, err := registry.DecodeCommand(data[8:])
+	if err != nil {
+		r.sim.t.Errorf("index %d: %v", index, err)
+		return nil
+	}
+	res, _ := r.store.Apply(cmd)
+	if l := cmd.Coordination; l != nil {
+		if (l.Operation == coordination.AcquireLock || l.Operation == coordination.RenewLock) && res.Latch.Code == coordination.OK {
+			k := r.store.Coordination().Locks[l.Name]
+			r.timers[l.Name] = lockTimer{k.Grant, r.sim.now() + time.Duration(k.HoldMS)*time.Millisecond}
+		}
+	}
+	r.observeEvacuation()
+	r.sim.recordEffect(binary.BigEndian.Uint64(data), index, res)
+	return res
+}
+
+func (r *replica) Snapshot() []byte { b, _ := r.store.Snapshot(); return b }
+
+func (r *replica) Restore(data []byte) {
+	if r.store.Revision() > 0 {
+		r.sim.snapshotInstalls++ // the log no longer reached back far enough
+	}
+	if err := r.store.Restore(data); err != nil {
+		r.sim.t.Error(err)
+	}
+	r.observeEvacuation()
+	r.timers = map[string]lockTimer{}
+	for name, k := range r.store.Coordination().Locks {
+		r.timers[name] = lockTimer{k.Grant, r.sim.now() + time.Duration(k.HoldMS)*time.Millisecond}
+	}
+}
+
+func (r *replica) observeEvacuation() {
+	o, _ := r.store.Get(evacuationKey)
+	was := r.evacuation
+	if r.evacuation = registry.DecodeEvacuation(o); r.evacuation.BeginCount != was.BeginCount {
+		r.lastOrderAt[true] = r.sim.now()
+	}
+	if r.evacuation.FinishCount != was.FinishCount {
+		r.lastOrderAt[false] = r.sim.now()
+	}
+}
+
+// effect is what a logged command did.
+type effect struct {
+	index        uint64
+	result       registry.Result
+	appliedOrder int64 // position at which a replica first applied it
+}
+
+// scheduledEvent runs at a moment of simulated time.
+type scheduledEvent struct {
+	dueAt time.Duration
+	run   func()
+	seq   int
+}
+
+// simulation is a cluster of replicas, the callers that use it, and all that they saw.
+type simulation struct {
+	t                 *testing.T
+	cluster           *rafttest.Cluster
+	scheduled         []scheduledEvent
+	eventSeq          int
+	lastOrder         int64
+	calls             []*call
+	effects           map[uint64]effect // by tag
+	results           map[uint64]registry.Result
+	sendCounts        map[string]int // how often each value was sent in a put
+	nextNodeID        uint64         // of the next member
+	lostNodeID        uint64         // voter that lost its disk and is not replaced yet, or 0
+	faultyNodeID      uint64         // node that the present fault is at
+	isOver            bool
+	probePuts         int
+	watchedEvents     int
+	snapshotInstalls  int
+	watchedByRevision map[string]map[uint64]coordination.Event // events that watchers got, by group
+	ackedRevisions    map[string]uint64                        // newest revision acknowledged, by group
+}
+
+func newSimulation(t *testing.T, seed int64, n int) *simulation {
+	sim := &simulation{
+		t: t, effects: map[uint64]effect{}, results: map[uint64]registry.Result{}, sendCounts: map[string]int{},
+		watchedByRevision: map[string]map[uint64]coordination.Event{}, ackedRevisions: map[string]uint64{},
+	}
+	sim.nextNodeID = uint64(n + 1)
+	sim.cluster = rafttest.NewCluster(seed, n, func() rafttest.StateMachine {
+		return &replica{sim: sim, store: registry.NewStore(), timers: map[string]lockTimer{}, lastOrderAt: map[bool]time.Duration{}}
+	})
+	sim.run(time.Second)
+	return sim
+}
+
+func (sim *simulation) now() time.Duration {
+	if sim.cluster == nil {
+		return 0
+	}
+	return sim.cluster.Now
+}
+
+// recordEffect records the effect of a call, which must be the same at every replica.
+func (sim *simulation) recordEffect(tag, index uint64, res registry.Result) {
+	if was, ok := sim.results[index]; ok && !reflect.DeepEqual(was, res) {
+		sim.t.Errorf("index %d gave %+v at one replica and %+v at another", index, was, res)
+	}
+	sim.results[index] = res
+	if was, ok := sim.effects[tag]; ok && was.index != index {
+		sim.t.Errorf("one call was committed at index %d and %d", was.index, index)
+	}
+	if _, ok := sim.effects[tag]; !ok {
+		sim.lastOrder++
+		sim.effects[tag] = effect{index, res, sim.lastOrder}
+	}
+}
+
+// schedule runs do after a span of simulated time.
+func (sim *simulation) schedule(span time.Duration, do func()) {
+	sim.eventSeq++
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now() + span, do, sim.eventSeq})
+}
+
+// randomDuration returns a duration below most.
+func (sim *simulation) randomDuration(most time.Duration) time.Duration {
+	return time.Duration(sim.cluster.Rand.Int63n(int64(most)))
+}
+
+// run advances simulated time for the cluster and the scheduled events.
+func (sim *simulation) run(span time.Duration) {
+	for end := sim.cluster.Now + span; sim.cluster.Now < end; {
+		sim.cluster.Run(sim.cluster.StepInterval)
+		sim.runDueEvents()
+	}
+}
+
+// runDueEvents runs the events that are due, in the order of their time.
+func (sim *simulation) runDueEvents() {
+	all := sim.scheduled
+	sim.scheduled = nil
+	var due []scheduledEvent
+	for _, e := range all {
+		if e.dueAt <= sim.cluster.Now {
+			due = append(due, e)
+		} else {
+			sim.scheduled = append(sim.scheduled, e)
+		}
+	}
+	sort.Slice(due, func(i, j int) bool {
+		return due[i].dueAt < due[j].dueAt || due[i].dueAt == due[j].dueAt && due[i].seq < due[j].seq
+	})
+	for _, e := range due {
+		e.run()
+	}
+}
+
+// onNode runs do at a node in its present incarnation, once the node is not frozen:
+// what is sent to a frozen process waits in its socket and is lost if the process ends.
+func (sim *simulation) onNode(id uint64, do func()) {
+	n := sim.cluster.Nodes[id]
+	if n == nil || !sim.cluster.IsUp(id) {
+		return
+	}
+	sim.inIncarnation(id, n.StateMachine, do)
+}
+
+// inIncarnation is onNode for a given incarnation, which is identified by its state
+// machine.
+func (sim *simulation) inIncarnation(id uint64, incarnation rafttest.StateMachine, do func()) {
+	switch n := sim.cluster.Nodes[id]; {
+	case n == nil || !sim.cluster.IsUp(id) || n.StateMachine != incarnation:
+	case sim.cluster.IsFrozen(id):
+		sim.schedule(0, func() { sim.inIncarnation(id, incarnation, do) })
+	default:
+		do()
+	}
+}
+
+// sendMessage runs do at a node after a delay, unless the message is lost.
+func (sim *simulation) sendMessage(from, to uint64, do func()) {
+	if sim.cluster.Rand.Intn(50) == 0 {
+		return
+	}
+	sim.schedule(sim.randomDuration(30*time.Millisecond), func() {
+		if !sim.cluster.IsLinkCut(from, to) {
+			sim.onNode(to, do)
+		}
+	})
+}
+
+// startCall records a call that is sent. done runs when it has its outcome.
+func (sim *simulation) startCall(x *call, done func()) {
+	sim.lastOrder++
+	x.tag, x.sentAt, x.callOrder, x.done = uint64(len(sim.calls)+1), sim.now(), sim.lastOrder, done
+	sim.calls = append(sim.calls, x)
+	sim.schedule(callerTimeout, func() { sim.finishCall(x, unknown) })
+}
+
+// callNode sends a call to a node.
+func (sim *simulation) callNode(id uint64, x *call, done func()) {
+	sim.startCall(x, done)
+	sim.schedule(sim.randomDuration(10*time.Millisecond), func() {
+		if !sim.cluster.IsUp(id) {
+			sim.finishCall(x, rejected)
+			return
+		}
+		incarnation := sim.cluster.Nodes[id].StateMachine
+		sim.inIncarnation(id, incarnation, func() {
+			end := sim.now() + outcomeTimeout
+			if x.command.Txn == nil && x.command.Coordination == nil {
+				sim.executeRead(id, incarnation, x, end)
+			} else {
+				sim.executeCommand(id, incarnation, x, end)
+			}
+		})
+	})
+}
+
+// finishCall sets the outcome of a call; a later one is ignored.
+func (sim *simulation) finishCall(x *call, o outcome) {
+	if x.returnedAt != 0 {
+		return
+	}
+	sim.lastOrder++
+	x.outcome, x.returnedAt, x.returnOrder = o, sim.now(), sim.lastOrder
+	if o == answered && x.command.Coordination != nil && x.command.Coordination.Operation == coordination.PutCell && x.result.Latch.Code == coordination.OK {
+		g := coordination.GroupOf(x.command.Coordination.Name)
+		sim.ackedRevisions[g] = max(sim.ackedRevisions[g], x.result.Latch.Revision)
+	}
+	x.done()
+}
+
+// sendReply answers a call after a delay.
+func (sim *simulation) sendReply(x *call, o outcome, res registry.Result) {
+	sim.schedule(sim.randomDuration(10*time.Millisecond), func() {
+		if x.returnedAt == 0 {
+			x.result = res
+		}
+		sim.finishCall(x, o)
+	})
+}
+
+// executeCommand logs a call's command, at this node or through the leader.
+func (sim *simulation) executeCommand(id uint64, incarnation rafttest.StateMachine, x *call, end time.Duration) {
+	retry := func() {
+		if end-sim.now() < outcomeTimeout/2 {
+			sim.sendReply(x, rejected, registry.Result{})
+			return
+		}
+		sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { sim.executeCommand(id, incarnation, x, end) }) })
+	}
+	node := sim.cluster.Nodes[id].Raft
+	switch leader := node.LeaderID(); {
+	case node.Role() == raft.Leader:
+		if !sim.propose(id, x, func(o outcome, res registry.Result) { sim.sendReply(x, o, res) }) {
+			retry()
+		}
+	case leader == 0:
+		retry()
+	default:
+		sim.sendMessage(id, leader, func() {
+			back := func(o outcome, res registry.Result) {
+				sim.sendMessage(leader, id, func() {
+					sim.inIncarnation(id, incarnation, func() {
+						if o == rejected {
+							retry()
+						} else {
+							sim.sendReply(x, o, res)
+						}
+					})
+				})
+			}
+			if !sim.propose(leader, x, back) {
+				back(rejected, registry.Result{})
+			}
+		})
+	}
+}
+
+// propose appends a command at a node that leads, and reports whether it did. An
+// acquisition names the grant whose lease has run out by this node's timer.
+func (sim *simulation) propose(id uint64, x *call, done func(outcome, registry.Result)) bool {
+	cmd := x.command
+	r := sim.cluster.Nodes[id].StateMachine.(*replica)
+	if cmd.Coordination != nil && cmd.Coordination.Operation == coordination.AcquireLock {
+		spent := *cmd.Coordination
+		if k, held := r.store.Coordination().Locks[spent.Name]; held {
+			if t := r.timers[spent.Name]; t.grant == k.Grant && sim.now() >= t.expiresAt {
+				spent.ExpiredToken, spent.ExpiredGrant = k.Fence, k.Grant
+			}
+		}
+		cmd.Coordination = &spent
+	}
+	data := append(binary.BigEndian.AppendUint64(nil, x.tag), registry.EncodeCommand(cmd)...)
+	sim.lastOrder++
+	x.callOrder = sim.lastOrder // it cannot take effect before
+	return sim.cluster.Propose(id, data, func(result any, ok bool) {
+		switch res, is := result.(registry.Result); {
+		case ok && is:
+			done(answered, res)
+		case !ok && sim.cluster.IsUp(id):
+			done(rejected, registry.Result{}) // another entry was committed at its index
+		}
+	})
+}
+
+// awaitReadIndex gets a read index from the leader (Raft thesis, section 6.4) and calls
+// done once the node has applied up to it.
+func (sim *simulation) awaitReadIndex(id uint64, incarnation rafttest.StateMachine, end time.Duration, done func(ok bool)) {
+	var reached func(index uint64)
+	reached = func(index uint64) {
+		switch {
+		case sim.cluster.Nodes[id].Raft.AppliedIndex() >= index:
+			done(true)
+		case sim.now() >= end:
+			done(false)
+		default:
+			sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { reached(index) }) })
+		}
+	}
+	got := func(index uint64, ok bool) {
+		switch {
+		case ok:
+			reached(index)
+		case end-sim.now() < outcomeTimeout/2:
+			done(false)
+		default:
+			sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { sim.awaitReadIndex(id, incarnation, end, done) }) })
+		}
+	}
+	node := sim.cluster.Nodes[id].Raft
+	switch leader := node.LeaderID(); {
+	case node.Role() == raft.Leader:
+		sim.cluster.ReadIndex(id, func(index uint64, ok bool) {
+			sim.schedule(0, func() { sim.inIncarnation(id, incarnation, func() { got(index, ok) }) })
+		})
+	case leader == 0:
+		got(0, false)
+	default:
+		sim.sendMessage(id, leader, func() {
+			sim.cluster.ReadIndex(leader, func(index uint64, ok bool) {
+				sim.sendMessage(leader, id, func() { sim.inIncarnation(id, incarnation, func() { got(index, ok) }) })
+			})
+		})
+	}
+}
+
+// executeRead answers a call that reads, behind a read index.
+func (sim *simulation) executeRead(id uint64, incarnation rafttest.StateMachine, x *call, end time.Duration) {
+	sim.awaitReadIndex(id, incarnation, end, func(ok bool) {
+		if !ok {
+			sim.sendReply(x, rejected, registry.Result{})
+			return
+		}
+		s := incarnation.(*replica).store
+		if x.object == registry.ConfigKey {
+			o, _ := s.Get(registry.ConfigKey)
+			x.revision, x.value = o.ModRevision, string(o.Value)
+		} else {
+			cell := s.Coordination().Cells[x.object]
+			x.revision, x.value = cell.Revision, cell.Value
+		}
+		sim.sendReply(x, answered, registry.Result{})
+	})
+}
+
+// watchGroup asks a node for the puts to a group after a revision. It waits for one up
+// to outcomeTimeout, and fails at a node that knows no leader.
+func (sim *simulation) watchGroup(id uint64, group string, after uint64, done func(events []coordination.Event, revision uint64, ok bool)) {
+	floor := sim.ackedRevisions[group]
+	sim.onNode(id, func() {
+		incarnation := sim.cluster.Nodes[id].StateMachine
+		sim.awaitReadIndex(id, incarnation, sim.now()+outcomeTimeout, func(ok bool) {
+			if !ok {
+				done(nil, 0, false)
+				return
+			}
+			end := sim.now() + outcomeTimeout
+			var poll func()
+			poll = func() {
+				events, rev, kept := incarnation.(*replica).store.Coordination().EventsSince(group, after)
+				node := sim.cluster.Nodes[id].Raft
+				switch {
+				case !kept || rev < floor || after > rev:
+					sim.t.Errorf("node %d: watch of %s after %d, with %d acknowledged before: revision %d, kept %v", id, group, after, floor, rev, kept)
+					done(nil, 0, false)
+				case len(events) > 0 || sim.now() >= end:
+					done(events, rev, true)
+				case node.LeaderID() == 0:
+					done(nil, 0, false)
+				default:
+					sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, poll) })
+				}
+			}
+			poll()
+		})
+	})
+}
+
+// runWatcher watches a group from one node after the other.
+func (sim *simulation) runWatcher(group string, after uint64) {
+	heard := false
+	again := func(after uint64) {
+		if !heard && !sim.isOver {
+			heard = true
+			sim.schedule(sim.randomDuration(300*time.Millisecond), func() { sim.runWatcher(group, after) })
+		}
+	}
+	sim.watchGroup(sim.pickNode(), group, after, func(events []coordination.Event, revision uint64, ok bool) {
+		if !ok || heard {
+			again(after)
+			return
+		}
+		sim.checkWatchedEvents(group, after, events, revision)
+		again(revision)
+	})
+	sim.schedule(3*callerTimeout, func() { again(after) })
+}
+
+// checkWatchedEvents checks the answer to a watch: it holds all puts after one revision
+// and up to another, each as every other watcher got it.
+func (sim *simulation) checkWatchedEvents(group string, after uint64, events []coordination.Event, revision uint64) {
+	all := sim.watchedByRevision[group]
+	if all == nil {
+		all = map[uint64]coordination.Event{}
+		sim.watchedByRevision[group] = all
+	}
+	for _, e := range events {
+		if after++; e.Revision != after {
+			sim.t.Errorf("watch of %s: %d follows on %d", group, e.Revision, after-1)
+			after = e.Revision
+		}
+		if was, ok := all[after]; ok && was != e {
+			sim.t.Errorf("revision %d of %s was %+v and is %+v", after, group, was, e)
+		}
+		all[after] = e
+		sim.watchedEvents++
+	}
+	if after != revision {
+		sim.t.Errorf("watch of %s ends with %d, its revision is %d", group, after, revision)
+	}
+}
+
+// pickNode returns a random node, preferably the one at which the present fault is.
+func (sim *simulation) pickNode() uint64 {
+	ids := sim.cluster.IDs()
+	if sim.cluster.Nodes[sim.faultyNodeID] != nil && sim.cluster.Rand.Intn(3) == 0 {
+		return sim.faultyNodeID
+	}
+	return ids[sim.cluster.Rand.Intn(len(ids))]
+}
--- a/registry/snapshot_test.go
+++ b/registry/snapshot_test.go
@@ -8,8 +8,8 @@
 	"lichentray/registry"
 )
 
-// FuzzRestore: whatever is given as a snapshot, it is either refused and changes
-// nothing, or is a state that can be written and read again.
+// FuzzRestore checks that any bytes given as a snapshot are either rejected and change
+// nothing, or restore a state that can be written and read again.
 func FuzzRestore(f *testing.F) {
 	full := registry.NewStore()
 	for _, c := range []registry.Command{
@@ -31,17 +31,17 @@
 		if err := s.Restore(image); err != nil {
 			t.Fatal(err)
 		}
-		latches := s.Coordination()
-		refused := s.Restore(b) != nil
+		table := s.Coordination()
+		rejected := s.Restore(b) != nil
 		out, err := s.Snapshot()
 		if err != nil {
-			t.Fatalf("%q was taken, and cannot be written: %v", b, err)
+			t.Fatalf("%q was accepted, and cannot be written: %v", b, err)
 		}
-		if refused && (s.Revision() != full.Revision() || !reflect.DeepEqual(s.List(""), full.List("")) || s.Coordination() != latches) {
-			t.Fatalf("%q was refused, and changed the state", b)
+		if rejected && (s.Revision() != full.Revision() || !reflect.DeepEqual(s.List(""), full.List("")) || s.Coordination() != table) {
+			t.Fatalf("%q was rejected, and changed the state", b)
 		}
 		if err := registry.NewStore().Restore(out); err != nil {
-			t.Fatalf("%q was taken, and cannot be read again: %v", b, err)
+			t.Fatalf("%q was accepted, and cannot be read again: %v", b, err)
 		}
 	})
 }
--- a/registry/registry_test.go
+++ b/registry/store_test.go
@@ -109,8 +109,9 @@
 
 func formatCommand(c registry.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Coordination) }
 
-// simulatedStore lets the simulator drive a store, with lock timers as a node has
-// them: from when this replica applied the grant.
+// simulatedStore is the state machine of a simulated node: a store and the moments at
+// which the leases of its locks run out, counted from when this replica applied the
+// grant.
 type simulatedStore struct {
 	store      *registry.Store
 	clock      func() time.Duration
@@ -136,16 +137,16 @@
 	}
 }
 
-// TestCoordinationIsLinearizable records what callers of locks, numbers and cells see while
-// the group is in trouble, and checks it against what one copy would allow.
+// TestCoordinationIsLinearizable records what callers of locks, sequences and cells see
+// while faults are injected, and checks it against what a single copy would allow.
 func TestCoordinationIsLinearizable(t *testing.T) {
 	for seed := int64(1); seed <= 25; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runHistory(t, seed) })
 	}
 }
 
-// injectFault does one of several things to a node, or nothing, at one draw out of so
-// many.
+// injectFault does one of several things to a node with one draw out of draws, which may
+// also do nothing.
 func injectFault(c *rafttest.Cluster, id uint64, draws int) {
 	switch c.Rand.Intn(draws) {
 	case 0:
@@ -176,18 +177,18 @@
 		}}
 	})
 	c.Run(time.Second)
-	var topNumber, topFence uint64  // given in answers so far
+	var topNumber, topToken uint64  // the greatest answered so far
 	ackedPut := map[string]uint64{} // newest revision acknowledged, by key
 	valueAt := map[string]string{}  // group/revision to value
-	type hold struct {
+	type holding struct {
 		holder string
 		fence  uint64
 		until  time.Duration
 	}
-	holders := map[string]hold{}
+	holders := map[string]holding{}
 	owner := map[uint64]string{}
 	do := func(cmd *coordination.Command, done func(coordination.Result)) {
-		for _, id := range c.IDs() { // whoever believes that it leads
+		for _, id := range c.IDs() { // any node that believes that it leads
 			n := c.Nodes[id]
 			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
@@ -222,25 +223,25 @@
 				})
 			case 1:
 				who := fmt.Sprint("h", c.Rand.Intn(4))
-				floor := topFence
+				floor := topToken
 				do(&coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: who, LeaseMS: 200}, func(r coordination.Result) {
 					if r.Code != coordination.OK {
 						return
 					}
 					end := sentAt + 200*time.Millisecond
-					// An old leader may report a grant late. It is a second holder only if it
-					// is no older than the one held, or if its own hold isn't over yet.
+					// An old leader may report a grant late. There is a second holder only if
+					// that grant is no older than the present one, or its lease still runs.
 					h := holders["l"]
 					late := r.Fence < h.fence && end <= c.Now
 					if h.holder != who && h.holder != "" && c.Now < h.until && !late {
 						t.Errorf("%s holds until %v, %s got the lock at %v", h.holder, h.until, who, c.Now)
 					} else if o, given := owner[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
-						t.Errorf("fence %d does not exceed %d", r.Fence, floor)
+						t.Errorf("fencing token %d does not exceed %d", r.Fence, floor)
 					}
 					owner[r.Fence] = who
-					topFence = max(topFence, r.Fence)
+					topToken = max(topToken, r.Fence)
 					if end > c.Now {
-						holders["l"] = hold{who, r.Fence, end}
+						holders["l"] = holding{who, r.Fence, end}
 					}
 				})
 			case 2:
@@ -272,8 +273,8 @@
 			t.Fatal(c.Violation)
 		}
 	}
-	if topNumber == 0 || topFence == 0 || len(ackedPut) == 0 {
-		t.Errorf("nothing was served: number %d, fence %d, puts %v", topNumber, topFence, ackedPut)
+	if topNumber == 0 || topToken == 0 || len(ackedPut) == 0 {
+		t.Errorf("nothing was answered: number %d, fencing token %d, puts %v", topNumber, topToken, ackedPut)
 	}
 }
 
