--- a/watchcache/watchcache_test.go
+++ b/watchcache/watchcache_test.go
@@ -12,44 +12,44 @@
 	"lichentray/watchcache"
 )
 
-// TestMirrorIsExact: a reader that lists once and then watches, with breaks,
-// resumptions, bookmarks and lists after Gone, holds at every revision exactly
-// what the store held.
+// TestMirrorMatchesStore lets a follower list once and then watch, with interruptions,
+// resumptions, bookmarks and lists after ErrGone. At every revision its mirror must hold
+// exactly what the store held.
 func TestMirrorMatchesStore(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
-		r := rand.New(rand.NewSource(seed))
-		s := registry.NewStore()
-		c := watchcache.NewCache(200*time.Millisecond, 12, 30)
-		m := watchcache.NewMirror()
+		random := rand.New(rand.NewSource(seed))
+		store := registry.NewStore()
+		cache := watchcache.NewCache(200*time.Millisecond, 12, 30)
+		mirror := watchcache.NewMirror()
 		lists := 0
 		for step := range 800 {
 			now := time.Duration(step) * 10 * time.Millisecond
-			if r.Intn(3) > 0 {
+			if random.Intn(3) > 0 {
 				txn := &registry.Txn{}
-				for range 1 + r.Intn(2) {
-					k := fmt.Sprint("k", r.Intn(6))
-					w := registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), IsDelete: r.Intn(4) == 0}
-					if o, had := s.Get(k); had && !w.IsDelete && len(txn.Then) == 0 && r.Intn(2) == 0 {
+				for range 1 + random.Intn(2) {
+					k := fmt.Sprint("k", random.Intn(6))
+					w := registry.Write{Key: k, Value: []byte(fmt.Sprint(step)), IsDelete: random.Intn(4) == 0}
+					if o, had := store.Get(k); had && !w.IsDelete && len(txn.Then) == 0 && random.Intn(2) == 0 {
 						w.Value, w.IsDelta = registry.ComputeDelta(o.Value, w.Value), true
 					}
 					txn.Then = append(txn.Then, w)
 				}
-				_, ev := s.Apply(registry.Command{Txn: txn})
-				c.Append(now, s.Revision(), ev)
+				_, ev := store.Apply(registry.Command{Txn: txn})
+				cache.Append(now, store.Revision(), ev)
 			}
-			if r.Intn(6) > 0 {
-				continue // the reader is away or slow
+			if random.Intn(6) > 0 {
+				continue // the follower is disconnected or slow
 			}
-			if !m.HasSynced() {
-				if err := m.Replace(s.Revision(), s.List("")); err != nil {
+			if !mirror.HasSynced() {
+				if err := mirror.Replace(store.Revision(), store.List("")); err != nil {
 					t.Fatal(err)
 				}
 				lists++
 			}
 			for {
-				events, err := c.EventsSince(m.Revision(), 3)
+				events, err := cache.EventsSince(mirror.Revision(), 3)
 				if errors.Is(err, watchcache.ErrGone) {
-					if err := m.Replace(s.Revision(), s.List("")); err != nil {
+					if err := mirror.Replace(store.Revision(), store.List("")); err != nil {
 						t.Fatal(err)
 					}
 					lists++
@@ -59,59 +59,60 @@
 					t.Fatal(err)
 				}
 				if len(events) == 0 {
-					m.ApplyBookmark(c.Revision())
+					mirror.ApplyBookmark(cache.Revision())
 					break
 				}
 				for _, e := range events {
-					if _, err := m.ApplyEvent(e); err != nil {
+					if _, err := mirror.ApplyEvent(e); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 			want := map[string]registry.Object{}
-			for _, o := range s.List("") {
+			for _, o := range store.List("") {
 				want[o.Key] = o
 			}
-			if m.Revision() != s.Revision() || !reflect.DeepEqual(m.Objects(), want) {
-				t.Fatalf("seed %d step %d: copy at %d is %v, the store at %d holds %v", seed, step, m.Revision(), m.Objects(), s.Revision(), want)
+			if mirror.Revision() != store.Revision() || !reflect.DeepEqual(mirror.Objects(), want) {
+				t.Fatalf("seed %d step %d: the mirror at %d is %v, the store at %d holds %v", seed, step, mirror.Revision(), mirror.Objects(), store.Revision(), want)
 			}
 		}
 		if lists < 2 {
-			t.Errorf("seed %d: the window was never left", seed)
+			t.Errorf("seed %d: the follower never fell out of the window", seed)
 		}
 	}
 }
 
+// TestRevisionOutOfRange asks for revisions that a cache or a mirror cannot serve.
 func TestRevisionOutOfRange(t *testing.T) {
-	c := watchcache.NewCache(time.Second, 10, 1000)
-	c.Reset(5)
-	if _, err := c.EventsSince(6, 1); !errors.Is(err, watchcache.ErrFutureRevision) {
-		t.Errorf("a cache behind its reader said %v", err)
+	cache := watchcache.NewCache(time.Second, 10, 1000)
+	cache.Reset(5)
+	if _, err := cache.EventsSince(6, 1); !errors.Is(err, watchcache.ErrFutureRevision) {
+		t.Errorf("a cache that lags behind its reader returned %v", err)
 	}
-	if _, err := c.EventsSince(4, 1); !errors.Is(err, watchcache.ErrGone) {
-		t.Errorf("a cursor before the window got %v", err)
+	if _, err := cache.EventsSince(4, 1); !errors.Is(err, watchcache.ErrGone) {
+		t.Errorf("a revision before the window returned %v", err)
 	}
-	m := watchcache.NewMirror()
-	_ = m.Replace(9, nil)
-	if err := m.Replace(8, nil); !errors.Is(err, watchcache.ErrFutureRevision) {
-		t.Errorf("an older list got %v", err)
+	mirror := watchcache.NewMirror()
+	_ = mirror.Replace(9, nil)
+	if err := mirror.Replace(8, nil); !errors.Is(err, watchcache.ErrFutureRevision) {
+		t.Errorf("an older list returned %v", err)
 	}
 }
 
 func Example() {
-	s, c := registry.NewStore(), watchcache.NewCache(time.Minute, 100, 1<<20)
+	store, cache := registry.NewStore(), watchcache.NewCache(time.Minute, 100, 1<<20)
 	write := func(key string) {
-		_, ev := s.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key}}}})
-		c.Append(0, s.Revision(), ev)
+		_, ev := store.Apply(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key}}}})
+		cache.Append(0, store.Revision(), ev)
 	}
 	write("a")
-	m := watchcache.NewMirror()
-	_ = m.Replace(s.Revision(), s.List("")) // list at N
+	mirror := watchcache.NewMirror()
+	_ = mirror.Replace(store.Revision(), store.List("")) // list at N
 	write("b")
-	events, _ := c.EventsSince(m.Revision(), 10) // watch from N+1
+	events, _ := cache.EventsSince(mirror.Revision(), 10) // watch from N+1
 	for _, e := range events {
-		_, _ = m.ApplyEvent(e) // the copy holds the base
+		_, _ = mirror.ApplyEvent(e)
 	}
-	fmt.Println(m.Revision(), len(m.Objects()))
+	fmt.Println(mirror.Revision(), len(mirror.Objects()))
 	// Output: 2 2
 }
