--- a/coordination/bench_test.go
+++ b/coordination/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// BenchmarkPutCell puts into ten groups with a history of 20,000 puts and tells what
-// one entry of it takes.
+// BenchmarkPutCell puts to ten groups with a history of 20,000 puts, and reports the
+// memory that an entry of the history takes.
 func BenchmarkPutCell(b *testing.B) {
-	const held = 20000
+	const historySize = 20000
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -17,17 +17,17 @@
 	put := func(at int) {
 		t.Apply(uint64(at), Command{Operation: PutCell, Name: fmt.Sprintf("g%d.%d", at%10, at%50), Value: fmt.Sprintf("%016x", at)})
 	}
-	for at := 1; at <= held; at++ {
+	for at := 1; at <= historySize; at++ {
 		put(at)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ResetTimer()
 	for i := range b.N {
-		put(held + 1 + i)
+		put(historySize + 1 + i)
 		if i%1000 == 999 {
-			t.Apply(uint64(held+1+i), Command{Operation: CompactHistory, CompactBefore: uint64(i)})
+			t.Apply(uint64(historySize+1+i), Command{Operation: CompactHistory, CompactBefore: uint64(i)})
 		}
 	}
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/held, "bytes/entry")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/historySize, "bytes/entry")
 }
