--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -7,8 +7,8 @@
 	"lichentray/rollout"
 )
 
-// BenchmarkAnalyze is one judgement of a roll-out by its routes, as the leader makes it
-// four times a second, with the sum over the core's nodes.
+// BenchmarkAnalyze measures one analysis of a roll-out, as the leader makes it four times
+// a second: the sum of the evidence of the control plane's nodes and the test.
 func BenchmarkAnalyze(b *testing.B) {
 	for _, routes := range []int{3, 100} {
 		one := rollout.Evidence{}
@@ -19,13 +19,13 @@
 			one.Add(rollout.Evidence{fmt.Sprint("r", r): rollout.NewBaseCounts(rollout.Counts{Answers: 900, Timed: 900, Slow: 9})})
 		}
 		b.Run(fmt.Sprint(routes, " routes, 24 nodes"), func(b *testing.B) {
-			j := rollout.NewAnalyzer()
+			analyzer := rollout.NewAnalyzer()
 			for b.Loop() {
 				sum := rollout.Evidence{}
 				for range 24 {
 					sum.Add(one)
 				}
-				j.Analyze(sum, 20)
+				analyzer.Analyze(sum, 20)
 			}
 		})
 	}
