--- a/internal/storage/power_test.go
+++ b/internal/storage/power_test.go
@@ -14,7 +14,7 @@
 	"lichentray/raft"
 )
 
-// inode is a file with the name that it has in a folder.
+// inode is a file with the name that it has in a directory.
 type inode struct {
 	name string
 	data []byte
@@ -38,9 +38,10 @@
 	return out
 }
 
-// directoryAfterPowerLoss makes a folder in which each file that was made, renamed or removed
-// since the last sync has its old name or its new one, or none.
-func directoryAfterPowerLoss(t *testing.T, r *rand.Rand, synced, now map[uint64]inode) string {
+// directoryAfterPowerLoss makes a directory in which each file that was created, renamed or
+// removed since the last sync has, at random, its old name or its new one, or is absent if that
+// name is none.
+func directoryAfterPowerLoss(t *testing.T, random *rand.Rand, synced, now map[uint64]inode) string {
 	t.Helper()
 	dir := t.TempDir()
 	var all []uint64
@@ -53,17 +54,17 @@
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
-	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, i := range all {
-		x := now[i]
-		if r.Intn(2) == 0 {
-			x.name = synced[i].name
+		file := now[i]
+		if random.Intn(2) == 0 {
+			file.name = synced[i].name
 		}
-		if x.data == nil {
-			x.data = synced[i].data
+		if file.data == nil {
+			file.data = synced[i].data
 		}
-		if x.name != "" {
-			if err := os.WriteFile(filepath.Join(dir, x.name), x.data, 0o600); err != nil {
+		if file.name != "" {
+			if err := os.WriteFile(filepath.Join(dir, file.name), file.data, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -71,66 +72,70 @@
 	return dir
 }
 
-// simulatePowerLosses plays, at each sync of the folder within run and at its end, several
-// losses of power, and lets check see what each leaves.
-func simulatePowerLosses(t *testing.T, dir string, run func(), check func(dir string, ended bool)) {
+// simulatePowerLosses simulates, at each sync of the directory within run and at its end, several
+// losses of power, and calls check with the directory that each leaves behind. hasEnded is set
+// once run has returned.
+func simulatePowerLosses(t *testing.T, dir string, run func(), check func(dir string, hasEnded bool)) {
 	t.Helper()
-	r := rand.New(rand.NewSource(3))
-	real, synced := syncDirectory, readInodes(t, dir)
-	defer func() { syncDirectory = real }()
-	cut := func(ended bool) {
+	random := rand.New(rand.NewSource(3))
+	realSync, synced := syncDirectory, readInodes(t, dir)
+	defer func() { syncDirectory = realSync }()
+	losePower := func(hasEnded bool) {
 		now := readInodes(t, dir)
 		for range 24 {
-			lost := directoryAfterPowerLoss(t, r, synced, now)
+			left := directoryAfterPowerLoss(t, random, synced, now)
 			hook := syncDirectory
-			syncDirectory = real
-			check(lost, ended)
+			syncDirectory = realSync
+			check(left, hasEnded)
 			syncDirectory = hook
 		}
 		synced = now
 	}
-	syncDirectory = func(d string) error { cut(false); return real(d) }
+	syncDirectory = func(d string) error {
+		losePower(false)
+		return realSync(d)
+	}
 	run()
-	syncDirectory = real
-	cut(true)
+	syncDirectory = realSync
+	losePower(true)
 }
 
 var errUnreadable = errors.New("this state cannot be read")
 
-// TestPowerLossWhileSetAside: whatever names a loss of power keeps while a store is
-// set aside, its identity never comes back without all that it had promised, and the
-// new one is found again once it is used.
+// TestPowerLossDuringQuarantine checks that, whatever names a loss of power keeps while a store
+// is quarantined, its identity never comes back without all of its hard state, and that the new
+// identity is found again once Open has returned it.
 func TestPowerLossDuringQuarantine(t *testing.T) {
 	dir := t.TempDir()
-	c, _, _, err := Open(dir, 42, nil)
+	store, _, _, err := Open(dir, 42, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	hard := raft.HardState{}
 	for i := uint64(1); i <= 300; i++ {
 		hard = raft.HardState{Term: i, Vote: i}
-		if err := c.Save(&hard, nil, false, []raft.Entry{{Index: i, Term: i, Data: make([]byte, 8000)}}); err != nil {
+		if err := store.Save(&hard, nil, false, []raft.Entry{{Index: i, Term: i, Data: make([]byte, 8000)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Save(nil, &raft.Snapshot{Index: 300, Term: 300, Data: []byte("unreadable")}, false, nil); err != nil {
+	if err := store.Save(nil, &raft.Snapshot{Index: 300, Term: 300, Data: []byte("unreadable")}, false, nil); err != nil {
 		t.Fatal(err)
 	}
-	// All processes are killed: the write-ahead log stays, once with the store that it
-	// completes, once alone, as when that was just renamed.
+	// As after a kill, the write-ahead log stays: once with the database that it completes,
+	// once alone, as when the database was just renamed.
 	killed := readInodes(t, dir)
-	c.Close()
+	store.Close()
 	refuse := func(s raft.PersistentState) error {
 		if string(s.Snapshot.Data) == "unreadable" {
 			return errUnreadable
 		}
 		return nil
 	}
-	for _, whole := range []bool{true, false} {
+	for _, hasDatabase := range []bool{true, false} {
 		dir := t.TempDir()
-		for _, x := range killed {
-			if whole || x.name != databaseName {
-				if err := os.WriteFile(filepath.Join(dir, x.name), x.data, 0o600); err != nil {
+		for _, file := range killed {
+			if hasDatabase || file.name != databaseName {
+				if err := os.WriteFile(filepath.Join(dir, file.name), file.data, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -138,34 +143,34 @@
 		var fresh Identity
 		simulatePowerLosses(t, dir, func() {
 			var saved raft.PersistentState
-			if c, fresh, saved, err = Open(dir, 42, refuse); err != nil {
+			if store, fresh, saved, err = Open(dir, 42, refuse); err != nil {
 				t.Fatal(err)
 			}
-			if whole != errors.Is(fresh.DiscardReason, errUnreadable) || fresh.ID == 42 || len(saved.Entries) != 0 {
-				t.Errorf("whole %v: opened as %+v with %+v", whole, fresh, saved.HardState)
+			if hasDatabase != errors.Is(fresh.DiscardReason, errUnreadable) || fresh.ID == 42 || len(saved.Entries) != 0 {
+				t.Errorf("with database %v: opened as %+v with %+v", hasDatabase, fresh, saved.HardState)
 			}
-		}, func(lost string, ended bool) {
-			again, id, saved, err := Open(lost, 42, nil)
+		}, func(left string, hasEnded bool) {
+			reopened, id, saved, err := Open(left, 42, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			again.Close()
+			reopened.Close()
 			if id.ID == 42 && saved.HardState != hard {
-				t.Errorf("whole %v: the old identity came back with %+v of %+v", whole, saved.HardState, hard)
+				t.Errorf("with database %v: the old identity came back with %+v of %+v", hasDatabase, saved.HardState, hard)
 			}
-			if ended && id.ID != fresh.ID {
-				t.Errorf("whole %v: the new identity %x was lost: %+v", whole, fresh.ID, id)
+			if hasEnded && id.ID != fresh.ID {
+				t.Errorf("with database %v: the new identity %x was lost: %+v", hasDatabase, fresh.ID, id)
 			}
 		})
-		c.Close()
+		store.Close()
 	}
 }
 
-// TestPowerLossAroundARestart: a write-ahead log that was removed when the store was
-// closed may be back, the one made since gone; the store has all of it.
+// TestPowerLossDuringRestart checks that the database holds everything although the write-ahead
+// log that was removed when it was closed may be back, and the one created since may be gone.
 func TestPowerLossDuringRestart(t *testing.T) {
 	dir := t.TempDir()
-	c, _, _, err := Open(dir, 42, nil)
+	store, _, _, err := Open(dir, 42, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,43 +181,44 @@
 			i := uint64(len(want.Entries)) + 1
 			e := raft.Entry{Index: i, Term: i, Data: fmt.Appendf(make([]byte, 0, 5000), "entry %d", i)}
 			want.HardState, want.Entries = raft.HardState{Term: i, Vote: 7}, append(want.Entries, e)
-			if err := c.Save(&want.HardState, nil, false, []raft.Entry{e}); err != nil {
+			if err := store.Save(&want.HardState, nil, false, []raft.Entry{e}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	save(40)
 	simulatePowerLosses(t, dir, func() {
-		c.Close()
-		if c, _, _, err = Open(dir, 42, nil); err != nil {
+		store.Close()
+		if store, _, _, err = Open(dir, 42, nil); err != nil {
 			t.Fatal(err)
 		}
-	}, func(lost string, _ bool) {
-		again, id, saved, err := Open(lost, 42, nil)
+	}, func(left string, _ bool) {
+		reopened, id, saved, err := Open(left, 42, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.Close()
+		reopened.Close()
 		if id.ID != 42 || !reflect.DeepEqual(saved, want) {
 			t.Errorf("found %+v with %d entries of %d", id, len(saved.Entries), len(want.Entries))
 		}
 	})
-	c.Close()
+	store.Close()
 }
 
-// TestBitRot: damage that SQLite does not see costs the identity, as any does.
+// TestBitRotIsDetected checks that a flipped bit, which SQLite does not notice, costs the
+// identity as any damage does.
 func TestBitRotIsDetected(t *testing.T) {
 	for _, what := range []string{"the vote of a member", "an entry of the log", "a state of the machine"} {
 		dir := t.TempDir()
-		c, _, _, err := Open(dir, 42, nil)
+		store, _, _, err := Open(dir, 42, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		snap := raft.Snapshot{Index: 1, Term: 1, Data: []byte("a state of the machine"), Members: raft.Membership{Voters: []raft.Member{{ID: 42, Addr: "the vote of a member"}}}}
-		if err := c.Save(&raft.HardState{Term: 2}, &snap, false, []raft.Entry{{Index: 2, Term: 2, Data: []byte("an entry of the log")}}); err != nil {
+		if err := store.Save(&raft.HardState{Term: 2}, &snap, false, []raft.Entry{{Index: 2, Term: 2, Data: []byte("an entry of the log")}}); err != nil {
 			t.Fatal(err)
 		}
-		c.Close()
+		store.Close()
 		path := filepath.Join(dir, databaseName)
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -231,39 +237,39 @@
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, id, _, err := Open(dir, 42, nil)
+		store, id, _, err := Open(dir, 42, nil)
 		if err != nil || id.DiscardReason == nil || id.ID == 42 {
 			t.Errorf("%s: opened as %+v, %v", what, id, err)
 		}
-		c.Close()
+		store.Close()
 	}
 }
 
-// TestDiskOverALongDay: a day of 600 configurations of 400 KB, whole or as changes of
-// some kilobytes, with the log compacted as a node does, and one set aside at its end,
-// stays far inside 64 MB, the write-ahead log with it.
+// TestDiskUsageIsBounded checks that 600 configurations of 400 KB, complete or as changes of some
+// kilobytes, with the log compacted as a node does it and a quarantine at the end, need far less
+// than 64 MB on the disk, including the write-ahead log.
 func TestDiskUsageIsBounded(t *testing.T) {
 	for _, size := range []int{400 << 10, 4 << 10} {
 		dir := t.TempDir()
-		c, _, _, err := Open(dir, 42, nil)
+		store, _, _, err := Open(dir, 42, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var most, logged int64
 		measure := func() {
 			sum := int64(0)
-			for _, x := range readInodes(t, dir) {
-				sum += int64(len(x.data))
+			for _, file := range readInodes(t, dir) {
+				sum += int64(len(file.data))
 			}
 			most = max(most, sum)
 		}
 		for i := uint64(1); i <= 600; i++ {
-			if err := c.Save(&raft.HardState{Term: 1}, nil, false, []raft.Entry{{Index: i, Term: 1, Data: make([]byte, size)}}); err != nil {
+			if err := store.Save(&raft.HardState{Term: 1}, nil, false, []raft.Entry{{Index: i, Term: 1, Data: make([]byte, size)}}); err != nil {
 				t.Fatal(err)
 			}
 			if logged += int64(size); logged > 4<<20 {
 				logged = 0
-				if err := c.Save(nil, &raft.Snapshot{Index: i, Term: 1, Data: make([]byte, 400<<10)}, false, nil); err != nil {
+				if err := store.Save(nil, &raft.Snapshot{Index: i, Term: 1, Data: make([]byte, 400<<10)}, false, nil); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -271,8 +277,8 @@
 				measure()
 			}
 		}
-		c.Close()
-		c, _, _, err = Open(dir, 42, func(s raft.PersistentState) error {
+		store.Close()
+		store, _, _, err = Open(dir, 42, func(s raft.PersistentState) error {
 			if s.Snapshot.Index > 0 {
 				return errUnreadable
 			}
@@ -282,7 +288,7 @@
 			t.Fatal(err)
 		}
 		measure()
-		c.Close()
+		store.Close()
 		t.Logf("%d changes of %d bytes: at most %.1f MB", 600, size, float64(most)/(1<<20))
 		if most > 20<<20 {
 			t.Errorf("%d bytes on the disk", most)
