--- /dev/null
+++ b/internal/transport/pack.go
@@ -0,0 +1,54 @@
+package transport
+
+import (
+	"bytes"
+	"compress/flate"
+	"encoding/gob"
+	"fmt"
+	"io"
+	"sync"
+
+	"lichentray/registry"
+)
+
+// CompressionThreshold is the size in bytes from which on it pays to compress a frame, or to
+// pack the items of one.
+const CompressionThreshold = 8 << 10
+
+// compressorPool holds flate writers: each has some hundred kilobytes of tables.
+var compressorPool = sync.Pool{New: func() any {
+	w, _ := flate.NewWriter(nil, flate.BestSpeed) // the level is valid
+	return w
+}}
+
+// Pack encodes and compresses items once for all the connections that they are sent on, in
+// Response.Packed or Frame.PackedEvents. Most of the work and of the memory that it takes to
+// send a large list or event is in that. The result must not be modified while a frame that
+// holds it is being sent.
+func Pack[T registry.Object | registry.Event](items []T) ([]byte, error) {
+	var packed bytes.Buffer
+	w := compressorPool.Get().(*flate.Writer)
+	defer compressorPool.Put(w)
+	w.Reset(&packed)
+	if err := gob.NewEncoder(w).Encode(items); err != nil {
+		return nil, fmt.Errorf("transport: pack: %w", err)
+	}
+	if err := w.Close(); err != nil {
+		return nil, fmt.Errorf("transport: pack: %w", err)
+	}
+	return packed.Bytes(), nil
+}
+
+// unpack decodes what Pack made. It returns an error if the data is truncated.
+func unpack[T registry.Object | registry.Event](packed []byte) ([]T, error) {
+	var items []T
+	r := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaxFrame)
+	if err := gob.NewDecoder(r).Decode(&items); err != nil {
+		return nil, fmt.Errorf("transport: unpack: %w", err)
+	}
+	// The items may be complete although the end of the stream is missing.
+	if _, err := io.Copy(io.Discard, r); err != nil {
+		return nil, fmt.Errorf("transport: unpack: %w", err)
+	}
+	return items, nil
+}
--- a/internal/transport/size_test.go
+++ b/internal/transport/size_test.go
@@ -12,8 +12,8 @@
 	"lichentray/registry"
 )
 
-// largeDeployment makes what a node of a large deployment holds: a thousand endpoints and a
-// configuration of 680 routes.
+// largeDeployment returns what a node of a large deployment holds: a thousand endpoints, a
+// configuration of 680 routes, and verdicts on three endpoints of four.
 func largeDeployment() (objects []registry.Object, verdicts []loadbalance.Verdict) {
 	for i := range 1000 {
 		e := registry.Endpoint{
@@ -33,19 +33,22 @@
 	return objects, verdicts
 }
 
-// discardConn is a connection that takes everything and counts it.
+// discardConn is a connection that takes everything and counts the bytes.
 type discardConn struct {
 	net.Conn
 	written int
 }
 
-func (s *discardConn) Write(b []byte) (int, error)      { s.written += len(b); return len(b), nil }
-func (s *discardConn) Read([]byte) (int, error)         { return 0, io.EOF }
-func (s *discardConn) SetWriteDeadline(time.Time) error { return nil }
-func (s *discardConn) Close() error                     { return nil }
+func (c *discardConn) Write(b []byte) (int, error) {
+	c.written += len(b)
+	return len(b), nil
+}
+func (c *discardConn) Read([]byte) (int, error)         { return 0, io.EOF }
+func (c *discardConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *discardConn) Close() error                     { return nil }
 
-// TestFrameSizes bounds what one proxy is sent in a large deployment, where its
-// link carries some hundred kilobytes a second.
+// TestFrameSizes bounds what is sent to one proxy in a large deployment, where its link carries
+// some hundred kilobytes a second.
 func TestFrameSizes(t *testing.T) {
 	objects, verdicts := largeDeployment()
 	packed, err := Pack(objects)
@@ -59,25 +62,25 @@
 	judged := *bookmark
 	judged.Judged, judged.Verdicts = true, verdicts
 	change := registry.Event{Type: registry.Modified, Object: objects[7], Revision: 5001}
-	s := &discardConn{}
-	c := NewConn(s, time.Second)
-	for _, x := range []struct {
-		what string
-		f    *Frame
-		most int
+	raw := &discardConn{}
+	c := NewConn(raw, time.Second)
+	for _, test := range []struct {
+		name     string
+		frame    *Frame
+		maxBytes int
 	}{
 		{"a list of a thousand endpoints and 680 routes", &Frame{Answer: &Response{ID: 1, Revision: 5000, Packed: packed}}, 48 << 10},
 		{"a bookmark", &Frame{Bookmark: bookmark}, 600},
 		{"a bookmark with verdicts on three endpoints of four", &Frame{Bookmark: &judged}, 8 << 10},
 		{"one change", &Frame{Events: []registry.Event{change}, Bookmark: &Bookmark{Revision: 5001}}, 400},
 	} {
-		s.written = 0
-		if err := c.Send(x.f); err != nil {
+		raw.written = 0
+		if err := c.Send(test.frame); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %d bytes", x.what, s.written)
-		if s.written > x.most {
-			t.Errorf("%s takes %d bytes, over %d", x.what, s.written, x.most)
+		t.Logf("%s: %d bytes", test.name, raw.written)
+		if raw.written > test.maxBytes {
+			t.Errorf("%s takes %d bytes, over %d", test.name, raw.written, test.maxBytes)
 		}
 	}
 	list, err := (&Response{Packed: packed}).UnpackObjects()
@@ -91,6 +94,8 @@
 	}
 }
 
+// BenchmarkList measures what it takes to send a list: encoded for each proxy, encoded once for all
+// of them, and to read it.
 func BenchmarkList(b *testing.B) {
 	objects, _ := largeDeployment()
 	send := func(b *testing.B, f func() *Response) {
@@ -112,6 +117,7 @@
 	})
 }
 
+// BenchmarkVerdicts measures what it takes to send verdicts on a large deployment.
 func BenchmarkVerdicts(b *testing.B) {
 	_, verdicts := largeDeployment()
 	c := NewConn(&discardConn{}, time.Second)
@@ -122,7 +128,7 @@
 	}
 }
 
-// BenchmarkServices is what a bookmark and a report take by the number of services.
+// BenchmarkServices measures what a bookmark and a report take by the number of services.
 func BenchmarkServices(b *testing.B) {
 	for _, n := range []int{2, 150, 1500} {
 		loads := map[string]loadbalance.Load{}
@@ -131,15 +137,15 @@
 		}
 		for what, f := range map[string]*Frame{"bookmark": {Bookmark: &Bookmark{Revision: 1, Loads: loads}}, "report": {Report: &ProxyReport{Seq: 1, Loads: loads}}} {
 			b.Run(fmt.Sprint(what, " of ", n), func(b *testing.B) {
-				s := &discardConn{}
-				c := NewConn(s, time.Second)
+				raw := &discardConn{}
+				c := NewConn(raw, time.Second)
 				for b.Loop() {
-					s.written = 0
+					raw.written = 0
 					if err := c.Send(f); err != nil {
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(s.written), "bytes")
+				b.ReportMetric(float64(raw.written), "bytes")
 			})
 		}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,12 +15,18 @@
 	"lichentray/registry"
 )
 
-func newPipe(t testing.TB) (net.Conn, net.Conn) {
-	a, b := net.Pipe()
-	t.Cleanup(func() { a.Close(); b.Close() })
-	return a, b
+// newPipe returns the two ends of a connection in memory, which the test closes at its end.
+func newPipe(t testing.TB) (near, far net.Conn) {
+	t.Helper()
+	near, far = net.Pipe()
+	t.Cleanup(func() {
+		near.Close()
+		far.Close()
+	})
+	return near, far
 }
 
+// TestFrameRoundTrip checks that frames arrive as they were sent, compressed ones too.
 func TestFrameRoundTrip(t *testing.T) {
 	a, b := newPipe(t)
 	frames := []*Frame{
@@ -47,39 +53,46 @@
 	}
 }
 
+// TestAcceptRejectsInvalidHello checks that callers that do not speak this version of the wire are
+// rejected.
 func TestAcceptRejectsInvalidHello(t *testing.T) {
 	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
-	for name, bytes := range map[string][]byte{
+	for name, sent := range map[string][]byte{
 		"another protocol": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"an endless frame": huge,
 		"garbage":          append([]byte{0, 0, 0, 8}, "\xff\xfe\xfd\xfc\xfb\xfa\xf9\xf8"...),
 		"an empty frame":   {0, 0, 0, 0},
 	} {
+		t.Run(name, func(t *testing.T) {
+			a, b := newPipe(t)
+			go func() {
+				_, _ = a.Write(sent) // the other end may hang up first
+				a.Close()
+			}()
+			if _, _, err := Accept(b, 2*time.Second); err == nil {
+				t.Errorf("%s was taken for a peer", name)
+			}
+		})
+	}
+	t.Run("a newer version", func(t *testing.T) {
 		a, b := newPipe(t)
-		go func() {
-			_, _ = a.Write(bytes) // the other end may hang up first
-			a.Close()
-		}()
-		if _, _, err := Accept(b, 2*time.Second); err == nil {
-			t.Errorf("%s was taken for a peer", name)
+		go func() { _ = NewConn(a, time.Second).Send(&Frame{Hello: &Hello{Version: Version + 1, Role: RolePeer}}) }()
+		if _, _, err := Accept(b, 2*time.Second); !errors.Is(err, ErrHandshake) {
+			t.Errorf("a newer version got %v", err)
 		}
-	}
-	a, b := newPipe(t)
-	go func() { _ = NewConn(a, time.Second).Send(&Frame{Hello: &Hello{Version: Version + 1, Role: RolePeer}}) }()
-	if _, _, err := Accept(b, 2*time.Second); !errors.Is(err, ErrHandshake) {
-		t.Errorf("a newer version got %v", err)
-	}
+	})
 }
 
-// replayConn is the end of a connection whose other side said some bytes and ended.
+// replayConn is a connection from which given bytes are read, and then its end.
 type replayConn struct {
 	net.Conn
 	reader io.Reader
 }
 
-func (s *replayConn) Read(b []byte) (int, error)      { return s.reader.Read(b) }
-func (s *replayConn) SetReadDeadline(time.Time) error { return nil }
+func (c *replayConn) Read(b []byte) (int, error)      { return c.reader.Read(b) }
+func (c *replayConn) SetReadDeadline(time.Time) error { return nil }
 
+// FuzzReceive checks that no bytes make Receive panic or read on for ever.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2})
 	f.Add([]byte{255, 255, 255, 255})
@@ -88,7 +101,7 @@
 	buf := make([]byte, 1<<16)
 	n, _ := b.Read(buf)
 	f.Add(append([]byte(nil), buf[:n]...))
-	f.Fuzz(func(t *testing.T, in []byte) {
+	f.Fuzz(func(_ *testing.T, in []byte) {
 		c := NewConn(&replayConn{reader: bytes.NewReader(in)}, time.Second)
 		for {
 			if _, err := c.Receive(time.Second); err != nil {
@@ -98,8 +111,8 @@
 	})
 }
 
-// TestSlowReader: a frame that takes longer than the time-out goes through as long
-// as some of it is taken; one of which nothing is taken breaks the connection.
+// TestSendToSlowReader checks that a frame that takes longer than the time-out is sent as long as
+// some of it is taken within each time-out, and that Send fails once nothing is taken.
 func TestSendToSlowReader(t *testing.T) {
 	a, b := newPipe(t)
 	c := NewConn(a, 400*time.Millisecond)
@@ -107,7 +120,10 @@
 	rand.New(rand.NewSource(1)).Read(data)
 	f := &Frame{Raft: []raft.Message{{Type: raft.MsgAppend, Entries: []raft.Entry{{Index: 1, Data: data}}}}}
 	sent := make(chan error, 2)
-	go func() { sent <- c.Send(f); sent <- c.Send(f) }()
+	go func() {
+		sent <- c.Send(f)
+		sent <- c.Send(f)
+	}()
 	got, err := NewConn(slowConn{b}, time.Second).Receive(0)
 	if err != nil || !reflect.DeepEqual(got, f) {
 		t.Fatalf("the frame did not come through: %v", err)
@@ -120,10 +136,10 @@
 	}
 }
 
-// slowConn takes a little at a time, a megabyte in a second or more.
+// slowConn reads a little at a time, a megabyte in a second or more.
 type slowConn struct{ net.Conn }
 
-func (s slowConn) Read(b []byte) (int, error) {
+func (c slowConn) Read(b []byte) (int, error) {
 	time.Sleep(4 * time.Millisecond)
-	return s.Conn.Read(b[:min(len(b), 4096)])
+	return c.Conn.Read(b[:min(len(b), 4096)])
 }
