--- /dev/null
+++ b/internal/api/audit.go
@@ -0,0 +1,41 @@
+package api
+
+import (
+	"slices"
+
+	"lichentray/audit"
+	"lichentray/internal/apierror"
+)
+
+// readAudit answers with the audit records that a filter picks, all of them without one.
+func (h *Handler) readAudit(c call) (any, error) {
+	var filter audit.Filter
+	if len(c.body) > 0 {
+		if err := decodeBody(c.body, &filter); err != nil {
+			return nil, err
+		}
+	}
+	if err := validateFilter(filter); err != nil {
+		return nil, err
+	}
+	records, err := h.node.ReadAudit(filter)
+	if err != nil {
+		return nil, err
+	}
+	return records, nil
+}
+
+// validateFilter rejects a filter that can pick nothing.
+func validateFilter(f audit.Filter) error {
+	switch {
+	case f.Kind != "" && !slices.Contains(audit.FailureKinds(), f.Kind):
+		return apierror.New(apierror.BadRequest, "kind: %q is none of %v", f.Kind, audit.FailureKinds())
+	case f.SinceMS < 0:
+		return apierror.New(apierror.BadRequest, "since_ms: below 0")
+	case f.UntilMS < 0 || f.UntilMS > 0 && f.UntilMS <= f.SinceMS:
+		return apierror.New(apierror.BadRequest, "until_ms: not after since_ms")
+	case f.Limit < 0:
+		return apierror.New(apierror.BadRequest, "most: below 0")
+	}
+	return nil
+}
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"encoding/json"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -10,64 +9,77 @@
 	"lichentray/internal/metrics"
 )
 
-// Resolver is what the directory needs of the control-plane node.
+const (
+	resolvePath = "/api/resolve"
+	// maxResolveBytes bounds each parameter of a question to the directory.
+	maxResolveBytes = 255
+)
+
+// Resolver is what a Directory needs of the control-plane node.
 type Resolver interface {
+	// Resolve returns the addresses (IP:port) of proxies for a client to choose from, given
+	// the client's IP address, the host that it wants and, where it is known, its region and
+	// zone, and for how long the answer may be used. It does not wait. Errors have a kind, see
+	// apierror.KindOf. It may be called by any number of goroutines at once.
 	Resolve(client, host, region, zone string) (addresses []string, ttl time.Duration, err error)
 }
 
-// Directory tells clients which proxy nodes to go to.
+// Directory serves clients that ask which proxies to connect to. It is safe for concurrent use.
 type Directory struct {
 	resolver Resolver
 	metrics  *metrics.Registry
 }
 
-// NewDirectory makes the handler's owner.
-func NewDirectory(node Resolver, board *metrics.Registry) *Directory { return &Directory{node, board} }
+// NewDirectory returns a directory that answers from resolver and counts its answers in registry,
+// as resolves_total by outcome.
+func NewDirectory(resolver Resolver, registry *metrics.Registry) *Directory {
+	return &Directory{resolver: resolver, metrics: registry}
+}
+
+// resolveAnswer is the answer to a question.
+type resolveAnswer struct {
+	Addresses  []string `json:"addresses"`
+	TTLSeconds float64  `json:"ttl_s"`
+}
 
-// Serve handles one question.
+// Serve handles one request.
 func (d *Directory) Serve(ctx *fasthttp.RequestCtx) {
 	answer, err := d.resolve(ctx)
-	what := "ok"
+	outcome := "ok"
 	if err != nil {
-		what = apierror.KindOf(err).String()
-		WriteError(ctx, err)
+		outcome = apierror.KindOf(err).String()
 	}
-	d.metrics.Counter("resolves_total", "answer", what).Inc()
+	d.metrics.Counter("resolves_total", "answer", outcome).Inc()
 	if err != nil {
+		WriteError(ctx, err)
 		return
 	}
-	b, err := json.Marshal(answer)
-	if err != nil {
-		ctx.SetStatusCode(500)
-		return
-	}
-	ctx.SetContentType("application/json")
-	ctx.SetBody(b)
+	writeJSON(ctx, answer)
 }
 
-func (d *Directory) resolve(ctx *fasthttp.RequestCtx) (any, error) {
-	if string(ctx.Path()) != "/api/resolve" {
-		return nil, apierror.New(apierror.NoRoute, "no call at %s", ctx.Path())
+// resolve reads a question and answers it.
+func (d *Directory) resolve(ctx *fasthttp.RequestCtx) (resolveAnswer, error) {
+	if string(ctx.Path()) != resolvePath {
+		return resolveAnswer{}, apierror.New(apierror.NoRoute, "no call at %s", ctx.Path())
 	}
 	if !ctx.IsGet() {
-		return nil, apierror.New(apierror.BadRequest, "resolve is a GET")
+		return resolveAnswer{}, apierror.New(apierror.BadRequest, "resolve is a GET")
 	}
-	q := ctx.QueryArgs()
-	name := string(q.Peek("name"))
+	query := ctx.QueryArgs()
+	name := string(query.Peek("name"))
 	if name == "" {
-		return nil, apierror.New(apierror.BadRequest, "name: missing")
+		return resolveAnswer{}, apierror.New(apierror.BadRequest, "name: missing")
 	}
-	for _, k := range [...]string{"name", "region", "zone"} {
-		if len(q.Peek(k)) > 255 || len(q.PeekMulti(k)) > 1 {
-			return nil, apierror.New(apierror.BadRequest, "%s: too long or given twice", k)
+	for _, key := range []string{"name", "region", "zone"} {
+		if len(query.Peek(key)) > maxResolveBytes || len(query.PeekMulti(key)) > 1 {
+			return resolveAnswer{}, apierror.New(apierror.BadRequest, "%s: too long or given twice", key)
 		}
 	}
-	addrs, ttl, err := d.resolver.Resolve(ctx.RemoteIP().String(), name, string(q.Peek("region")), string(q.Peek("zone")))
+	region := string(query.Peek("region"))
+	zone := string(query.Peek("zone"))
+	addresses, ttl, err := d.resolver.Resolve(ctx.RemoteIP().String(), name, region, zone)
 	if err != nil {
-		return nil, err
+		return resolveAnswer{}, err
 	}
-	return struct {
-		Addresses []string `json:"addresses"`
-		TTL       float64  `json:"ttl_s"`
-	}{addrs, ttl.Seconds()}, nil
+	return resolveAnswer{Addresses: addresses, TTLSeconds: ttl.Seconds()}, nil
 }
--- /dev/null
+++ b/internal/api/evacuations.go
@@ -0,0 +1,50 @@
+package api
+
+import (
+	"syscall"
+
+	"github.com/valyala/fasthttp"
+
+	"lichentray/internal/transport"
+)
+
+// evacuationsAnswer holds the states of the zones that are not in ordinary use.
+type evacuationsAnswer struct {
+	Zones map[string]string `json:"zones"`
+}
+
+// beginEvacuation evacuates a zone.
+func (h *Handler) beginEvacuation(c call) (any, error) { return nil, h.evacuateZone(c, true) }
+
+// finishEvacuation takes a zone back into use.
+func (h *Handler) finishEvacuation(c call) (any, error) { return nil, h.evacuateZone(c, false) }
+
+// evacuateZone begins or finishes the evacuation of a zone. These orders have neither a body nor a
+// number. One that was delayed, as in the socket of a process that was stopped for a while, can be
+// told from a new one only by its caller, who has gone on to another node.
+func (h *Handler) evacuateZone(c call, begin bool) error {
+	if err := requireName(c.name); err != nil {
+		return err
+	}
+	return h.node.Evacuate(c.name, begin, func() bool { return callerIsWaiting(c.ctx) })
+}
+
+// callerIsWaiting reports that the connection of a call is still open, so that its caller may wait
+// for the answer.
+func callerIsWaiting(ctx *fasthttp.RequestCtx) bool {
+	conn, ok := ctx.Conn().(syscall.Conn)
+	if !ok {
+		return true // not a socket, as in tests
+	}
+	rawConn, err := conn.SyscallConn()
+	return err == nil && transport.IsIdle(rawConn)
+}
+
+// listEvacuations answers with the states of the zones that are not in ordinary use.
+func (h *Handler) listEvacuations(call) (any, error) {
+	zones, err := h.node.Evacuations()
+	if err != nil {
+		return nil, err
+	}
+	return evacuationsAnswer{Zones: zones}, nil
+}
--- a/internal/api/listen.go
+++ b/internal/api/listen.go
@@ -9,33 +9,40 @@
 	"lichentray/internal/metrics"
 )
 
-// retryingListener is a listener that outlives a lack of descriptors, memory or buffers: what
-// is open goes on, and who comes waits in the kernel's queue. A server that is handed
-// such an error ends, and its process with it.
+// acceptRetryDelay is the pause after a failed Accept.
+const acceptRetryDelay = 10 * time.Millisecond
+
+// retryingListener is a listener that outlives a shortage of descriptors, memory or buffers:
+// open connections go on, and new ones wait in the kernel's queue. A server that is handed such
+// an error ends, and its process with it.
 type retryingListener struct {
 	net.Listener
 	failures   *metrics.Counter
 	retryDelay time.Duration
 }
 
-// Listen opens a TCP listener at address (IP:port) whose Accept fails only once it is
-// closed.
-func Listen(address string, board *metrics.Registry) (net.Listener, error) {
-	ln, err := net.Listen("tcp4", address)
+// Listen opens a TCP listener at address (IP:port) whose Accept fails only once it is closed.
+// Other failures of Accept are counted as accept_failures_total in registry.
+func Listen(address string, registry *metrics.Registry) (net.Listener, error) {
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
-	return retryingListener{ln, board.Counter("accept_failures_total"), 10 * time.Millisecond}, nil
+	return retryingListener{
+		Listener:   listener,
+		failures:   registry.Counter("accept_failures_total"),
+		retryDelay: acceptRetryDelay,
+	}, nil
 }
 
-// Accept waits for a connection; its only error is net.ErrClosed.
-func (p retryingListener) Accept() (net.Conn, error) {
+// Accept waits for a connection. Its only error is net.ErrClosed.
+func (l retryingListener) Accept() (net.Conn, error) {
 	for {
-		c, err := p.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
-			return c, err
+			return conn, err
 		}
-		p.failures.Inc()
-		time.Sleep(p.retryDelay)
+		l.failures.Inc()
+		time.Sleep(l.retryDelay)
 	}
 }
--- /dev/null
+++ b/internal/api/watch.go
@@ -0,0 +1,48 @@
+package api
+
+import (
+	"time"
+
+	"lichentray/coordination"
+)
+
+// watchEvent is one write to a cell.
+type watchEvent struct {
+	Name     string `json:"name"`
+	Value    string `json:"value"`
+	Revision uint64 `json:"revision"`
+}
+
+// watchAnswer is the answer to a long poll: all writes to the group up to a revision, from which
+// the next poll goes on.
+type watchAnswer struct {
+	Events   []watchEvent `json:"events"`
+	Revision uint64       `json:"revision"`
+}
+
+// watchGroup is a long poll for writes to the cells of a group. It waits as long as the caller
+// asks for, up to maxWait.
+func (h *Handler) watchGroup(c call) (any, error) {
+	query := c.ctx.QueryArgs()
+	after, err := queryNumber(query, "after")
+	if err != nil {
+		return nil, err
+	}
+	waitMS, err := queryNumber(query, "wait_ms")
+	if err != nil {
+		return nil, err
+	}
+	if err := requireName(c.name); err != nil {
+		return nil, err
+	}
+	wait := min(time.Duration(waitMS)*time.Millisecond, h.maxWait)
+	events, revision, err := h.node.Watch(coordination.GroupOf(c.name), after, wait)
+	if err != nil {
+		return nil, err
+	}
+	answer := watchAnswer{Events: make([]watchEvent, len(events)), Revision: revision}
+	for i, e := range events {
+		answer.Events[i] = watchEvent{Name: e.Name, Value: e.Value, Revision: e.Revision}
+	}
+	return answer, nil
+}
