--- /dev/null
+++ b/internal/settings/load.go
@@ -0,0 +1,90 @@
+package settings
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+
+	"github.com/BurntSushi/toml"
+)
+
+// EnvPath is the environment variable that holds the path of the settings file.
+const EnvPath = "LICHENTRAY_CONFIG"
+
+// DefaultPath is the path of the settings file if the variable is not set.
+const DefaultPath = "/etc/lichentray/node.toml"
+
+// The defaults of Audit.
+const (
+	DefaultUnknownTenant     = "unknown"
+	DefaultMaxPendingRecords = 5000
+	DefaultMaxRecords        = 50000
+)
+
+// ResolvePath returns the path of the settings file: the value of the command line's flag if it is
+// not empty, else that of the variable EnvPath, else DefaultPath.
+func ResolvePath(flag string) string {
+	if flag != "" {
+		return flag
+	}
+	if path := os.Getenv(EnvPath); path != "" {
+		return path
+	}
+	return DefaultPath
+}
+
+// Load reads, validates and returns the settings at path.
+func Load(path string) (*Settings, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	s, err := Parse(text)
+	if err != nil {
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	return s, nil
+}
+
+// Parse validates and returns settings in the form of the file. An error names the key that is
+// wrong.
+func Parse(text []byte) (*Settings, error) {
+	var document map[string]any
+	if err := decodeTOML(text, &document); err != nil {
+		return nil, err
+	}
+	if err := validateDocument(document); err != nil {
+		return nil, err
+	}
+	s := new(Settings)
+	if err := decodeTOML(text, s); err != nil {
+		return nil, err
+	}
+	if s.Audit != nil {
+		s.Audit.setDefaults()
+	}
+	if err := s.validate(); err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+func decodeTOML(text []byte, to any) error {
+	if _, err := toml.NewDecoder(bytes.NewReader(text)).Decode(to); err != nil {
+		return fmt.Errorf("not readable as TOML: %w", err)
+	}
+	return nil
+}
+
+// setDefaults fills in what the file does not give.
+func (a *Audit) setDefaults() {
+	if a.UnknownTenant == "" {
+		a.UnknownTenant = DefaultUnknownTenant
+	}
+	if a.MaxPendingRecords == 0 {
+		a.MaxPendingRecords = DefaultMaxPendingRecords
+	}
+	if a.MaxRecords == 0 {
+		a.MaxRecords = DefaultMaxRecords
+	}
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,253 +1,203 @@
-// Package settings reads and checks a process's settings (configuration
-// loading and validation).
+// Package settings reads and validates the settings file of a process.
+//
+// The file is TOML. It is validated against the JSON schema in settings.schema.json, which is
+// embedded; keys that the schema does not know are ignored, so that a newer deployment tool can
+// start an older program. The names of keys and their meaning are public.
+//
+// Settings are values: the package keeps no state, watches no file and starts no goroutine. The
+// programs read the file again when it has changed (package daemon) and decide themselves what
+// takes effect without a restart. Time-outs that several packages share are derived here, see
+// timeouts.go; those of one package are derived there.
 package settings
 
 import (
-	"bytes"
-	_ "embed"
-	"errors"
-	"fmt"
 	"net"
-	"os"
 	"slices"
 	"strconv"
 	"time"
-
-	"github.com/BurntSushi/toml"
-
-	"lichentray/config"
 )
 
-// EnvPath names the variable that holds the path of the settings file.
-const EnvPath = "LICHENTRAY_CONFIG"
-
-// DefaultPath is where the settings file stands when the variable is unset.
-const DefaultPath = "/etc/lichentray/node.toml"
-
-//go:embed settings.schema.json
-var schemaText []byte
-
-// Seconds is a time in seconds, with fractions.
+// Seconds is a time in seconds, with fractions, as the settings file has it.
 type Seconds float64
 
-// Duration is the time as a duration.
+// Duration converts the time.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Limits are what one process may use.
+// Limits are what one process may use of its machine. A value of 0 is not given, but for
+// MemoryMB and MaxOpenFiles, which are required.
 type Limits struct {
-	CPUShare      float64 `toml:"cpu_share"`
-	CPUCores      float64 `toml:"cpu_cores"`
-	MemoryMB      float64 `toml:"memory_mb"`
-	MaxOpenFiles  int     `toml:"max_open_files"`
+	// CPUShare is the share of the machine's processors, as a fraction.
+	CPUShare float64 `toml:"cpu_share"`
+	// CPUCores is the number of processors that the process sees.
+	CPUCores float64 `toml:"cpu_cores"`
+	// MemoryMB bounds the resident memory, in MiB.
+	MemoryMB float64 `toml:"memory_mb"`
+	// MaxOpenFiles bounds the open descriptors.
+	MaxOpenFiles int `toml:"max_open_files"`
+	// BandwidthMbps is the bandwidth of the machine's link, in Mbit/s.
 	BandwidthMbps float64 `toml:"bandwidth_mbps"`
-	DiskMB        float64 `toml:"disk_mb"`
+	// DiskMB bounds what the process stores, in MiB.
+	DiskMB float64 `toml:"disk_mb"`
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the figures of the guarantees that a deployment is held to. Time-outs are derived
+// from them. Some are not used by any program; they are read so that the settings are validated
+// as a whole.
 type Bounds struct {
-	SeedReload         Seconds `toml:"seed_lag_s"`
-	AddressReuse       Seconds `toml:"address_reuse_s"`
-	ContactWindow      Seconds `toml:"contact_s"`
-	AckTimeout         Seconds `toml:"ack_timeout_s"`
-	CatchUp            Seconds `toml:"catch_up_s"`
-	DrainApply         Seconds `toml:"drain_s"`
-	GracePeriod        Seconds `toml:"grace_period_s"`
-	LossSlack          Seconds `toml:"loss_slack_s"`
-	ConfigApply        Seconds `toml:"config_apply_s"`
-	RollbackSlack      Seconds `toml:"rollback_slack_s"`
-	MaxConfigStretch   Seconds `toml:"max_stretch_s"`
-	RetryBudgetRatio   float64 `toml:"retry_budget_ratio"`
-	RetryBudgetWindow  Seconds `toml:"budget_window_s"`
-	RetryBudgetSlack   float64 `toml:"retry_budget_slack"`
-	Recovery           Seconds `toml:"recovery_s"`
-	HistoryRetention   Seconds `toml:"history_retention_s"`
-	LockRelease        Seconds `toml:"release_s"`
+	// SeedReload is how old the list of seed nodes in the file may be. The file is read again
+	// as often.
+	SeedReload Seconds `toml:"seed_lag_s"`
+	// AddressReuse is how long the address of an endpoint that ended is not given to another.
+	AddressReuse Seconds `toml:"address_reuse_s"`
+	// ContactWindow is how long a machine must have been connected and undisturbed for the
+	// bounds on times to hold for it. Most time-outs between machines are fractions of it.
+	ContactWindow Seconds `toml:"contact_s"`
+	// AckTimeout is how long an order may go without an acknowledgement while the control plane
+	// is undisturbed.
+	AckTimeout Seconds `toml:"ack_timeout_s"`
+	// CatchUp is how long a machine that has returned counts as lost.
+	CatchUp Seconds `toml:"catch_up_s"`
+	// DrainApply is how long after the acknowledgement of a draining endpoint requests may
+	// reach it.
+	DrainApply Seconds `toml:"drain_s"`
+	// GracePeriod is the time between SIGTERM and SIGKILL.
+	GracePeriod Seconds `toml:"grace_period_s"`
+	// LossSlack is the delay within which a request that was read may be cut off around planned
+	// work.
+	LossSlack Seconds `toml:"loss_slack_s"`
+	// ConfigApply is how long after its acknowledgement requests may be handled by an older
+	// configuration.
+	ConfigApply Seconds `toml:"config_apply_s"`
+	// RollbackSlack is how long a machine may go back to an older configuration after a newer
+	// one had an effect.
+	RollbackSlack Seconds `toml:"rollback_slack_s"`
+	// MaxConfigStretch is by how much a disturbed control plane may lengthen ConfigApply.
+	MaxConfigStretch Seconds `toml:"max_stretch_s"`
+	// RetryBudgetRatio is how many retries a service may get for each request.
+	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
+	// RetryBudgetWindow is the window in which retries are counted.
+	RetryBudgetWindow Seconds `toml:"budget_window_s"`
+	// RetryBudgetSlack is how many retries a service may get in a window besides.
+	RetryBudgetSlack float64 `toml:"retry_budget_slack"`
+	// Recovery is the time until requests are served again after a loss of all machines.
+	Recovery Seconds `toml:"recovery_s"`
+	// HistoryRetention is how long the events of a watch are held.
+	HistoryRetention Seconds `toml:"history_retention_s"`
+	// LockRelease is how long after its lease a lock may stay refused.
+	LockRelease Seconds `toml:"release_s"`
+	// SlowStartOvershoot is how many times the rate that it can carry an endpoint in slow start
+	// may get. 0 means that slow start is not coordinated between proxies.
 	SlowStartOvershoot float64 `toml:"cold_overshoot"`
-	SlowStartSlack     float64 `toml:"cold_slack"`
-	ZoneEvacuation     Seconds `toml:"evacuation_s"`
-	MaxTTL             Seconds `toml:"ttl_max_s"`
-	ExposureRatio      float64 `toml:"exposure_ratio"`
-	ExposureSlack      float64 `toml:"exposure_slack"`
-	RolloutRollback    Seconds `toml:"rollback_s"`
+	// SlowStartSlack is how many requests a second such an endpoint may get besides.
+	SlowStartSlack float64 `toml:"cold_slack"`
+	// ZoneEvacuation is how long the evacuation of a zone may take.
+	ZoneEvacuation Seconds `toml:"evacuation_s"`
+	// MaxTTL is how long clients use an answer of the directory at most.
+	MaxTTL Seconds `toml:"ttl_max_s"`
+	// ExposureRatio is the share of requests that a version on trial may get.
+	ExposureRatio float64 `toml:"exposure_ratio"`
+	// ExposureSlack is how many requests such a version may get besides.
+	ExposureSlack float64 `toml:"exposure_slack"`
+	// RolloutRollback is the time within which a roll-out has to be taken back that shows a
+	// fault.
+	RolloutRollback Seconds `toml:"rollback_s"`
 }
 
-// Audit tells how failures are accounted for.
+// Audit configures the audit log of failed requests.
 type Audit struct {
-	// TenantByHost names the tenant of a host; TenantHeader the header that names it where
-	// no host does; Unknown stands for all other requests.
-	TenantByHost  map[string]string `toml:"hosts"`
-	TenantHeader  string            `toml:"tenant_header"`
-	UnknownTenant string            `toml:"unknown_tenant"`
-	// RequestHeader names the header by which the tries of one request are known as
-	// such; without one each try stands for itself.
+	// TenantByHost names the tenant of a host.
+	TenantByHost map[string]string `toml:"hosts"`
+	// TenantHeader is the request header that names the tenant where TenantByHost does not.
+	TenantHeader string `toml:"tenant_header"`
+	// UnknownTenant stands for all other requests, by default DefaultUnknownTenant.
+	UnknownTenant string `toml:"unknown_tenant"`
+	// RequestHeader is the header by which the attempts of a client at one request are known.
+	// If it is empty, each attempt is a request of its own.
 	RequestHeader string `toml:"request_header"`
-	// MaxPendingRecords bounds the records that a proxy holds, MostEntries those of the account.
+	// MaxPendingRecords bounds the records that a proxy holds until they are committed, by
+	// default DefaultMaxPendingRecords.
 	MaxPendingRecords int `toml:"most_held"`
-	MaxRecords        int `toml:"most_entries"`
-}
-
-// Settings is what a process is told at its start.
-type Settings struct {
-	NodeName          string            `toml:"node_name"`
-	Role              string            `toml:"role"`
-	Serves            []string          `toml:"serves"`
-	EntryType         string            `toml:"entry_type"`
-	IPAddress         string            `toml:"ip_address"`
-	Zone              string            `toml:"zone"`
-	Region            string            `toml:"region"`
-	PortRange         []int             `toml:"internal_port_range"`
-	SeedNodes         []string          `toml:"seed_nodes"`
-	Bootstrap         bool              `toml:"bootstrap"`
-	QuorumMember      bool              `toml:"quorum_member"`
-	DataDirectory     string            `toml:"data_directory"`
-	HeartbeatInterval Seconds           `toml:"heartbeat_interval_s"`
-	RegionByZone      map[string]string `toml:"zones"`
-	Listen            struct {
-		Frontend  string `toml:"frontend"`
-		Readiness string `toml:"readiness"`
-		Control   string `toml:"control_plane"`
-		Directory string `toml:"directory"`
-	} `toml:"listen_addresses"`
-	Limits         Limits `toml:"limits"`
-	FaultTolerance struct {
-		Machines int `toml:"machines"`
-		Zones    int `toml:"zones"`
-		Regions  int `toml:"regions"`
-	} `toml:"fault_tolerance"`
-	Bounds Bounds `toml:"bounds"`
-	// Account, where it stands, has failures accounted for by tenant.
-	Audit *Audit `toml:"account"`
-	// Guarantees names the parts of the rules that are in force.
-	Guarantees []string `toml:"guarantees"`
-}
-
-// ResolvePath gives the settings file's path: the flag's if set, else the
-// variable's, else the default.
-func ResolvePath(flag string) string {
-	if flag != "" {
-		return flag
-	}
-	if p := os.Getenv(EnvPath); p != "" {
-		return p
-	}
-	return DefaultPath
-}
-
-// Load reads and checks the settings at path.
-func Load(path string) (*Settings, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	s, err := Parse(text)
-	if err != nil {
-		return nil, fmt.Errorf("settings %s: %w", path, err)
-	}
-	return s, nil
+	// MaxRecords bounds the records of the audit log, by default DefaultMaxRecords.
+	MaxRecords int `toml:"most_entries"`
 }
 
-// Parse reads and checks settings held in memory. Unknown fields are ignored.
-func Parse(text []byte) (*Settings, error) {
-	var raw map[string]any
-	if _, err := toml.NewDecoder(bytes.NewReader(text)).Decode(&raw); err != nil {
-		return nil, fmt.Errorf("not readable as TOML: %w", err)
-	}
-	if err := validate(raw); err != nil {
-		return nil, err
-	}
-	s := new(Settings)
-	if _, err := toml.NewDecoder(bytes.NewReader(text)).Decode(s); err != nil {
-		return nil, fmt.Errorf("not readable as TOML: %w", err)
-	}
-	if a := s.Audit; a != nil {
-		if a.UnknownTenant == "" {
-			a.UnknownTenant = "unknown"
-		}
-		if a.MaxPendingRecords == 0 {
-			a.MaxPendingRecords = 5000
-		}
-		if a.MaxRecords == 0 {
-			a.MaxRecords = 50000
-		}
-	}
-	if len(s.PortRange) == 2 && s.PortRange[0] > s.PortRange[1] {
-		return nil, errors.New("internal_port_range: first port is above the last")
-	}
-	need := map[string]string{"control": s.Listen.Control, "edge": s.Listen.Frontend, "directory": s.Listen.Directory}
-	name := map[string]string{"control": "control_plane", "edge": "frontend", "directory": "directory"}
-	for _, what := range s.Serves {
-		if addr, known := need[what]; known && addr == "" {
-			return nil, fmt.Errorf("listen_addresses.%s: missing, but serves names %q", name[what], what)
-		}
-	}
-	return s, nil
-}
-
-func validate(raw map[string]any) error {
-	sch, err := config.NewSchema(schemaText)
-	if err != nil {
-		return err
-	}
-	return sch.Validate(jsonValue(raw))
+// ListenAddresses are the addresses (IP:port) that a process listens at. Those that its role does
+// not serve are empty.
+type ListenAddresses struct {
+	// Frontend is where a proxy takes requests of clients.
+	Frontend string `toml:"frontend"`
+	// Readiness is where a proxy answers whether it takes requests.
+	Readiness string `toml:"readiness"`
+	// Control is where a control-plane node serves its HTTP API.
+	Control string `toml:"control_plane"`
+	// Directory is where a control-plane node tells clients which proxies to connect to.
+	Directory string `toml:"directory"`
 }
 
-// jsonValue turns what TOML yields into what a JSON schema knows.
-func jsonValue(v any) any {
-	switch v := v.(type) {
-	case map[string]any:
-		out := make(map[string]any, len(v))
-		for k, x := range v {
-			out[k] = jsonValue(x)
-		}
-		return out
-	case []any:
-		out := make([]any, len(v))
-		for i, x := range v {
-			out[i] = jsonValue(x)
-		}
-		return out
-	case time.Time:
-		return v.String()
-	}
-	return v
+// FaultTolerance is how many machines, zones or regions of the control plane's core may be lost at
+// once while the guarantees hold.
+type FaultTolerance struct {
+	Machines int `toml:"machines"`
+	Zones    int `toml:"zones"`
+	Regions  int `toml:"regions"`
 }
 
-// EntryTypeDirectory is the entry type under which clients ask a directory where to
-// go.
+// EntryTypeDirectory is the Settings.EntryType of a deployment whose clients ask a directory which
+// proxy to connect to.
 const EntryTypeDirectory = "directory"
 
-// guaranteeRollout is the part of the rules under which versions of a service are
-// told apart.
+// guaranteeRollout is the guarantee under which versions of a service are told apart.
 const guaranteeRollout = "rollout"
 
-// HasRollouts tells whether versions of a service are told apart here: requests go to
-// the one in use, and to another only by an order.
-func (s *Settings) HasRollouts() bool { return slices.Contains(s.Guarantees, guaranteeRollout) }
-
-// RolloutLease is for how long a proxy sends to a version under trial without
-// hearing from a control-plane node that is in touch.
-func (s *Settings) RolloutLease() time.Duration {
-	return max(s.PropagationBound()/2, s.Bounds.RolloutRollback.Duration()/5)
-}
-
-// QuotaGrantLifetime is how long a share of a cold endpoint holds, at its holder from
-// the report that it answers, at the granter from when it was given.
-func (s *Settings) QuotaGrantLifetime() time.Duration {
-	return s.Bounds.ContactWindow.Duration() * 2 / 3
+// Settings are the settings of one process.
+type Settings struct {
+	NodeName string `toml:"node_name"`
+	// Role is the name of the process's role in the deployment. No program depends on it.
+	Role string `toml:"role"`
+	// Serves lists what the process's machine serves, see the constants of the same name in
+	// validate.go.
+	Serves []string `toml:"serves"`
+	// EntryType is how clients find a proxy, see EntryTypeDirectory.
+	EntryType string `toml:"entry_type"`
+	IPAddress string `toml:"ip_address"`
+	Zone      string `toml:"zone"`
+	Region    string `toml:"region"`
+	// PortRange holds the first and the last of the ports that are free for internal use.
+	PortRange []int `toml:"internal_port_range"`
+	// SeedNodes are the API addresses (IP:port) of a few control-plane nodes. They may have
+	// changed since the file was written.
+	SeedNodes []string `toml:"seed_nodes"`
+	// Bootstrap is set at the first start of a deployment, when all disks are empty.
+	Bootstrap bool `toml:"bootstrap"`
+	// QuorumMember says that the machine counts in FaultTolerance.
+	QuorumMember bool `toml:"quorum_member"`
+	// DataDirectory is the directory for durable state. It is empty on a machine without a
+	// disk.
+	DataDirectory string `toml:"data_directory"`
+	// HeartbeatInterval is how often endpoints send heartbeats.
+	HeartbeatInterval Seconds `toml:"heartbeat_interval_s"`
+	// RegionByZone holds every zone of the deployment.
+	RegionByZone   map[string]string `toml:"zones"`
+	Listen         ListenAddresses   `toml:"listen_addresses"`
+	Limits         Limits            `toml:"limits"`
+	FaultTolerance FaultTolerance    `toml:"fault_tolerance"`
+	Bounds         Bounds            `toml:"bounds"`
+	// Audit is nil in a deployment that keeps no audit log.
+	Audit *Audit `toml:"account"`
+	// Guarantees names the guarantees that are in force.
+	Guarantees []string `toml:"guarantees"`
 }
 
-// PropagationBound is the shorter of the bounds within which a change must have reached
-// every node; what tells that a stream is alive is a part of it.
-func (s *Settings) PropagationBound() time.Duration {
-	return min(s.Bounds.DrainApply.Duration(), s.Bounds.ConfigApply.Duration())
-}
+// HasRollouts reports whether versions of a service are told apart: requests go to the version in
+// use, and to another one only by order of a roll-out.
+func (s *Settings) HasRollouts() bool { return slices.Contains(s.Guarantees, guaranteeRollout) }
 
-// InternalAddr is the address of the control-plane node's internal port, given
-// any address of that machine.
-func (s *Settings) InternalAddr(control string) string {
-	host, _, err := net.SplitHostPort(control)
+// InternalAddr returns the internal address (IP:port) of a control-plane node, given any address of
+// its machine, with or without a port. All machines use the same internal ports.
+func (s *Settings) InternalAddr(address string) string {
+	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		host = control
+		host = address
 	}
 	return net.JoinHostPort(host, strconv.Itoa(s.PortRange[0]))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,15 +6,18 @@
 	"testing"
 )
 
+// readSample returns the text of a complete settings file.
 func readSample(t *testing.T) string {
 	t.Helper()
-	b, err := os.ReadFile("testdata/node.toml")
+	text, err := os.ReadFile("testdata/node.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(text)
 }
 
+// TestParse checks that settings are read, that unknown keys are ignored, and that errors name the
+// key that is wrong.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(readSample(t) + "\nsomething_new = 3\n"))
 	if err != nil {
@@ -23,23 +26,25 @@
 	if s.Bounds.ContactWindow.Duration().Seconds() != 3 || s.InternalAddr("10.2.0.40:8166") != "10.2.0.40:7720" || !s.Bootstrap {
 		t.Errorf("read as %+v", s)
 	}
-	for _, c := range []struct{ old, new, field string }{
-		{`node_name = "edge-1"`, ``, "node_name"},
-		{`contact_s = 3`, ``, "contact_s"},
-		{`contact_s = 3`, `contact_s = -1`, "bounds.contact_s"},
-		{`contact_s = 3`, `contact_s = "soon"`, "bounds.contact_s"},
-		{`internal_port_range = [7720,7735]`, `internal_port_range = [7720]`, "internal_port_range"},
-		{`internal_port_range = [7720,7735]`, `internal_port_range = [7735,7720]`, "internal_port_range"},
-		{`control_plane = "10.1.0.10:8166"`, ``, "listen_addresses.control_plane"},
-		{`memory_mb = 284`, `memory_mb = 0`, "limits.memory_mb"},
-		{`ip_address = "10.1.0.10"`, `ip_address = "here"`, "ip_address"},
-		{`[zones]`, `[zones`, "TOML"},
+	for _, test := range []struct{ name, old, new, wantInError string }{
+		{"node name missing", `node_name = "edge-1"`, ``, "node_name"},
+		{"bound missing", `contact_s = 3`, ``, "contact_s"},
+		{"bound below 0", `contact_s = 3`, `contact_s = -1`, "bounds.contact_s"},
+		{"bound not a number", `contact_s = 3`, `contact_s = "soon"`, "bounds.contact_s"},
+		{"port range of one port", `internal_port_range = [7720,7735]`, `internal_port_range = [7720]`, "internal_port_range"},
+		{"port range reversed", `internal_port_range = [7720,7735]`, `internal_port_range = [7735,7720]`, "internal_port_range"},
+		{"address of a service missing", `control_plane = "10.1.0.10:8166"`, ``, "listen_addresses.control_plane"},
+		{"memory limit of 0", `memory_mb = 284`, `memory_mb = 0`, "limits.memory_mb"},
+		{"address not an IP address", `ip_address = "10.1.0.10"`, `ip_address = "here"`, "ip_address"},
+		{"not TOML", `[zones]`, `[zones`, "TOML"},
 	} {
-		text := strings.Replace(readSample(t), c.old, c.new, 1)
-		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%q instead of %q was accepted", c.new, c.old)
-		} else if !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%q: the error does not name %s: %v", c.new, c.field, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			text := strings.Replace(readSample(t), test.old, test.new, 1)
+			if _, err := Parse([]byte(text)); err == nil {
+				t.Errorf("%q instead of %q was accepted", test.new, test.old)
+			} else if !strings.Contains(err.Error(), test.wantInError) {
+				t.Errorf("%q: the error does not name %s: %v", test.new, test.wantInError, err)
+			}
+		})
 	}
 }
