--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,38 +1,51 @@
-// Package discovery finds a control-plane node to follow (service discovery of the
-// control plane): the one on the same machine, else one in the same zone, else
-// in the same region, from what the stream told and the seeds.
+// Package discovery chooses control-plane nodes to connect to.
+//
+// A process that follows the control plane knows the seed nodes of its settings and, once it has
+// followed a node, the members of the core with their zones. A Locator holds both and ranks them
+// by locality. It does not connect to any: the proxy and the relay do, and hand back what they are
+// told in bookmarks.
 package discovery
 
 import (
+	"cmp"
 	"math/rand"
+	"slices"
 	"sync"
 
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
-// Locator knows which control-plane nodes there are. It is safe for use from
-// several goroutines.
+// Locator knows which control-plane nodes there are. It is safe for concurrent use.
 type Locator struct {
 	settings *settings.Settings
-	mu       sync.Mutex
-	seeds    []string
-	nodes    []transport.ControlNode
+	// ownAddr is the internal address that a control-plane node on this machine has.
+	ownAddr string
+
+	mu    sync.Mutex
+	seeds []string                // API addresses
+	nodes []transport.ControlNode // replaced as a whole
 }
 
-// NewLocator makes a line that knows the seeds alone.
-func NewLocator(set *settings.Settings) *Locator {
-	return &Locator{settings: set, seeds: set.SeedNodes}
+// NewLocator returns a locator that knows the seed nodes of the settings only. Its own location is
+// that of the settings.
+func NewLocator(s *settings.Settings) *Locator {
+	return &Locator{
+		settings: s,
+		ownAddr:  s.InternalAddr(s.IPAddress),
+		seeds:    s.SeedNodes,
+	}
 }
 
-// SetSeeds takes the seeds of a settings file that has changed.
+// SetSeeds replaces the seed nodes, given by their API addresses (IP:port).
 func (l *Locator) SetSeeds(seeds []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seeds = seeds
 }
 
-// UpdateNodes takes the nodes that a bookmark names; none changes nothing.
+// UpdateNodes replaces the members of the core. An empty list changes nothing. The caller must not
+// modify the list afterwards.
 func (l *Locator) UpdateNodes(nodes []transport.ControlNode) {
 	if len(nodes) == 0 {
 		return
@@ -42,105 +55,120 @@
 	l.nodes = nodes
 }
 
-// Nodes gives the nodes that were told of.
+// Nodes returns the members of the core, or nothing before the first update.
 func (l *Locator) Nodes() []transport.ControlNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]transport.ControlNode(nil), l.nodes...)
+	return slices.Clone(l.nodes)
 }
 
-// APIAddress gives the address at which callers reach a node, or nothing.
-func (l *Locator) APIAddress(addr string) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, n := range l.nodes {
-		if n.Addr == addr {
-			return n.API
+// APIAddress returns the API address of the member with an internal address, or "" if no such
+// member is known.
+func (l *Locator) APIAddress(internalAddr string) string {
+	for _, node := range l.Nodes() {
+		if node.Addr == internalAddr {
+			return node.API
 		}
 	}
 	return ""
 }
 
-// distance ranks a node: 0 on this machine, 1 in this zone, 2 in this region,
-// 3 elsewhere, 4 unknown.
-func (l *Locator) distance(n transport.ControlNode) int {
-	home := l.settings.RegionByZone[l.settings.Zone]
-	switch {
-	case n.Addr == l.settings.InternalAddr(l.settings.IPAddress):
-		return 0
-	case n.Zone == "":
-		return 4
-	case n.Zone == l.settings.Zone:
-		return 1
-	case home != "" && l.settings.RegionByZone[n.Zone] == home:
-		return 2
-	}
-	return 3
-}
-
-// Candidates lists the nodes to try, the nearest first and equals by lot; avoid
-// comes last.
+// Candidates returns the internal addresses of all known nodes in the order in which to try them:
+// the nearest first, those at the same distance in random order, seed nodes of unknown location
+// after all members. The address avoid comes last if it is known.
 func (l *Locator) Candidates(avoid string) []string {
-	l.mu.Lock()
-	nodes := append([]transport.ControlNode(nil), l.nodes...)
-	seen := map[string]bool{}
-	for _, n := range nodes {
-		seen[n.Addr] = true
-	}
-	for _, s := range l.seeds {
-		if a := l.settings.InternalAddr(s); !seen[a] {
-			seen[a] = true
-			nodes = append(nodes, transport.ControlNode{Addr: a})
-		}
+	candidates := l.Nodes()
+	isKnown := map[string]bool{}
+	for _, node := range candidates {
+		isKnown[node.Addr] = true
 	}
-	l.mu.Unlock()
-	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	out := make([]string, 0, len(nodes))
-	for rank := 0; rank <= 4; rank++ {
-		for _, n := range nodes {
-			if n.Addr != avoid && l.distance(n) == rank {
-				out = append(out, n.Addr)
-			}
+	for _, addr := range l.seedAddrs() {
+		if !isKnown[addr] {
+			isKnown[addr] = true
+			candidates = append(candidates, transport.ControlNode{Addr: addr})
 		}
 	}
-	if seen[avoid] {
-		out = append(out, avoid)
+	candidates = slices.DeleteFunc(candidates, func(node transport.ControlNode) bool { return node.Addr == avoid })
+	addrs := l.sortByDistance(candidates)
+	if isKnown[avoid] {
+		addrs = append(addrs, avoid)
 	}
-	return out
+	return addrs
 }
 
-// NodesNearerThan lists the nodes that lie nearer than addr, the nearest first.
+// NodesNearerThan returns the internal addresses of the members that are nearer than addr, in the
+// order of Candidates.
 func (l *Locator) NodesNearerThan(addr string) []string {
+	nodes := l.Nodes()
+	limit := l.distanceOf(nodes, addr)
+	nearer := slices.DeleteFunc(nodes, func(node transport.ControlNode) bool { return l.distance(node) >= limit })
+	return l.sortByDistance(nearer)
+}
+
+// HasNearer reports whether a member is known that is nearer than addr.
+func (l *Locator) HasNearer(addr string) bool {
 	l.mu.Lock()
-	here := 4
-	distance := map[string]int{}
-	for _, n := range l.nodes {
-		distance[n.Addr] = l.distance(n)
-		if n.Addr == addr {
-			here = l.distance(n)
-		}
+	defer l.mu.Unlock()
+	limit := l.distanceOf(l.nodes, addr)
+	return slices.ContainsFunc(l.nodes, func(node transport.ControlNode) bool { return l.distance(node) < limit })
+}
+
+// The distances of a node, the nearest first.
+const (
+	onThisMachine = iota
+	inThisZone
+	inThisRegion
+	inAnotherRegion
+	locationUnknown
+)
+
+// distance returns how far away a node is.
+func (l *Locator) distance(node transport.ControlNode) int {
+	region := l.settings.RegionByZone[l.settings.Zone]
+	switch {
+	case node.Addr == l.ownAddr:
+		return onThisMachine
+	case node.Zone == "":
+		return locationUnknown
+	case node.Zone == l.settings.Zone:
+		return inThisZone
+	case region != "" && l.settings.RegionByZone[node.Zone] == region:
+		return inThisRegion
 	}
-	l.mu.Unlock()
-	var out []string
-	for _, a := range l.Candidates("") {
-		if d, known := distance[a]; known && d < here {
-			out = append(out, a)
+	return inAnotherRegion
+}
+
+// distanceOf returns the distance of the node with an address, unknown if it is not in the list.
+func (l *Locator) distanceOf(nodes []transport.ControlNode, addr string) int {
+	for _, node := range nodes {
+		if node.Addr == addr {
+			return l.distance(node)
 		}
 	}
-	return out
+	return locationUnknown
 }
 
-// HasNearer tells whether a node is known that lies nearer than addr.
-func (l *Locator) HasNearer(addr string) bool {
+// seedAddrs returns the internal addresses of the seed nodes.
+func (l *Locator) seedAddrs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	here, best := 4, 4
-	for _, n := range l.nodes {
-		d := l.distance(n)
-		best = min(best, d)
-		if n.Addr == addr {
-			here = d
-		}
+	addrs := make([]string, len(l.seeds))
+	for i, seed := range l.seeds {
+		addrs[i] = l.settings.InternalAddr(seed)
+	}
+	return addrs
+}
+
+// sortByDistance returns the addresses of the nodes, the nearest first and those at the same
+// distance in random order, so that processes spread over them. It changes the order of the list.
+func (l *Locator) sortByDistance(nodes []transport.ControlNode) []string {
+	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
+	slices.SortStableFunc(nodes, func(a, b transport.ControlNode) int {
+		return cmp.Compare(l.distance(a), l.distance(b))
+	})
+	addrs := make([]string, len(nodes))
+	for i, node := range nodes {
+		addrs[i] = node.Addr
 	}
-	return best < here
+	return addrs
 }
