--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,12 @@
-// Package daemon is what the long-running programs share: flags, settings,
-// signals and exit codes (process supervision contract).
+// Package daemon is what the long-running programs share: the command line, the settings file,
+// signals and exit codes.
+//
+// Main runs a program's body, a RunFunc, on the goroutine of its caller, and two goroutines beside
+// it: one waits for SIGTERM, one reads the settings file again when it has changed.
 package daemon
 
 import (
-	"bytes"
+	"context"
 	"errors"
 	"flag"
 	"fmt"
@@ -13,33 +16,37 @@
 	"os/signal"
 	"runtime/debug"
 	"syscall"
-	"time"
 
 	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 )
 
-// Exit codes.
+// The exit codes of all programs.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1
-	ExitUsage    = 2
-	ExitSettings = 3
+	ExitOK       = 0 // ended in order
+	ExitFailed   = 1 // the program failed
+	ExitUsage    = 2 // wrong command line
+	ExitSettings = 3 // the settings cannot be read or are invalid
 )
 
-// Version is the programs' version.
+// Version is the version of all programs.
 const Version = "0.1.0"
 
-// Signals are what the platform tells a running process.
+// Signals is what the platform tells a running program.
 type Signals struct {
-	Stop            chan struct{}
+	// Stop is closed when the program has to end in order (SIGTERM, SIGINT).
+	Stop chan struct{}
+	// SettingsChanged yields new settings, always valid ones. Settings that are not received
+	// before newer ones are dropped.
 	SettingsChanged chan *settings.Settings
 }
 
-// RunFunc is a program's body.
-type RunFunc func(path string, set *settings.Settings, log *slog.Logger, sig *Signals) error
+// RunFunc is the body of a program. path is that of the settings file and s its content. It returns
+// nil when it has ended in order, after Signals.Stop was closed, and an error when it has failed.
+type RunFunc func(path string, s *settings.Settings, log *slog.Logger, signals *Signals) error
 
-// VersionLine tells program, version and the source it was built from.
+// VersionLine returns the line that a program prints for its version: its name, its version and the
+// version of Go that it was built with.
 func VersionLine(program string) string {
 	line := program + " " + Version
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -48,58 +55,33 @@
 	return line
 }
 
-// Main reads flags and settings, and runs the program until it ends.
-func Main(program, what string, run RunFunc) int {
-	fs := flag.NewFlagSet(program, flag.ContinueOnError)
-	fs.SetOutput(io.Discard)
-	path := fs.String("config", "", "path of the settings file (default $"+settings.EnvPath+" or "+settings.DefaultPath+")")
-	version := fs.Bool("version", false, "print the version and end")
-	usage := func(w io.Writer) {
-		fmt.Fprintf(w, "%s is %s of lichentray.\n\nUsage: %s [flags]\n\nFlags:\n", program, what, program)
-		fs.SetOutput(w)
-		fs.PrintDefaults()
-		fmt.Fprintf(w, "\nSignals: SIGTERM ends it in order, SIGHUP reads the settings again.\nExit codes: 0 ended in order, 1 failed, 2 wrong usage, 3 bad settings.\n")
-	}
-	switch err := fs.Parse(os.Args[1:]); {
+// Main reads the command line and the settings, calls run, and returns the exit code for the
+// process. program is the name of the program; description completes the sentence "PROGRAM is ...
+// of lichentray". Main is called once in a process.
+func Main(program, description string, run RunFunc) int {
+	line := newCommandLine(program, description)
+	err := line.parse(os.Args[1:])
+	switch {
 	case errors.Is(err, flag.ErrHelp):
-		usage(os.Stdout)
+		line.printUsage(os.Stdout)
 		return ExitOK
-	case err != nil || fs.NArg() > 0:
-		if err == nil {
-			err = fmt.Errorf("unknown argument %q", fs.Arg(0))
-		}
+	case err != nil:
 		fmt.Fprintf(os.Stderr, "%s: %v\n\n", program, err)
-		usage(os.Stderr)
+		line.printUsage(os.Stderr)
 		return ExitUsage
-	}
-	if *version {
+	case line.showVersion:
 		fmt.Println(VersionLine(program))
 		return ExitOK
 	}
-	file := settings.ResolvePath(*path)
-	text, err := os.ReadFile(file)
-	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: settings: %v\n", program, err)
-		return ExitSettings
-	}
-	set, err := settings.Parse(text)
+	path := settings.ResolvePath(line.settingsPath)
+	s, text, err := loadSettings(path)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%s: settings %s: %v\n", program, file, err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		return ExitSettings
 	}
-	log := metrics.NewLogger(set.NodeName, program)
+	log := metrics.NewLogger(s.NodeName, program)
 	log.Info("starting", "version", Version)
-	sig := &Signals{Stop: make(chan struct{}), SettingsChanged: make(chan *settings.Settings, 1)}
-	term, hup := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(hup, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE)
-	go func() {
-		<-term
-		close(sig.Stop)
-	}()
-	go watchSettings(file, text, set.Bounds.SeedReload.Duration(), hup, log, sig)
-	if err := run(file, set, log, sig); err != nil {
+	if err := runWithSignals(path, text, s, log, run); err != nil {
 		log.Error("failed", "error", err)
 		return ExitFailed
 	}
@@ -107,53 +89,87 @@
 	return ExitOK
 }
 
-// watchSettings reads the settings again on SIGHUP, and now and then in case
-// the file changed without one. A bad file is reported and changes nothing.
-func watchSettings(file string, last []byte, every time.Duration, hup chan os.Signal, log *slog.Logger, sig *Signals) {
-	tick := time.NewTicker(max(every, time.Second))
-	defer tick.Stop()
-	var stamp time.Time
-	if st, err := os.Stat(file); err == nil {
-		stamp = st.ModTime()
+// loadSettings reads and validates the settings file and returns its text as well, with which later
+// versions of it are compared.
+func loadSettings(path string) (*settings.Settings, []byte, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, nil, fmt.Errorf("settings: %w", err)
 	}
-	for {
-		forced := false
-		select {
-		case <-hup:
-			forced = true
-		case <-tick.C:
-		}
-		st, err := os.Stat(file)
-		if err == nil && !forced && st.ModTime().Equal(stamp) {
-			continue
-		}
-		text, err := os.ReadFile(file)
-		if err != nil {
-			if forced {
-				log.Error("settings cannot be read, the old ones stay", "error", err)
-			}
-			continue
-		}
-		if st != nil {
-			stamp = st.ModTime()
-		}
-		if bytes.Equal(text, last) {
-			continue
-		}
-		last = text
-		set, err := settings.Parse(text)
-		if err != nil {
-			log.Error("settings are invalid, the old ones stay", "error", err)
-			continue
-		}
+	s, err := settings.Parse(text)
+	if err != nil {
+		return nil, nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	return s, text, nil
+}
+
+// runWithSignals calls run and serves its Signals until it returns.
+//
+// The goroutines that serve them are ended but not waited for, as one may be reading the settings
+// file from a disk that does not answer, and the process ends next. Signals stay caught for the
+// same reason: the default action of a second SIGTERM would change the exit code.
+func runWithSignals(path string, text []byte, s *settings.Settings, log *slog.Logger, run RunFunc) error {
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE)
+
+	signals := &Signals{
+		Stop:            make(chan struct{}),
+		SettingsChanged: make(chan *settings.Settings, 1),
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go func() {
 		select {
-		case sig.SettingsChanged <- set:
-		default:
-			select {
-			case <-sig.SettingsChanged:
-			default:
-			}
-			sig.SettingsChanged <- set
+		case <-terminate:
+			close(signals.Stop)
+		case <-ctx.Done():
 		}
+	}()
+	watcher := newSettingsWatcher(path, text, log, signals.SettingsChanged)
+	go watcher.run(ctx, s.Bounds.SeedReload.Duration(), hangup)
+	return run(path, s, log, signals)
+}
+
+// commandLine is the command line of a program.
+type commandLine struct {
+	program     string
+	description string
+	flags       *flag.FlagSet
+
+	settingsPath string
+	showVersion  bool
+}
+
+func newCommandLine(program, description string) *commandLine {
+	c := &commandLine{
+		program:     program,
+		description: description,
+		flags:       flag.NewFlagSet(program, flag.ContinueOnError),
 	}
+	c.flags.SetOutput(io.Discard) // Main prints errors itself
+	c.flags.StringVar(&c.settingsPath, "config", "", "path of the settings file (default $"+settings.EnvPath+" or "+settings.DefaultPath+")")
+	c.flags.BoolVar(&c.showVersion, "version", false, "print the version and end")
+	return c
+}
+
+// parse reads the arguments. It returns flag.ErrHelp if the usage is asked for.
+func (c *commandLine) parse(args []string) error {
+	if err := c.flags.Parse(args); err != nil {
+		return err
+	}
+	if c.flags.NArg() > 0 {
+		return fmt.Errorf("unknown argument %q", c.flags.Arg(0))
+	}
+	return nil
+}
+
+// printUsage prints how the program is used.
+func (c *commandLine) printUsage(w io.Writer) {
+	fmt.Fprintf(w, "%s is %s of lichentray.\n\nUsage: %s [flags]\n\nFlags:\n", c.program, c.description, c.program)
+	c.flags.SetOutput(w)
+	c.flags.PrintDefaults()
+	fmt.Fprintf(w, "\nSignals: SIGTERM ends it in order, SIGHUP reads the settings again.\nExit codes: 0 ended in order, 1 failed, 2 wrong usage, 3 bad settings.\n")
 }
