--- a/loadbalance/admission.go
+++ b/loadbalance/admission.go
@@ -2,74 +2,86 @@
 
 import "time"
 
-// Load is what one node, or all nodes together, ask of a service.
+// Load is the load that one node, or all nodes together, put on a service. The names
+// of its fields are those of the wire format.
 type Load struct {
-	Rate     float64 // requests that arrive a second, refused ones too
-	Inflight float64 // requests at endpoints, on the mean
+	Rate     float64 // requests per second that arrive, with the rejected ones
+	Inflight float64 // mean number of requests in flight at endpoints
 }
 
-// Add sums loads.
-func (l Load) Add(o Load) Load { return Load{l.Rate + o.Rate, l.Inflight + o.Inflight} }
+// Add returns the sum of two loads.
+func (l Load) Add(other Load) Load {
+	return Load{Rate: l.Rate + other.Rate, Inflight: l.Inflight + other.Inflight}
+}
 
 // AdmissionLimiter is one node's share of a service's slots while all nodes together
 // ask for more than there are (coordinated concurrency limit).
 //
-// A node sees only its own requests, so nodes that each fill what looks free to
-// them fill the endpoints' queues together, and everybody is late. Told the sum
-// of all loads, each keeps to its share: the slots x its part of the arrivals.
-// Below saturation, or when the sum is old, nothing is limited.
+// A node sees only its own requests. So nodes that each fill what looks free to them
+// fill the queues of the endpoints together, and every request is late. With the total
+// of all loads, each node keeps to its share: the slots times its part of the arrivals.
+// Below saturation, or when the total is too old, nothing is limited. It is not safe
+// for concurrent use.
 type AdmissionLimiter struct {
-	loadValidity  time.Duration // how long a sum holds
-	totalReceived time.Duration
+	totalValidity time.Duration // how long a total may be used
+	totalReceived time.Duration // when total was set
 	total         Load
-	own           Load
+	own           Load // smoothed
 	limiting      bool
 }
 
-// The limit sets in when the endpoints hold enter times what they work on at
-// once, ends at leave, and shares out spread times the slots: a short queue at
-// the endpoints evens out what the nodes do not know of one another.
 const (
+	// The limit begins when the endpoints hold enterUtilization times what they work
+	// on at once, and ends at leaveUtilization.
 	enterUtilization = 1.3
 	leaveUtilization = 0.9
+	// oversubscription scales the slots that are shared out. The short queue at the
+	// endpoints evens out what the nodes do not know of one another.
 	oversubscription = 1.15
+	// loadGain is the weight of a new observation in the smoothed load.
+	loadGain = 0.4
 )
 
-// NewAdmissionLimiter makes a share that limits nothing yet; a sum holds for fresh.
-func NewAdmissionLimiter(fresh time.Duration) *AdmissionLimiter {
-	return &AdmissionLimiter{loadValidity: fresh}
+// NewAdmissionLimiter returns a limiter that limits nothing yet. totalValidity is how
+// long a total load may be used.
+func NewAdmissionLimiter(totalValidity time.Duration) *AdmissionLimiter {
+	return &AdmissionLimiter{totalValidity: totalValidity}
 }
 
-// Observe takes this node's load over the last span. It is smoothed.
+// Observe takes this node's load since the last call into its smoothed load.
 func (a *AdmissionLimiter) Observe(l Load) {
-	a.own.Rate += 0.4 * (l.Rate - a.own.Rate)
-	a.own.Inflight += 0.4 * (l.Inflight - a.own.Inflight)
+	a.own.Rate += loadGain * (l.Rate - a.own.Rate)
+	a.own.Inflight += loadGain * (l.Inflight - a.own.Inflight)
 }
 
-// OwnLoad is this node's smoothed load.
+// OwnLoad returns this node's smoothed load.
 func (a *AdmissionLimiter) OwnLoad() Load { return a.own }
 
-// SetTotalLoad takes the sum over all nodes.
-func (a *AdmissionLimiter) SetTotalLoad(now time.Duration, sum Load) {
-	a.totalReceived, a.total = now, sum
+// SetTotalLoad sets the total load of all nodes.
+func (a *AdmissionLimiter) SetTotalLoad(now time.Duration, total Load) {
+	a.totalReceived = now
+	a.total = total
 }
 
-// Limit is how many requests this node may have at endpoints that have slots
-// in all, and whether there is a limit at all.
-func (a *AdmissionLimiter) Limit(now time.Duration, slots int) (int, bool) {
-	if a.total.Rate <= 0 || now-a.totalReceived > a.loadValidity || slots == 0 {
-		a.limiting = false
-		return 0, false
-	}
-	used := a.total.Inflight / float64(slots)
-	if a.limiting {
-		a.limiting = used > leaveUtilization
-	} else {
-		a.limiting = used > enterUtilization
-	}
+// Limit returns how many requests this node may have in flight at endpoints with the
+// given number of slots in all, and whether there is a limit.
+func (a *AdmissionLimiter) Limit(now time.Duration, slots int) (limit int, isLimited bool) {
+	a.limiting = a.isSaturated(now, slots)
 	if !a.limiting {
 		return 0, false
 	}
 	share := a.own.Rate / max(a.total.Rate, a.own.Rate)
 	return max(1, int(oversubscription*float64(slots)*share+0.5)), true
 }
+
+// isSaturated reports whether the nodes ask for more than there is, with hysteresis.
+func (a *AdmissionLimiter) isSaturated(now time.Duration, slots int) bool {
+	if a.total.Rate <= 0 || now-a.totalReceived > a.totalValidity || slots == 0 {
+		return false
+	}
+	threshold := enterUtilization
+	if a.limiting {
+		threshold = leaveUtilization
+	}
+	return a.total.Inflight/float64(slots) > threshold
+}
--- a/loadbalance/bench_test.go
+++ b/loadbalance/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkPick is what one request costs a proxy among a thousand endpoints.
+// BenchmarkPick measures the work of a proxy for one request among 1000 endpoints.
 func BenchmarkPick(b *testing.B) {
 	p := NewPool(PoolConfig{Zone: "zone-0", BaseEjectionTime: time.Second, MaxEjectionTime: 6 * time.Second, ZoneBias: 0.6, RegionBias: 1.5})
 	for i := range 1000 {
--- a/loadbalance/versions.go
+++ b/loadbalance/versions.go
@@ -6,28 +6,42 @@
 	"slices"
 )
 
-// VersionGroup is what an endpoint's version is at present: that in use, the one under
-// trial, or one that nothing may be sent to.
+// VersionGroup says whether the version of an endpoint may receive requests.
 type VersionGroup uint8
 
-// The arms.
 const (
+	// BaseVersion is the version in use.
 	BaseVersion VersionGroup = iota
+	// TargetVersion is the version under roll-out.
 	TargetVersion
+	// ExcludedVersion may not receive requests.
 	ExcludedVersion
 )
 
-// Versions tells which versions of a service may be sent to. The zero value tells
-// none apart: all are in use.
+// String returns the name of the group.
+func (g VersionGroup) String() string {
+	switch g {
+	case BaseVersion:
+		return "base"
+	case TargetVersion:
+		return "target"
+	case ExcludedVersion:
+		return "excluded"
+	}
+	return "unknown"
+}
+
+// Versions says which versions of a service may receive requests. In the zero value
+// all may.
 type Versions struct {
-	Known  bool
+	Known  bool // false: all versions are in use
 	Base   string
-	Target string // under trial; counts only where Share is above 0
-	// TargetShare is the part of the requests that the target gets.
+	Target string // under roll-out; counts only if TargetShare is above 0
+	// TargetShare is the part of the requests that go to the target, from 0 to 1.
 	TargetShare float64
 }
 
-// group is where a version stands.
+// group returns the group of a version.
 func (v Versions) group(version string) VersionGroup {
 	switch {
 	case !v.Known || version == v.Base:
@@ -38,16 +52,18 @@
 	return ExcludedVersion
 }
 
-// While the target gets a small share, this goes to few of its endpoints, so that
-// each of them has to carry what it will when all has moved: a fault that shows
-// only under load shows there. pressed is how much more than its share each gets,
-// minSubsetSize how many there are at least, as one of them may be ill by itself.
+// While the target gets a small share, that goes to few of its endpoints, so that each
+// has to carry what it will when all requests have moved: a fault that shows only under
+// load shows there.
 const (
+	// subsetOverload is how much more than its part an endpoint of the subset gets.
 	subsetOverload = 1.25
-	minSubsetSize  = 4
+	// minSubsetSize is the least size of the subset, as one endpoint may be unhealthy
+	// by itself.
+	minSubsetSize = 4
 )
 
-// SetVersions takes which versions may be sent to.
+// SetVersions sets which versions may receive requests.
 func (p *Pool) SetVersions(v Versions) {
 	if p.versions == v {
 		return
@@ -59,51 +75,53 @@
 	p.rolloutSubsetStale = true
 }
 
-// Versions gives which versions may be sent to.
+// Versions returns which versions may receive requests.
 func (p *Pool) Versions() Versions { return p.versions }
 
-// refreshRolloutSubset marks the endpoints of the target that take its share: the first by a hash
-// of their names, the same ones at every node.
+// refreshRolloutSubset marks the endpoints of the target that serve its share: the
+// first ones by the hash of their IDs, which are the same on every node.
 func (p *Pool) refreshRolloutSubset() {
 	if !p.rolloutSubsetStale {
 		return
 	}
 	p.rolloutSubsetStale = false
-	var of []*Endpoint
+	var targets []*Endpoint
 	for _, e := range p.endpoints {
 		e.InRolloutSubset = false
 		if e.VersionGroup == TargetVersion && !e.Draining {
-			of = append(of, e)
+			targets = append(targets, e)
 		}
 	}
-	n := len(of)
-	if p.versions.TargetShare < 1 {
-		n = min(n, max(minSubsetSize, int(math.Ceil(p.versions.TargetShare*float64(n)/subsetOverload))))
-		slices.SortFunc(of, func(a, b *Endpoint) int { return cmp.Compare(a.idHash, b.idHash) })
+	size := len(targets)
+	if share := p.versions.TargetShare; share < 1 {
+		needed := int(math.Ceil(share * float64(size) / subsetOverload))
+		size = min(size, max(minSubsetSize, needed))
+		slices.SortFunc(targets, func(a, b *Endpoint) int { return cmp.Compare(a.idHash, b.idHash) })
 	}
-	for _, e := range of[:n] {
+	for _, e := range targets[:size] {
 		e.InRolloutSubset = true
 	}
 }
 
-// ExcludedVersion is how many endpoints nothing may be sent to for their version.
+// ExcludedCount returns how many endpoints may receive nothing for their version.
 func (p *Pool) ExcludedCount() int {
-	n := 0
+	count := 0
 	for _, e := range p.endpoints {
 		if e.VersionGroup == ExcludedVersion {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// BaseInflight is how many requests this node has at endpoints of the version in use.
+// BaseInflight returns how many requests of this node are in flight at endpoints of
+// the version in use.
 func (p *Pool) BaseInflight() int {
-	n := 0
+	inflight := 0
 	for _, e := range p.endpoints {
 		if e.VersionGroup == BaseVersion {
-			n += e.inflight
+			inflight += e.inflight
 		}
 	}
-	return n
+	return inflight
 }
