--- /dev/null
+++ b/config/configuration.go
@@ -0,0 +1,82 @@
+// Package config is the configuration that an operator sends: its JSON schema, its form
+// in Go, and its validation. Package routing compiles it into a route table.
+package config
+
+// Configuration is what the operator sends. A configuration replaces the one in force
+// if its version is higher.
+type Configuration struct {
+	Version   uint64     `json:"config_version"`
+	Limits    Limits     `json:"limits"`
+	Listeners []Listener `json:"listeners"`
+	Clusters  []Cluster  `json:"clusters"`
+}
+
+// Limits bound what a client may send and how long it may take.
+type Limits struct {
+	MaxHeaderBytes       float64 `json:"max_header_bytes"`
+	MaxBodyBytes         float64 `json:"max_body_bytes"`
+	HeaderTimeoutSeconds float64 `json:"header_timeout_s"`
+	IdleTimeoutSeconds   float64 `json:"idle_timeout_s"`
+}
+
+// Listener is the routes of one host.
+type Listener struct {
+	Hostname string `json:"hostname"`
+	Rules    []Rule `json:"rules"`
+}
+
+// Rule is one route.
+type Rule struct {
+	Name                 string      `json:"name"`
+	Type                 RouteType   `json:"route_type"`
+	TargetLatencySeconds float64     `json:"target_latency_s"`
+	Priority             float64     `json:"priority"`
+	Match                RouteMatch  `json:"match"`
+	Action               RouteAction `json:"action"`
+}
+
+// RouteType says which requests of a route are idempotent.
+type RouteType string
+
+// The route types. Requests of idempotent and download routes may be sent more than
+// once (RFC 9110, section 9.2.2).
+const (
+	RouteIdempotent    RouteType = "idempotent"
+	RouteNonIdempotent RouteType = "non_idempotent"
+	RouteDownload      RouteType = "download"
+	RouteUpload        RouteType = "upload"
+)
+
+// RouteMatch says which requests a route takes.
+type RouteMatch struct {
+	Prefix string `json:"path_prefix"`
+}
+
+// RouteAction says where the requests of a route go: to Service, or if it is not empty
+// to those of Split by their weights.
+type RouteAction struct {
+	Service        string       `json:"backend_service"`
+	Split          []BackendRef `json:"traffic_split"`
+	TimeoutSeconds float64      `json:"timeout_s"`
+	MaxAttempts    float64      `json:"max_attempts"`
+	// Regions are those whose endpoints may serve the route. If there are none, all
+	// endpoints may.
+	Regions []string `json:"allowed_regions"`
+}
+
+// BackendRef is one service of a split.
+type BackendRef struct {
+	Service string  `json:"backend_service"`
+	Weight  float64 `json:"weight"`
+}
+
+// Cluster is one service.
+type Cluster struct {
+	Name           string  `json:"name"`
+	HealthPath     string  `json:"health_check_path"`
+	MaxConnections float64 `json:"max_connections"`
+	// WarmupSeconds is how long an endpoint is slow after its start, and
+	// WarmupRatePerSecond how many requests it bears until then. 0 means no limit.
+	WarmupSeconds       float64 `json:"cold_start_s"`
+	WarmupRatePerSecond float64 `json:"cold_rate_s"`
+}
--- /dev/null
+++ b/config/parse.go
@@ -0,0 +1,80 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"github.com/santhosh-tekuri/jsonschema/v6"
+)
+
+// Parse decodes and validates a configuration. The error names the first field that is
+// wrong.
+func Parse(text []byte) (*Configuration, error) {
+	schema, err := compiledSchema()
+	if err != nil {
+		return nil, err
+	}
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+	if err != nil {
+		return nil, fmt.Errorf("not readable as JSON: %w", err)
+	}
+	if err := schema.Validate(document); err != nil {
+		return nil, err
+	}
+	c, err := DecodeValidated(text)
+	if err != nil {
+		return nil, err
+	}
+	if err := c.validateServices(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// DecodeValidated decodes a configuration that was validated before it was stored.
+func DecodeValidated(text []byte) (*Configuration, error) {
+	c := new(Configuration)
+	if err := json.Unmarshal(text, c); err != nil {
+		return nil, fmt.Errorf("not readable: %w", err)
+	}
+	return c, nil
+}
+
+// validateServices checks what the schema cannot: that every rule names services that
+// are defined, and that the weights of a split allow a choice.
+func (c *Configuration) validateServices() error {
+	defined := map[string]bool{}
+	for _, s := range c.Clusters {
+		defined[s.Name] = true
+	}
+	for i, l := range c.Listeners {
+		for k, r := range l.Rules {
+			if err := r.Action.validateServices(defined); err != nil {
+				return fmt.Errorf("listeners.%d.rules.%d.action.%w", i, k, err)
+			}
+		}
+	}
+	return nil
+}
+
+func (a *RouteAction) validateServices(defined map[string]bool) error {
+	if len(a.Split) == 0 {
+		if !defined[a.Service] {
+			return fmt.Errorf("backend_service: service %q is not known", a.Service)
+		}
+		return nil
+	}
+	total := 0.0
+	for _, s := range a.Split {
+		if !defined[s.Service] {
+			return fmt.Errorf("traffic_split: service %q is not known", s.Service)
+		}
+		total += s.Weight
+	}
+	if total <= 0 {
+		return errors.New("traffic_split: the weights add up to 0")
+	}
+	return nil
+}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -14,7 +14,6 @@
 	"sync/atomic"
 	"time"
 
-	"lichentray/config"
 	"lichentray/coordination"
 	"lichentray/internal/apierror"
 	"lichentray/internal/metrics"
@@ -24,6 +23,7 @@
 	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
+	"lichentray/routing"
 	"lichentray/watchcache"
 )
 
@@ -148,7 +148,7 @@
 	evacuationOrders    map[string]registry.Evacuation
 	evacuationOrderedAt map[evacuationOrder]time.Duration
 	// The configuration compiled, and the revision that it had.
-	compiledTable    *config.Table
+	compiledTable    *routing.Table
 	compiledRevision uint64
 
 	peers     peerPool
--- a/internal/controlplane/world.go
+++ b/internal/controlplane/world.go
@@ -10,11 +10,12 @@
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
+	"lichentray/routing"
 )
 
 // routeTable gives the compiled configuration that this node holds, or nil. The
 // caller has the node's lock for writing.
-func (l *Node) routeTable() *config.Table {
+func (l *Node) routeTable() *routing.Table {
 	o, _ := l.store.Get(registry.ConfigKey)
 	if o.ModRevision == l.compiledRevision {
 		return l.compiledTable
@@ -22,7 +23,7 @@
 	l.compiledTable, l.compiledRevision = nil, o.ModRevision
 	if _, text, ok := registry.DecodeConfig(o); ok {
 		if c, err := config.DecodeValidated(text); err == nil {
-			l.compiledTable = config.Compile(c)
+			l.compiledTable = routing.Compile(c)
 		}
 	}
 	return l.compiledTable
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 
 	"lichentray/audit"
-	"lichentray/config"
 	"lichentray/internal/apierror"
 	"lichentray/loadbalance"
+	"lichentray/routing"
 )
 
 // Answers are counted by route in these kinds.
@@ -35,7 +35,7 @@
 // request is one client's try on its way.
 type request struct {
 	ctx        *fasthttp.RequestCtx
-	route      *config.Route
+	route      *routing.Route
 	regionMask uint64 // a bit for each region that may serve it; 0 for all
 	stats      *routeStats
 	service    *service
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -22,6 +22,7 @@
 	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
+	"lichentray/routing"
 	"lichentray/watchcache"
 )
 
@@ -99,7 +100,7 @@
 
 // routingSnapshot is what one request is handled by, swapped whole.
 type routingSnapshot struct {
-	table       *config.Table
+	table       *routing.Table
 	services    []*service
 	routeStats  []*routeStats
 	regionMasks []uint64 // by route: a bit for each region that may serve it; 0 for all
@@ -431,7 +432,7 @@
 	if old != nil && old.table.Version >= c.Version {
 		return // never back
 	}
-	r := &routingSnapshot{table: config.Compile(c)}
+	r := &routingSnapshot{table: routing.Compile(c)}
 	stats := map[string]*routeStats{}
 	if old != nil {
 		for _, s := range old.routeStats {
