--- a/cmd/lichentrayctl/main_test.go
+++ b/cmd/lichentrayctl/main_test.go
@@ -14,8 +14,8 @@
 
 const validConfiguration = `{"config_version":3,"listeners":[],"clusters":[{"name":"s"}]}`
 
-// TestExitCodes: what each command prints and how it ends, against a stand-in
-// node that answers as told.
+// Each command is run against a fake node that answers with the given status; its output
+// and its exit code are compared.
 func TestCommandsPrintResultAndExitCode(t *testing.T) {
 	status := 200
 	calls := 0
@@ -104,7 +104,7 @@
 			t.Errorf("lichentrayctl %s (node answers %d): exit %d, want %d; printed %q", c.args, c.status, code, c.code, out.String())
 		}
 		if strings.Contains(c.args, bad) && calls > 0 {
-			t.Errorf("gauge %s asked a node although its input was wrong", c.args)
+			t.Errorf("lichentrayctl %s asked a node although its input was wrong", c.args)
 		}
 	}
 	var out bytes.Buffer
