--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -1,16 +1,16 @@
-// Command lichentray-controlplane is the control-plane node: it holds the registry and serves the
-// operator, the endpoints, the applications and the proxy nodes.
+// Command lichentray-controlplane is the control-plane node: it holds the registry and
+// serves the operator, the endpoints, the applications and the proxy nodes.
 package main
 
 import (
 	"errors"
 	"fmt"
 	"log/slog"
+	"net"
 	"os"
 	"runtime"
 	"runtime/debug"
 	"slices"
-	"time"
 
 	"github.com/valyala/fasthttp"
 
@@ -19,32 +19,55 @@
 	"lichentray/internal/controlplane"
 	"lichentray/internal/daemon"
 	"lichentray/internal/metrics"
+	"lichentray/internal/relay"
 	"lichentray/internal/settings"
 )
 
 func main() { os.Exit(daemon.Main("lichentray-controlplane", "the control-plane node", run)) }
 
-// statusNode lets the API print the node's state without knowing its shape.
-type statusNode struct{ *controlplane.Node }
-
-func (n statusNode) Status() any { return n.Node.Status() }
-
-func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
+// run runs the node as a relay or as a member of the core.
+func run(_ string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Control == "" {
 		return errors.New("listen_addresses.control_plane: missing, lichentray-controlplane serves control")
 	}
-	// Beside a core that has disks, a node without one holds nothing. Whether the
-	// core has, a node learns from whom it follows; at the very first start the
-	// seeds are the core.
-	if set.DataDirectory == "" && !set.QuorumMember && !(set.Bootstrap && slices.Contains(set.SeedNodes, set.Listen.Control)) {
-		if err := runRelay(set, log, sig); !errors.Is(err, errCoreDiskless) {
+	if startsAsRelay(set) {
+		runtime.GOMAXPROCS(1)
+		debug.SetGCPercent(relayGCPercent)
+		if err := relay.Run(set, log, sig); !errors.Is(err, relay.ErrCoreDiskless) {
 			return err
 		}
 		log.Info("no machine of the core has a disk, joining it")
 	}
+	return runCore(set, log, sig)
+}
+
+// startsAsRelay reports whether the node stores nothing. Beside a core that has disks, a
+// node without one does not. Whether the core has disks, a node learns from the core
+// node that it follows; at the very first start the seeds are the core.
+func startsAsRelay(set *settings.Settings) bool {
+	isFirstCore := set.Bootstrap && slices.Contains(set.SeedNodes, set.Listen.Control)
+	return set.DataDirectory == "" && !set.QuorumMember && !isFirstCore
+}
+
+// Memory is limited to a part of what the machine grants, as the Go runtime is not the
+// only user of it. A collection begins when the heap has grown by the given percentage.
+const (
+	memoryShare    = 0.7
+	coreGCPercent  = 75
+	relayGCPercent = 50
+)
+
+// Bounds on the body of a request, in bytes.
+const (
+	maxCallBody      = 16 << 20
+	maxDirectoryBody = 64 << 10
+)
+
+// runCore runs a member of the core until sig.Stop is closed or a listener fails.
+func runCore(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
-	debug.SetGCPercent(75)
+	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetGCPercent(coreGCPercent)
 	if err := config.CompileSchema(); err != nil {
 		return err
 	}
@@ -54,47 +77,62 @@
 		return err
 	}
 	defer node.Close()
-	server := api.NewHandler(statusNode{node}, board, set.Bounds.HistoryRetention.Duration())
-	srv := api.NewServer(server.Serve, 16<<20)
-	ln, err := api.Listen(set.Listen.Control, board)
+	failed := make(chan error, 2)
+	calls, err := serveCalls(set, node, board, failed)
 	if err != nil {
-		return fmt.Errorf("control_plane: %w", err)
+		return err
 	}
-	failed := make(chan error, 2)
-	go func() { failed <- srv.Serve(ln) }()
 	if set.Listen.Directory != "" {
-		dir, err := api.Listen(set.Listen.Directory, board)
-		if err != nil {
-			return fmt.Errorf("directory: %w", err)
+		if err := serveDirectory(set, node, board, failed); err != nil {
+			return err
 		}
-		go func() { failed <- api.NewServer(api.NewDirectory(node, board).Serve, 64<<10).Serve(dir) }()
 	}
 	for {
 		select {
 		case err := <-failed:
 			return fmt.Errorf("listener ended: %w", err)
-		case s := <-sig.SettingsChanged:
-			node.SetSeeds(s.SeedNodes)
+		case changed := <-sig.SettingsChanged:
+			node.SetSeeds(changed.SeedNodes)
 		case <-sig.Stop:
-			grace := set.Bounds.GracePeriod.Duration()
 			log.Info("stopping")
-			// Two thirds at the most, the rest is for a slow machine.
-			node.PrepareShutdown(grace / 3)
-			shutdownServer(srv, grace/3)
+			// Two thirds at the most; the rest is for a slow machine.
+			step := set.Bounds.GracePeriod.Duration() / 3
+			node.PrepareShutdown(step)
+			api.Shutdown(calls, step)
 			return nil
 		}
 	}
 }
 
-// shutdownServer lets a server finish what it has read, within wait.
-func shutdownServer(srv *fasthttp.Server, wait time.Duration) {
-	done := make(chan struct{})
-	go func() {
-		_ = srv.Shutdown() // whatever is left ends with the process
-		close(done)
-	}()
-	select {
-	case <-done:
-	case <-time.After(wait):
+// statusNode adapts the node to the API, which prints the state without knowing its type.
+type statusNode struct{ *controlplane.Node }
+
+// Status returns the state of the node.
+func (n statusNode) Status() any { return n.Node.Status() }
+
+// serveCalls begins to serve the API of the control plane.
+func serveCalls(set *settings.Settings, node *controlplane.Node, board *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
+	handler := api.NewHandler(statusNode{node}, board, set.Bounds.HistoryRetention.Duration())
+	listener, err := api.Listen(set.Listen.Control, board)
+	if err != nil {
+		return nil, fmt.Errorf("control_plane: %w", err)
 	}
+	server := api.NewServer(handler.Serve, maxCallBody)
+	serve(server, listener, failed)
+	return server, nil
+}
+
+// serveDirectory begins to serve the directory.
+func serveDirectory(set *settings.Settings, node *controlplane.Node, board *metrics.Registry, failed chan<- error) error {
+	listener, err := api.Listen(set.Listen.Directory, board)
+	if err != nil {
+		return fmt.Errorf("directory: %w", err)
+	}
+	serve(api.NewServer(api.NewDirectory(node, board).Serve, maxDirectoryBody), listener, failed)
+	return nil
+}
+
+// serve runs a server until the process ends, and reports its failure.
+func serve(server *fasthttp.Server, listener net.Listener, failed chan<- error) {
+	go func() { failed <- server.Serve(listener) }()
 }
--- a/cmd/lichentray-proxy/main.go
+++ b/cmd/lichentray-proxy/main.go
@@ -20,40 +20,51 @@
 
 func main() { os.Exit(daemon.Main("lichentray-proxy", "the proxy node", run)) }
 
-func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
+const (
+	// memoryShare is the part of the machine's memory that the Go runtime may use.
+	memoryShare = 0.7
+	// gcPercent is by how much the heap grows before a collection begins.
+	gcPercent = 75
+	// maxReadinessBody bounds the body of a request for the readiness, in bytes.
+	maxReadinessBody = 64 << 10
+)
+
+// run runs the proxy until sig.Stop is closed or a listener fails. Its goroutines end with
+// the process.
+func run(_ string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Frontend == "" || set.Listen.Readiness == "" {
 		return errors.New("listen_addresses: frontend or readiness missing, lichentray-proxy serves edge")
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * 0.7 * (1 << 20)))
-	debug.SetGCPercent(75)
+	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
 	board := metrics.NewRegistry()
 	p := proxy.New(set, log, board)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
 	readiness, err := api.Listen(set.Listen.Readiness, board)
 	if err != nil {
 		return fmt.Errorf("readiness: %w", err)
 	}
-	frontend, err := api.Listen(set.Listen.Frontend, board)
+	clients, err := api.Listen(set.Listen.Frontend, board)
 	if err != nil {
 		return fmt.Errorf("frontend: %w", err)
 	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
 	failed := make(chan error, 1)
-	go func() { failed <- api.NewServer(p.HandleReadiness, 64<<10).Serve(readiness) }()
-	front := proxy.NewFrontend(p, frontend)
-	go front.Run()
+	go func() { failed <- api.NewServer(p.HandleReadiness, maxReadinessBody).Serve(readiness) }()
+	frontend := proxy.NewFrontend(p, clients)
+	go frontend.Run()
 	go p.ListAndWatch(ctx)
 	go p.DetectRelay(ctx)
 	for {
 		select {
 		case err := <-failed:
 			return fmt.Errorf("listener ended: %w", err)
-		case s := <-sig.SettingsChanged:
-			p.SetSeeds(s.SeedNodes)
+		case changed := <-sig.SettingsChanged:
+			p.SetSeeds(changed.SeedNodes)
 		case <-sig.Stop:
 			log.Info("stopping")
-			front.Shutdown(set.Bounds.GracePeriod.Duration())
+			frontend.Shutdown(set.Bounds.GracePeriod.Duration())
 			return nil
 		}
 	}
--- /dev/null
+++ b/internal/relay/forward.go
@@ -0,0 +1,76 @@
+package relay
+
+import (
+	"bytes"
+	"errors"
+
+	"github.com/valyala/fasthttp"
+
+	"lichentray/internal/api"
+	"lichentray/internal/apierror"
+)
+
+// maxForwardedBytes bounds the body of a call that is forwarded. A configuration of
+// 400 KB blocks a link of 4 Mbit/s for a second on its way out again, and every small
+// call behind it. So its caller is redirected to the core, with the call and to fetch
+// it.
+const maxForwardedBytes = 16 << 10
+
+// handle serves one call.
+func (r *relay) handle(ctx *fasthttp.RequestCtx) {
+	switch string(ctx.Path()) {
+	case "/metrics":
+		ctx.SetContentType("text/plain; version=0.0.4")
+		ctx.SetBody(api.RenderMetrics(r.board))
+		return
+	case "/api/readiness":
+		return
+	}
+	target := r.target.Load()
+	switch {
+	case target == nil:
+		r.unavailable.Inc()
+		api.WriteError(ctx, apierror.New(apierror.Unavailable, "no core node is in touch"))
+	case mustRedirect(ctx):
+		ctx.Response.Header.Set("Location", "http://"+target.Addr+string(ctx.RequestURI()))
+		ctx.SetStatusCode(fasthttp.StatusTemporaryRedirect)
+		r.redirected.Inc()
+	default:
+		r.forward(ctx, target)
+	}
+}
+
+// mustRedirect reports whether the call or its answer is too large to be forwarded.
+func mustRedirect(ctx *fasthttp.RequestCtx) bool {
+	return len(ctx.PostBody()) > maxForwardedBytes || string(ctx.QueryArgs().Peek("call")) == "configuration.read"
+}
+
+// forward sends a call to a core node and answers with its answer. A call that may have
+// arrived is never reported as not processed.
+func (r *relay) forward(ctx *fasthttp.RequestCtx, target *fasthttp.HostClient) {
+	timeout := r.timeouts.call
+	if bytes.HasPrefix(ctx.Path(), []byte("/api/watch/")) {
+		timeout = r.timeouts.watch
+	}
+	// The client uses the buffers of the caller, and only until it returns.
+	err := target.DoTimeout(&ctx.Request, &ctx.Response, timeout)
+	if err != nil {
+		ctx.Response.Reset() // it may hold a part of an answer
+	}
+	ctx.Response.Header.Del("Connection")
+	switch {
+	case err == nil:
+		r.forwarded.Inc()
+	case isUnsent(err):
+		r.unavailable.Inc()
+		api.WriteError(ctx, apierror.New(apierror.Unavailable, "core node cannot be reached"))
+	default:
+		r.outcomeUnknown.Inc()
+		api.WriteError(ctx, apierror.New(apierror.UnknownOutcome, "core node did not answer"))
+	}
+}
+
+// isUnsent reports whether an error means that not one byte of the call was sent.
+func isUnsent(err error) bool {
+	return errors.Is(err, errNotConnected) || errors.Is(err, errConnectionEnded) || errors.Is(err, fasthttp.ErrNoFreeConns)
+}
--- a/cmd/lichentray-controlplane/relayhop_test.go
+++ b/internal/relay/forward_test.go
@@ -1,4 +1,4 @@
-package main
+package relay_test
 
 import (
 	"bufio"
@@ -16,15 +16,17 @@
 
 	"lichentray/internal/controlplanetest"
 	"lichentray/internal/daemon"
+	"lichentray/internal/relay"
 	"lichentray/internal/settings"
 )
 
-// scriptedCore is a core node's API that answers by script, and keeps what it read.
+// scriptedCore is the API of a fake core node that answers by script, and records the
+// calls that it received.
 type scriptedCore struct {
 	ln       net.Listener
 	mu       sync.Mutex
 	received []string // "connection call"
-	// script answers a call, knowing the number of its connection; "" ends that.
+	// script returns the answer to a call on a numbered connection; "" closes that.
 	script func(conn int, of string, c net.Conn) string
 }
 
@@ -84,7 +86,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// startRelayTo starts a relay to a core node on the loopback and gives its address.
+// startRelayTo starts a relay that follows the fake core node, and returns its address.
 func startRelayTo(t *testing.T, r *scriptedCore, ips []string, contactS int) string {
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
 	var diskless atomic.Bool
@@ -94,7 +96,7 @@
 	s.Bounds.ContactWindow = settings.Seconds(contactS)
 	sig := &daemon.Signals{Stop: make(chan struct{}), SettingsChanged: make(chan *settings.Settings)}
 	ended := make(chan error, 1)
-	go func() { ended <- runRelay(s, slog.New(slog.NewTextHandler(io.Discard, nil)), sig) }()
+	go func() { ended <- relay.Run(s, slog.New(slog.NewTextHandler(io.Discard, nil)), sig) }()
 	t.Cleanup(func() {
 		close(sig.Stop)
 		if err := <-ended; err != nil && !errors.Is(err, net.ErrClosed) {
@@ -107,7 +109,7 @@
 			return addr
 		}
 		if time.Now().After(end) {
-			t.Fatal("the relay never passed a call on")
+			t.Fatal("the relay never forwarded a call")
 		}
 	}
 }
@@ -125,12 +127,12 @@
 	return r.StatusCode, string(body)
 }
 
-// TestRelayAnswersTheirCaller: an answer that is late, doubled, cut or lost reaches no
-// other caller, and its call is never sent twice; a call that meets a kept connection
-// that has ended is sent on a new one, as not one byte of it left.
+// An answer that is late, duplicated, cut or lost reaches no other caller, and its call
+// is never sent twice. A call that meets an idle connection which has ended is sent on a
+// new one, as not one byte of it was sent.
 func TestRelayAnswersOnlyTheCallersOwnCall(t *testing.T) {
 	gone, said := make(chan struct{}), make(chan struct{})
-	r := newScriptedCore(t, func(n int, of string, c net.Conn) string {
+	r := newScriptedCore(t, func(_ int, of string, c net.Conn) string {
 		switch of {
 		case "late": // comes when its call has been given up
 			_, _ = io.Copy(io.Discard, c)
@@ -158,7 +160,7 @@
 		return okResponse(of)
 	})
 	addr := startRelayTo(t, r, []string{"127.0.0.33", "127.0.0.34"}, 1)
-	clear := 0
+	succeeded := 0
 	for round := range 20 {
 		for _, of := range []string{"doubled", "a", "bye", "b", "cut", "c", "lost", "d"} {
 			want := 200
@@ -171,7 +173,7 @@
 			case code != want || code == 200 && body != of:
 				t.Fatalf("round %d, %s: %d %s", round, of, code, body)
 			case of == "b":
-				clear++
+				succeeded++
 			}
 			switch of {
 			case "doubled":
@@ -187,8 +189,8 @@
 			t.Errorf("%s arrived %d times in 20 rounds", of, n)
 		}
 	}
-	if clear < 10 {
-		t.Errorf("%d of 20 calls that met a connection that had ended were clear", clear)
+	if succeeded < 10 {
+		t.Errorf("%d of 20 calls that met a connection that had ended were clear", succeeded)
 	}
 	if code, _ := postCall(addr, "late"); code != 504 {
 		t.Errorf("a call without an answer in time: %d", code)
@@ -199,8 +201,7 @@
 	}
 }
 
-// TestRelaySmugglesNothing: what is ambiguous in its framing is not passed on as two
-// calls.
+// A call that is ambiguous in its framing is not forwarded as two calls (request smuggling).
 func TestRelayForwardsNoAmbiguousFraming(t *testing.T) {
 	r := newScriptedCore(t, func(_ int, of string, _ net.Conn) string { return okResponse(of) })
 	addr := startRelayTo(t, r, []string{"127.0.0.35", "127.0.0.36"}, 6)
--- /dev/null
+++ b/internal/relay/relay.go
@@ -0,0 +1,163 @@
+// Package relay is a control-plane node on a machine without a disk, beside core nodes
+// that have disks. It stores nothing, and forwards calls to a core node that is in
+// touch, the nearest if possible.
+package relay
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"lichentray/internal/api"
+	"lichentray/internal/daemon"
+	"lichentray/internal/discovery"
+	"lichentray/internal/metrics"
+	"lichentray/internal/settings"
+	"lichentray/internal/transport"
+)
+
+// ErrCoreDiskless is returned by Run when no machine of the core has a disk. A relay
+// is of no use then, and the node should join the core.
+var ErrCoreDiskless = errors.New("no machine of the core has a disk")
+
+// maxRequestBody bounds the body of a call, in bytes.
+const maxRequestBody = 16 << 20
+
+// relay is the state of a running relay.
+type relay struct {
+	nodeName string
+	timeouts timeouts
+	log      *slog.Logger
+	locator  *discovery.Locator
+	board    *metrics.Registry
+
+	target       atomic.Pointer[fasthttp.HostClient] // nil: no core node is in touch
+	coreDiskless chan struct{}                       // closed when a core node says so
+
+	forwarded      *metrics.Counter
+	redirected     *metrics.Counter // callers sent to the core, see mustRedirect
+	unavailable    *metrics.Counter // calls of which not one byte was sent
+	outcomeUnknown *metrics.Counter
+}
+
+// timeouts are the durations that a relay derives from the settings.
+type timeouts struct {
+	call  time.Duration // of a forwarded call
+	watch time.Duration // of a forwarded watch, which waits for an event
+	// contact is how long a core node is followed at the least before a nearer one
+	// is preferred.
+	contact time.Duration
+	// silence is how long a core node may be silent and still be in touch: 3/10 of
+	// the time in which a change has to reach every node.
+	silence time.Duration
+	// retry is the pause before the core nodes are tried again.
+	retry time.Duration
+	// shutdown is how long calls in flight may take to end.
+	shutdown time.Duration
+}
+
+func newTimeouts(set *settings.Settings) timeouts {
+	contact := set.Bounds.ContactWindow.Duration()
+	silence := set.PropagationBound() * 3 / 10
+	return timeouts{
+		call:     contact,
+		watch:    set.Bounds.HistoryRetention.Duration() + contact,
+		contact:  contact,
+		silence:  silence,
+		retry:    silence / 8,
+		shutdown: set.Bounds.GracePeriod.Duration() / 6,
+	}
+}
+
+func newRelay(set *settings.Settings, log *slog.Logger) *relay {
+	board := metrics.NewRegistry()
+	return &relay{
+		nodeName:       set.NodeName,
+		timeouts:       newTimeouts(set),
+		log:            log,
+		locator:        discovery.NewLocator(set),
+		board:          board,
+		coreDiskless:   make(chan struct{}),
+		forwarded:      board.Counter("relayed_total"),
+		redirected:     board.Counter("relayed_by_redirect_total"),
+		unavailable:    board.Counter("relayed_without_target_total"),
+		outcomeUnknown: board.Counter("relayed_unclear_total"),
+	}
+}
+
+// Run runs a relay until sig.Stop is closed, a listener fails, or it turns out that no
+// machine of the core has a disk, which is ErrCoreDiskless.
+func Run(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
+	r := newRelay(set, log)
+	var running sync.WaitGroup
+	defer running.Wait()
+	calls, err := api.Listen(set.Listen.Control, r.board)
+	if err != nil {
+		return err
+	}
+	defer calls.Close()
+	// A proxy on this machine connects here to learn whether it shares the link with a
+	// relay, and whoever has only relays for seeds to learn where the core is.
+	internal, err := net.Listen("tcp4", set.InternalAddr(set.IPAddress))
+	if err != nil {
+		return err
+	}
+	defer internal.Close()
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+
+	server := api.NewServer(r.handle, maxRequestBody)
+	failed := make(chan error, 1)
+	running.Go(func() { r.acceptInternal(internal) })
+	running.Go(func() { r.followNearest(ctx) })
+	running.Go(func() { failed <- server.Serve(calls) })
+	for {
+		select {
+		case err := <-failed:
+			return err
+		case <-r.coreDiskless:
+			return ErrCoreDiskless
+		case changed := <-sig.SettingsChanged:
+			r.locator.SetSeeds(changed.SeedNodes)
+		case <-sig.Stop:
+			api.Shutdown(server, r.timeouts.shutdown)
+			return nil
+		}
+	}
+}
+
+// acceptInternal serves connections of the internal protocol until the listener is
+// closed.
+func (r *relay) acceptInternal(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go r.announceCore(conn) // ends when the peer does, or is silent
+	}
+}
+
+// announceCore tells a process that takes this relay for a core node where the core is.
+func (r *relay) announceCore(raw net.Conn) {
+	defer raw.Close()
+	conn, _, err := transport.Accept(raw, r.timeouts.silence)
+	if err != nil {
+		return
+	}
+	nodes := r.locator.Nodes()
+	if len(nodes) == 0 || conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: nodes}}) != nil {
+		return
+	}
+	// The kernel resets a connection that is closed with unread bytes, and the peer
+	// then loses what was sent. So the peer closes first.
+	for err == nil {
+		_, err = conn.Receive(r.timeouts.silence)
+	}
+}
--- a/cmd/lichentray-controlplane/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -1,4 +1,4 @@
-package main
+package relay_test
 
 import (
 	"context"
@@ -15,12 +15,13 @@
 
 	"lichentray/internal/controlplanetest"
 	"lichentray/internal/daemon"
+	"lichentray/internal/relay"
 	"lichentray/internal/settings"
 	"lichentray/internal/transport"
 )
 
-// startCore is a stand-in for a core node: it sends bookmarks to whoever follows it,
-// and answers calls by script.
+// startCore starts a fake core node, which sends bookmarks that name the address of its
+// API to whoever follows it.
 func startCore(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
 	addr := fmt.Sprintf("%s:%d", ip, internal)
 	controlplanetest.StartFakeNode(t, addr, func(c *transport.Conn) {
@@ -33,9 +34,9 @@
 	})
 }
 
-// TestRelay: calls and answers pass unchanged; a call that may have arrived is
-// never called undone, one without a target is; where no core machine has a disk
-// the node joins the core instead.
+// Calls and answers are forwarded unchanged. A call that may have arrived is never
+// reported as not processed, one without a target is. Where no machine of the core has a
+// disk, the relay ends so that the node can join the core.
 func TestRelayForwardsRedirectsAndYieldsToDisklessCore(t *testing.T) {
 	ips := []string{"127.0.0.31", "127.0.0.32"}
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
@@ -58,7 +59,7 @@
 	start := func(s *settings.Settings) (chan error, *daemon.Signals) {
 		sig := &daemon.Signals{Stop: make(chan struct{}), SettingsChanged: make(chan *settings.Settings)}
 		ended := make(chan error, 1)
-		go func() { ended <- runRelay(s, slog.New(slog.NewTextHandler(io.Discard, nil)), sig) }()
+		go func() { ended <- relay.Run(s, slog.New(slog.NewTextHandler(io.Discard, nil)), sig) }()
 		return ended, sig
 	}
 	call := func(of string) (int, string) {
@@ -81,7 +82,7 @@
 	if code, _ := call("break"); code != 504 {
 		t.Errorf("a call without an answer: %d", code)
 	}
-	// A large body is not passed on, either way; its caller is told where to go.
+	// A large body is not forwarded, either way; its caller is redirected.
 	for call, body := range map[string]string{"configuration.replace": strings.Repeat(" ", 100<<10), "configuration.read": ""} {
 		r, err := (&http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}).Post(
 			fmt.Sprintf("http://%s:%d/api/rpc?call=%s", ips[1], control, call), "application/json", strings.NewReader(body))
@@ -93,7 +94,7 @@
 			t.Errorf("%s: %d to %s", call, r.StatusCode, at)
 		}
 	}
-	// Whoever takes the relay for a core node is told where the core is.
+	// Who takes the relay for a core node learns where the core is.
 	c, err := transport.Dial(context.Background(), fmt.Sprintf("%s:%d", ips[1], internal), 5*time.Second, transport.Hello{Role: transport.RoleProxy, Node: "p"})
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +112,7 @@
 	}
 	diskless.Store(true)
 	ended, _ = start(set(ips[0]))
-	if err := <-ended; !errors.Is(err, errCoreDiskless) {
+	if err := <-ended; !errors.Is(err, relay.ErrCoreDiskless) {
 		t.Errorf("beside a core without disks: %v", err)
 	}
 }
