--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -9,7 +9,6 @@
 	"net"
 	"strconv"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -269,55 +268,6 @@
 	return n, err
 }
 
-func isDigits(b []byte) bool {
-	for _, c := range b {
-		if c < '0' || c > '9' {
-			return false
-		}
-	}
-	return true
-}
-
-func isToken(b []byte) bool {
-	for _, c := range b {
-		if c <= ' ' || c >= 127 || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
-			return false
-		}
-	}
-	return true
-}
-
-// isHopByHop names the headers that concern one connection only, and those that
-// this node writes itself.
-func isHopByHop(name []byte) bool {
-	for _, s := range [...]string{"keep-alive", "proxy-connection", "te", "trailer", "upgrade", "expect", "x-target-instance"} {
-		if equalFold(name, s) {
-			return true
-		}
-	}
-	return false
-}
-
-// removeConnectionHeaders removes the headers that a Connection header names.
-func removeConnectionHeaders(head, named []byte) []byte {
-	for _, t := range bytes.Split(named, []byte{','}) {
-		t = bytes.TrimSpace(t)
-		if len(t) == 0 || equalFold(t, "close") || equalFold(t, "keep-alive") || equalFold(t, "host") || equalFold(t, "x-attempt-id") {
-			continue
-		}
-		lines := bytes.SplitAfter(head, []byte{'\n'})
-		out := append([]byte(nil), lines[0]...)
-		for _, l := range lines[1:] {
-			if i := bytes.IndexByte(l, ':'); i > 0 && equalFold(l[:i], string(t)) {
-				continue
-			}
-			out = append(out, l...)
-		}
-		head = out
-	}
-	return head
-}
-
 // outcome is how one hop ended.
 type outcome struct {
 	phase    phase
@@ -392,7 +342,7 @@
 	}
 	if err == nil && q.bodyStream != nil {
 		q.bodyConsumed = true
-		err = sendBodyStream(u, q)
+		err = u.sendBodyStream(q.bodyStream, q.streamSize)
 	}
 	o.phase = phaseSent
 	if err != nil {
@@ -464,22 +414,6 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// belongsTo tells whether an answer is to the request with an id: one in excess may
-// stand where that is due. On a connection that has served another request the id must
-// be there.
-func (a *response) belongsTo(id []byte, served bool) bool {
-	named := false
-	for _, h := range a.headers {
-		if equalFold(h.name, "X-Attempt-Id") {
-			if len(id) > 0 && !bytes.Equal(h.value, id) {
-				return false
-			}
-			named = true
-		}
-	}
-	return named || !served
-}
-
 // recycleConnection keeps a connection for the next request, if it may be used again.
 func (p *Proxy) recycleConnection(sh *connPool, u *upstreamConn, a *response) {
 	if !a.isReusable || u.reader.Buffered() > 0 {
@@ -495,57 +429,7 @@
 	sh.put(u)
 }
 
-// isConnectionClosed tells an end of the connection from a time that is up.
-func isConnectionClosed(err error) bool {
-	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
-}
-
-// writerOnly hides all but Write, so that a copy goes piece by piece.
-type writerOnly struct{ io.Writer }
-
-var (
-	errDeadlineExceeded = errors.New("proxy: deadline reached")
-	// errClientAborted says that the client, not the endpoint, broke the request off.
-	errClientAborted = errors.New("proxy: client broke its request off")
-)
-
-// clientBody marks the errors of the client's side of a body.
-type clientBody struct{ reader io.Reader }
-
-func (f clientBody) Read(b []byte) (int, error) {
-	n, err := f.reader.Read(b)
-	if err != nil && !errors.Is(err, io.EOF) {
-		err = fmt.Errorf("%w: %w", errClientAborted, err)
-	}
-	return n, err
-}
-
-// sendBodyStream passes on a body as the client sends it.
-func sendBodyStream(u *upstreamConn, q *request) error {
-	if q.streamSize >= 0 {
-		n, err := io.Copy(writerOnly{u.tcp}, io.LimitReader(clientBody{q.bodyStream}, int64(q.streamSize)))
-		if err == nil && n != int64(q.streamSize) {
-			err = fmt.Errorf("%w: %w", errClientAborted, io.ErrUnexpectedEOF)
-		}
-		return err
-	}
-	buf := make([]byte, 32<<10)
-	for {
-		n, err := clientBody{q.bodyStream}.Read(buf)
-		if n > 0 {
-			if _, werr := fmt.Fprintf(u.tcp, "%x\r\n%s\r\n", n, buf[:n]); werr != nil {
-				return werr
-			}
-		}
-		if errors.Is(err, io.EOF) {
-			_, err = io.WriteString(u.tcp, "0\r\n\r\n")
-			return err
-		}
-		if err != nil {
-			return err
-		}
-	}
-}
+var errDeadlineExceeded = errors.New("proxy: deadline exceeded")
 
 // forward tries endpoints until one answers or nothing more may be tried.
 func (p *Proxy) forward(q *request) {
