--- a/internal/proxy/follow.go
+++ b/internal/proxy/follow.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"lichentray/internal/transport"
-	"lichentray/registry"
 )
 
 // watchStream is an open stream of one control-plane node.
@@ -387,20 +386,11 @@
 			*sweep = time.Now()
 		}
 		if r := p.snapshot.Load(); r != nil {
-			p.closeExpiredConnections(r.services)
+			for _, svc := range r.services {
+				svc.closeExpiredConnections(time.Now())
+			}
 		}
 		return s.conn.Send(&transport.Frame{Ack: rev, Report: p.buildReport(span)})
 	}
 	return nil
 }
-
-// applyEvents takes changes in order. If one doesn't fit, the copy is listed anew.
-func (p *Proxy) applyEvents(events []registry.Event) error {
-	for _, e := range events {
-		if err := p.applyEvent(e); err != nil {
-			p.store.Invalidate()
-			return err
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/proxy/queue.go
@@ -0,0 +1,137 @@
+package proxy
+
+import (
+	"slices"
+	"sort"
+	"time"
+
+	"lichentray/loadbalance"
+)
+
+const (
+	// maxTrackedClients bounds how many clients are told apart between two reports.
+	maxTrackedClients = 4096
+	// requestsPerRank is how many requests between two reports are one step in rank, so
+	// that clients that ask about as often rank alike.
+	requestsPerRank = 4
+	// minQueueLimit is the limit of requests in flight from which a queue grows; half of
+	// the limit may stand in front of a request that begins to wait.
+	minQueueLimit = 8
+)
+
+// queueRank orders a queue: by the route's priority, then by how often the client has
+// asked lately (fair queuing by flow). Smaller is first.
+type queueRank struct {
+	priority       int
+	recentRequests int
+}
+
+// before reports whether a request of rank r goes first.
+func (r queueRank) before(o queueRank) bool {
+	if r.priority != o.priority {
+		return r.priority < o.priority
+	}
+	return r.recentRequests < o.recentRequests
+}
+
+// waiter is a request that waits in a queue for an endpoint.
+type waiter struct {
+	rank queueRank
+	// wake receives when an endpoint may have become free.
+	wake chan struct{}
+}
+
+// recordArrival counts a request of a client and returns its rank in the queue.
+func (s *service) recordArrival(client string, priority int) queueRank {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.retryBudget.Deposit()
+	s.arrivals++
+	n := s.arrivalsByClient[client]
+	if n > 0 || len(s.arrivalsByClient) < maxTrackedClients {
+		s.arrivalsByClient[client] = n + 1
+	}
+	return queueRank{priority: priority, recentRequests: n / requestsPerRank}
+}
+
+// acquireEndpoint reserves an endpoint, for which it waits up to maxWait in the order of
+// ranks. A wait that cannot end in time is not begun. It returns nil if there is none.
+func (s *service) acquireEndpoint(p *Proxy, rank queueRank, maxWait time.Duration, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, *connPool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ahead := s.waitersAhead(rank)
+	limit := 0
+	if ahead == 0 {
+		var e *loadbalance.Endpoint
+		if e, limit = s.pickEndpoint(p.now(), skip); e != nil {
+			return e, s.connPools[e]
+		}
+	}
+	if maxWait <= 0 || ahead > max(limit, minQueueLimit)/2 {
+		return nil, nil
+	}
+	w := s.enqueue(rank)
+	e := s.awaitEndpoint(p, w, maxWait, skip)
+	s.dequeue(w)
+	s.wakeNext()
+	return e, s.connPools[e]
+}
+
+// awaitEndpoint picks an endpoint whenever the waiter is woken, and for the last time
+// when maxWait is over. The caller has the lock, which is released in between.
+func (s *service) awaitEndpoint(p *Proxy, w *waiter, maxWait time.Duration, skip func(*loadbalance.Endpoint) bool) *loadbalance.Endpoint {
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
+	for {
+		s.mu.Unlock()
+		isOver := false
+		select {
+		case <-w.wake:
+		case <-timer.C:
+			isOver = true
+		}
+		s.mu.Lock()
+		if e, _ := s.pickEndpoint(p.now(), skip); e != nil || isOver {
+			return e
+		}
+	}
+}
+
+// waitersAhead is how many requests in the queue a request of a rank would wait for. The
+// caller has the lock.
+func (s *service) waitersAhead(rank queueRank) int {
+	ahead := 0
+	for _, w := range s.waiters {
+		if !rank.before(w.rank) {
+			ahead++
+		}
+	}
+	return ahead
+}
+
+// enqueue adds a request to the queue, behind those of the same rank. The caller has the
+// lock.
+func (s *service) enqueue(rank queueRank) *waiter {
+	w := &waiter{rank: rank, wake: make(chan struct{}, 1)}
+	at := sort.Search(len(s.waiters), func(i int) bool { return rank.before(s.waiters[i].rank) })
+	s.waiters = slices.Insert(s.waiters, at, w)
+	return w
+}
+
+// dequeue removes a request from the queue. The caller has the lock.
+func (s *service) dequeue(w *waiter) {
+	if i := slices.Index(s.waiters, w); i >= 0 {
+		s.waiters = slices.Delete(s.waiters, i, i+1)
+	}
+}
+
+// wakeNext wakes the first in the queue. The caller has the lock.
+func (s *service) wakeNext() {
+	if len(s.waiters) == 0 {
+		return
+	}
+	select {
+	case s.waiters[0].wake <- struct{}{}:
+	default: // it was woken already
+	}
+}
--- /dev/null
+++ b/internal/proxy/rollout.go
@@ -0,0 +1,185 @@
+package proxy
+
+import (
+	"math/rand"
+	"time"
+
+	"lichentray/internal/transport"
+	"lichentray/loadbalance"
+	"lichentray/registry"
+	"lichentray/rollout"
+)
+
+// rolloutState is a service's versions as the registry has them, and what this node saw
+// of them since its last report.
+type rolloutState struct {
+	rollout.Rollout
+	evidence rollout.Evidence
+	// strata splits the requests of late among the versions by route.
+	strata rollout.StratifiedSplit
+}
+
+// applyRollout takes a service's versions from the registry.
+func (p *Proxy) applyRollout(name string, o registry.Object) {
+	r, err := rollout.Decode(o.Value)
+	if err != nil {
+		p.log.Error("roll-out is unreadable, the present one is kept", "key", o.Key, "error", err)
+		return
+	}
+	p.setRollout(p.ensureService(name), r)
+}
+
+// setRollout sets a service's versions.
+func (p *Proxy) setRollout(s *service, r rollout.Rollout) {
+	previous := s.setRollout(r)
+	if r.State != previous && r.State != "" {
+		p.log.Info("roll-out", "service", s.name, "target", r.Target, "state", string(r.State))
+	}
+}
+
+// setRollout sets the service's versions and returns the state of the previous roll-out.
+func (s *service) setRollout(r rollout.Rollout) rollout.State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.rollout.Rollout
+	s.rollout.Rollout = r
+	if previous.OrderNumber != r.OrderNumber || r.State != rollout.InProgress {
+		s.rollout.evidence = nil
+	}
+	s.pool.SetVersions(loadbalance.Versions{
+		Known:       r.Base != "" || r.OrderNumber > 0,
+		Base:        r.Base,
+		Target:      r.Target,
+		TargetShare: r.TrafficShare(),
+	})
+	s.wakeNext()
+	return previous.State
+}
+
+// rolloutReports reports what this node saw of the roll-outs in progress since its last
+// report; nil if there are none.
+func (p *Proxy) rolloutReports() map[string]transport.RolloutReport {
+	if !p.settings.HasRollouts() {
+		return nil
+	}
+	var out map[string]transport.RolloutReport
+	for name, s := range p.services {
+		report, isInProgress := p.takeRolloutReport(s)
+		if !isInProgress {
+			continue
+		}
+		if out == nil {
+			out = map[string]transport.RolloutReport{}
+		}
+		out[name] = report
+	}
+	return out
+}
+
+// takeRolloutReport returns a service's report and begins the next one.
+func (p *Proxy) takeRolloutReport(s *service) (report transport.RolloutReport, isInProgress bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p.metrics.Counter("endpoints_barred", "service", s.name).Set(int64(s.pool.ExcludedCount()))
+	if s.rollout.State != rollout.InProgress {
+		return transport.RolloutReport{}, false
+	}
+	for _, counts := range s.rollout.evidence {
+		p.countRolloutRequests(s.name, "base", counts.Base)
+		p.countRolloutRequests(s.name, "target", counts.Target)
+	}
+	report = transport.RolloutReport{
+		Order:    s.rollout.OrderNumber,
+		Evidence: s.rollout.evidence,
+		Proxies:  1,
+		Stage:    s.rollout.Stage,
+		AtBase:   s.pool.BaseInflight(),
+	}
+	s.rollout.evidence = nil
+	s.rollout.strata.Decay()
+	return report, true
+}
+
+// countRolloutRequests counts the attempts at one version.
+func (p *Proxy) countRolloutRequests(service, version string, counts rollout.Counts) {
+	c := p.metrics.Counter("rollout_requests_total", "service", service, "version", version)
+	c.Add(int64(counts.Answers + counts.Broken))
+}
+
+// drawVersionGroup draws which versions a request goes to. A node that has not heard for
+// rolloutLease how the roll-out stands sends to the base version.
+func (s *service) drawVersionGroup(p *Proxy, route int) loadbalance.VersionGroup {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	share := s.pool.Versions().TargetShare
+	if share <= 0 {
+		return loadbalance.BaseVersion
+	}
+	s.rollout.strata.RecordRequest(route)
+	share = s.rollout.strata.RouteShare(share, route)
+	if share < 1 && rand.Float64() >= share {
+		return loadbalance.BaseVersion
+	}
+	if p.now()-time.Duration(p.lastBookmarkAt.Load()) > p.timeouts.rolloutLease {
+		return loadbalance.BaseVersion
+	}
+	return loadbalance.TargetVersion
+}
+
+// retryVersionGroup returns the versions that a request goes to after a failed attempt:
+// from the target version to the base version. mayHaveArrived says that the endpoint may
+// have received the request. Where a base endpoint was not even reached although all
+// traffic should have moved, the base version was stopped and this node has not heard.
+func (s *service) retryVersionGroup(group loadbalance.VersionGroup, mayHaveArrived bool) loadbalance.VersionGroup {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if group == loadbalance.BaseVersion && !mayHaveArrived && s.rollout.IsFinalStage() {
+		return loadbalance.TargetVersion
+	}
+	return loadbalance.BaseVersion
+}
+
+// acquireForGroup reserves an endpoint of a version group; see acquireEndpoint. No request
+// waits for the target version while the base version is available, so it may change the
+// group.
+func (s *service) acquireForGroup(p *Proxy, rank queueRank, maxWait time.Duration, skip func(*loadbalance.Endpoint) bool, group *loadbalance.VersionGroup) (*loadbalance.Endpoint, *connPool) {
+	if *group == loadbalance.TargetVersion {
+		isFinal, isInProgress := s.rolloutStage()
+		if !isFinal && isInProgress {
+			if e, conns := s.acquireEndpoint(p, rank, 0, skip); e != nil {
+				return e, conns
+			}
+		}
+		if !isFinal {
+			*group = loadbalance.BaseVersion
+		}
+	}
+	e, conns := s.acquireEndpoint(p, rank, maxWait, skip)
+	if e != nil && *group == loadbalance.TargetVersion {
+		*group = s.versionGroupOf(e) // the roll-out may have ended meanwhile
+	}
+	return e, conns
+}
+
+// rolloutStage reports how the roll-out stands.
+func (s *service) rolloutStage() (isFinal, isInProgress bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rollout.IsFinalStage(), s.rollout.State == rollout.InProgress
+}
+
+// versionGroupOf returns the version group of an endpoint.
+func (s *service) versionGroupOf(e *loadbalance.Endpoint) loadbalance.VersionGroup {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return e.VersionGroup
+}
+
+// accepts reports whether an endpoint accepts requests to a version group. The caller has
+// the lock.
+func (s *service) accepts(e *loadbalance.Endpoint, group loadbalance.VersionGroup) bool {
+	if group == loadbalance.TargetVersion && s.rollout.State == rollout.InProgress {
+		return e.VersionGroup == loadbalance.TargetVersion && e.InRolloutSubset
+	}
+	return e.VersionGroup == loadbalance.BaseVersion
+}
