--- a/internal/proxy/byte_test.go
+++ b/internal/proxy/bytefault_test.go
@@ -13,7 +13,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -42,16 +41,17 @@
 	lastID string // the id of the request read last, on any connection
 }
 
+// expectedBody is the body of an endpoint's answer to a request.
 func expectedBody(id, who string) string { return "the answer to " + id + " by " + who }
 
-// rawResponse is one answer. named is the id that it names, "" for none; word tells that the
-// endpoint has not run the request.
-func rawResponse(status int, named, body string, word bool) string {
+// rawResponse is one response. named is the id that it names, empty for none; isUnprocessed says
+// that it states that the request was not executed.
+func rawResponse(status int, named, body string, isUnprocessed bool) string {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\n", status)
 	if named != "" {
 		head += "X-Attempt-Id: " + named + "\r\n"
 	}
-	if word {
+	if isUnprocessed {
 		head += "X-Not-Executed: 1\r\n"
 	} else {
 		head += "X-Server-Signature: s\r\n"
@@ -59,9 +59,11 @@
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// poisonBytes is what poisoned buffers contain.
 var poisonBytes = bytes.Repeat([]byte{'Z'}, 16<<10)
 
-// poisonHeadBuffers overwrites buffers that were given back: whoever reads one still shows it.
+// poisonHeadBuffers overwrites buffers that were returned to their pool: whoever still reads one
+// shows it.
 func poisonHeadBuffers() {
 	var held [2]*[]byte
 	for i := range held {
@@ -73,6 +75,7 @@
 	}
 }
 
+// serve misbehaves on one connection.
 func (e *faultyEndpoint) serve(c *net.TCPConn) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // a test that hangs ends
@@ -183,7 +186,7 @@
 	}
 }
 
-// discardRequest reads what is left of a request and no further.
+// discardRequest reads the rest of a request and no further.
 func discardRequest(br *bufio.Reader) bool {
 	length, chunked := 0, false
 	for {
@@ -213,6 +216,7 @@
 	return err == nil
 }
 
+// hash derives a seed from an id.
 func hash(s string) (h uint32) {
 	for i := range len(s) {
 		h = h*16777619 ^ uint32(s[i])
@@ -220,8 +224,8 @@
 	return h
 }
 
-// runClient is a client that splits what it sends at any byte, pipelines and leaves.
-func runClient(t *testing.T, addr string, rng *rand.Rand, ids []string, book *exchangeModel) {
+// runClient is a client that splits what it sends at any byte, pipelines and hangs up.
+func runClient(t *testing.T, addr string, rng *rand.Rand, ids []string, model *exchangeModel) {
 	for len(ids) > 0 {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
@@ -260,7 +264,7 @@
 				break
 			}
 			for _, id := range now {
-				if open = open && checkResponse(t, br, id, book); !open {
+				if open = open && checkResponse(t, br, id, model); !open {
 					break // what was pipelined behind it is not answered
 				}
 			}
@@ -272,7 +276,7 @@
 	}
 }
 
-// rawRequest is a request as it goes on the wire.
+// rawRequest is a request as it is on the wire.
 func rawRequest(rng *rand.Rand, id string) []byte {
 	var body []byte
 	how, route := "POST", "once"
@@ -294,8 +298,8 @@
 	return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-// checkResponse reads one answer and holds it against the request that it is due to.
-func checkResponse(t *testing.T, br *bufio.Reader, id string, book *exchangeModel) (open bool) {
+// checkResponse reads one response and checks it against the request that it is due to.
+func checkResponse(t *testing.T, br *bufio.Reader, id string, model *exchangeModel) (open bool) {
 	r, err := http.ReadResponse(br, nil)
 	if err != nil {
 		return false
@@ -310,16 +314,16 @@
 	if r.StatusCode == 503 && r.Header.Get("Retry-After") == "" && id[0] == 'o' {
 		t.Errorf("%s was refused without a time to come back", id)
 	}
-	book.mu.Lock()
-	book.statuses[id] = r.StatusCode
-	book.mu.Unlock()
+	model.mu.Lock()
+	model.statuses[id] = r.StatusCode
+	model.mu.Unlock()
 	return err == nil && !r.Close
 }
 
-// TestByteFaultsAgainstModel plays seeds of clients and endpoints that misbehave at any byte and holds
-// all of it against the model: no answer to another request, no request twice at one
-// endpoint or more often than its route allows, one that may run once taken once, and a
-// promise that it has not run kept to the end.
+// TestByteFaultsAgainstModel plays seeds of clients and endpoints that misbehave at any byte and checks
+// all of it against the model: no response to another request, no request twice at one endpoint
+// or more often than its route allows, one that is not idempotent executed at most once, and a
+// promise that it was not executed kept.
 func TestByteFaultsAgainstModel(t *testing.T) {
 	seeds := 120
 	if testing.Short() {
@@ -331,13 +335,13 @@
 		for seed := range seeds {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				book := playByteSeed(t, int64(seed))
+				model := playByteSeed(t, int64(seed))
 				mu.Lock()
 				defer mu.Unlock()
-				for _, s := range book.statuses {
+				for _, s := range model.statuses {
 					statuses[s]++
 				}
-				for a, n := range book.behaviors {
+				for a, n := range model.behaviors {
 					acts[a] += n
 				}
 			})
@@ -351,9 +355,10 @@
 	}
 }
 
+// playByteSeed plays one seed.
 func playByteSeed(t *testing.T, seed int64) *exchangeModel {
 	const endpoints, callers, each = 4, 6, 8
-	book := &exchangeModel{deliveries: map[string]map[int]int{}, executions: map[string]int{}, statuses: map[string]int{}, behaviors: map[string]int{}}
+	model := &exchangeModel{deliveries: map[string]map[int]int{}, executions: map[string]int{}, statuses: map[string]int{}, behaviors: map[string]int{}}
 	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	p.timeouts.ejectionBase, p.timeouts.ejectionMax = 1, 1 // or the worst would soon be left alone
@@ -366,7 +371,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := &faultyEndpoint{t: t, index: i, seed: seed, model: book}
+		e := &faultyEndpoint{t: t, index: i, seed: seed, model: model}
 		serving.Add(1)
 		go func() {
 			defer serving.Done()
@@ -397,7 +402,7 @@
 		calling.Add(1)
 		go func() {
 			defer calling.Done()
-			runClient(t, f.listener.Addr().String(), rng, ids, book)
+			runClient(t, f.listener.Addr().String(), rng, ids, model)
 		}()
 	}
 	calling.Wait()
@@ -411,7 +416,7 @@
 		p.services["s"].removeEndpoint(fmt.Sprint("i-", i))
 	}
 	serving.Wait()
-	for id, at := range book.deliveries {
+	for id, at := range model.deliveries {
 		times := 0
 		for e, n := range at {
 			if times += n; n > 1 {
@@ -424,131 +429,15 @@
 		if id[0] != 'o' {
 			continue
 		}
-		if book.executions[id] > 1 {
-			t.Errorf("%s was taken %d times", id, book.executions[id])
+		if model.executions[id] > 1 {
+			t.Errorf("%s was taken %d times", id, model.executions[id])
 		}
-		switch s := book.statuses[id]; s {
+		switch s := model.statuses[id]; s {
 		case 408, 421, 429, 503:
-			if book.executions[id] > 0 {
+			if model.executions[id] > 0 {
 				t.Errorf("%s was answered %d and was taken", id, s)
 			}
 		}
 	}
-	return book
-}
-
-// TestHeldBack: an answer goes out when it is there, also if the next request of its
-// connection has come by then and takes its time (head-of-line).
-func TestResponseIsNotHeldByPipelinedRequest(t *testing.T) {
-	next := make(chan struct{})
-	e := newStubEndpoint(t, func(int, string) string {
-		<-next
-		return okResponse("x")
-	})
-	_, addr := startProxy(t, e)
-	c, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second))
-	if _, err := io.WriteString(c, "GET /none HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a0\r\n\r\n"+getRequest("/safe/a")); err != nil {
-		t.Fatal(err)
-	}
-	br := bufio.NewReader(c)
-	r, err := http.ReadResponse(br, nil)
-	close(next)
-	if err != nil || r.StatusCode != 404 {
-		t.Fatalf("the first answer waits for the second: %v", err)
-	}
-	_, _ = io.Copy(io.Discard, r.Body)
-	if r, err := http.ReadResponse(br, nil); err != nil || r.StatusCode != 200 {
-		t.Errorf("the second answer: %v", err)
-	}
-}
-
-// TestWithoutID: a request without X-Attempt-Id takes no connection that has served
-// another, as nothing would tell its answer from one in excess.
-func TestRequestWithoutIDUsesNewConnection(t *testing.T) {
-	e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
-	p, addr := startProxy(t, e)
-	ask := func(raw string) {
-		if s := statusOf(sendRaw(t, addr, raw, 1)); s != 200 {
-			t.Errorf("answered %d", s)
-		}
-	}
-	sh := func() int { return p.services["s"].connPools[p.services["s"].pool.Endpoints()[0]].idleCount() }
-	ask(getRequest("/safe/a"))
-	if sh() != 1 {
-		t.Fatal("the connection was not kept")
-	}
-	ask(strings.Replace(getRequest("/safe/b"), "X-Attempt-Id: a1\r\n", "", 1))
-	if sh() != 2 {
-		t.Errorf("%d connections are kept, the request without an id took one", sh())
-	}
-	ask(getRequest("/safe/c"))
-	if sh() != 2 {
-		t.Errorf("%d connections are kept after a request with an id", sh())
-	}
-}
-
-// TestEarlyAnswer: an endpoint that turns a request away before it has read it, and
-// closes, is taken at its word although the rest could not be sent.
-func TestEarlyRejectionIsHonoured(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		if _, err = bufio.NewReader(c).ReadString('\n'); err == nil {
-			_, _ = io.WriteString(c, strings.Replace(notExecutedResponse, "X-Not", "X-Attempt-Id: a2\r\nX-Not", 1))
-		}
-		c.Close() // with bytes unread: a reset
-	}()
-	_, addr := startProxy(t, &stubEndpoint{listener: ln})
-	c, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	body := strings.Repeat("b", maxBufferedRequest)
-	_, _ = fmt.Fprintf(c, "POST /once/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline: 9000\r\nContent-Length: %d\r\n\r\n%sb", 2*maxBufferedRequest, body)
-	<-ended
-	_, _ = io.WriteString(c, body[1:])
-	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 503 {
-		t.Errorf("answered %+v, %v", r, err)
-	}
-}
-
-// TestBrokenUpload: a client that hangs up in the middle of a body of a stated length
-// has sent no request: no endpoint gets one with what had come by then as its body.
-func TestBrokenUploadIsNotForwarded(t *testing.T) {
-	var arrived atomic.Int64
-	e := newStubEndpoint(t, func(int, string) string { arrived.Add(1); return okResponse("x") })
-	p, addr := startProxy(t, e)
-	sizes := [][2]int{{40000, 20000}, {40000, 39999}, {maxBufferedRequest, maxBufferedRequest - 1}, {2 * maxBufferedRequest, maxBufferedRequest}}
-	for i, x := range sizes {
-		c, err := net.Dial("tcp4", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-		_, _ = fmt.Fprintf(c, "POST /once/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Deadline: 9000\r\nContent-Length: %d\r\n\r\n%s", i, x[0], strings.Repeat("b", x[1]))
-		_ = c.(*net.TCPConn).CloseWrite()
-		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && r.StatusCode != 400 {
-			t.Errorf("%d of %d bytes: answered %d", x[1], x[0], r.StatusCode)
-		}
-		c.Close()
-	}
-	if n := p.counters.requests.Value(); arrived.Load() != 0 || n != int64(len(sizes)) {
-		t.Errorf("%d requests reached an endpoint, %d the proxy", arrived.Load(), n)
-	}
+	return model
 }
--- /dev/null
+++ b/internal/proxy/conn_test.go
@@ -0,0 +1,39 @@
+package proxy
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// TestIdleConnectionOutlivesDeadline: the deadline of the last request says nothing about an idle
+// connection; unexpected bytes do.
+func TestIdleConnectionOutlivesDeadline(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	u, err := dialUpstream(ln.Addr().String(), 5*time.Second, 5*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	other, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := u.tcp.SetDeadline(time.Now().Add(-time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if !u.isQuiet() {
+		t.Error("a sound idle connection was given up")
+	}
+	if _, err := io.WriteString(other, "x"); err != nil {
+		t.Fatal(err)
+	}
+	_ = u.tcp.SetDeadline(time.Time{})
+	if _, err := u.reader.Peek(1); err != nil || u.isQuiet() {
+		t.Errorf("unasked bytes were not seen: %v", err)
+	}
+}
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/reflector_test.go
@@ -14,24 +14,26 @@
 	"lichentray/registry"
 )
 
-// stubControlNode is a stand-in control-plane node: it answers lists and watches and sends
-// what it is told to.
+// stubControlNode is a control-plane node that answers requests for streams by a function and sends
+// the frames that the test puts into frames.
 type stubControlNode struct {
 	streamsOpened atomic.Int64
 	frames        chan *transport.Frame
 	respond       func(*transport.Request) *transport.Response
 }
 
+// newStubControlNode starts a control-plane node that ends with the test.
 func newStubControlNode(t *testing.T, addr string, answer func(*transport.Request) *transport.Response) *stubControlNode {
 	c := &stubControlNode{frames: make(chan *transport.Frame), respond: answer}
 	controlplanetest.StartFakeNode(t, addr, c.serve)
 	return c
 }
 
+// serve serves one connection.
 func (c *stubControlNode) serve(conn *transport.Conn) {
-	gone, open := make(chan struct{}), make(chan struct{}, 1)
+	closed, open := make(chan struct{}), make(chan struct{}, 1)
 	go func() {
-		defer close(gone)
+		defer close(closed)
 		for {
 			f, err := conn.Receive(0)
 			if err != nil {
@@ -40,7 +42,7 @@
 			if f.Ask != nil {
 				a := c.respond(f.Ask)
 				if a == nil {
-					continue // it hears and does not answer
+					continue // it does not answer
 				}
 				if !a.Failed {
 					c.streamsOpened.Add(1)
@@ -52,23 +54,23 @@
 			}
 		}
 	}()
-	var say chan *transport.Frame // only once a stream is open
+	var frames chan *transport.Frame // only once a stream is open
 	for {
 		select {
 		case <-open:
-			say = c.frames
-		case f := <-say:
+			frames = c.frames
+		case f := <-frames:
 			if conn.Send(f) != nil {
 				return
 			}
-		case <-gone:
+		case <-closed:
 			return
 		}
 	}
 }
 
-// TestQuietStreamIsKept: a stream that falls quiet is followed on if it speaks
-// before another is open, with nothing lost; and left for another that opens.
+// TestQuietStreamIsKept: a stream that falls silent is followed on if it speaks before another is
+// open, with nothing lost, and replaced by another that opens.
 func TestQuietStreamIsKept(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.21", "127.0.0.22")
 	set := controlplanetest.Settings(t, "127.0.0.23", "", 1, port, []string{"127.0.0.21", "127.0.0.22"}, false)
@@ -77,8 +79,8 @@
 	list := func(a *transport.Request) *transport.Response {
 		return &transport.Response{ID: a.ID, Revision: max(1, a.Least)}
 	}
-	var deaf atomic.Bool
-	deaf.Store(true)
+	var isSilent atomic.Bool
+	isSilent.Store(true)
 	asked := make(chan struct{}, 100)
 	first := newStubControlNode(t, address("127.0.0.21"), func(a *transport.Request) *transport.Response {
 		if a.Watch {
@@ -87,10 +89,10 @@
 		return list(a)
 	})
 	second := newStubControlNode(t, address("127.0.0.22"), func(a *transport.Request) *transport.Response {
-		if a.Watch { // only a stream that is sought anew asks to go on
+		if a.Watch { // a stream after the first asks for the watch to go on
 			asked <- struct{}{}
 		}
-		if deaf.Load() {
+		if isSilent.Load() {
 			return nil
 		}
 		return list(a)
@@ -104,26 +106,26 @@
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("never came: " + what)
+				t.Fatal("never happened: " + what)
 			}
 		}
 	}
 	until("a list", func() bool { return p.counters.lists.Value() == 1 })
-	<-asked // the first has been quiet: the second is asked, and does not answer
+	<-asked // the first is silent: the second is asked, and does not answer
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "a"}
 	first.frames <- &transport.Frame{Events: []registry.Event{{Type: registry.Added, Object: registry.Object{Key: e.Key(), Value: e.Encode(), ModRevision: 2}, Revision: 2}}, Bookmark: &transport.Bookmark{Revision: 2}}
-	until("what the quiet stream said", func() bool { return p.counters.registryRevision.Value() == 2 })
+	until("events of the silent stream", func() bool { return p.counters.registryRevision.Value() == 2 })
 	if p.counters.streamsLost.Value() != 0 || first.streamsOpened.Load() != 1 {
-		t.Errorf("the stream was broken off: %d lost, opened %d times", p.counters.streamsLost.Value(), first.streamsOpened.Load())
+		t.Errorf("the stream was closed: %d lost, opened %d times", p.counters.streamsLost.Value(), first.streamsOpened.Load())
 	}
-	deaf.Store(false)
+	isSilent.Store(false)
 	until("the other node is followed", func() bool { return second.streamsOpened.Load() > 0 && p.counters.watches.Value() > 0 })
 	second.frames <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: 7}}
-	until("what the other node said", func() bool { return p.counters.registryRevision.Value() == 7 })
+	until("bookmark of the other node", func() bool { return p.counters.registryRevision.Value() == 7 })
 }
 
-// TestSeedsAreRelays: a proxy whose seeds are all relays is told where the core is
-// and follows it.
+// TestRelaySeedsReferToCore: a proxy whose seeds are all relays is referred to the core and follows
+// it.
 func TestRelaySeedsReferToCore(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.24", "127.0.0.25")
 	set := controlplanetest.Settings(t, "127.0.0.26", "", 1, port, []string{"127.0.0.24"}, false)
@@ -142,8 +144,8 @@
 	}
 }
 
-// TestNearerThatIsDead: a nearer node that is named and does not answer costs the
-// stream that is followed nothing; one that answers takes over.
+// TestDeadNearerNodeKeepsStream: a nearer node that is named and does not answer costs the present
+// stream nothing; one that answers replaces it.
 func TestDeadNearerNodeKeepsStream(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.41", "127.0.0.42")
 	set := controlplanetest.Settings(t, "127.0.0.43", "", 1, port, []string{"127.0.0.41"}, false)
@@ -161,7 +163,7 @@
 	control := []transport.ControlNode{{Addr: address("127.0.0.41"), Zone: "b"}, {Addr: address("127.0.0.42"), Zone: "a"}}
 	for rev := uint64(2); rev < 12; rev++ {
 		far.frames <- &transport.Frame{Bookmark: &transport.Bookmark{Revision: rev, Control: control}}
-		time.Sleep(set.Bounds.ContactWindow.Duration() / 4) // what is nearer is sought at each span of contact
+		time.Sleep(set.Bounds.ContactWindow.Duration() / 4) // a nearer node is sought once in each contact window
 	}
 	if far.streamsOpened.Load() != 1 {
 		t.Errorf("the stream was opened %d times", far.streamsOpened.Load())
@@ -178,9 +180,8 @@
 	}
 }
 
-// TestRelayIsAskedOnce: a relay on the own machine that is named as a seed lies
-// nearest of all and only points to the core. It is not asked over and over again
-// before the core is.
+// TestRelayIsAskedOnce: a relay on this machine that is named as a seed is nearest of all and only
+// refers to the core. It is not asked over and over again before the core is.
 func TestRelayIsAskedOnce(t *testing.T) {
 	own, core := "127.0.0.26", "127.0.0.27"
 	port := controlplanetest.FreePort(t, own, core)
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -6,7 +6,7 @@
 	"lichentray/internal/apierror"
 )
 
-// TestRetryTable holds the table against the rules for every phase and every state of a
+// TestRetryTable checks the retry table against the rules, for every phase and every state of a
 // request.
 func TestRetryTable(t *testing.T) {
 	for p := phaseQueued; p < phaseCount; p++ {
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/rollout_test.go
@@ -11,25 +11,27 @@
 	"lichentray/rollout"
 )
 
+// applyTestRollout applies a roll-out of service s.
 func (p *Proxy) applyTestRollout(r rollout.Rollout) {
 	p.applyObject(registry.Object{Key: registry.RolloutPrefix + "s", Value: r.Encode()}, true)
 }
 
+// addVersionedEndpoint adds an endpoint of a version to service s.
 func (p *Proxy) addVersionedEndpoint(id, version string, e *stubEndpoint) {
 	x := registry.Endpoint{ID: id, Service: "s", Version: version, Address: e.listener.Addr().String(), Zone: "a", Capacity: 40}
 	p.applyObject(registry.Object{Key: x.Key(), Value: x.Encode()}, true)
 }
 
-// TestVersionsSentTo: what a proxy sends where in each state of a roll-out, by the
-// rule written out: without an order, after a roll-back, and without news, the
-// addVersionedEndpoint in use alone; in the canary a small part; all at the end; and a request
-// that failed at the target goes on to the version in use if it may run again.
+// TestRolloutDecidesVersion: where a proxy sends requests in each state of a roll-out. Without an
+// order, after a rollback, and without news, all go to the base version; in the canary a small
+// share to the target; at the end all. A request that failed at the target is retried at the base
+// version if it is idempotent.
 func TestRolloutDecidesVersion(t *testing.T) {
 	failing := "HTTP/1.1 500 Broken\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: 0\r\n\r\n"
 	old := newStubEndpoint(t, func(int, string) string { return okResponse("old") })
-	var mended atomic.Bool
+	var isRepaired atomic.Bool
 	fresh := newStubEndpoint(t, func(int, string) string {
-		if mended.Load() {
+		if isRepaired.Load() {
 			return okResponse("new")
 		}
 		return failing
@@ -89,18 +91,18 @@
 			}
 		}
 		if c.r.State == rollout.InProgress {
-			told := p.rolloutReports()["s"]
+			report := p.rolloutReports()["s"]
 			sum := rollout.Counts{}
-			for _, a := range told.Evidence {
+			for _, a := range report.Evidence {
 				sum = sum.Add(a.Target)
 			}
-			if told.Order != 1 || sum.Failed != sum.Answers || (sum.Failed > 0) != (c.least > 0) {
-				t.Errorf("%s: reported %+v", c.what, told)
+			if report.Order != 1 || sum.Failed != sum.Answers || (sum.Failed > 0) != (c.least > 0) {
+				t.Errorf("%s: reported %+v", c.what, report)
 			}
 		}
 	}
 	// All have moved, the old endpoints are stopped, and this node has not heard.
-	mended.Store(true)
+	isRepaired.Store(true)
 	p.applyTestRollout(trial(3))
 	heard(false)
 	old.listener.Close()
@@ -110,8 +112,8 @@
 	}
 }
 
-// TestCanaryIsConcentrated: every node picks the same few endpoints for a small
-// share, several at least, and all of them at the end.
+// TestCanaryIsConcentrated: all nodes pick the same few endpoints for a small share, several at
+// least, and all of them at the end.
 func TestCanaryIsConcentrated(t *testing.T) {
 	for _, c := range []struct{ endpoints, stage, front int }{{300, 0, 5}, {300, 1, 20}, {300, 3, 300}, {5, 0, 4}, {2, 0, 2}} {
 		var first string
