--- a/internal/controlplanetest/controlplanetest.go
+++ b/internal/controlplanetest/controlplanetest.go
@@ -1,5 +1,5 @@
-// Package controlplanetest holds what tests of several packages need: settings for
-// nodes on the loopback (test fixtures).
+// Package controlplanetest holds what tests of several packages need to run control-plane nodes, or
+// stand-ins for them, on the loopback: free ports, settings and fakes. It is used by tests only.
 package controlplanetest
 
 import (
@@ -13,26 +13,15 @@
 	"lichentray/internal/transport"
 )
 
-// FreePort finds a port that is free on every one of the addresses.
+// maxPortAttempts is how many ports FreePort tries.
+const maxPortAttempts = 50
+
+// FreePort returns a TCP port that is free on each of the IP addresses. It is not reserved: another
+// process may take it before the test does.
 func FreePort(t testing.TB, ips ...string) int {
 	t.Helper()
-	for range 50 {
-		first, err := net.Listen("tcp4", ips[0]+":0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		port := first.Addr().(*net.TCPAddr).Port
-		free := true
-		for _, ip := range ips[1:] {
-			l, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, port))
-			if err != nil {
-				free = false
-				break
-			}
-			l.Close()
-		}
-		first.Close()
-		if free {
+	for range maxPortAttempts {
+		if port, ok := tryFreePort(t, ips); ok {
 			return port
 		}
 	}
@@ -40,23 +29,44 @@
 	return 0
 }
 
-// Settings gives the settings of one node, parsed.
-func Settings(t testing.TB, ip, dir string, control, internal int, seeds []string, bootstrap bool) *settings.Settings {
+// tryFreePort lets the kernel choose a port on the first address and reports whether it is free on
+// the others.
+func tryFreePort(t testing.TB, ips []string) (port int, ok bool) {
+	t.Helper()
+	first, err := net.Listen("tcp4", ips[0]+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer first.Close()
+	port = first.Addr().(*net.TCPAddr).Port
+	for _, ip := range ips[1:] {
+		listener, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, port))
+		if err != nil {
+			return 0, false
+		}
+		listener.Close()
+	}
+	return port, true
+}
+
+// Settings returns the settings of one node, see SettingsText.
+func Settings(t testing.TB, ip, dir string, controlPort, internalPort int, seedIPs []string, bootstrap bool) *settings.Settings {
 	t.Helper()
-	s, err := settings.Parse([]byte(SettingsText(ip, dir, control, internal, seeds, bootstrap)))
+	s, err := settings.Parse([]byte(SettingsText(ip, dir, controlPort, internalPort, seedIPs, bootstrap)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// SettingsText gives the settings of one node as a file holds them; [bounds] comes last but
-// for what is added. Control and internal ports are alike on all nodes. The bounds
-// are wide, so that a loaded test machine does not look like a failing one.
-func SettingsText(ip, dir string, control, internal int, seeds []string, bootstrap bool) string {
-	quoted := make([]string, len(seeds))
-	for i, s := range seeds {
-		quoted[i] = fmt.Sprintf("%q", fmt.Sprintf("%s:%d", s, control))
+// SettingsText returns the settings file of a control-plane node at an IP address of the loopback,
+// with its data in the directory dir. The ports for the API and for internal use are the same on all
+// nodes. The file ends in the table [bounds], to which a test may append. The bounds are wide, so
+// that a loaded test machine does not look like a failing one.
+func SettingsText(ip, dir string, controlPort, internalPort int, seedIPs []string, bootstrap bool) string {
+	seeds := make([]string, len(seedIPs))
+	for i, seedIP := range seedIPs {
+		seeds[i] = fmt.Sprintf("%q", fmt.Sprintf("%s:%d", seedIP, controlPort))
 	}
 	return fmt.Sprintf(`
 node_name = "node-%s"
@@ -94,41 +104,46 @@
 recovery_s = 15
 history_retention_s = 20
 release_s = 1.5
-`, ip, ip, internal, internal, strings.Join(quoted, ","), bootstrap, dir, ip, control)
+`, ip, ip, internalPort, internalPort, strings.Join(seeds, ","), bootstrap, dir, ip, controlPort)
 }
 
-// StartFakeNode stands in for a control-plane node or a relay at an internal address: serve
-// speaks with whoever connects, until it returns.
+// helloTimeout is how long a fake node waits for the hello of a caller.
+const helloTimeout = 5 * time.Second
+
+// StartFakeNode listens at an internal address (IP:port) until the test ends, in place of a
+// control-plane node or a relay. For each process that connects and sends its hello, it calls serve
+// in a goroutine of its own and closes the connection when serve returns.
 func StartFakeNode(t testing.TB, addr string, serve func(*transport.Conn)) {
 	t.Helper()
-	ln, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			raw, err := ln.Accept()
+			raw, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer raw.Close()
-				if c, _, err := transport.Accept(raw, 5*time.Second); err == nil {
-					serve(c)
+				if conn, _, err := transport.Accept(raw, helloTimeout); err == nil {
+					serve(conn)
 				}
 			}()
 		}
 	}()
 }
 
-// StartFakeRelay stands in for a relay that tells where the core is.
+// StartFakeRelay listens at an internal address, see StartFakeNode, and sends everyone who connects
+// a bookmark that names the core.
 func StartFakeRelay(t testing.TB, addr string, core ...transport.ControlNode) {
 	t.Helper()
-	StartFakeNode(t, addr, func(c *transport.Conn) {
-		err := c.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: core}})
+	StartFakeNode(t, addr, func(conn *transport.Conn) {
+		err := conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: core}})
 		for err == nil {
-			_, err = c.Receive(5 * time.Second)
+			_, err = conn.Receive(helloTimeout)
 		}
 	})
 }
