--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -22,13 +22,13 @@
 // lower layers only. A new package is added to the layer in which it belongs.
 var layers = [][]string{
 	{"audit", "config", "eventlog", "loadbalance", "raft", "rollout"},
-	{"coordination", "raft/modelcheck", "raft/rafttest"},
+	{"coordination", "raft/modelcheck", "raft/rafttest", "routing"},
 	{"registry"},
 	{"watchcache"},
 	{"internal/apierror", "internal/metrics", "internal/settings", "internal/storage"},
 	{"internal/daemon", "internal/transport"},
 	{"internal/api", "internal/discovery"},
-	{"internal/controlplane", "internal/proxy"},
+	{"internal/controlplane", "internal/proxy", "internal/relay"},
 	{"cmd/lichentray-controlplane", "cmd/lichentray-proxy", "cmd/lichentrayctl"},
 }
 
