--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -35,7 +35,7 @@
 	LockHeld
 	// Conflict is an order that contradicts the stored state.
 	Conflict
-	// RevisionExpired is a watch from a revision whose successors are no longer held.
+	// RevisionExpired is a watch from a revision whose successors are no longer retained.
 	RevisionExpired
 	// RevisionMismatch is a conditional write to a cell that has another revision.
 	RevisionMismatch
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -49,7 +49,7 @@
 	// Bookmark is sent by a control-plane node to a proxy or a relay while it is up to date.
 	// In a frame with Events it covers them.
 	Bookmark *Bookmark
-	// Gone ends a watch whose next events are no longer held. The proxy has to list again.
+	// Gone ends a watch whose next events are no longer retained. The proxy has to list again.
 	Gone bool
 	// Proxies is exchanged between control-plane nodes.
 	Proxies *ProxyAggregate
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -112,7 +112,7 @@
 	Revision uint64
 	// Objects is the list.
 	Objects []registry.Object
-	// Gone refuses a watch, as the events after Least are no longer held.
+	// Gone refuses a watch, as the events after Least are no longer retained.
 	Gone bool
 	// Nearer, in place of a list, names the core, which has a node in the zone that the
 	// request gave.
