--- a/raft/confchange.go
+++ b/raft/confchange.go
@@ -87,8 +87,9 @@
 }
 
 // HasPendingConfChange reports whether the newest membership is not committed yet, or
-// the leader has not committed an entry of its own term yet, before which no membership
-// may be proposed.
+// the leader has not committed an entry of its own term yet. Before that, two changes
+// under different leaders could lead to disjoint quorums (Ongaro, "Bug in single-server
+// membership changes", raft-dev, 2015).
 func (n *Node) HasPendingConfChange() bool {
 	return n.MembershipIndex() > n.log.commitIndex || !n.hasCommittedInTerm()
 }
--- a/raft/election.go
+++ b/raft/election.go
@@ -239,8 +239,8 @@
 	return true
 }
 
-// maybeSendTimeoutNow tells the target of a transfer to campaign, once it holds the
-// whole log.
+// maybeSendTimeoutNow asks the target of a transfer to campaign, once it holds the
+// complete log.
 func (n *Node) maybeSendTimeoutNow() {
 	if p := n.progress[n.transferTarget]; p != nil && p.matchIndex == n.log.lastIndex() {
 		n.send(Message{Type: MsgTimeoutNow, To: n.transferTarget})
--- a/raft/fingerprint.go
+++ b/raft/fingerprint.go
@@ -35,7 +35,7 @@
 // durable or not. They must not be changed.
 func (n *Node) Log() (Snapshot, []Entry) { return n.log.snapshot, n.log.entries }
 
-// Fingerprint appends the whole state of the node to b, so that nodes with equal bytes
+// Fingerprint appends the complete state of the node to b, so that nodes with equal bytes
 // behave alike from here on. Instants count relative to the node's clock. Those further
 // back than horizon count as equal, which is right if horizon is longer than any wait
 // that Config leads to.
@@ -50,14 +50,14 @@
 	return w.bytes
 }
 
-// Fingerprint appends the whole message to b.
+// Fingerprint appends the complete message to b.
 func (m Message) Fingerprint(b []byte) []byte {
 	w := fingerprinter{bytes: b}
 	w.message(&m)
 	return w.bytes
 }
 
-// Fingerprint appends the whole write to b.
+// Fingerprint appends the complete write to b.
 func (s *StorageWrite) Fingerprint(b []byte) []byte {
 	w := fingerprinter{bytes: b}
 	if w.bool(s.HardState != nil); s.HardState != nil {
--- a/raft/log.go
+++ b/raft/log.go
@@ -100,7 +100,7 @@
 }
 
 // merge appends those of a leader's entries that the log does not hold, after it has
-// removed what conflicts with them. The entry before the first one must be held.
+// removed what conflicts with them. The log must hold the entry before the first one.
 func (l *raftLog) merge(entries []Entry) {
 	for i, e := range entries {
 		if l.holds(e.Index, e.Term) {
@@ -171,7 +171,7 @@
 	return append([]Entry(nil), l.entries[first:end]...)
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the log by a snapshot.
 func (l *raftLog) restore(s Snapshot) {
 	*l = raftLog{
 		snapshot:     s,
--- a/raft/message.go
+++ b/raft/message.go
@@ -53,17 +53,17 @@
 
 // The types of messages. Their numbers are part of the wire format.
 const (
-	MsgPreVote       MessageType = iota + 1 // RequestVote of the thesis, section 9.6; starts no term
-	MsgPreVoteResp                          //
-	MsgVote                                 // RequestVote (the paper, section 5.2)
-	MsgVoteResp                             //
-	MsgAppend                               // AppendEntries (the paper, section 5.3)
-	MsgAppendResp                           //
-	MsgHeartbeat                            // AppendEntries without entries; confirms reads and leases
-	MsgHeartbeatResp                        //
-	MsgSnapshot                             // InstallSnapshot (the paper, section 7), one chunk
-	MsgTimeoutNow                           // TimeoutNow (thesis, section 3.10)
-	MsgSnapshotResp                         // Offset is how much of the snapshot at Index has arrived
+	MsgPreVote MessageType = iota + 1 // RequestVote of the thesis, section 9.6; starts no term
+	MsgPreVoteResp
+	MsgVote // RequestVote (the paper, section 5.2)
+	MsgVoteResp
+	MsgAppend // AppendEntries (the paper, section 5.3)
+	MsgAppendResp
+	MsgHeartbeat     // AppendEntries without entries; confirms reads and leases
+	MsgHeartbeatResp //
+	MsgSnapshot      // InstallSnapshot (the paper, section 7), one chunk
+	MsgTimeoutNow    // TimeoutNow (thesis, section 3.10)
+	MsgSnapshotResp  // Offset is how much of the snapshot at Index has arrived
 )
 
 var messageTypeNames = [...]string{
--- a/raft/modelcheck/modelcheck.go
+++ b/raft/modelcheck/modelcheck.go
@@ -104,6 +104,6 @@
 	heartbeatInterval = time.Duration(1)
 	electionTimeout   = time.Duration(4)
 	// fingerprintHorizon is longer than any wait of a node, so that instants further
-	// back need not be told apart.
+	// back need not be distinguished.
 	fingerprintHorizon = 4 * electionTimeout
 )
--- a/raft/modelcheck/node.go
+++ b/raft/modelcheck/node.go
@@ -215,7 +215,7 @@
 	return true
 }
 
-// syncOldestWrite finishes the oldest write and tells the raft node.
+// syncOldestWrite finishes the oldest write and reports it to the raft node.
 func (t *transitionCache) syncOldestWrite(n *nodeState, result *transition) bool {
 	if len(n.pendingWrites) == 0 {
 		return false
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -33,7 +33,7 @@
 }
 
 // ensureProgress returns the progress of a member. One that is new is assumed to hold
-// the whole log, until it rejects an append.
+// the complete log, until it rejects an append.
 func (n *Node) ensureProgress(id uint64) *progress {
 	p := n.progress[id]
 	if p == nil {
--- a/raft/raft.go
+++ b/raft/raft.go
@@ -97,7 +97,7 @@
 // if there are Entries, calls [Node.ReportPersisted] with the last of them.
 type StorageWrite struct {
 	HardState *HardState // nil if unchanged
-	Snapshot  *Snapshot  // replaces the whole log; nil if there is none
+	Snapshot  *Snapshot  // replaces the complete log; nil if there is none
 	// Entries replace all stored entries from the index of the first one on.
 	Entries             []Entry
 	MessagesAfterAppend []Message
@@ -420,8 +420,8 @@
 	return w
 }
 
-// ReportPersisted tells the node that the write whose last entry has this index and
-// term is durable. A report of an entry that has been replaced since is ignored.
+// ReportPersisted records that the write whose last entry has this index and term is
+// durable. A report of an entry that has been replaced since is ignored.
 func (n *Node) ReportPersisted(index, term uint64) {
 	if n.log.stabilizeTo(index, term) && n.role == Leader {
 		n.maybeCommit()
--- a/raft/rafttest/node.go
+++ b/raft/rafttest/node.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// completeWrite makes a write durable and tells the raft node.
+// completeWrite makes a write durable and reports it to the raft node.
 func (c *Cluster) completeWrite(n *Node, w *raft.StorageWrite) {
 	if w.HardState != nil {
 		n.Disk.HardState = *w.HardState
--- a/raft/rafttest/rafttest.go
+++ b/raft/rafttest/rafttest.go
@@ -35,9 +35,9 @@
 type StateMachine interface {
 	// Apply applies a committed command. Its result goes to the proposer.
 	Apply(index uint64, data []byte) any
-	// Snapshot returns the whole state.
+	// Snapshot returns the complete state.
 	Snapshot() []byte
-	// Restore replaces the whole state by one that Snapshot has returned.
+	// Restore replaces the complete state by one that Snapshot has returned.
 	Restore(data []byte)
 }
 
--- a/raft/replication.go
+++ b/raft/replication.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// ReportReconnected tells a leader that the connection to a member is a new one: what
-// was in flight on the former one and is not acknowledged is lost.
+// ReportReconnected records at a leader that the connection to a member is a new one:
+// what was in flight on the former one and is not acknowledged is lost.
 func (n *Node) ReportReconnected(id uint64) {
 	if p := n.progress[id]; p != nil && n.role == Leader {
 		n.rewindProgress(p)
