--- a/registry/audit_test.go
+++ b/registry/audit_test.go
@@ -103,11 +103,11 @@
 		}
 	}
 	var truth []causedAttempt
-	gone := map[string][]causedAttempt{} // by killed incarnation, what was not acknowledged
+	unacknowledged := map[string][]causedAttempt{} // by killed incarnation, what was not acknowledged
 	kinds := []audit.Kind{audit.MissedLatencyTarget, audit.Failed, audit.Truncated}
 	evidence := []audit.Kind{audit.Executed, audit.Executed, audit.MaybeExecuted, audit.NotExecuted}
 	at := 0
-	note := func(p *proxy, r audit.Record) {
+	record := func(p *proxy, r audit.Record) {
 		if !p.known {
 			return
 		}
@@ -121,10 +121,10 @@
 		injectFault(c, id, 10)
 		tenant := fmt.Sprint("t", c.Rand.Intn(3))
 		for range c.Rand.Intn(3) {
-			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
+			record(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
 		}
 		for range c.Rand.Intn(4) { // the attempts of one commitment
-			note(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[c.Rand.Intn(4)]})
+			record(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[c.Rand.Intn(4)]})
 		}
 		for _, p := range all {
 			if c.Rand.Intn(3) == 0 {
@@ -135,7 +135,7 @@
 			i := c.Rand.Intn(proxies)
 			pending := all[i].recorder.NextBatch(ms(), 1<<30).Records
 			for _, r := range pending {
-				gone[all[i].incarnation] = append(gone[all[i].incarnation], causedAttempt{all[i].incarnation, r})
+				unacknowledged[all[i].incarnation] = append(unacknowledged[all[i].incarnation], causedAttempt{all[i].incarnation, r})
 			}
 			open(i)
 		}
@@ -174,7 +174,7 @@
 	// The log certainly holds all but what was not acknowledged to killed incarnations,
 	// some of which may have been ingested without an answer.
 	unknown := map[string]bool{}
-	for incarnation, rs := range gone {
+	for incarnation, rs := range unacknowledged {
 		for _, r := range rs {
 			unknown[incarnation+r.Attempt] = true
 		}
@@ -206,7 +206,7 @@
 		want[fmt.Sprint(x.Tenant, " ", x.Request, " ", x.Kind, " ", x.Attempt)] = true
 	}
 	doubtful := map[string]bool{} // commitments with an attempt that may not have been ingested
-	for _, rs := range gone {
+	for _, rs := range unacknowledged {
 		for _, r := range rs {
 			doubtful[r.Tenant+" "+r.Request] = true
 		}
@@ -231,8 +231,8 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("the audit log differs from what was caused: %v", diffSets(got, want))
 	}
-	if len(got) < 50 || len(gone) == 0 {
-		t.Errorf("too little was tried: %d failures, %d killed incarnations", len(got), len(gone))
+	if len(got) < 50 || len(unacknowledged) == 0 {
+		t.Errorf("too little was tried: %d failures, %d killed incarnations", len(got), len(unacknowledged))
 	}
 }
 
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -9,7 +9,7 @@
 	"lichentray/coordination"
 )
 
-// A command stands in the log in a compact binary form: a byte for the kind, then
+// A command is stored in the log in a compact binary form: a byte for the kind, then
 // uvarints and byte strings with their length before them. Gob would write its type
 // descriptions into every entry. The form is stored data; new kinds get new bytes.
 const (
--- a/registry/configuration_test.go
+++ b/registry/configuration_test.go
@@ -78,8 +78,8 @@
 			}
 			highest = max(highest, version)
 			o, _ := newest.Get(registry.ConfigKey)
-			if held, text, _ := registry.DecodeConfig(o); held != highest || string(text) != first[highest] {
-				t.Fatalf("seed %d, step %d: version %d holds, %s; the highest is %d, %s", seed, step, held, text, highest, first[highest])
+			if current, text, _ := registry.DecodeConfig(o); current != highest || string(text) != first[highest] {
+				t.Fatalf("seed %d, step %d: version %d is in force, %s; the highest is %d, %s", seed, step, current, text, highest, first[highest])
 			}
 		}
 	}
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -40,7 +40,7 @@
 						sort.SliceStable(orders, func(i, k int) bool { return orders[i].at < orders[k].at })
 						var e Evacuation
 						newest := map[bool]int{}
-						holds := [2]bool{}
+						evacuated := [2]bool{}
 						name := fmt.Sprint(begin2, finish1, finish2, lost, again)
 						for _, o := range orders {
 							next := e.ApplyOrder(o.begin, time.Duration(o.at-newest[o.begin])*time.Second, r)
@@ -51,12 +51,12 @@
 								e = e.Acknowledge(o.begin)
 							}
 							if o.begin && !o.lost {
-								holds[o.who] = true
+								evacuated[o.who] = true
 							}
 							if !o.begin && o.first {
-								holds[o.who] = false
+								evacuated[o.who] = false
 							}
-							if (holds[0] || holds[1]) && e.State() != Evacuated {
+							if (evacuated[0] || evacuated[1]) && e.State() != Evacuated {
 								t.Fatalf("%s: at %d the zone is %q while an operator has it evacuated", name, o.at, e.State())
 							}
 						}
--- a/registry/history_test.go
+++ b/registry/history_test.go
@@ -43,7 +43,7 @@
 	if sim.cluster.Violation != "" {
 		sim.t.Error(sim.cluster.Violation)
 	}
-	parts := map[string][]porcupine.Operation{}
+	byObject := map[string][]porcupine.Operation{}
 	count = map[outcome]int{}
 	given := map[string]uint64{}
 	for _, x := range sim.calls {
@@ -70,16 +70,16 @@
 			}
 			given[c.Value] = x.result.Latch.Revision
 		}
-		parts[x.object] = append(parts[x.object], op)
+		byObject[x.object] = append(byObject[x.object], op)
 	}
 	var objects []string
-	for o := range parts {
+	for o := range byObject {
 		objects = append(objects, o)
 	}
 	sort.Strings(objects)
 	for _, o := range objects {
-		if r := porcupine.CheckOperationsTimeout(sim.modelFor(o), parts[o], 20*time.Second); r != porcupine.Ok {
-			sim.t.Errorf("the history of %s, %d calls: %s", o, len(parts[o]), r)
+		if r := porcupine.CheckOperationsTimeout(sim.modelFor(o), byObject[o], 20*time.Second); r != porcupine.Ok {
+			sim.t.Errorf("the history of %s, %d calls: %s", o, len(byObject[o]), r)
 		}
 		if o[0] == 'l' {
 			sim.checkSingleHolder(o)
@@ -188,8 +188,8 @@
 		}
 		return true, s
 	}
-	spent := x.outcome == unknown || x.returnedAt >= s.expiresAt
-	return r.Fence > s.highestToken && (s.holder == "" || spent), lockState{c.Holder, r.Fence, r.Fence, until}
+	hasExpired := x.outcome == unknown || x.returnedAt >= s.expiresAt
+	return r.Fence > s.highestToken && (s.holder == "" || hasExpired), lockState{c.Holder, r.Fence, r.Fence, until}
 }
 
 // checkSingleHolder checks that no two callers rely on a lock at the same moment. A
@@ -224,7 +224,7 @@
 	var last span
 	for _, s := range spans {
 		if s.holder != last.holder && s.from < last.to {
-			sim.t.Errorf("%s: %s holds until %v, %s from %v", name, last.holder, last.to, s.holder, s.from)
+			sim.t.Errorf("%s: %s has it until %v, %s from %v", name, last.holder, last.to, s.holder, s.from)
 		}
 		if s.to > last.to || s.holder != last.holder {
 			last = s
--- a/registry/objects.go
+++ b/registry/objects.go
@@ -32,7 +32,7 @@
 	// WarmUpSeconds is how much longer the endpoint was to be slow from its start when
 	// the object was created.
 	WarmUpSeconds float64 `json:"cold_s,omitempty"`
-	// WarmingUp holds from the heartbeat that announces a warm-up to the one that no
+	// WarmingUp is true from the heartbeat that announces a warm-up to the one that no
 	// longer does. It is kept only where the settings bound the load of an endpoint
 	// that warms up.
 	WarmingUp bool `json:"cold,omitempty"`
--- a/registry/replay_test.go
+++ b/registry/replay_test.go
@@ -58,19 +58,19 @@
 	for i := range watchers {
 		watchers[i] = watcher{group: fmt.Sprintf("g%d.", i%2), at: c.Now}
 	}
-	ever := map[string]map[uint64]coordination.Event{"g0.": {}, "g1.": {}}
-	note := func(group string, e coordination.Event) {
-		if was, there := ever[group][e.Revision]; there && was != e {
+	model := map[string]map[uint64]coordination.Event{"g0.": {}, "g1.": {}}
+	recordEvent := func(group string, e coordination.Event) {
+		if was, there := model[group][e.Revision]; there && was != e {
 			t.Errorf("revision %d of %s was %+v and is %+v", e.Revision, group, was, e)
 		}
-		ever[group][e.Revision] = e
+		model[group][e.Revision] = e
 	}
-	type mark struct {
+	type sample struct {
 		at       time.Duration
 		revision uint64
 	}
-	var marks []mark
-	seen, gone, lost := 0, 0, uint64(0)
+	var samples []sample
+	seen, compacted, lost := 0, 0, uint64(0)
 	next := uint64(6)
 	// admitReplacement takes the next step to make the new member a voter in place of the
 	// lost one.
@@ -107,17 +107,17 @@
 			name := fmt.Sprintf("g%d.%d", c.Rand.Intn(2), c.Rand.Intn(3))
 			e := coordination.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
 			propose(&coordination.Command{Operation: coordination.PutCell, Name: e.Name, Value: e.Value}, func(r coordination.Result) {
-				if was, there := ever[coordination.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
+				if was, there := model[coordination.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
 					t.Errorf("revision %d was given to %+v and %+v", r.Revision, was, e)
 				}
 			})
 			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
 		}
 		if l := c.Leader(); l != nil {
-			marks = append(marks, mark{c.Now, l.StateMachine.(*simulatedStore).store.Revision()})
-			for len(marks) > 0 && c.Now-marks[0].at > retention*3/2 {
-				propose(&coordination.Command{Operation: coordination.CompactHistory, CompactBefore: marks[0].revision}, func(coordination.Result) {})
-				marks = marks[1:]
+			samples = append(samples, sample{c.Now, l.StateMachine.(*simulatedStore).store.Revision()})
+			for len(samples) > 0 && c.Now-samples[0].at > retention*3/2 {
+				propose(&coordination.Command{Operation: coordination.CompactHistory, CompactBefore: samples[0].revision}, func(coordination.Result) {})
+				samples = samples[1:]
 			}
 		}
 		for i := range watchers {
@@ -140,7 +140,7 @@
 					if c.Now-w.at < retention {
 						t.Errorf("node %d: revision %d, had %v ago, is gone", id, w.after, c.Now-w.at)
 					}
-					gone++
+					compacted++
 					*w = watcher{w.group, rev, c.Now}
 					return
 				}
@@ -149,7 +149,7 @@
 						t.Errorf("node %d: after %d comes %d", id, w.after, e.Revision)
 					}
 					w.after = e.Revision
-					note(w.group, e)
+					recordEvent(w.group, e)
 					seen++
 				}
 				if w.after != rev {
@@ -181,7 +181,7 @@
 		if first == nil {
 			first = tab
 		}
-		for group := range ever {
+		for group := range model {
 			for after := uint64(0); after <= first.GroupRevision(group); after++ {
 				a, ra, ka := first.EventsSince(group, after)
 				b, rb, kb := tab.EventsSince(group, after)
@@ -192,6 +192,6 @@
 		}
 	}
 	if seen < 100 {
-		t.Errorf("watchers saw %d events, %d times gone", seen, gone)
+		t.Errorf("watchers saw %d events, %d times compacted", seen, compacted)
 	}
 }
--- a/registry/retry_test.go
+++ b/registry/retry_test.go
@@ -90,14 +90,14 @@
 		t.Errorf("%d orders were never answered", open)
 	}
 	sim.checkHistory()
-	newest, fence := uint64(0), uint64(0)
+	newest, token := uint64(0), uint64(0)
 	for _, x := range sim.calls { // in the order of sending
 		if c := x.command.Coordination; c != nil && c.Holder == "one" && x.outcome == answered {
-			if fence == 0 {
-				fence = x.result.Latch.Fence
+			if token == 0 {
+				token = x.result.Latch.Fence
 			}
-			if x.result.Latch.Code != coordination.OK || x.result.Latch.Fence != fence {
-				t.Errorf("one holder got %+v and fence %d", x.result.Latch, fence)
+			if x.result.Latch.Code != coordination.OK || x.result.Latch.Fence != token {
+				t.Errorf("one holder got %+v and fencing token %d", x.result.Latch, token)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	t.Logf("%d calls, %d configurations written", len(sim.calls), len(writes))
 	if newest != 8 {
-		t.Errorf("version %d stands in the end", newest)
+		t.Errorf("version %d is in force in the end", newest)
 	}
 	tab := sim.cluster.Nodes[ids[0]].StateMachine.(*replica).store.Coordination()
 	if a, b := tab.GroupRevision("g."), tab.GroupRevision("e."); a != 8 || b != 1 {
@@ -126,18 +126,31 @@
 // replaceConfig carries out the order to replace the configuration as a control-plane
 // node does.
 func (sim *simulation) replaceConfig(id, version uint64, done func(o outcome)) {
-	sim.submitOrder(id, false, registry.ConfigKey, func(_ *replica, held registry.Object) []byte {
-		if v, _, ok := registry.DecodeConfig(held); ok && v >= version {
+	sim.submitOrder(id, false, registry.ConfigKey, func(_ *replica, current registry.Object) []byte {
+		if v, _, ok := registry.DecodeConfig(current); ok && v >= version {
 			return nil
 		}
 		return registry.EncodeConfig(version, fmt.Append(nil, "version ", version))
 	}, done)
 }
 
+// order is an order on one object that a node carries out.
+type order struct {
+	nodeID      uint64
+	incarnation rafttest.StateMachine
+	key         string
+	// derive returns the new value from the present object, or nil if there is nothing to
+	// write.
+	derive       func(r *replica, current registry.Object) []byte
+	deadline     time.Duration
+	attemptsLeft int
+	done         func(o outcome)
+}
+
 // submitOrder lets a node carry out an order on one object, on the condition that its
-// replica is up to date, and otherwise once more behind a read index. derive returns nil
-// if there is nothing to write.
-func (sim *simulation) submitOrder(id uint64, point bool, key string, derive func(r *replica, held registry.Object) []byte, done func(o outcome)) {
+// replica is up to date, and otherwise once more behind a read index. For derive see
+// order.
+func (sim *simulation) submitOrder(id uint64, needsReadIndex bool, key string, derive func(r *replica, current registry.Object) []byte, done func(o outcome)) {
 	over := false
 	once := func(o outcome) {
 		if !over {
@@ -152,68 +165,81 @@
 			return
 		}
 		incarnation := sim.cluster.Nodes[id].StateMachine
-		sim.inIncarnation(id, incarnation, func() { sim.transact(id, incarnation, point, key, derive, sim.now()+outcomeTimeout, 6, once) })
+		sim.inIncarnation(id, incarnation, func() {
+			sim.transact(order{
+				nodeID:       id,
+				incarnation:  incarnation,
+				key:          key,
+				derive:       derive,
+				deadline:     sim.now() + outcomeTimeout,
+				attemptsLeft: 6,
+				done:         once,
+			}, needsReadIndex)
+		})
 	})
 }
 
-func (sim *simulation) transact(id uint64, incarnation rafttest.StateMachine, point bool, key string, derive func(r *replica, held registry.Object) []byte, end time.Duration, tries int, done func(o outcome)) {
-	if point {
-		sim.awaitReadIndex(id, incarnation, end, func(ok bool) {
+// transact makes an attempt of an order, behind a read index if need be, and further ones
+// as long as the transaction conflicts.
+func (sim *simulation) transact(o order, needsReadIndex bool) {
+	if needsReadIndex {
+		sim.awaitReadIndex(o.nodeID, o.incarnation, o.deadline, func(ok bool) {
 			if !ok {
-				done(rejected)
+				o.done(rejected)
 				return
 			}
-			sim.transact(id, incarnation, false, key, derive, end, tries, done)
+			sim.transact(o, false)
 		})
 		return
 	}
-	r := incarnation.(*replica)
-	o, _ := r.store.Get(key)
-	value := derive(r, o)
+	r := o.incarnation.(*replica)
+	current, _ := r.store.Get(o.key)
+	value := o.derive(r, current)
 	switch {
 	case value == nil:
-		done(answered)
+		o.done(answered)
 		return
-	case tries == 0:
-		done(rejected)
+	case o.attemptsLeft == 0:
+		o.done(rejected)
 		return
 	}
-	x := &call{object: key, value: string(value), command: registry.Command{Txn: &registry.Txn{
-		If:   []registry.Compare{{Key: key, ModRevision: o.ModRevision}},
-		Then: []registry.Write{{Key: key, Value: value}},
+	x := &call{object: o.key, value: string(value), command: registry.Command{Txn: &registry.Txn{
+		If:   []registry.Compare{{Key: o.key, ModRevision: current.ModRevision}},
+		Then: []registry.Write{{Key: o.key, Value: value}},
 	}}}
 	sim.startCall(x, func() {
 		if x.outcome != answered || !x.result.Conflict {
-			done(x.outcome)
+			o.done(x.outcome)
 			return
 		}
-		sim.inIncarnation(id, incarnation, func() { sim.transact(id, incarnation, true, key, derive, end, tries-1, done) })
+		o.attemptsLeft--
+		sim.inIncarnation(o.nodeID, o.incarnation, func() { sim.transact(o, true) })
 	})
-	sim.executeCommand(id, incarnation, x, end)
+	sim.executeCommand(o.nodeID, o.incarnation, x, o.deadline)
 }
 
 // submitEvacuation carries out an evacuation order as a control-plane node does, and
 // acknowledges it shortly after its answer if the node is still alive.
 func (sim *simulation) submitEvacuation(id uint64, begin bool) {
-	told := func(_ *replica, held registry.Object) []byte {
-		if e := registry.DecodeEvacuation(held); e != e.Acknowledge(begin) {
+	acknowledge := func(_ *replica, current registry.Object) []byte {
+		if e := registry.DecodeEvacuation(current); e != e.Acknowledge(begin) {
 			return e.Acknowledge(begin).Encode()
 		}
 		return nil
 	}
 	asked := sim.now()
-	sim.submitOrder(id, true, evacuationKey, func(r *replica, held registry.Object) []byte {
+	sim.submitOrder(id, true, evacuationKey, func(r *replica, current registry.Object) []byte {
 		if sim.now()-asked > callerTimeout {
 			return nil // its caller has closed the connection and gone on to another node
 		}
-		e := registry.DecodeEvacuation(held)
+		e := registry.DecodeEvacuation(current)
 		if now := e.ApplyOrder(begin, sim.now()-r.lastOrderAt[begin], repeatWindow); now != e {
 			return now.Encode()
 		}
 		return nil
 	}, func(o outcome) {
 		if o == answered {
-			sim.schedule(20*time.Millisecond, func() { sim.submitOrder(id, false, evacuationKey, told, func(outcome) {}) })
+			sim.schedule(20*time.Millisecond, func() { sim.submitOrder(id, false, evacuationKey, acknowledge, func(outcome) {}) })
 		}
 	})
 }
--- a/registry/simulation_test.go
+++ b/registry/simulation_test.go
@@ -348,13 +348,13 @@
 	cmd := x.command
 	r := sim.cluster.Nodes[id].StateMachine.(*replica)
 	if cmd.Coordination != nil && cmd.Coordination.Operation == coordination.AcquireLock {
-		spent := *cmd.Coordination
-		if k, held := r.store.Coordination().Locks[spent.Name]; held {
-			if t := r.timers[spent.Name]; t.grant == k.Grant && sim.now() >= t.expiresAt {
-				spent.ExpiredToken, spent.ExpiredGrant = k.Fence, k.Grant
+		acquire := *cmd.Coordination
+		if lock, isHeld := r.store.Coordination().Locks[acquire.Name]; isHeld {
+			if t := r.timers[acquire.Name]; t.grant == lock.Grant && sim.now() >= t.expiresAt {
+				acquire.ExpiredToken, acquire.ExpiredGrant = lock.Fence, lock.Grant
 			}
 		}
-		cmd.Coordination = &spent
+		cmd.Coordination = &acquire
 	}
 	data := append(binary.BigEndian.AppendUint64(nil, x.tag), registry.EncodeCommand(cmd)...)
 	sim.lastOrder++
--- a/registry/store_test.go
+++ b/registry/store_test.go
@@ -181,9 +181,9 @@
 	ackedPut := map[string]uint64{} // newest revision acknowledged, by key
 	valueAt := map[string]string{}  // group/revision to value
 	type holding struct {
-		holder string
-		fence  uint64
-		until  time.Duration
+		holder    string
+		token     uint64
+		expiresAt time.Duration
 	}
 	holders := map[string]holding{}
 	owner := map[uint64]string{}
@@ -232,9 +232,9 @@
 					// An old leader may report a grant late. There is a second holder only if
 					// that grant is no older than the present one, or its lease still runs.
 					h := holders["l"]
-					late := r.Fence < h.fence && end <= c.Now
-					if h.holder != who && h.holder != "" && c.Now < h.until && !late {
-						t.Errorf("%s holds until %v, %s got the lock at %v", h.holder, h.until, who, c.Now)
+					late := r.Fence < h.token && end <= c.Now
+					if h.holder != who && h.holder != "" && c.Now < h.expiresAt && !late {
+						t.Errorf("%s has the lock until %v, %s got it at %v", h.holder, h.expiresAt, who, c.Now)
 					} else if o, given := owner[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
 						t.Errorf("fencing token %d does not exceed %d", r.Fence, floor)
 					}
