--- a/registry/codec.go
+++ b/registry/codec.go
@@ -25,7 +25,8 @@
 // are cut short, too long, or of an unknown kind.
 var ErrMalformedCommand = errors.New("registry: malformed command")
 
-// EncodeCommand returns the form of a command in the log.
+// EncodeCommand returns the form of a command in the log. A command without a field set
+// has the form of an empty transaction.
 func EncodeCommand(c Command) []byte {
 	switch {
 	case c.Audit != nil:
--- a/registry/store.go
+++ b/registry/store.go
@@ -71,8 +71,8 @@
 	Base  uint64
 }
 
-// Command is one entry of the replicated log. Exactly one field is set; a command
-// without any changes nothing. EncodeCommand and DecodeCommand are its codec.
+// Command is one entry of the replicated log. Exactly one field is set.
+// EncodeCommand and DecodeCommand are its codec.
 type Command struct {
 	Txn          *Txn
 	Coordination *coordination.Command
@@ -117,7 +117,7 @@
 }
 
 // Revision returns the global revision, which rises by one with every command that
-// changed the state.
+// succeeds, whether or not it changes an object.
 func (s *Store) Revision() uint64 { return s.revision }
 
 // Coordination returns the locks, sequences and cells for reading.
--- a/registry/txn.go
+++ b/registry/txn.go
@@ -8,7 +8,7 @@
 }
 
 // Write puts or deletes the object under Key. A put replaces the value as a whole.
-// Deleting what does not exist changes nothing.
+// Deleting what does not exist changes nothing and makes no event.
 type Write struct {
 	Key string
 	// Value is the new value or, with IsDelta, the delta (see ComputeDelta) against
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -195,10 +195,11 @@
 		return r.finish(RolledBack, o.Verdict.Reason, o.Elapsed), true
 	}
 	deadline := time.Duration(r.DeadlineSeconds * float64(time.Second))
-	// A promotion is made in time to be known everywhere before a roll-back of the
-	// same moment would have to be.
+	// A decision must be known everywhere by the deadline. If there is none one
+	// PropagationDelay before it, the target is rolled back; in the one before that, a
+	// proven target is promoted without waiting until traffic has shifted.
 	isLastChance := o.Elapsed >= deadline-2*o.PropagationDelay
-	isOverdue := isLastChance && o.Elapsed >= deadline-o.PropagationDelay
+	isOverdue := o.Elapsed >= deadline-o.PropagationDelay
 	isSettled := o.TrafficShifted && o.Elapsed >= fractionOf(deadline, earliestPromotion)
 	switch {
 	case r.isProven(o) && (isLastChance || isSettled):
--- a/watchcache/cache.go
+++ b/watchcache/cache.go
@@ -9,7 +9,7 @@
 //
 // The package does no input or output, reads no clock and starts no goroutine. It
 // does not send events or keep connections: internal/controlplane feeds the cache
-// and serves watches from it, internal/proxy and the relay keep a mirror.
+// and serves watches from it, internal/proxy follows one with a mirror.
 package watchcache
 
 import (
--- a/watchcache/mirror.go
+++ b/watchcache/mirror.go
@@ -48,10 +48,11 @@
 	return nil
 }
 
-// ApplyEvent applies one event and reports whether the content changed. An event
-// that the content already includes changes nothing. On ErrBaseMismatch the content
-// is unchanged and must be listed anew.
-func (m *Mirror) ApplyEvent(e registry.Event) (changed bool, err error) {
+// ApplyEvent applies one event and reports whether it did. An event below the mirror's
+// revision is skipped, as the content includes it; one at the revision is not, as the
+// events of one write share theirs, and applying it twice does no harm. On
+// ErrBaseMismatch the content is unchanged and must be listed anew.
+func (m *Mirror) ApplyEvent(e registry.Event) (applied bool, err error) {
 	if e.Revision < m.revision {
 		return false, nil
 	}
