--- a/registry/codec.go
+++ b/registry/codec.go
@@ -9,7 +9,7 @@
 	"lichentray/coordination"
 )
 
-// A command stands in the log in a compact binary form: a byte for the kind, then
+// A command is stored in the log in a compact binary form: a byte for the kind, then
 // uvarints and byte strings with their length before them. Gob would write its type
 // descriptions into every entry. The form is stored data; new kinds get new bytes.
 const (
@@ -25,7 +25,8 @@
 // are cut short, too long, or of an unknown kind.
 var ErrMalformedCommand = errors.New("registry: malformed command")
 
-// EncodeCommand returns the form of a command in the log.
+// EncodeCommand returns the form of a command in the log. A command without a field set
+// has the form of an empty transaction.
 func EncodeCommand(c Command) []byte {
 	switch {
 	case c.Audit != nil:
