--- a/internal/controlplane/account.go
+++ b/internal/controlplane/audit.go
@@ -13,10 +13,10 @@
 	b.Most = l.settings.Audit.MaxRecords
 	r, err := l.Propose(registry.Command{Audit: b})
 	if err != nil {
-		l.metricsRegistry.Counter("account_batches_put_off_total").Inc()
+		l.metrics.auditBatchesDeferred().Inc()
 		return
 	}
-	l.metricsRegistry.Counter("account_batches_total").Inc()
+	l.metrics.auditBatches().Inc()
 	_ = conn.Send(&transport.Frame{Account: &transport.AuditAck{Life: b.Life, Seq: r.Account, Closed: b.Closed}})
 }
 
--- a/internal/controlplane/world.go
+++ b/internal/controlplane/directory.go
@@ -267,7 +267,7 @@
 			continue
 		}
 		l.proxyLastSeen[name] = now // asked again if it does not come through
-		l.metricsRegistry.Counter("proxies_removed_total").Inc()
+		l.metrics.proxiesRemoved().Inc()
 		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
--- /dev/null
+++ b/internal/controlplane/doc.go
@@ -0,0 +1,47 @@
+// Package controlplane implements a control-plane node: one member of the Raft
+// group that holds the registry, and the server that proxies, relays and other
+// members connect to.
+//
+// A Node joins consensus (package raft), the replicated registry (package
+// registry) with its watch cache, the disk and the peer connections. Package api
+// serves a node's exported methods over HTTP; cmd/lichentray-controlplane starts
+// and stops it. The package serves no HTTP itself, does not compute placement,
+// verdicts or configuration (see loadbalance, rollout, config), and never reads
+// the time of day: all instants are durations since the node's start on the
+// monotonic clock.
+//
+// # Parts
+//
+// Each part of a node is a type with its own file:
+//
+//   - eventLoop runs the tasks that touch consensus, one at a time
+//   - sharedState holds the replicated state and everything derived from it
+//   - proposer puts commands and linearizable reads through the leader
+//   - logWriter makes log entries, votes and snapshots durable
+//   - snapshotter compacts the log and restores received snapshots
+//   - membershipManager decides who votes, and handles joins and departures
+//   - peerPool keeps the connections to the other members
+//   - watchServer serves the lists and watches of proxies
+//   - healthMonitor tracks endpoint heartbeats and removes crashed endpoints
+//   - leaseTimers tell which coordination locks have expired
+//   - rolloutController advances roll-outs
+//   - quotaAllocator shares out what endpoints that warm up may receive
+//   - proxyDirectory, zoneEvacuator, configurationStore, groupWatchers and
+//     auditSink serve the remaining calls
+//   - historyCompactor forgets history that nobody may ask for any more
+//   - reportAggregator sums what proxies report, over all nodes
+//
+// # Concurrency
+//
+// The event loop is one goroutine. State that belongs to it is reachable only
+// through a *loopState, which only loop tasks receive, or through parts whose
+// methods take one. State that several goroutines use stands behind the mutex of
+// the type that holds it. Locks are held briefly and never while waiting for
+// a peer, the disk or the loop. Where two are held, the order is sharedState,
+// then the lock of any other part; peerPool before peerConnection.
+//
+// Further goroutines: the log writer, the listener, one for each connection
+// accepted, two for each peer connection, and short-lived ones for health checks
+// and forwarded calls. All of them end when Close cancels the node's context, and
+// Close waits for them.
+package controlplane
--- /dev/null
+++ b/internal/controlplane/metrics.go
@@ -0,0 +1,67 @@
+package controlplane
+
+import "lichentray/internal/metrics"
+
+// nodeMetrics holds the counters of a node. Those in fields are listed from the
+// start, the others once they have counted something, so that a deployment without
+// the feature does not list them.
+type nodeMetrics struct {
+	registry *metrics.Registry
+
+	proposals        *metrics.Counter
+	proposalsUnknown *metrics.Counter // outcome not known to the caller
+	readsUnconfirmed *metrics.Counter
+	elections        *metrics.Counter // won by this node
+	diskSyncs        *metrics.Counter
+	diskSyncMicros   *metrics.Counter
+	diskFailures     *metrics.Counter
+	rejectedPeers    *metrics.Counter
+	lists            *metrics.Counter
+	listsEncoded     *metrics.Counter
+	listsRedirected  *metrics.Counter
+	eventsEncoded    *metrics.Counter
+	configsDeferred  *metrics.Counter
+	configConflicts  *metrics.Counter
+	heartbeats       *metrics.Counter
+	endpointsRemoved *metrics.Counter
+	appliedIndex     *metrics.Counter // a gauge
+}
+
+func newNodeMetrics(r *metrics.Registry) *nodeMetrics {
+	return &nodeMetrics{
+		registry:         r,
+		proposals:        r.Counter("proposals_total"),
+		proposalsUnknown: r.Counter("proposals_unknown_total"),
+		readsUnconfirmed: r.Counter("reads_unconfirmed_total"),
+		elections:        r.Counter("elections_total"),
+		diskSyncs:        r.Counter("disk_syncs_total"),
+		diskSyncMicros:   r.Counter("disk_sync_microseconds_total"),
+		diskFailures:     r.Counter("disk_failures_total"),
+		rejectedPeers:    r.Counter("rejected_peers_total"),
+		lists:            r.Counter("watch_lists_total"),
+		listsEncoded:     r.Counter("watch_lists_encoded_total"),
+		listsRedirected:  r.Counter("watch_lists_redirected_total"),
+		eventsEncoded:    r.Counter("watch_events_encoded_total"),
+		configsDeferred:  r.Counter("configurations_deferred_total"),
+		configConflicts:  r.Counter("configuration_conflicts_total"),
+		heartbeats:       r.Counter("heartbeats_total"),
+		endpointsRemoved: r.Counter("endpoints_removed_total"),
+		appliedIndex:     r.Counter("applied_index"),
+	}
+}
+
+func (m *nodeMetrics) healthChecks() *metrics.Counter {
+	return m.registry.Counter("health_checks_total")
+}
+
+func (m *nodeMetrics) proxiesRemoved() *metrics.Counter {
+	return m.registry.Counter("proxies_removed_total")
+}
+
+func (m *nodeMetrics) auditBatches() *metrics.Counter {
+	return m.registry.Counter("account_batches_total")
+}
+
+func (m *nodeMetrics) auditBatchesDeferred() *metrics.Counter {
+	return m.registry.Counter("account_batches_deferred_total")
+}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/node.go
@@ -1,5 +1,3 @@
-// Package controlplane is the control-plane node: an actor that turns consensus,
-// the registry and its cacher, with disk, peers and timers round it.
 package controlplane
 
 import (
@@ -27,41 +25,6 @@
 	"lichentray/watchcache"
 )
 
-// Timing are the node's own figures, all derived from the bounds.
-type Timing struct {
-	TickInterval      time.Duration
-	HeartbeatInterval time.Duration
-	ElectionTimeout   time.Duration
-	DeadMemberTimeout time.Duration // a member not heard for so long may be replaced
-	ConnectionTimeout time.Duration // of a connection between processes
-	BookmarkInterval  time.Duration
-	RequestTimeout    time.Duration // longest wait for an outcome
-	WatchWindow       time.Duration // of the cacher
-	EndpointTimeout   time.Duration // an endpoint's beats before it is probed
-	ProxyLease        time.Duration // of a proxy's entry
-	DirectoryTTL      time.Duration // of an answer of the directory
-	RolloutStagePause time.Duration // until the first answers of a roll-out's stage are judged
-}
-
-// DeriveTiming derives the figures.
-func DeriveTiming(s *settings.Settings) Timing {
-	contact := s.Bounds.ContactWindow.Duration()
-	return Timing{
-		TickInterval:      contact / 150,
-		HeartbeatInterval: contact / 50,
-		ElectionTimeout:   contact / 10,
-		DeadMemberTimeout: contact / 2,
-		ConnectionTimeout: contact / 4,
-		BookmarkInterval:  s.PropagationBound() / 10,
-		RequestTimeout:    min(s.Bounds.AckTimeout.Duration()/5, 900*time.Millisecond),
-		WatchWindow:       5 * time.Minute,
-		EndpointTimeout:   s.HeartbeatInterval.Duration()*2 + contact/6,
-		ProxyLease:        contact / 4,
-		DirectoryTTL:      s.Bounds.MaxTTL.Duration() / 4,
-		RolloutStagePause: s.PropagationBound() / 2,
-	}
-}
-
 type pendingProposal struct {
 	term uint64
 	done chan outcome
@@ -74,19 +37,11 @@
 
 // Node is a running control-plane node.
 type Node struct {
-	settings        *settings.Settings
-	timing          Timing
-	logger          *slog.Logger
-	metricsRegistry *metrics.Registry
-	startedAt       time.Time
-	incarnation     uint64 // drawn at each start
-	self            raft.Member
-	storage         *storage.Store
+	*environment
+	storage *storage.Store
 
 	loopTasks  chan func()
 	writeQueue chan writeRequest
-	ctx        context.Context
-	cancel     context.CancelFunc
 
 	writerDone, listenerDone chan struct{}
 
@@ -156,9 +111,6 @@
 	// validationSlot holds one token for whoever checks a configuration.
 	validationSlot chan struct{}
 	lastCallID     atomic.Uint64
-	isStopping     atomic.Bool
-
-	proposalsTotal, proposalsUnknownTotal, readsUnconfirmedTotal, electionsTotal, diskSyncsTotal, diskSyncMicrosecondsTotal, diskFailuresTotal, rejectedPeersTotal, listsTotal, listsEncodedTotal, listsRedirectedTotal, configurationsDeferredTotal, configurationConflictsTotal, heartbeatsTotal, endpointsRemovedTotal, appliedIndexGauge *metrics.Counter
 }
 
 type nodeReport struct {
@@ -180,13 +132,13 @@
 	expiresAt time.Duration
 }
 
-// consensusStatus is what other goroutines need to know of the consensus state.
+// consensus is what other goroutines need to know of the consensus state.
 type consensusStatus struct {
 	role         raft.Role
 	leaderID     uint64
 	term         uint64
 	leaderAddr   string        // internal address
-	lastContact  time.Duration // see clamp.Node.TouchedAt
+	lastContact  time.Duration // see raft.Node.TouchedAt
 	membership   raft.Membership
 	commitIndex  uint64
 	durableIndex uint64
@@ -202,12 +154,21 @@
 func Start(set *settings.Settings, log *slog.Logger, board *metrics.Registry) (*Node, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Node{
-		settings: set, timing: DeriveTiming(set), logger: log, metricsRegistry: board, startedAt: time.Now(),
-		loopTasks: make(chan func(), 1024), writeQueue: make(chan writeRequest, 4096), ctx: ctx, cancel: stop, writerDone: make(chan struct{}), listenerDone: make(chan struct{}),
+		environment: &environment{
+			settings:    set,
+			timing:      DeriveTiming(set),
+			logger:      log,
+			metrics:     newNodeMetrics(board),
+			startedAt:   time.Now(),
+			incarnation: rand.Uint64(),
+			ctx:         ctx,
+			cancel:      stop,
+		},
+		loopTasks: make(chan func(), 1024), writeQueue: make(chan writeRequest, 4096), writerDone: make(chan struct{}), listenerDone: make(chan struct{}),
 		pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan outcome{},
 		endpointLastSeen: map[string]time.Duration{}, healthChecksInFlight: map[string]bool{}, nodeReports: map[uint64]nodeReport{},
 		proxyLastSeen: map[string]time.Duration{}, returningZones: map[string]revisionTime{}, directoryPlaces: map[string]loadbalance.ProxyNode{}, endpoints: map[string]registry.Endpoint{},
-		rollouts: map[string]*rolloutRecord{}, trialEvidence: trialEvidence{}, rolloutsInProgress: map[string]*rolloutProgress{}, incarnation: rand.Uint64(),
+		rollouts: map[string]*rolloutRecord{}, trialEvidence: trialEvidence{}, rolloutsInProgress: map[string]*rolloutProgress{},
 		observationsToReport: map[string]loadbalance.Observation{},
 		store:                registry.NewStore(), lockExpiries: map[string]lockExpiry{},
 		streamWakeups: map[chan struct{}]struct{}{}, groupWatchers: map[string]map[chan struct{}]struct{}{},
@@ -216,23 +177,7 @@
 		leaderChanged: make(chan struct{}),
 	}
 	l.watchCache = watchcache.NewCache(l.timing.WatchWindow, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
-	l.proposalsTotal = board.Counter("proposals_total")
-	l.proposalsUnknownTotal = board.Counter("proposals_unknown_total")
-	l.readsUnconfirmedTotal = board.Counter("reads_unconfirmed_total")
-	l.electionsTotal = board.Counter("elections_total")
-	l.diskSyncsTotal = board.Counter("disk_syncs_total")
-	l.diskSyncMicrosecondsTotal = board.Counter("disk_sync_microseconds_total")
-	l.diskFailuresTotal = board.Counter("disk_failures_total")
-	l.rejectedPeersTotal = board.Counter("bad_peers_total")
-	l.listsTotal = board.Counter("watch_lists_total")
-	l.listsEncodedTotal = board.Counter("watch_lists_encoded_total")
-	l.listsRedirectedTotal = board.Counter("watch_lists_sent_nearer_total")
-	l.encodings.eventsEncodedTotal = board.Counter("watch_events_encoded_total")
-	l.configurationsDeferredTotal = board.Counter("configurations_put_off_total")
-	l.configurationConflictsTotal = board.Counter("configurations_taken_otherwise_total")
-	l.heartbeatsTotal = board.Counter("beats_total")
-	l.endpointsRemovedTotal = board.Counter("endpoints_removed_total")
-	l.appliedIndexGauge = board.Counter("applied_index")
+	l.encodings.eventsEncodedTotal = l.metrics.eventsEncoded
 
 	addr := set.InternalAddr(set.Listen.Control)
 	var initial raft.Membership
@@ -253,7 +198,7 @@
 	ch, id, saved, err := storage.Open(set.DataDirectory, first, l.restoreSaved)
 	for tries := 0; err != nil && tries < 20; tries++ {
 		// A disk in trouble refuses for seconds; a start waits for it.
-		l.diskFailuresTotal.Inc()
+		l.metrics.diskFailures.Inc()
 		time.Sleep(l.timing.ElectionTimeout / 2)
 		ch, id, saved, err = storage.Open(set.DataDirectory, first, l.restoreSaved)
 	}
@@ -299,8 +244,6 @@
 	return l, nil
 }
 
-func (l *Node) now() time.Duration { return time.Since(l.startedAt) }
-
 // post hands work to the actor.
 func (l *Node) post(f func()) bool {
 	select {
@@ -383,7 +326,7 @@
 		l.leaderChanged = make(chan struct{})
 		if role == raft.Leader && l.role != raft.Leader {
 			l.leaderSince = now
-			l.electionsTotal.Inc()
+			l.metrics.elections.Inc()
 			l.endpointLastSeen, l.nodeReports = map[string]time.Duration{}, map[uint64]nodeReport{}
 			l.proxyLastSeen, l.returningZones = map[string]time.Duration{}, map[string]revisionTime{}
 			l.rolloutsInProgress = map[string]*rolloutProgress{}
@@ -444,7 +387,7 @@
 		l.logger.Info("membership changed", "index", en.Index, "voters", len(l.raftNode.Membership().Voters), "learners", len(l.raftNode.Membership().Learners))
 	}
 	l.logSizeBytes += len(en.Data)
-	l.appliedIndexGauge.Set(int64(en.Index))
+	l.metrics.appliedIndex.Set(int64(en.Index))
 	l.mu.Lock()
 	l.appliedIndex = en.Index
 	for ch, at := range l.applyWaiters {
@@ -621,12 +564,12 @@
 				snapshot = j.installedSnapshot
 			}
 			err := l.storage.Save(j.hardState, snapshot, j.installedSnapshot != nil, j.entries)
-			l.diskSyncsTotal.Inc()
-			l.diskSyncMicrosecondsTotal.Add(time.Since(t).Microseconds())
+			l.metrics.diskSyncs.Inc()
+			l.metrics.diskSyncMicros.Add(time.Since(t).Microseconds())
 			if err == nil {
 				break
 			}
-			l.diskFailuresTotal.Inc()
+			l.metrics.diskFailures.Inc()
 			if !failed {
 				failed = true
 				l.logger.Error("disk refuses, nothing is promised until it takes the write", "error", err)
@@ -697,7 +640,7 @@
 		case l.self.Addr:
 			r, err := l.awaitOutcome(done, to.leaderChanged, end)
 			if apierror.KindOf(err) == apierror.UnknownOutcome {
-				l.proposalsUnknownTotal.Inc()
+				l.metrics.proposalsUnknown.Inc()
 			}
 			if err == nil || apierror.KindOf(err) != apierror.Unavailable {
 				return r, err
@@ -720,7 +663,7 @@
 			continue
 		}
 		if unknown {
-			l.proposalsUnknownTotal.Inc()
+			l.metrics.proposalsUnknown.Inc()
 			return registry.Result{}, apierror.New(apierror.UnknownOutcome, "the leader did not answer")
 		}
 		return registry.Result{}, apierror.New(apierror.Unavailable, "no leader")
@@ -765,7 +708,7 @@
 	if !ok {
 		return ""
 	}
-	l.proposalsTotal.Inc()
+	l.metrics.proposals.Inc()
 	l.pendingProposals[index] = pendingProposal{term, done}
 	return l.self.Addr
 }
@@ -788,7 +731,7 @@
 			if err == nil {
 				return l.waitApplied(r.Revision, time.Until(end))
 			}
-			l.readsUnconfirmedTotal.Inc()
+			l.metrics.readsUnconfirmed.Inc()
 		case "":
 		default:
 			ans, _, err := l.peers.call(to, &transport.Request{Read: true}, min(time.Until(end), l.timing.RequestTimeout))
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/node_test.go
@@ -320,11 +320,11 @@
 		t.Cleanup(c.conn.Close)
 		got = append(got, c)
 	}
-	if n := l.listsEncodedTotal.Value(); n != 1 {
+	if n := l.metrics.listsEncoded.Value(); n != 1 {
 		t.Errorf("one list was encoded %d times for %d proxies", n, proxies)
 	}
-	if l.listsTotal.Value() != proxies {
-		t.Errorf("%d lists for %d proxies", l.listsTotal.Value(), proxies)
+	if l.metrics.lists.Value() != proxies {
+		t.Errorf("%d lists for %d proxies", l.metrics.lists.Value(), proxies)
 	}
 
 	drained := registry.Endpoint{ID: "i-0007", Service: "s", Address: "10.0.0.7:80", Zone: "z", Capacity: 3, Draining: true, Sequence: 1}
@@ -385,8 +385,8 @@
 	// and a list after a change is a new one.
 	_, m := watchAsProxy(t, l.self.Addr, watchcache.NewMirror())
 	plain, _ := l.listObjects(&transport.Request{ID: 1, List: true})
-	if len(plain.Objects) != endpoints+1 || l.listsEncodedTotal.Value() != 2 {
-		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.listsEncodedTotal.Value())
+	if len(plain.Objects) != endpoints+1 || l.metrics.listsEncoded.Value() != 2 {
+		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.metrics.listsEncoded.Value())
 	}
 	for _, o := range plain.Objects {
 		if held := m.Objects()[o.Key]; !reflect.DeepEqual(held, o) {
@@ -424,8 +424,8 @@
 			t.Error(err)
 		}
 	}
-	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 14) || l.configurationsDeferredTotal.Value() < 1 {
-		t.Errorf("held is %q, %v; %d put off", got, err, l.configurationsDeferredTotal.Value())
+	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 14) || l.metrics.configsDeferred.Value() < 1 {
+		t.Errorf("held is %q, %v; %d put off", got, err, l.metrics.configsDeferred.Value())
 	}
 }
 
--- a/internal/controlplane/link.go
+++ b/internal/controlplane/peer_pool.go
@@ -115,7 +115,7 @@
 	return k
 }
 
-var errPeerNotConnected = errors.New("controlplane: peer is not connected")
+var errPeerNotConnected = errors.New("lathe: peer is not connected")
 
 // pendingCall is one that waits for its answer.
 type pendingCall struct {
@@ -123,7 +123,7 @@
 	mayHaveBeenSent bool // it may have left
 }
 
-// call sends a call to a peer and waits for its answer, until another leads. sent tells
+// pendingCall sends a call to a peer and waits for its answer, until another leads. sent tells
 // whether the peer may have got it; if not, it never will.
 func (s *peerPool) call(to callTarget, a *transport.Request, left time.Duration) (ans *transport.Response, sent bool, err error) {
 	k := s.connection(to.addr)
@@ -150,15 +150,15 @@
 	}
 	t := time.NewTimer(left)
 	defer t.Stop()
-	err = errors.New("controlplane: peer did not answer")
+	err = errors.New("lathe: peer did not answer")
 	select {
 	case ans := <-c.answer:
 		if ans != nil {
 			return ans, true, nil
 		}
-		err = errors.New("controlplane: connection to the peer broke")
+		err = errors.New("lathe: connection to the peer broke")
 	case <-to.leaderChanged:
-		err = errors.New("controlplane: another leads, or none")
+		err = errors.New("lathe: another leads, or none")
 	case <-t.C:
 	}
 	return nil, forget(), err
@@ -367,8 +367,8 @@
 	if errors.As(err, &ne) || errors.Is(err, io.EOF) {
 		return // silence, a broken connection, or one given up before its first byte
 	}
-	l.rejectedPeersTotal.Inc()
-	if l.rejectedPeersTotal.Value() == 1 {
+	l.metrics.rejectedPeers.Inc()
+	if l.metrics.rejectedPeers.Value() == 1 {
 		l.logger.Warn("refused a peer that does not speak this wire (further ones are only counted)", "peer", raw.RemoteAddr().String(), "error", err)
 	}
 }
@@ -480,7 +480,7 @@
 	}
 	r, err := l.awaitOutcome(done, to.leaderChanged, end)
 	if apierror.KindOf(err) == apierror.UnknownOutcome {
-		l.proposalsUnknownTotal.Inc()
+		l.metrics.proposalsUnknown.Inc()
 	}
 	if err != nil {
 		return errorAnswer(id, err)
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/periodic.go
@@ -241,7 +241,7 @@
 func (l *Node) checkEndpointHealth(o registry.Object, e registry.Endpoint) {
 	path := l.healthCheckPath(e.Service)
 	there := path != "" && isEndpointHealthy(e, path, l.timing.ConnectionTimeout)
-	l.metricsRegistry.Counter("probes_total").Inc()
+	l.metrics.healthChecks().Inc()
 	defer l.post(func() {
 		delete(l.healthChecksInFlight, e.ID)
 		if there {
@@ -262,7 +262,7 @@
 		}}, done)
 	}
 	if a := l.answerAsLeader(0, remove, done); !a.Failed && !a.Result.Conflict {
-		l.endpointsRemovedTotal.Inc()
+		l.metrics.endpointsRemoved.Inc()
 		l.logger.Info("endpoint removed, no beats and no answer to a probe", "endpoint", e.ID, "service", e.Service)
 	}
 }
@@ -312,7 +312,7 @@
 
 // Heartbeat takes a heartbeat of an endpoint.
 func (l *Node) Heartbeat(e registry.Endpoint) error {
-	l.heartbeatsTotal.Inc()
+	l.metrics.heartbeats.Inc()
 	gone := registry.DepartedPrefix + e.ID
 	astray := l.sinceLastContact() > l.timing.ConnectionTimeout
 	_, err := l.transact(func() (*registry.Txn, error) {
@@ -383,7 +383,7 @@
 		defer func() { <-l.validationSlot }()
 		return config.Parse(text)
 	case <-wait.C:
-		l.configurationsDeferredTotal.Inc()
+		l.metrics.configsDeferred.Inc()
 		return nil, apierror.New(apierror.Unavailable, "too many configurations at once")
 	}
 }
@@ -407,7 +407,7 @@
 		return txn, nil
 	})
 	if apierror.KindOf(err) == apierror.Conflict {
-		l.configurationConflictsTotal.Inc()
+		l.metrics.configConflicts.Inc()
 	}
 	if wrote {
 		l.logger.Info("configuration acknowledged", "version", c.Version)
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -11,7 +11,7 @@
 	"lichentray/rollout"
 )
 
-// rolloutRecord is a service's versions as last applied, and since when they stand so by
+// rollout is a service's versions as last applied, and since when they stand so by
 // this node's steady clock.
 type rolloutRecord struct {
 	rollout.Rollout
--- a/internal/controlplane/session.go
+++ b/internal/controlplane/watch_server.go
@@ -132,7 +132,7 @@
 	defer l.mu.RUnlock()
 	for _, m := range l.consensus.membership.AllMembers() {
 		if l.peers.zoneOf(m.Addr) == a.Zone && l.peers.isConnected(m.Addr) {
-			l.listsRedirectedTotal.Inc()
+			l.metrics.listsRedirected.Inc()
 			return l.controlNodes()
 		}
 	}
@@ -200,7 +200,7 @@
 	if rev < a.Least {
 		return l.staleAnswer(a, rev), 0
 	}
-	l.listsTotal.Inc()
+	l.metrics.lists.Inc()
 	ans := &transport.Response{ID: a.ID, Revision: rev}
 	if !a.Packs {
 		ans.Objects = objects
@@ -212,7 +212,7 @@
 			return errorAnswer(a.ID, err), 0
 		}
 		l.encodings.listData, l.encodings.listRevision = data, at
-		l.listsEncodedTotal.Inc()
+		l.metrics.listsEncoded.Inc()
 	}
 	ans.Packed = l.encodings.listData
 	return ans, rev
