--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -73,11 +73,12 @@
 	trialProgress        map[string]transport.RolloutReport // where all proxies together stand
 	outlierJudge         *loadbalance.OutlierDetector
 
+	leases leaseTimers
+
 	// Shared behind a short lock.
 	mu                   sync.RWMutex
 	store                *registry.Store
 	watchCache           *watchcache.Cache
-	lockExpiries         map[string]lockExpiry
 	consensus            consensusStatus
 	streamWakeups        map[chan struct{}]struct{}
 	groupWatchers        map[string]map[chan struct{}]struct{}
@@ -127,11 +128,6 @@
 	revision uint64
 }
 
-type lockExpiry struct {
-	grant     uint64
-	expiresAt time.Duration
-}
-
 // consensus is what other goroutines need to know of the consensus state.
 type consensusStatus struct {
 	role         raft.Role
@@ -170,7 +166,7 @@
 		proxyLastSeen: map[string]time.Duration{}, returningZones: map[string]revisionTime{}, directoryPlaces: map[string]loadbalance.ProxyNode{}, endpoints: map[string]registry.Endpoint{},
 		rollouts: map[string]*rolloutRecord{}, trialEvidence: trialEvidence{}, rolloutsInProgress: map[string]*rolloutProgress{},
 		observationsToReport: map[string]loadbalance.Observation{},
-		store:                registry.NewStore(), lockExpiries: map[string]lockExpiry{},
+		store:                registry.NewStore(),
 		streamWakeups: map[chan struct{}]struct{}{}, groupWatchers: map[string]map[chan struct{}]struct{}{},
 		applyWaiters: map[chan struct{}]uint64{}, proxySessions: map[*proxySession]struct{}{}, heartbeatsToReport: map[string]time.Duration{},
 		evacuationOrders: map[string]registry.Evacuation{}, evacuationOrderedAt: map[evacuationOrder]time.Duration{}, validationSlot: make(chan struct{}, 1),
@@ -223,7 +219,7 @@
 	l.watchCache.Reset(l.store.Revision())
 	l.rebuildFromStore()
 	l.appliedIndex = saved.Snapshot.Index
-	l.resetLockExpiries(0)
+	l.leases.restart(0, l.store.Coordination().Locks)
 	for _, e := range saved.Entries {
 		l.logSizeBytes += len(e.Data)
 	}
@@ -364,7 +360,7 @@
 			l.mu.Lock()
 			res, events = l.store.Apply(cmd)
 			if cmd.Coordination != nil {
-				l.updateLockExpiry(now, cmd.Coordination, res.Latch)
+				l.leases.update(now, cmd.Coordination, res.Latch, l.store.Coordination().Locks)
 			}
 			l.watchCache.Append(now, l.store.Revision(), events)
 			for _, e := range events {
@@ -415,35 +411,13 @@
 	}
 }
 
-func (l *Node) updateLockExpiry(now time.Duration, c *coordination.Command, r coordination.Result) {
-	switch c.Operation {
-	case coordination.AcquireLock, coordination.RenewLock:
-		// The state's time, not the command's: a renewal that comes late may ask for less.
-		if k := l.store.Coordination().Locks[c.Name]; r.Code == coordination.OK {
-			l.lockExpiries[c.Name] = lockExpiry{k.Grant, now + time.Duration(k.HoldMS)*time.Millisecond}
-		}
-	case coordination.ReleaseLock:
-		if _, held := l.store.Coordination().Locks[c.Name]; !held {
-			delete(l.lockExpiries, c.Name)
-		}
-	}
-}
-
-// resetLockExpiries starts every lock's time anew, as after a snapshot.
-func (l *Node) resetLockExpiries(now time.Duration) {
-	l.lockExpiries = map[string]lockExpiry{}
-	for name, k := range l.store.Coordination().Locks {
-		l.lockExpiries[name] = lockExpiry{k.Grant, now + time.Duration(k.HoldMS)*time.Millisecond}
-	}
-}
-
 func (l *Node) installSnapshot(s *raft.Snapshot) {
 	l.mu.Lock()
 	l.store, l.restoredStore = l.restoredStore, nil
 	l.watchCache.Reset(l.store.Revision())
 	l.rebuildFromStore()
 	l.appliedIndex = s.Index
-	l.resetLockExpiries(l.now())
+	l.leases.restart(l.now(), l.store.Coordination().Locks)
 	for ch := range l.streamWakeups {
 		wakeUp(ch)
 	}
@@ -694,15 +668,7 @@
 		return l.peers.addrOf(l.raftNode.LeaderID())
 	}
 	if c := cmd.Coordination; c != nil && c.Operation == coordination.AcquireLock {
-		// Name the grant that has run out by this leader's steady clock.
-		spent := *c
-		spent.ExpiredToken, spent.ExpiredGrant = 0, 0
-		if k, held := l.store.Coordination().Locks[c.Name]; held {
-			if t := l.lockExpiries[c.Name]; t.grant == k.Grant && l.now() >= t.expiresAt {
-				spent.ExpiredToken, spent.ExpiredGrant = k.Fence, k.Grant
-			}
-		}
-		cmd.Coordination = &spent
+		cmd.Coordination = l.leases.withExpiredGrant(l.now(), c, l.store.Coordination().Locks)
 	}
 	index, term, ok := l.raftNode.Propose(registry.EncodeCommand(cmd))
 	if !ok {
