--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -7,7 +7,6 @@
 	"log/slog"
 	"math/rand"
 	"net"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -38,12 +37,11 @@
 // Node is a running control-plane node.
 type Node struct {
 	*environment
-	storage *storage.Store
+	writer *logWriter
 
-	loopTasks  chan func()
-	writeQueue chan writeRequest
+	loopTasks chan func()
 
-	writerDone, listenerDone chan struct{}
+	listenerDone chan struct{}
 
 	// Owned by the actor.
 	raftNode             *raft.Node
@@ -160,14 +158,14 @@
 			ctx:         ctx,
 			cancel:      stop,
 		},
-		loopTasks: make(chan func(), 1024), writeQueue: make(chan writeRequest, 4096), writerDone: make(chan struct{}), listenerDone: make(chan struct{}),
+		loopTasks: make(chan func(), 1024), listenerDone: make(chan struct{}),
 		pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan outcome{},
 		endpointLastSeen: map[string]time.Duration{}, healthChecksInFlight: map[string]bool{}, nodeReports: map[uint64]nodeReport{},
 		proxyLastSeen: map[string]time.Duration{}, returningZones: map[string]revisionTime{}, directoryPlaces: map[string]loadbalance.ProxyNode{}, endpoints: map[string]registry.Endpoint{},
 		rollouts: map[string]*rolloutRecord{}, trialEvidence: trialEvidence{}, rolloutsInProgress: map[string]*rolloutProgress{},
 		observationsToReport: map[string]loadbalance.Observation{},
 		store:                registry.NewStore(),
-		streamWakeups: map[chan struct{}]struct{}{}, groupWatchers: map[string]map[chan struct{}]struct{}{},
+		streamWakeups:        map[chan struct{}]struct{}{}, groupWatchers: map[string]map[chan struct{}]struct{}{},
 		applyWaiters: map[chan struct{}]uint64{}, proxySessions: map[*proxySession]struct{}{}, heartbeatsToReport: map[string]time.Duration{},
 		evacuationOrders: map[string]registry.Evacuation{}, evacuationOrderedAt: map[evacuationOrder]time.Duration{}, validationSlot: make(chan struct{}, 1),
 		leaderChanged: make(chan struct{}),
@@ -205,7 +203,11 @@
 	if id.DiscardReason != nil {
 		log.Error("store set aside as unreadable, joining as a new member", "cause", id.DiscardReason)
 	}
-	l.storage = ch
+	l.writer = newLogWriter(l.environment, ch)
+	l.writer.send = func(ms []raft.Message) { l.peers.sendMessages(ms) }
+	l.writer.reportPersisted = func(index, term uint64) {
+		l.post(func() { l.raftNode.ReportPersisted(index, term) })
+	}
 	blank := saved.HardState.Term == 0 && len(saved.Entries) == 0 && len(saved.Snapshot.Members.AllMembers()) == 0
 	if blank && first != 0 && id.ID == first {
 		saved.Snapshot.Members = initial
@@ -235,7 +237,7 @@
 	}
 	log.Info("started", "member", formatMemberID(id.ID), "fresh", id.IsNew, "last", l.raftNode.LastIndex())
 	go l.acceptConnections(ln)
-	go l.runLogWriter()
+	l.start(l.writer.run)
 	go l.run()
 	return l, nil
 }
@@ -287,7 +289,12 @@
 		}
 		l.peers.sendMessages(e.Messages)
 		if e.Write != nil {
-			l.writeQueue <- writeRequest{hardState: e.Write.HardState, installedSnapshot: e.Write.Snapshot, entries: e.Write.Entries, sendAfterSync: e.Write.MessagesAfterAppend}
+			l.writer.submit(writeRequest{
+				hardState:         e.Write.HardState,
+				installedSnapshot: e.Write.Snapshot,
+				entries:           e.Write.Entries,
+				sendAfterSync:     e.Write.MessagesAfterAppend,
+			})
 		}
 		if e.SnapshotToInstall != nil {
 			l.installSnapshot(e.SnapshotToInstall)
@@ -455,116 +462,16 @@
 	s, ok := l.raftNode.Compact(l.raftNode.AppliedIndex(), data)
 	l.logSizeBytes = 0
 	if ok {
-		l.writeQueue <- writeRequest{compactedSnapshot: &s}
+		l.writer.submit(writeRequest{compactedSnapshot: &s})
 	}
 }
 
 // Close stops the node at once and gives its disk and port back.
 func (l *Node) Close() {
-	l.cancel()
-	<-l.writerDone
+	l.close()
 	<-l.listenerDone
 }
 
-type writeRequest struct {
-	hardState         *raft.HardState
-	installedSnapshot *raft.Snapshot
-	compactedSnapshot *raft.Snapshot
-	entries           []raft.Entry
-	sendAfterSync     []raft.Message
-}
-
-// runLogWriter is the actor of the disk: all that waits goes into one sync.
-func (l *Node) runLogWriter() {
-	defer close(l.writerDone)
-	defer l.storage.Close()
-	for {
-		var job writeRequest
-		select {
-		case <-l.ctx.Done():
-			return
-		case job = <-l.writeQueue:
-		}
-		var next *writeRequest
-		for more := true; more && job.installedSnapshot == nil; {
-			select {
-			case j := <-l.writeQueue:
-				if j.installedSnapshot != nil {
-					next, more = &j, false
-					break
-				}
-				job = mergeWrites(job, j)
-			default:
-				more = false
-			}
-		}
-		l.persist(job)
-		if next != nil {
-			l.persist(*next)
-		}
-	}
-}
-
-func mergeWrites(a, b writeRequest) writeRequest {
-	if b.hardState != nil {
-		a.hardState = b.hardState
-	}
-	if b.compactedSnapshot != nil {
-		a.compactedSnapshot = b.compactedSnapshot
-	}
-	if len(b.entries) > 0 {
-		at := b.entries[0].Index
-		i := len(a.entries)
-		for i > 0 && a.entries[i-1].Index >= at {
-			i--
-		}
-		if i == 0 {
-			a.entries = b.entries
-		} else {
-			a.entries = append(slices.Clip(a.entries[:i]), b.entries...)
-		}
-	}
-	a.sendAfterSync = append(a.sendAfterSync, b.sendAfterSync...)
-	return a
-}
-
-func (l *Node) persist(j writeRequest) {
-	if j.hardState != nil || j.installedSnapshot != nil || j.compactedSnapshot != nil || len(j.entries) > 0 {
-		failed := false
-		for {
-			t := time.Now()
-			snapshot := j.compactedSnapshot
-			if j.installedSnapshot != nil {
-				snapshot = j.installedSnapshot
-			}
-			err := l.storage.Save(j.hardState, snapshot, j.installedSnapshot != nil, j.entries)
-			l.metrics.diskSyncs.Inc()
-			l.metrics.diskSyncMicros.Add(time.Since(t).Microseconds())
-			if err == nil {
-				break
-			}
-			l.metrics.diskFailures.Inc()
-			if !failed {
-				failed = true
-				l.logger.Error("disk refuses, nothing is promised until it takes the write", "error", err)
-			}
-			select {
-			case <-l.ctx.Done():
-				return
-			case <-time.After(l.timing.HeartbeatInterval):
-			}
-		}
-		if failed {
-			l.logger.Info("disk takes writes again")
-		}
-	}
-	l.peers.sendMessages(j.sendAfterSync)
-	if n := len(j.entries); n > 0 {
-		last := j.entries[n-1]
-		l.post(func() { l.raftNode.ReportPersisted(last.Index, last.Term) })
-	}
-}
-
 // callTarget is whom a call goes to: the leader's address, or none, and what is closed when
 // another leads.
 type callTarget struct {
--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -702,19 +702,6 @@
 	}
 }
 
-func TestMergeWrites(t *testing.T) {
-	e := func(i, term uint64) raft.Entry { return raft.Entry{Index: i, Term: term} }
-	j := mergeWrites(writeRequest{entries: []raft.Entry{e(5, 1), e(6, 1), e(7, 1)}, hardState: &raft.HardState{Term: 1}},
-		writeRequest{entries: []raft.Entry{e(6, 2)}, hardState: &raft.HardState{Term: 2}})
-	if len(j.entries) != 2 || j.entries[1].Term != 2 || j.hardState.Term != 2 {
-		t.Errorf("a cut was lost in the merge: %+v", j.entries)
-	}
-	j = mergeWrites(writeRequest{entries: []raft.Entry{e(5, 1), e(6, 1)}}, writeRequest{entries: []raft.Entry{e(3, 2)}})
-	if len(j.entries) != 1 || j.entries[0].Index != 3 {
-		t.Errorf("a cut below the batch was lost: %+v", j.entries)
-	}
-}
-
 // TestJoinThroughARelay: a node whose only seed is a relay is told of a node of the
 // core that does not lead, and joins all the same.
 func TestJoinThroughRelay(t *testing.T) {
