--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -105,7 +105,7 @@
 	compiledTable    *config.Table
 	compiledRevision uint64
 
-	peers     peerPool
+	peers     *peerPool
 	encodings sharedEncodings
 	// validationSlot holds one token for whoever checks a configuration.
 	validationSlot chan struct{}
@@ -226,7 +226,11 @@
 		l.logSizeBytes += len(e.Data)
 	}
 	l.raftNode = raft.New(raft.Config{ID: id.ID, HeartbeatInterval: l.timing.HeartbeatInterval, ElectionTimeout: l.timing.ElectionTimeout, RandInt63n: rand.Int63n, ValidateSnapshot: l.restoreReceived}, 0, saved)
-	l.peers = peerPool{node: l, connections: map[string]*peerConnection{}, addrByID: map[uint64]string{}, zoneByAddr: map[string]string{addr: set.Zone}}
+	l.peers = newPeerPool(l.environment)
+	l.peers.onControlNodes = l.setRelayedNodes
+	l.peers.onLogReconnected = func(addr string) {
+		l.post(func() { l.reportReconnected(addr) })
+	}
 	l.membershipIndex = l.raftNode.MembershipIndex()
 	l.peers.setMembership(l.raftNode.Membership())
 
@@ -318,6 +322,21 @@
 
 var ErrNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
 
+func (l *Node) setRelayedNodes(nodes []transport.ControlNode) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.relayedNodes = nodes
+}
+
+// reportReconnected has consensus send the log anew to the member at an address.
+func (l *Node) reportReconnected(addr string) {
+	for _, m := range l.raftNode.Membership().AllMembers() {
+		if m.Addr == addr {
+			l.raftNode.ReportReconnected(m.ID)
+		}
+	}
+}
+
 // publishConsensus lets the other goroutines see the consensus state.
 func (l *Node) publishConsensus() {
 	n := l.raftNode
