--- a/internal/controlplane/connection_server.go
+++ b/internal/controlplane/connection_server.go
@@ -70,16 +70,16 @@
 		}
 		if len(f.Raft) > 0 {
 			ms := f.Raft
-			l.post(func() {
+			l.loop.post(func(loop *loopState) {
 				now := l.now()
 				for _, m := range ms {
-					l.raftNode.Step(now, m)
+					loop.raft.Step(now, m)
 				}
 			})
 		}
 		if len(f.Beats) > 0 {
 			bs := f.Beats
-			l.post(func() {
+			l.loop.post(func(loop *loopState) {
 				now := l.now()
 				for _, b := range bs {
 					l.endpointLastSeen[b.ID] = max(l.endpointLastSeen[b.ID], now-time.Duration(b.AgoMS)*time.Millisecond)
@@ -92,7 +92,7 @@
 				l.proxyCount, l.serviceLoads, l.quotaRounds, l.outlierVerdicts = p.Sum, p.Loads, p.Rounds, p.Verdicts
 				l.mu.Unlock()
 			} else {
-				l.post(func() {
+				l.loop.post(func(loop *loopState) {
 					now := l.now()
 					l.nodeReports[h.ID] = nodeReport{reportSequences: p.Here, loads: p.Loads, trials: p.Trials, incarnation: p.Life, receivedAt: now}
 					l.mu.Lock()
@@ -130,9 +130,9 @@
 			ans = errorAnswer(a.ID, apierror.New(apierror.BadRequest, "%v", err))
 			break
 		}
-		ans = l.answerAsLeader(a.ID, func() string { return l.proposeOnLoop(cmd, done) }, done)
+		ans = l.answerAsLeader(a.ID, func(loop *loopState) string { return l.proposeOnLoop(loop, cmd, done) }, done)
 	case a.Read:
-		ans = l.answerAsLeader(a.ID, func() string { return l.readIndexOnLoop(done) }, done)
+		ans = l.answerAsLeader(a.ID, func(loop *loopState) string { return l.readIndexOnLoop(loop, done) }, done)
 		ans.Index = ans.Result.Revision
 	case a.Leave != 0:
 		if err := l.approveLeave(a.Leave); err != nil {
@@ -158,7 +158,7 @@
 
 // answerAsLeader answers a call that only a leader carries out: f starts it and gives the
 // leader's address.
-func (l *Node) answerAsLeader(id uint64, f func() string, done chan outcome) *transport.Response {
+func (l *Node) answerAsLeader(id uint64, f func(*loopState) string, done chan outcome) *transport.Response {
 	end := time.Now().Add(l.timing.RequestTimeout)
 	to, err := l.startAtLeader(f)
 	if err != nil || to.addr != l.self.Addr {
--- a/internal/controlplane/directory.go
+++ b/internal/controlplane/directory.go
@@ -229,7 +229,7 @@
 
 // finishZoneReturns takes zones back into ordinary use once their endpoints' beats
 // have had the time to tell which are cold.
-func (l *Node) finishZoneReturns(now time.Duration) {
+func (l *Node) finishZoneReturns(loop *loopState, now time.Duration) {
 	for _, o := range l.store.List(registry.EvacuationPrefix) {
 		if registry.DecodeEvacuation(o).State() != registry.Returning {
 			delete(l.returningZones, o.Key)
@@ -241,7 +241,7 @@
 			continue
 		}
 		if now-since.at > 2*l.settings.HeartbeatInterval.Duration()+l.timing.ConnectionTimeout {
-			l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+			loop.raft.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 				If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 				Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 			}}))
@@ -252,8 +252,8 @@
 
 // expireProxies removes entries of proxies whose lease has run out. Every proxy
 // has a fresh one after a change of leader.
-func (l *Node) expireProxies(now time.Duration) {
-	if !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) || now-l.leaderSince < l.timing.ProxyLease {
+func (l *Node) expireProxies(loop *loopState, now time.Duration) {
+	if !loop.raft.HasQuorumContact(l.timing.ElectionTimeout) || now-loop.leaderSince < l.timing.ProxyLease {
 		return
 	}
 	for _, o := range l.store.List(registry.ProxyPrefix) {
@@ -268,7 +268,7 @@
 		}
 		l.proxyLastSeen[name] = now // asked again if it does not come through
 		l.metrics.proxiesRemoved().Inc()
-		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+		loop.raft.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 		}}))
@@ -319,8 +319,8 @@
 }
 
 // grantQuotas grants what cold endpoints may get to the proxies told of.
-func (l *Node) grantQuotas(now time.Duration, told map[string]uint64) map[string]transport.QuotaGrants {
-	if l.settings.Bounds.SlowStartOvershoot <= 0 || !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) {
+func (l *Node) grantQuotas(loop *loopState, now time.Duration, told map[string]uint64) map[string]transport.QuotaGrants {
+	if l.settings.Bounds.SlowStartOvershoot <= 0 || !loop.raft.HasQuorumContact(l.timing.ElectionTimeout) {
 		return nil // nothing is bounded, or another may lead by now
 	}
 	l.mu.Lock()
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -9,16 +9,16 @@
 )
 
 // adjustMembership takes one step towards a full set of voters that can be counted on.
-func (l *Node) adjustMembership(now time.Duration) {
-	if l.raftNode.Role() != raft.Leader || (now-l.membershipCheckedAt < 4*l.timing.HeartbeatInterval && !l.membershipCheckDue) {
+func (l *Node) adjustMembership(loop *loopState, now time.Duration) {
+	if loop.raft.Role() != raft.Leader || (now-l.membershipCheckedAt < 4*l.timing.HeartbeatInterval && !l.membershipCheckDue) {
 		return
 	}
 	l.membershipCheckedAt, l.membershipCheckDue = now, false
-	next, why := l.membership.nextChange(l.raftNode, now)
+	next, why := l.membership.nextChange(loop.raft, now)
 	if why == "" {
 		return
 	}
-	if err := l.raftNode.ProposeConfChange(next); err == nil {
+	if err := loop.raft.ProposeConfChange(next); err == nil {
 		l.logger.Info("changing the membership", "why", why, "voters", len(next.Voters), "learners", len(next.Learners))
 	}
 }
@@ -66,28 +66,23 @@
 
 // admitLearner takes a node in as a learner; only the leader can.
 func (l *Node) admitLearner(m raft.Member) error {
-	got := make(chan error, 1)
-	l.post(func() {
+	err, stopped := callLoop(l.loop, func(loop *loopState) error {
 		switch {
-		case l.raftNode.Role() != raft.Leader:
-			got <- ErrNotLeader
-		case l.raftNode.Membership().IsMember(m.ID):
-			got <- nil
-		default:
-			if err := l.raftNode.ProposeConfChange(l.raftNode.Membership().WithLearner(m)); err != nil {
-				got <- apierror.New(apierror.Unavailable, "%v", err)
-				return
-			}
-			l.logger.Info("node joins as a learner", "member", formatMemberID(m.ID), "address", m.Addr)
-			got <- nil
+		case loop.raft.Role() != raft.Leader:
+			return ErrNotLeader
+		case loop.raft.Membership().IsMember(m.ID):
+			return nil
+		}
+		if err := loop.raft.ProposeConfChange(loop.raft.Membership().WithLearner(m)); err != nil {
+			return apierror.New(apierror.Unavailable, "%v", err)
 		}
+		l.logger.Info("node joins as a learner", "member", formatMemberID(m.ID), "address", m.Addr)
+		return nil
 	})
-	select {
-	case err := <-got:
-		return err
-	case <-l.ctx.Done():
+	if stopped != nil {
 		return ErrNotLeader
 	}
+	return err
 }
 
 // PrepareShutdown hands leadership on, if this node has it, and has its vote taken over where
@@ -106,7 +101,7 @@
 			}
 			if time.Since(handed) > 2*l.timing.ElectionTimeout {
 				handed = time.Now()
-				l.post(func() { l.raftNode.TransferLeadership() })
+				l.loop.post(func(loop *loopState) { loop.raft.TransferLeadership() })
 			}
 		case v.leaderAddr != "":
 			if a, _, err := l.peers.call(callTarget{addr: v.leaderAddr}, &transport.Request{Leave: l.self.ID}, l.timing.ElectionTimeout); err == nil && !a.Failed {
@@ -119,23 +114,18 @@
 // approveLeave takes a member's wish to leave; only the leader can. An error tells that it is
 // to stay for now.
 func (l *Node) approveLeave(id uint64) error {
-	got := make(chan error, 1)
-	l.post(func() {
-		now := l.now()
+	err, stopped := callLoop(l.loop, func(loop *loopState) error {
+		l.membershipCheckDue = true
 		switch {
-		case l.raftNode.Role() != raft.Leader:
-			got <- ErrNotLeader
-		case l.membership.requestLeave(l.raftNode, now, id):
-			got <- nil
-		default:
-			got <- apierror.New(apierror.Unavailable, "the group still counts on this member")
+		case loop.raft.Role() != raft.Leader:
+			return ErrNotLeader
+		case l.membership.requestLeave(loop.raft, l.now(), id):
+			return nil
 		}
-		l.membershipCheckDue = true
+		return apierror.New(apierror.Unavailable, "the group still counts on this member")
 	})
-	select {
-	case err := <-got:
-		return err
-	case <-l.ctx.Done():
+	if stopped != nil {
 		return ErrNotLeader
 	}
+	return err
 }
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -452,9 +452,10 @@
 	l := newTestCluster(t, 1, nil).nodes[0]
 	eventually(t, "it leads", func() bool { return l.Status().Role == raft.Leader.String() })
 	done := make(chan bool)
-	l.post(func() {
-		l.role, l.outlierJudge, l.quotaGranter, l.periodicTasksAt = raft.Follower, nil, nil, -time.Hour
-		l.runPeriodicTasks()
+	l.loop.post(func(state *loopState) {
+		state.role, state.periodicTasksAt = raft.Follower, -time.Hour
+		l.outlierJudge, l.quotaGranter = nil, nil
+		l.runPeriodicTasks(state)
 		close(done)
 	})
 	<-done
@@ -485,7 +486,7 @@
 	eventually(t, "three vote and one stands by", func() bool { n, all := voters(""); return n == 3 && all == 4 })
 	first := 0
 	for i, l := range g.nodes {
-		if s := l.Status(); s.Role != raft.Leader.String() && l.raftNode != nil && i < 3 {
+		if s := l.Status(); s.Role != raft.Leader.String() && l.loop != nil && i < 3 {
 			first = i
 		}
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -39,30 +39,22 @@
 	*environment
 	writer *logWriter
 
-	loopTasks chan func()
-
+	loop         *eventLoop
 	listenerDone chan struct{}
 
 	// Owned by the actor.
-	raftNode             *raft.Node
 	pendingProposals     map[uint64]pendingProposal
 	pendingReads         map[uint64]chan outcome
 	lastReadID           uint64
 	endpointLastSeen     map[string]time.Duration
 	healthChecksInFlight map[string]bool
-	leaderSince          time.Duration
-	role                 raft.Role
-	leaderID             uint64
-	leaderChanged        chan struct{} // closed, and made anew, when role or leader changes
 	logSizeBytes         int
-	periodicTasksAt      time.Duration
 	membership           *membershipPlanner // of members, at the leader
 	membershipCheckedAt  time.Duration
 	membershipCheckDue   bool // the membership, without waiting for the next duty
 	historyTrimmedAt     time.Duration
 	revisionTimes        []revisionTime
 	restoredStore        *registry.Store // of a leader's snapshot, until it is installed
-	membershipIndex      uint64          // log index of the membership that the links follow
 	nodeReports          map[uint64]nodeReport
 	proxyLastSeen        map[string]time.Duration // when the leader last heard of each
 	returningZones       map[string]revisionTime  // since when a zone is being taken back
@@ -158,7 +150,7 @@
 			ctx:         ctx,
 			cancel:      stop,
 		},
-		loopTasks: make(chan func(), 1024), listenerDone: make(chan struct{}),
+		listenerDone:     make(chan struct{}),
 		pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan outcome{},
 		endpointLastSeen: map[string]time.Duration{}, healthChecksInFlight: map[string]bool{}, nodeReports: map[uint64]nodeReport{},
 		proxyLastSeen: map[string]time.Duration{}, returningZones: map[string]revisionTime{}, directoryPlaces: map[string]loadbalance.ProxyNode{}, endpoints: map[string]registry.Endpoint{},
@@ -168,7 +160,6 @@
 		streamWakeups:        map[chan struct{}]struct{}{}, groupWatchers: map[string]map[chan struct{}]struct{}{},
 		applyWaiters: map[chan struct{}]uint64{}, proxySessions: map[*proxySession]struct{}{}, heartbeatsToReport: map[string]time.Duration{},
 		evacuationOrders: map[string]registry.Evacuation{}, evacuationOrderedAt: map[evacuationOrder]time.Duration{}, validationSlot: make(chan struct{}, 1),
-		leaderChanged: make(chan struct{}),
 	}
 	l.watchCache = watchcache.NewCache(l.timing.WatchWindow, 20000, int(set.Limits.MemoryMB*(1<<20))/12)
 	l.encodings.eventsEncodedTotal = l.metrics.eventsEncoded
@@ -203,10 +194,11 @@
 	if id.DiscardReason != nil {
 		log.Error("store set aside as unreadable, joining as a new member", "cause", id.DiscardReason)
 	}
+	l.loop = newEventLoop(l.environment)
 	l.writer = newLogWriter(l.environment, ch)
 	l.writer.send = func(ms []raft.Message) { l.peers.sendMessages(ms) }
 	l.writer.reportPersisted = func(index, term uint64) {
-		l.post(func() { l.raftNode.ReportPersisted(index, term) })
+		l.loop.post(func(loop *loopState) { loop.raft.ReportPersisted(index, term) })
 	}
 	blank := saved.HardState.Term == 0 && len(saved.Entries) == 0 && len(saved.Snapshot.Members.AllMembers()) == 0
 	if blank && first != 0 && id.ID == first {
@@ -225,69 +217,40 @@
 	for _, e := range saved.Entries {
 		l.logSizeBytes += len(e.Data)
 	}
-	l.raftNode = raft.New(raft.Config{ID: id.ID, HeartbeatInterval: l.timing.HeartbeatInterval, ElectionTimeout: l.timing.ElectionTimeout, RandInt63n: rand.Int63n, ValidateSnapshot: l.restoreReceived}, 0, saved)
+	loop := &loopState{
+		raft:          raft.New(raft.Config{ID: id.ID, HeartbeatInterval: l.timing.HeartbeatInterval, ElectionTimeout: l.timing.ElectionTimeout, RandInt63n: rand.Int63n, ValidateSnapshot: l.restoreReceived}, 0, saved),
+		leaderChanged: make(chan struct{}),
+	}
 	l.peers = newPeerPool(l.environment)
 	l.peers.onControlNodes = l.setRelayedNodes
 	l.peers.onLogReconnected = func(addr string) {
-		l.post(func() { l.reportReconnected(addr) })
+		l.loop.post(func(loop *loopState) { l.reportReconnected(loop, addr) })
 	}
-	l.membershipIndex = l.raftNode.MembershipIndex()
-	l.peers.setMembership(l.raftNode.Membership())
+	loop.membershipIndex = loop.raft.MembershipIndex()
+	l.peers.setMembership(loop.raft.Membership())
 
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		stop()
 		return nil, fmt.Errorf("internal port: %w", err)
 	}
-	log.Info("started", "member", formatMemberID(id.ID), "fresh", id.IsNew, "last", l.raftNode.LastIndex())
+	log.Info("started", "member", formatMemberID(id.ID), "fresh", id.IsNew, "last", loop.raft.LastIndex())
 	go l.acceptConnections(ln)
 	l.start(l.writer.run)
-	go l.run()
+	l.start(func() { l.loop.run(loop, l.tick, l.processReady) })
 	return l, nil
 }
 
-// post hands work to the actor.
-func (l *Node) post(f func()) bool {
-	select {
-	case l.loopTasks <- f:
-		return true
-	case <-l.ctx.Done():
-		return false
-	}
-}
-
-func (l *Node) run() {
-	tick := time.NewTicker(l.timing.TickInterval)
-	defer tick.Stop()
-	l.processReady()
-	for {
-		select {
-		case <-l.ctx.Done():
-			return
-		case f := <-l.loopTasks:
-			f()
-			// What else has arrived goes into the same batch.
-			for more := true; more; {
-				select {
-				case f := <-l.loopTasks:
-					f()
-				default:
-					more = false
-				}
-			}
-		case <-tick.C:
-			l.raftNode.Tick(l.now())
-			l.runPeriodicTasks()
-		}
-		l.processReady()
-	}
+func (l *Node) tick(loop *loopState) {
+	loop.raft.Tick(l.now())
+	l.runPeriodicTasks(loop)
 }
 
 // processReady carries out what the node wants done.
-func (l *Node) processReady() {
+func (l *Node) processReady(loop *loopState) {
 	for {
-		e := l.raftNode.Ready()
-		l.publishConsensus()
+		e := loop.raft.Ready()
+		l.publishConsensus(loop)
 		if len(e.Messages) == 0 && e.Write == nil && len(e.CommittedEntries) == 0 && len(e.ReadStates) == 0 {
 			return
 		}
@@ -301,10 +264,10 @@
 			})
 		}
 		if e.SnapshotToInstall != nil {
-			l.installSnapshot(e.SnapshotToInstall)
+			l.installSnapshot(loop, e.SnapshotToInstall)
 		}
 		for _, en := range e.CommittedEntries {
-			l.applyEntry(en)
+			l.applyEntry(loop, en)
 		}
 		for _, r := range e.ReadStates {
 			if ch := l.pendingReads[r.RequestID]; ch != nil {
@@ -316,7 +279,7 @@
 				ch <- o
 			}
 		}
-		l.compactIfNeeded()
+		l.compactIfNeeded(loop)
 	}
 }
 
@@ -329,25 +292,25 @@
 }
 
 // reportReconnected has consensus send the log anew to the member at an address.
-func (l *Node) reportReconnected(addr string) {
-	for _, m := range l.raftNode.Membership().AllMembers() {
+func (l *Node) reportReconnected(loop *loopState, addr string) {
+	for _, m := range loop.raft.Membership().AllMembers() {
 		if m.Addr == addr {
-			l.raftNode.ReportReconnected(m.ID)
+			loop.raft.ReportReconnected(m.ID)
 		}
 	}
 }
 
 // publishConsensus lets the other goroutines see the consensus state.
-func (l *Node) publishConsensus() {
-	n := l.raftNode
+func (l *Node) publishConsensus(loop *loopState) {
+	n := loop.raft
 	now := l.now()
 	role, leader := n.Role(), n.LeaderID()
-	if role != l.role || leader != l.leaderID {
+	if role != loop.role || leader != loop.leaderID {
 		// Whoever waits for the old leader's answer waits in vain.
-		close(l.leaderChanged)
-		l.leaderChanged = make(chan struct{})
-		if role == raft.Leader && l.role != raft.Leader {
-			l.leaderSince = now
+		close(loop.leaderChanged)
+		loop.leaderChanged = make(chan struct{})
+		if role == raft.Leader && loop.role != raft.Leader {
+			loop.leaderSince = now
 			l.metrics.elections.Inc()
 			l.endpointLastSeen, l.nodeReports = map[string]time.Duration{}, map[uint64]nodeReport{}
 			l.proxyLastSeen, l.returningZones = map[string]time.Duration{}, map[string]revisionTime{}
@@ -355,14 +318,14 @@
 			l.outlierJudge = loadbalance.NewOutlierDetector(l.timing.DeadMemberTimeout / 2)
 			l.quotaGranter = loadbalance.NewQuotaAllocator(now, l.settings.QuotaGrantLifetime())
 			l.logger.Info("leading", "term", n.Term())
-		} else if role != raft.Leader && (l.role == raft.Leader || leader != l.leaderID && leader != 0) {
+		} else if role != raft.Leader && (loop.role == raft.Leader || leader != loop.leaderID && leader != 0) {
 			l.logger.Info("following", "term", n.Term(), "leader", formatMemberID(leader))
 		}
-		l.role, l.leaderID = role, leader
+		loop.role, loop.leaderID = role, leader
 	}
 	ms := n.Membership()
-	if at := n.MembershipIndex(); at != l.membershipIndex {
-		l.membershipIndex = at
+	if at := n.MembershipIndex(); at != loop.membershipIndex {
+		loop.membershipIndex = at
 		l.peers.setMembership(ms)
 	}
 	v := consensusStatus{role: role, leaderID: leader, term: n.Term(), membership: ms, commitIndex: n.CommitIndex(), durableIndex: n.StableIndex()}
@@ -373,7 +336,7 @@
 	l.mu.Unlock()
 }
 
-func (l *Node) applyEntry(en raft.Entry) {
+func (l *Node) applyEntry(loop *loopState, en raft.Entry) {
 	var res registry.Result
 	var events []registry.Event
 	if en.Type == raft.EntryNormal && len(en.Data) > 0 {
@@ -406,7 +369,7 @@
 		}
 	} else if en.Type == raft.EntryConfChange {
 		l.membershipCheckDue = true // a replacement takes two
-		l.logger.Info("membership changed", "index", en.Index, "voters", len(l.raftNode.Membership().Voters), "learners", len(l.raftNode.Membership().Learners))
+		l.logger.Info("membership changed", "index", en.Index, "voters", len(loop.raft.Membership().Voters), "learners", len(loop.raft.Membership().Learners))
 	}
 	l.logSizeBytes += len(en.Data)
 	l.metrics.appliedIndex.Set(int64(en.Index))
@@ -437,7 +400,7 @@
 	}
 }
 
-func (l *Node) installSnapshot(s *raft.Snapshot) {
+func (l *Node) installSnapshot(loop *loopState, s *raft.Snapshot) {
 	l.mu.Lock()
 	l.store, l.restoredStore = l.restoredStore, nil
 	l.watchCache.Reset(l.store.Revision())
@@ -464,12 +427,12 @@
 }
 
 // compactIfNeeded bounds the log, in memory and on disk.
-func (l *Node) compactIfNeeded() {
+func (l *Node) compactIfNeeded(loop *loopState) {
 	most := 4 << 20
 	if mb := l.settings.Limits.DiskMB; mb > 0 {
 		most = min(most, int(mb*(1<<20))/16) // the write-ahead log holds as much again
 	}
-	if l.raftNode.CompactableEntries() < 6000 && l.logSizeBytes < most {
+	if loop.raft.CompactableEntries() < 6000 && l.logSizeBytes < most {
 		return
 	}
 	data, err := l.store.Snapshot()
@@ -478,7 +441,7 @@
 		l.logSizeBytes = 0
 		return
 	}
-	s, ok := l.raftNode.Compact(l.raftNode.AppliedIndex(), data)
+	s, ok := loop.raft.Compact(loop.raft.AppliedIndex(), data)
 	l.logSizeBytes = 0
 	if ok {
 		l.writer.submit(writeRequest{compactedSnapshot: &s})
@@ -498,13 +461,9 @@
 	leaderChanged chan struct{}
 }
 
-// startAtLeader hands f, which gives the leader's address, to the actor.
-func (l *Node) startAtLeader(f func() string) (callTarget, error) {
-	at := make(chan callTarget, 1)
-	if !l.post(func() { at <- callTarget{f(), l.leaderChanged} }) {
-		return callTarget{}, apierror.New(apierror.Unavailable, "node is stopping")
-	}
-	return <-at, nil
+// startAtLeader runs f, which gives the leader's address, on the event loop.
+func (l *Node) startAtLeader(f func(*loopState) string) (callTarget, error) {
+	return callLoop(l.loop, func(loop *loopState) callTarget { return callTarget{f(loop), loop.leaderChanged} })
 }
 
 // waitToRetry tells whether a call that met no leader waits a moment and tries once more.
@@ -532,7 +491,7 @@
 	unknown := false
 	for {
 		done := make(chan outcome, 1)
-		to, err := l.startAtLeader(func() string { return l.proposeOnLoop(cmd, done) })
+		to, err := l.startAtLeader(func(loop *loopState) string { return l.proposeOnLoop(loop, cmd, done) })
 		if err != nil {
 			return registry.Result{}, err
 		}
@@ -589,14 +548,14 @@
 }
 
 // proposeOnLoop runs in the actor. It gives the leader's address.
-func (l *Node) proposeOnLoop(cmd registry.Command, done chan outcome) string {
-	if l.raftNode.Role() != raft.Leader {
-		return l.peers.addrOf(l.raftNode.LeaderID())
+func (l *Node) proposeOnLoop(loop *loopState, cmd registry.Command, done chan outcome) string {
+	if loop.raft.Role() != raft.Leader {
+		return l.peers.addrOf(loop.raft.LeaderID())
 	}
 	if c := cmd.Coordination; c != nil && c.Operation == coordination.AcquireLock {
 		cmd.Coordination = l.leases.withExpiredGrant(l.now(), c, l.store.Coordination().Locks)
 	}
-	index, term, ok := l.raftNode.Propose(registry.EncodeCommand(cmd))
+	index, term, ok := loop.raft.Propose(registry.EncodeCommand(cmd))
 	if !ok {
 		return ""
 	}
@@ -613,7 +572,7 @@
 	end := time.Now().Add(within)
 	for {
 		done := make(chan outcome, 1)
-		to, err := l.startAtLeader(func() string { return l.readIndexOnLoop(done) })
+		to, err := l.startAtLeader(func(loop *loopState) string { return l.readIndexOnLoop(loop, done) })
 		if err != nil {
 			return err
 		}
@@ -637,13 +596,13 @@
 	}
 }
 
-func (l *Node) readIndexOnLoop(done chan outcome) string {
-	if l.raftNode.Role() != raft.Leader {
-		return l.peers.addrOf(l.raftNode.LeaderID())
+func (l *Node) readIndexOnLoop(loop *loopState, done chan outcome) string {
+	if loop.raft.Role() != raft.Leader {
+		return l.peers.addrOf(loop.raft.LeaderID())
 	}
 	l.lastReadID++
 	l.pendingReads[l.lastReadID] = done
-	l.raftNode.ReadIndex(l.lastReadID)
+	loop.raft.ReadIndex(l.lastReadID)
 	return l.self.Addr
 }
 
--- a/internal/controlplane/periodic.go
+++ b/internal/controlplane/periodic.go
@@ -18,34 +18,34 @@
 )
 
 // runPeriodicTasks are what the actor does by the clock.
-func (l *Node) runPeriodicTasks() {
+func (l *Node) runPeriodicTasks(loop *loopState) {
 	now := l.now()
-	l.adjustMembership(now)
-	if now-l.periodicTasksAt < 4*l.timing.HeartbeatInterval {
+	l.adjustMembership(loop, now)
+	if now-loop.periodicTasksAt < 4*l.timing.HeartbeatInterval {
 		return
 	}
-	l.periodicTasksAt = now
-	l.publishConsensus() // this very tick may have made the node the leader
-	l.recordRevisionTime(now)
-	l.reportHeartbeats(now)
-	l.exchangeReports(now)
-	ms := l.raftNode.Membership()
-	if l.raftNode.Role() != raft.Leader {
+	loop.periodicTasksAt = now
+	l.publishConsensus(loop) // this very tick may have made the node the leader
+	l.recordRevisionTime(loop, now)
+	l.reportHeartbeats(loop, now)
+	l.exchangeReports(loop, now)
+	ms := loop.raft.Membership()
+	if loop.raft.Role() != raft.Leader {
 		// A voter without a leader for long may have been replaced meanwhile.
-		if !ms.IsMember(l.self.ID) || (l.raftNode.LeaderID() == 0 && (!ms.IsVoter(l.self.ID) || now-l.raftNode.LastQuorumContact() > l.timing.DeadMemberTimeout)) {
+		if !ms.IsMember(l.self.ID) || (loop.raft.LeaderID() == 0 && (!ms.IsVoter(l.self.ID) || now-loop.raft.LastQuorumContact() > l.timing.DeadMemberTimeout)) {
 			l.requestJoin(ms)
 		}
 		return
 	}
-	l.checkEndpointLiveness(now)
-	l.expireProxies(now)
-	l.finishZoneReturns(now)
-	l.advanceRollouts(now)
-	l.trimHistory(now)
+	l.checkEndpointLiveness(loop, now)
+	l.expireProxies(loop, now)
+	l.finishZoneReturns(loop, now)
+	l.advanceRollouts(loop, now)
+	l.trimHistory(loop, now)
 }
 
 // recordRevisionTime remembers which revision was reached when.
-func (l *Node) recordRevisionTime(now time.Duration) {
+func (l *Node) recordRevisionTime(loop *loopState, now time.Duration) {
 	if n := len(l.revisionTimes); n == 0 || now-l.revisionTimes[n-1].at >= time.Second {
 		l.revisionTimes = append(l.revisionTimes, revisionTime{now, l.store.Revision()})
 	}
@@ -56,7 +56,7 @@
 const maxAcceptedDigests = 8192
 
 // trimHistory forgets history that nobody may ask for any more.
-func (l *Node) trimHistory(now time.Duration) {
+func (l *Node) trimHistory(loop *loopState, now time.Duration) {
 	keep := l.settings.Bounds.HistoryRetention.Duration() * 3 / 2
 	if now-l.historyTrimmedAt < keep/4 {
 		return
@@ -72,7 +72,7 @@
 	}
 	l.revisionTimes = append([]revisionTime(nil), l.revisionTimes[i:]...)
 	l.historyTrimmedAt = now
-	l.raftNode.Propose(registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.CompactHistory, CompactBefore: before}}))
+	loop.raft.Propose(registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.CompactHistory, CompactBefore: before}}))
 	// Signs of the departed are kept as long as the history.
 	var drop registry.Txn
 	forget := func(o registry.Object) {
@@ -91,12 +91,12 @@
 		}
 	}
 	if len(drop.Then) > 0 {
-		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &drop}))
+		loop.raft.Propose(registry.EncodeCommand(registry.Command{Txn: &drop}))
 	}
 }
 
 // reportHeartbeats sends the liveness seen here to the leader.
-func (l *Node) reportHeartbeats(now time.Duration) {
+func (l *Node) reportHeartbeats(loop *loopState, now time.Duration) {
 	l.mu.Lock()
 	beats := l.heartbeatsToReport
 	if len(beats) == 0 {
@@ -105,7 +105,7 @@
 	}
 	l.heartbeatsToReport = map[string]time.Duration{}
 	l.mu.Unlock()
-	if l.raftNode.Role() == raft.Leader {
+	if loop.raft.Role() == raft.Leader {
 		for id, at := range beats {
 			l.endpointLastSeen[id] = max(l.endpointLastSeen[id], at)
 		}
@@ -115,12 +115,12 @@
 	for id, at := range beats {
 		out = append(out, transport.Heartbeat{ID: id, AgoMS: uint32((now - at).Milliseconds())})
 	}
-	l.peers.enqueue(l.peers.addrOf(l.raftNode.LeaderID()), &transport.Frame{Beats: out})
+	l.peers.enqueue(l.peers.addrOf(loop.raft.LeaderID()), &transport.Frame{Beats: out})
 }
 
 // exchangeReports lets every node know how many proxies there are, and what they
 // ask of each service together.
-func (l *Node) exchangeReports(now time.Duration) {
+func (l *Node) exchangeReports(loop *loopState, now time.Duration) {
 	loads := map[string]loadbalance.Load{}
 	here := map[string]uint64{}
 	trials := map[string]transport.RolloutReport{}
@@ -148,8 +148,8 @@
 	seen := l.observationsToReport
 	l.observationsToReport = map[string]loadbalance.Observation{}
 	l.mu.Unlock()
-	if l.raftNode.Role() != raft.Leader {
-		l.peers.enqueue(l.peers.addrOf(l.raftNode.LeaderID()), &transport.Frame{Proxies: &transport.ProxyAggregate{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.incarnation}})
+	if loop.raft.Role() != raft.Leader {
+		l.peers.enqueue(l.peers.addrOf(loop.raft.LeaderID()), &transport.Frame{Proxies: &transport.ProxyAggregate{Here: here, Loads: loads, Seen: seen, Trials: trials, Life: l.incarnation}})
 		return
 	}
 	for name := range here {
@@ -169,13 +169,13 @@
 		mergeTrialProgress(trials, c.trials)
 	}
 	l.trialProgress = trials
-	rounds := l.grantQuotas(now, here)
+	rounds := l.grantQuotas(loop, now, here)
 	l.outlierJudge.Observe(seen)
 	verdicts := l.outlierJudge.Verdicts(now, l.endpointsByService())
 	l.mu.Lock()
 	l.proxyCount, l.serviceLoads, l.quotaRounds, l.outlierVerdicts = len(here), loads, rounds, verdicts
 	l.mu.Unlock()
-	for _, m := range l.raftNode.Membership().AllMembers() {
+	for _, m := range loop.raft.Membership().AllMembers() {
 		l.peers.enqueue(m.Addr, &transport.Frame{Proxies: &transport.ProxyAggregate{Sum: len(here), Loads: loads, Rounds: rounds, Verdicts: verdicts}})
 	}
 }
@@ -204,8 +204,8 @@
 // checkEndpointLiveness removes endpoints whose beats stopped and that do not answer a
 // health probe either. Only a leader that a majority still hears judges, and
 // every endpoint has a fresh grace after a change of leader.
-func (l *Node) checkEndpointLiveness(now time.Duration) {
-	if !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) || now-l.leaderSince < l.timing.EndpointTimeout {
+func (l *Node) checkEndpointLiveness(loop *loopState, now time.Duration) {
+	if !loop.raft.HasQuorumContact(l.timing.ElectionTimeout) || now-loop.leaderSince < l.timing.EndpointTimeout {
 		return
 	}
 	for _, e := range l.endpoints {
@@ -242,7 +242,7 @@
 	path := l.healthCheckPath(e.Service)
 	there := path != "" && isEndpointHealthy(e, path, l.timing.ConnectionTimeout)
 	l.metrics.healthChecks().Inc()
-	defer l.post(func() {
+	defer l.loop.post(func(loop *loopState) {
 		delete(l.healthChecksInFlight, e.ID)
 		if there {
 			l.endpointLastSeen[e.ID] = l.now()
@@ -252,11 +252,11 @@
 		return
 	}
 	done := make(chan outcome, 1)
-	remove := func() string {
+	remove := func(loop *loopState) string {
 		if l.now()-l.endpointLastSeen[e.ID] <= l.timing.EndpointTimeout {
 			return "" // it has beaten in the meantime
 		}
-		return l.proposeOnLoop(registry.Command{Txn: &registry.Txn{
+		return l.proposeOnLoop(loop, registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
 			Then: []registry.Write{{Key: o.Key, IsDelete: true}},
 		}}, done)
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -88,8 +88,8 @@
 // advanceRollouts takes each roll-out one step further if the evidence says so. Each
 // step is written under the condition that the state read still stands, so that
 // of two leaders, or two steps, one holds.
-func (l *Node) advanceRollouts(now time.Duration) {
-	if !l.raftNode.HasQuorumContact(l.timing.ElectionTimeout) || now-l.leaderSince < l.timing.ConnectionTimeout {
+func (l *Node) advanceRollouts(loop *loopState, now time.Duration) {
+	if !loop.raft.HasQuorumContact(l.timing.ElectionTimeout) || now-loop.leaderSince < l.timing.ConnectionTimeout {
 		return
 	}
 	for key, r := range l.rollouts {
@@ -137,7 +137,7 @@
 			continue
 		}
 		g.proposedRevision, g.proposedAt = r.revision, now
-		l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
+		loop.raft.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{
 			If:   []registry.Compare{{Key: key, ModRevision: r.revision}},
 			Then: []registry.Write{{Key: key, Value: next.Encode()}},
 		}}))
--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/snapshot_test.go
@@ -68,7 +68,7 @@
 			return false // a disk that others use as well may be late
 		}
 		first := make(chan int, 1)
-		l.post(func() { first <- l.raftNode.CompactableEntries() })
+		l.loop.post(func(state *loopState) { first <- state.raft.CompactableEntries() })
 		return <-first < 3
 	})
 
@@ -136,8 +136,8 @@
 				r.Read(value)
 				size = 2000
 				done := make(chan uint64, 1)
-				l.post(func() {
-					i, _, _ := l.raftNode.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: "account/tick", Value: value}}}}))
+				l.loop.post(func(state *loopState) {
+					i, _, _ := state.raft.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: "account/tick", Value: value}}}}))
 					done <- i
 				})
 				last = max(last, <-done)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -63,9 +63,8 @@
 
 // Status tells the node's state.
 func (l *Node) Status() *Status {
-	got := make(chan *Status, 1)
-	l.post(func() {
-		n := l.raftNode
+	s, err := callLoop(l.loop, func(loop *loopState) *Status {
+		n := loop.raft
 		now := l.now()
 		s := &Status{Node: l.settings.NodeName, ID: formatMemberID(l.self.ID), Role: n.Role().String(), Term: n.Term(), Leader: formatMemberID(n.LeaderID()), CommitIndex: n.CommitIndex(), DurableIndex: n.StableIndex()}
 		ms := n.Membership()
@@ -79,53 +78,51 @@
 			}
 			s.Members = append(s.Members, st)
 		}
-		got <- s
+		return s
 	})
-	select {
-	case s := <-got:
-		s.IsUpToDate = l.isUpToDate()
-		l.mu.RLock()
-		defer l.mu.RUnlock()
-		s.Revision = l.store.Revision()
-		for _, o := range l.store.List(registry.EndpointPrefix) {
-			s.Endpoints++
-			if e, err := registry.DecodeEndpoint(o); err == nil {
-				if e.Draining {
-					s.Draining++
-				}
-				if e.WarmingUp {
-					s.WarmingUp++
-				}
+	if err != nil {
+		return &Status{Node: l.settings.NodeName}
+	}
+	s.IsUpToDate = l.isUpToDate()
+	l.mu.RLock()
+	defer l.mu.RUnlock()
+	s.Revision = l.store.Revision()
+	for _, o := range l.store.List(registry.EndpointPrefix) {
+		s.Endpoints++
+		if e, err := registry.DecodeEndpoint(o); err == nil {
+			if e.Draining {
+				s.Draining++
 			}
-		}
-		for _, v := range l.outlierVerdicts {
-			if v.Sick {
-				s.Unhealthy++
+			if e.WarmingUp {
+				s.WarmingUp++
 			}
 		}
-		for key, r := range l.rollouts {
-			if s.Services == nil {
-				s.Services = map[string]ServiceStatus{}
-			}
-			s.Services[key[len(registry.RolloutPrefix):]] = ServiceStatus{r.Rollout, map[string]int{}}
+	}
+	for _, v := range l.outlierVerdicts {
+		if v.Sick {
+			s.Unhealthy++
 		}
-		for _, e := range l.endpoints {
-			if x, told := s.Services[e.Service]; told {
-				x.Endpoints[e.Version]++
-			}
+	}
+	for key, r := range l.rollouts {
+		if s.Services == nil {
+			s.Services = map[string]ServiceStatus{}
 		}
-		s.Zones = l.zoneStates()
-		for _, o := range l.store.List(registry.ProxyPrefix) {
-			if p, err := registry.DecodeProxy(o); err == nil {
-				s.Registered = append(s.Registered, p)
-			}
+		s.Services[key[len(registry.RolloutPrefix):]] = ServiceStatus{r.Rollout, map[string]int{}}
+	}
+	for _, e := range l.endpoints {
+		if x, told := s.Services[e.Service]; told {
+			x.Endpoints[e.Version]++
 		}
-		s.ConfigVersion, _, _ = l.storedConfiguration()
-		for p := range l.proxySessions {
-			s.Proxies = append(s.Proxies, ProxyStatus{Node: p.proxyName, Revision: p.ackedRevision.Load()})
+	}
+	s.Zones = l.zoneStates()
+	for _, o := range l.store.List(registry.ProxyPrefix) {
+		if p, err := registry.DecodeProxy(o); err == nil {
+			s.Registered = append(s.Registered, p)
 		}
-		return s
-	case <-l.ctx.Done():
-		return &Status{Node: l.settings.NodeName}
 	}
+	s.ConfigVersion, _, _ = l.storedConfiguration()
+	for p := range l.proxySessions {
+		s.Proxies = append(s.Proxies, ProxyStatus{Node: p.proxyName, Revision: p.ackedRevision.Load()})
+	}
+	return s
 }
