--- a/internal/controlplane/decoded_objects.go
+++ b/internal/controlplane/decoded_objects.go
@@ -7,8 +7,8 @@
 	"lichentray/config"
 	"lichentray/loadbalance"
 	"lichentray/registry"
-	"lichentray/routing"
 	"lichentray/rollout"
+	"lichentray/routing"
 )
 
 // decodedObjects is what a node keeps decoded of the registry, so that no request
