--- /dev/null
+++ b/internal/controlplane/membership_manager.go
@@ -0,0 +1,207 @@
+package controlplane
+
+import (
+	"sync"
+	"time"
+
+	"lichentray/internal/apierror"
+	"lichentray/internal/transport"
+	"lichentray/raft"
+)
+
+// membershipManager keeps the group's membership in order while this node leads,
+// admits nodes and lets them go, and has this node itself join and leave the group.
+type membershipManager struct {
+	*environment
+	loop      *eventLoop
+	peers     *peerPool
+	consensus *consensusView
+
+	// What follows belongs to the event loop.
+	planner   *membershipPlanner
+	checkedAt time.Duration
+	// isCheckDue has the membership checked at the next tick, as after a change of
+	// it: a replacement takes two.
+	isCheckDue bool
+
+	mu sync.Mutex
+	// seeds are the API addresses of the settings as they were last read.
+	seeds []string
+	// relayedNodes are the members of the group as a relay named them last.
+	relayedNodes []transport.ControlNode
+}
+
+// failureDomainOf returns what of a member may be lost at once besides machines: its
+// region, else its zone, as the tolerance asks.
+func (m *membershipManager) failureDomainOf(member raft.Member) string {
+	zone := m.peers.zoneOf(member.Addr)
+	switch tolerance := m.settings.FaultTolerance; {
+	case tolerance.Regions > 0:
+		return m.settings.RegionByZone[zone]
+	case tolerance.Zones > 0:
+		return zone
+	}
+	return ""
+}
+
+// adjust takes one step, if this node leads, towards a full set of voters that can
+// be counted on.
+func (m *membershipManager) adjust(state *loopState, now time.Duration) {
+	if !state.isLeader() {
+		return
+	}
+	if now-m.checkedAt < 4*m.timing.HeartbeatInterval && !m.isCheckDue {
+		return
+	}
+	m.checkedAt = now
+	m.isCheckDue = false
+	next, reason := m.planner.nextChange(state.raft, now)
+	if reason == "" {
+		return
+	}
+	if err := state.raft.ProposeConfChange(next); err == nil {
+		m.logger.Info("changing the membership", "reason", reason, "voters", len(next.Voters), "learners", len(next.Learners))
+	}
+}
+
+// recordChange follows an applied change of the membership.
+func (m *membershipManager) recordChange(state *loopState, index uint64) {
+	m.isCheckDue = true
+	membership := state.raft.Membership()
+	m.logger.Info("membership changed", "index", index, "voters", len(membership.Voters), "learners", len(membership.Learners))
+}
+
+// joinIfNeeded asks to be admitted if this node is no member or may have been
+// replaced, as a voter that has been without a leader for long.
+func (m *membershipManager) joinIfNeeded(state *loopState, now time.Duration) {
+	membership := state.raft.Membership()
+	if !membership.IsMember(m.self.ID) {
+		m.requestJoin(membership)
+		return
+	}
+	if state.raft.LeaderID() != 0 {
+		return
+	}
+	isIsolated := now-state.raft.LastQuorumContact() > m.timing.DeadMemberTimeout
+	if !membership.IsVoter(m.self.ID) || isIsolated {
+		m.requestJoin(membership)
+	}
+}
+
+// requestJoin asks every control-plane node that is known to admit this one.
+func (m *membershipManager) requestJoin(membership raft.Membership) {
+	self := m.self
+	hasAsked := map[string]bool{self.Addr: true}
+	for _, addr := range m.knownAddrs(membership) {
+		if hasAsked[addr] {
+			continue
+		}
+		hasAsked[addr] = true
+		m.start(func() {
+			// Without a response it is asked again with the next periodic tasks.
+			_, _, _ = m.peers.call(callTarget{addr: addr}, &transport.Request{Join: &self}, m.timing.ElectionTimeout)
+		})
+	}
+}
+
+// knownAddrs lists the internal addresses of members, seeds, and the nodes that a
+// relay named.
+func (m *membershipManager) knownAddrs(membership raft.Membership) []string {
+	var addrs []string
+	for _, member := range membership.AllMembers() {
+		addrs = append(addrs, member.Addr)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, seed := range m.seeds {
+		addrs = append(addrs, m.settings.InternalAddr(seed))
+	}
+	for _, node := range m.relayedNodes {
+		addrs = append(addrs, node.Addr)
+	}
+	return addrs
+}
+
+func (m *membershipManager) setRelayedNodes(nodes []transport.ControlNode) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.relayedNodes = nodes
+}
+
+func (m *membershipManager) setSeeds(seeds []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.seeds = seeds
+	m.logger.Info("settings reloaded", "seeds", seeds)
+}
+
+// admitLearner makes a node a learner. Only the leader can; it returns once the
+// change is proposed.
+func (m *membershipManager) admitLearner(member raft.Member) error {
+	return m.callLeaderLoop(func(state *loopState) error {
+		membership := state.raft.Membership()
+		if membership.IsMember(member.ID) {
+			return nil
+		}
+		if err := state.raft.ProposeConfChange(membership.WithLearner(member)); err != nil {
+			return apierror.New(apierror.Unavailable, "%v", err)
+		}
+		m.logger.Info("node joins as a learner", "member", formatMemberID(member.ID), "address", member.Addr)
+		return nil
+	})
+}
+
+// approveLeave returns nil once the process of a member may end. Only the leader
+// can; the member asks again until it may.
+func (m *membershipManager) approveLeave(id uint64) error {
+	return m.callLeaderLoop(func(state *loopState) error {
+		m.isCheckDue = true // the member's vote may be taken over
+		if m.planner.requestLeave(state.raft, m.now(), id) {
+			return nil
+		}
+		return apierror.New(apierror.Unavailable, "the group still counts on this member")
+	})
+}
+
+// callLeaderLoop runs f on the event loop if this node leads.
+func (m *membershipManager) callLeaderLoop(f func(*loopState) error) error {
+	result, err := callLoop(m.loop, func(state *loopState) error {
+		if !state.isLeader() {
+			return ErrNotLeader
+		}
+		return f(state)
+	})
+	if err != nil {
+		return ErrNotLeader
+	}
+	return result
+}
+
+// prepareShutdown hands leadership on and asks the group to let this node go, see
+// Node.PrepareShutdown.
+func (m *membershipManager) prepareShutdown(timeout time.Duration) {
+	var transferredAt time.Time
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(m.timing.HeartbeatInterval) {
+		status := m.consensus.get()
+		switch {
+		case status.role == raft.Leader && len(status.membership.Voters) == 1:
+			return // nobody could take over
+		case status.role == raft.Leader:
+			if time.Since(transferredAt) > 2*m.timing.ElectionTimeout {
+				transferredAt = time.Now()
+				m.loop.post(func(state *loopState) { state.raft.TransferLeadership() })
+			}
+		case status.leaderAddr != "":
+			if m.mayLeave(status.leaderAddr) {
+				return
+			}
+		}
+	}
+}
+
+// mayLeave asks the leader whether this node's process may end.
+func (m *membershipManager) mayLeave(leaderAddr string) bool {
+	request := &transport.Request{Leave: m.self.ID}
+	response, _, err := m.peers.call(callTarget{addr: leaderAddr}, request, m.timing.ElectionTimeout)
+	return err == nil && !response.Failed
+}
--- /dev/null
+++ b/internal/controlplane/node.go
@@ -0,0 +1,217 @@
+package controlplane
+
+import (
+	"net"
+
+	"lichentray/coordination"
+	"lichentray/raft"
+	"lichentray/registry"
+)
+
+// Node is a running control-plane node. It joins its parts, see the package comment,
+// and drives them from the event loop.
+type Node struct {
+	*environment
+	loop      *eventLoop
+	state     *sharedState
+	consensus *consensusView
+	peers     *peerPool
+	writer    *logWriter
+	proposer  *proposer
+	server    *connectionServer
+	watches   *watchServer
+
+	membership  *membershipManager
+	health      *healthMonitor
+	rollouts    *rolloutController
+	directory   *proxyDirectory
+	evacuations *zoneEvacuator
+	configs     *configurationStore
+	groups      *groupWatchers
+	audit       *auditSink
+
+	// What follows belongs to the event loop.
+	snapshots *snapshotter
+	leases    *leaseTimers
+	quotas    *quotaAllocator
+	reports   *reportAggregator
+	history   *historyCompactor
+}
+
+// run begins the node's goroutines.
+func (n *Node) run(listener net.Listener, state *loopState) {
+	n.start(func() { n.server.acceptConnections(listener) })
+	n.start(n.writer.run)
+	n.start(func() { n.loop.run(state, n.tick, n.processReady) })
+}
+
+// Close stops the node at once and gives its disk and port back. It waits for all of
+// the node's goroutines. Calls in flight end with an error.
+func (n *Node) Close() { n.close() }
+
+// tick lets time pass for consensus and carries out what is due by the clock.
+func (n *Node) tick(state *loopState) {
+	state.raft.Tick(n.now())
+	n.runPeriodicTasks(state)
+}
+
+// periodicTaskHeartbeats is how many heartbeat intervals pass between two rounds of
+// periodic tasks.
+const periodicTaskHeartbeats = 4
+
+// runPeriodicTasks carries out the tasks that are due by the clock. Some are of the
+// leader alone.
+func (n *Node) runPeriodicTasks(state *loopState) {
+	now := n.now()
+	n.membership.adjust(state, now)
+	if now-state.periodicTasksAt < periodicTaskHeartbeats*n.timing.HeartbeatInterval {
+		return
+	}
+	state.periodicTasksAt = now
+	n.publishConsensus(state) // this very tick may have made the node the leader
+	n.history.record(state, now)
+	n.health.reportHeartbeats(state, now)
+	n.reports.exchange(state, now)
+	if !state.isLeader() {
+		n.membership.joinIfNeeded(state, now)
+		return
+	}
+	n.health.checkLiveness(state, now)
+	n.directory.expire(state, now)
+	n.evacuations.finishReturns(state, now)
+	n.rollouts.advance(state, now)
+	n.history.compact(state, now)
+}
+
+// processReady carries out what consensus wants done, until nothing is left.
+func (n *Node) processReady(state *loopState) {
+	for {
+		ready := state.raft.Ready()
+		n.publishConsensus(state)
+		if isEmpty(&ready) {
+			return
+		}
+		n.peers.sendMessages(ready.Messages)
+		if ready.Write != nil {
+			n.writer.submit(writeRequest{
+				hardState:         ready.Write.HardState,
+				installedSnapshot: ready.Write.Snapshot,
+				entries:           ready.Write.Entries,
+				sendAfterSync:     ready.Write.MessagesAfterAppend,
+			})
+		}
+		if ready.SnapshotToInstall != nil {
+			n.installSnapshot(state, ready.SnapshotToInstall)
+		}
+		for _, entry := range ready.CommittedEntries {
+			n.applyEntry(state, entry)
+		}
+		for _, read := range ready.ReadStates {
+			n.proposer.pending.resolveRead(read)
+		}
+		if snapshot := n.snapshots.compactIfNeeded(state.raft, n.state.onLoop(state).store); snapshot != nil {
+			n.writer.submit(writeRequest{compactedSnapshot: snapshot})
+		}
+	}
+}
+
+func isEmpty(ready *raft.Ready) bool {
+	return len(ready.Messages) == 0 && ready.Write == nil &&
+		len(ready.CommittedEntries) == 0 && len(ready.ReadStates) == 0
+}
+
+// publishConsensus follows a change of role, leader or membership and lets the other
+// goroutines see the consensus state.
+func (n *Node) publishConsensus(state *loopState) {
+	role := state.raft.Role()
+	leaderID := state.raft.LeaderID()
+	if role != state.role || leaderID != state.leaderID {
+		n.changeLeader(state, role, leaderID)
+	}
+	if index := state.raft.MembershipIndex(); index != state.membershipIndex {
+		state.membershipIndex = index
+		n.peers.setMembership(state.raft.Membership())
+	}
+	n.consensus.publish(consensusStatus{
+		role:        role,
+		leaderAddr:  n.peers.addrOf(leaderID),
+		lastContact: state.raft.LastQuorumContact(),
+		membership:  state.raft.Membership(),
+	})
+}
+
+// changeLeader follows a change of role or leader. Who waits for the old leader's
+// response waits in vain and is told.
+func (n *Node) changeLeader(state *loopState, role raft.Role, leaderID uint64) {
+	close(state.leaderChanged)
+	state.leaderChanged = make(chan struct{})
+	isElected := role == raft.Leader && state.role != raft.Leader
+	isDeposed := role != raft.Leader && state.role == raft.Leader
+	followsAnother := role != raft.Leader && leaderID != state.leaderID && leaderID != 0
+	switch {
+	case isElected:
+		n.becomeLeader(state)
+	case isDeposed || followsAnother:
+		n.logger.Info("following", "term", state.raft.Term(), "leader", formatMemberID(leaderID))
+	}
+	state.role = role
+	state.leaderID = leaderID
+}
+
+// becomeLeader has every part forget what an earlier leadership knew.
+func (n *Node) becomeLeader(state *loopState) {
+	now := n.now()
+	state.leaderSince = now
+	n.health.becomeLeader()
+	n.reports.becomeLeader()
+	n.directory.becomeLeader()
+	n.evacuations.becomeLeader()
+	n.rollouts.becomeLeader()
+	n.quotas.becomeLeader(now)
+	n.metrics.elections.Inc()
+	n.logger.Info("leading", "term", state.raft.Term())
+}
+
+// applyEntry carries out a committed entry and tells its proposer, if it is here.
+func (n *Node) applyEntry(state *loopState, entry raft.Entry) {
+	var result registry.Result
+	switch {
+	case entry.Type == raft.EntryNormal && len(entry.Data) > 0:
+		result = n.applyCommand(state, entry)
+	case entry.Type == raft.EntryConfChange:
+		n.membership.recordChange(state, entry.Index)
+	}
+	n.snapshots.countEntry(entry)
+	n.metrics.appliedIndex.Set(int64(entry.Index))
+	n.state.advance(entry.Index)
+	n.proposer.pending.resolveEntry(entry, result)
+}
+
+func (n *Node) applyCommand(state *loopState, entry raft.Entry) registry.Result {
+	cmd, err := registry.DecodeCommand(entry.Data)
+	if err != nil {
+		// Every replica skips it alike.
+		n.logger.Error("log entry cannot be decoded", "index", entry.Index, "error", err)
+		return registry.Result{}
+	}
+	now := n.now()
+	result, events := n.state.applyCommand(now, cmd)
+	n.rollouts.forgetEnded(state, events)
+	if c := cmd.Coordination; c != nil {
+		n.leases.update(now, c, result.Latch, n.state.onLoop(state).store.Coordination().Locks)
+		if c.Operation == coordination.PutCell {
+			n.groups.wake(coordination.GroupOf(c.Name))
+		}
+	}
+	return result
+}
+
+// installSnapshot puts the state that the leader sent in place of the present one.
+func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
+	n.state.replace(n.snapshots.takeReceived(), snapshot.Index)
+	n.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
+	n.rollouts.forgetAllEnded(state)
+	n.groups.wakeAll()
+	n.proposer.pending.abandonThrough(snapshot.Index)
+	n.logger.Info("snapshot installed", "index", snapshot.Index)
+}
