--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"slices"
 	"time"
 
 	"lichentray/audit"
@@ -18,12 +19,11 @@
 	// that it can be fetched anew where it breaks off. Longer ones are relayed as they
 	// arrive: on a narrow link the way in takes as long as the way out.
 	maxBufferedResponse = 32 << 10
-	// maxQueueShare is the largest part of the remaining time that a request waits in the
-	// queue for an endpoint, as a divisor.
-	maxQueueShare = 4
-	// targetQueueShare is the largest part of the route's latency target that it waits,
-	// as a divisor.
-	targetQueueShare = 6
+	// remainingWaitDivisor is the part of its remaining time that a request waits in the
+	// queue for an endpoint at most, as a divisor.
+	remainingWaitDivisor = 4
+	// targetWaitDivisor is the same of the route's latency target.
+	targetWaitDivisor = 6
 )
 
 // errDeadlineExceeded says that the deadline came before anything was sent.
@@ -93,18 +93,9 @@
 	}
 }
 
-// isSkipped reports whether the next attempt cannot go to an endpoint. The caller has the
-// service's lock.
+// isSkipped reports whether no attempt can go to an endpoint (any more).
 func (f *forwarding) isSkipped(e *loadbalance.Endpoint) bool {
-	if !f.service.accepts(e, f.group) || !mayServe(f.request.regionMask, e.RegionIndex) {
-		return true
-	}
-	for _, t := range f.triedEndpoints {
-		if t == e {
-			return true
-		}
-	}
-	return false
+	return !mayServe(f.request.regionMask, e.RegionIndex) || slices.Contains(f.triedEndpoints, e)
 }
 
 // pick reserves an endpoint for the next attempt, and withdraws from the retry budget if
@@ -136,9 +127,10 @@
 	if remaining <= 0 {
 		return target{}
 	}
-	wait := min(f.request.route.TargetLatency/targetQueueShare, remaining/maxQueueShare)
-	e, conns := f.service.acquireForGroup(f.proxy, f.rank, wait, f.isSkipped, &f.group)
-	return target{endpoint: e, conns: conns, group: f.group}
+	wait := min(f.request.route.TargetLatency/targetWaitDivisor, remaining/remainingWaitDivisor)
+	t := f.service.acquireForGroup(f.proxy, f.rank, wait, f.group, f.isSkipped)
+	f.group = t.group
+	return t
 }
 
 // setDecision decides what follows from an attempt that ended in a phase.
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -13,8 +13,8 @@
 	"lichentray/registry"
 )
 
-// BenchmarkApplyState is what a proxy's copy takes: memory for each endpoint and route,
-// and the work of one change.
+// BenchmarkApplyState measures what a proxy's copy of the registry costs: memory for each
+// endpoint and route, and the work of one change.
 func BenchmarkApplyState(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
--- a/internal/proxy/finder.go
+++ b/internal/proxy/finder.go
@@ -13,9 +13,9 @@
 const (
 	// maxConcurrentOpens is how many control-plane nodes are asked at a time.
 	maxConcurrentOpens = 4
-	// listBackoffShare makes the longest pause between rounds shorter while there is no
-	// copy, as a divisor: without one every moment counts.
-	listBackoffShare = 8
+	// listPauseDivisor shortens the longest pause between rounds while there is no copy:
+	// without one every moment counts.
+	listPauseDivisor = 8
 )
 
 // streamFinder asks control-plane nodes until one opens a stream. A next one is asked when
@@ -90,7 +90,7 @@
 		f.connectTimeout = p.timeouts.openHedgeDelay / 2
 		// A list takes work to answer, and after a loss of power all proxies ask for one.
 		f.hedgeDelay = p.timeouts.openHedgeDelay
-		f.maxPause = p.timeouts.openHedgeDelay / listBackoffShare
+		f.maxPause = p.timeouts.openHedgeDelay / listPauseDivisor
 	}
 	return f
 }
--- a/internal/proxy/handle.go
+++ b/internal/proxy/handle.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// configWaitShare is the share of a request's deadline that it waits for the first
-	// configuration, as a divisor.
-	configWaitShare = 10
-	// configWaitShareAtStart is the same right after the start of the node.
-	configWaitShareAtStart = 4
+	// configWaitDivisor is the part of its deadline that a request waits for the first
+	// configuration at most, as a divisor.
+	configWaitDivisor = 10
+	// configWaitDivisorAtStart is the same right after the start of the node.
+	configWaitDivisorAtStart = 4
 )
 
 // HandleRequest handles one request of a client. This is the way of a request: read it
@@ -90,12 +90,12 @@
 	if s := p.snapshot.Load(); s != nil {
 		return s
 	}
-	wait, share := p.timeouts.dial, time.Duration(configWaitShare)
+	wait, divisor := p.timeouts.dial, time.Duration(configWaitDivisor)
 	if untilHedge := p.timeouts.openHedgeDelay - p.now(); untilHedge > wait {
-		wait, share = untilHedge, configWaitShareAtStart
+		wait, divisor = untilHedge, configWaitDivisorAtStart
 	}
 	if ms, err := strconv.Atoi(string(ctx.Request.Header.Peek("X-Deadline"))); err == nil {
-		wait = min(wait, time.Duration(ms)*time.Millisecond/share)
+		wait = min(wait, time.Duration(ms)*time.Millisecond/divisor)
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -139,26 +139,27 @@
 	return loadbalance.BaseVersion
 }
 
-// acquireForGroup reserves an endpoint of a version group; see acquireEndpoint. No request
-// waits for the target version while the base version is available, so it may change the
-// group.
-func (s *service) acquireForGroup(p *Proxy, rank queueRank, maxWait time.Duration, skip func(*loadbalance.Endpoint) bool, group *loadbalance.VersionGroup) (*loadbalance.Endpoint, *connPool) {
-	if *group == loadbalance.TargetVersion {
+// acquireForGroup reserves an endpoint of a version group for which skip returns false;
+// see acquireEndpoint. No request waits for the target version while the base version is
+// available, so the target returned may be of another group. It may have no endpoint.
+func (s *service) acquireForGroup(p *Proxy, rank queueRank, maxWait time.Duration, group loadbalance.VersionGroup, skip func(*loadbalance.Endpoint) bool) target {
+	skipForGroup := func(e *loadbalance.Endpoint) bool { return !s.accepts(e, group) || skip(e) }
+	if group == loadbalance.TargetVersion {
 		isFinal, isInProgress := s.rolloutStage()
 		if !isFinal && isInProgress {
-			if e, conns := s.acquireEndpoint(p, rank, 0, skip); e != nil {
-				return e, conns
+			if e, conns := s.acquireEndpoint(p, rank, 0, skipForGroup); e != nil {
+				return target{endpoint: e, conns: conns, group: group}
 			}
 		}
 		if !isFinal {
-			*group = loadbalance.BaseVersion
+			group = loadbalance.BaseVersion
 		}
 	}
-	e, conns := s.acquireEndpoint(p, rank, maxWait, skip)
-	if e != nil && *group == loadbalance.TargetVersion {
-		*group = s.versionGroupOf(e) // the roll-out may have ended meanwhile
+	e, conns := s.acquireEndpoint(p, rank, maxWait, skipForGroup)
+	if e != nil && group == loadbalance.TargetVersion {
+		group = s.versionGroupOf(e) // the roll-out may have ended meanwhile
 	}
-	return e, conns
+	return target{endpoint: e, conns: conns, group: group}
 }
 
 // rolloutStage reports how the roll-out stands.
