--- a/examples/endpoint/main.go
+++ b/examples/endpoint/main.go
@@ -1,5 +1,5 @@
-// Command endpoint is a stand-in server for trying lichentray out: it answers
-// every request, beats at the control plane, and drains when it is told to end.
+// Command endpoint is a stand-in server for trying lichentray out: it answers every
+// request, sends heartbeats to the control plane, and drains when it is told to end.
 package main
 
 import (
@@ -17,6 +17,21 @@
 	"time"
 )
 
+const (
+	heartbeatInterval = 1500 * time.Millisecond
+	callTimeout       = time.Second
+)
+
+// endpoint is one instance of a service.
+type endpoint struct {
+	id       string
+	service  string
+	version  string
+	address  string   // where it listens
+	nodes    []string // control-plane addresses
+	sequence int      // of the last heartbeat
+}
+
 func main() {
 	id := flag.String("id", fmt.Sprint("i-", os.Getpid()), "instance id")
 	service := flag.String("service", "hello", "service to serve")
@@ -25,64 +40,80 @@
 	control := flag.String("control", "127.0.0.1:8166", "control_plane addresses, comma separated")
 	drain := flag.Duration("drain", 3*time.Second, "time to serve on after the drain was acknowledged")
 	flag.Parse()
-	ln, err := net.Listen("tcp4", *listen)
+	listener, err := net.Listen("tcp4", *listen)
 	if err != nil {
 		log.Fatal(err)
 	}
-	go func() {
-		log.Fatal(http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if want := r.Header.Get("X-Target-Instance"); want != "" && want != *id {
-				w.Header().Set("X-Instance-Id", *id)
-				w.WriteHeader(421)
-				return
-			}
-			w.Header().Set("X-Instance-Id", *id)
-			w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
-			w.Header().Set("X-Server-Signature", *id)
-			fmt.Fprintf(w, "%s answers %s %s\n", *id, r.Method, r.RequestURI)
-		})))
-	}()
-	nodes := strings.Split(*control, ",")
-	sequence := 0
-	call := func(name string, body any) bool {
-		b, err := json.Marshal(body)
-		if err != nil {
-			log.Fatal(err)
-		}
-		client := http.Client{Timeout: time.Second}
-		for _, n := range nodes {
-			resp, err := client.Post("http://"+n+"/api/rpc?call=instances."+name+"&of="+*id, "application/json", bytes.NewReader(b))
-			if err != nil {
-				continue
-			}
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
-				return true
-			}
-		}
-		return false
-	}
-	beat := func(state string) bool {
-		sequence++
-		return call("heartbeat", map[string]any{
-			"address": ln.Addr().String(),
-			"info":    map[string]any{"backend_service": *service, "config_version": *version, "zone": "local", "capacity": 4},
-			"status":  map[string]any{"state": state, "sequence": sequence, "cold_remaining_s": 0},
-		})
+	e := &endpoint{
+		id:      *id,
+		service: *service,
+		version: *version,
+		address: listener.Addr().String(),
+		nodes:   strings.Split(*control, ","),
 	}
+	go func() { log.Fatal(http.Serve(listener, e)) }()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	log.Printf("%s serves %s at %s, known to the control plane: %v", *id, *service, ln.Addr(), beat("ready"))
-	tick := time.NewTicker(1500 * time.Millisecond)
+	e.run(stop, *drain)
+}
+
+// run sends heartbeats until a signal arrives, and then drains and deregisters.
+func (e *endpoint) run(stop <-chan os.Signal, drain time.Duration) {
+	log.Printf("%s serves %s at %s, known to the control plane: %v", e.id, e.service, e.address, e.heartbeat("ready"))
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			beat("ready")
+		case <-ticker.C:
+			e.heartbeat("ready")
 		case <-stop:
-			log.Printf("draining, acknowledged: %v", beat("draining"))
-			time.Sleep(*drain)
-			log.Printf("signed off: %v", call("deregister", map[string]any{}))
+			log.Printf("draining, acknowledged: %v", e.heartbeat("draining"))
+			time.Sleep(drain)
+			log.Printf("signed off: %v", e.call("deregister", map[string]any{}))
 			return
 		}
 	}
 }
+
+// ServeHTTP answers a request, or rejects one that is meant for another instance.
+func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("X-Instance-Id", e.id)
+	if target := r.Header.Get("X-Target-Instance"); target != "" && target != e.id {
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
+	w.Header().Set("X-Server-Signature", e.id)
+	fmt.Fprintf(w, "%s answers %s %s\n", e.id, r.Method, r.RequestURI)
+}
+
+// heartbeat tells the control plane the state of the endpoint, and reports whether it
+// was acknowledged.
+func (e *endpoint) heartbeat(state string) bool {
+	e.sequence++
+	return e.call("heartbeat", map[string]any{
+		"address": e.address,
+		"info":    map[string]any{"backend_service": e.service, "config_version": e.version, "zone": "local", "capacity": 4},
+		"status":  map[string]any{"state": state, "sequence": e.sequence, "cold_remaining_s": 0},
+	})
+}
+
+// call sends a call to one node after the other, and reports whether one acknowledged it.
+func (e *endpoint) call(name string, body any) bool {
+	text, err := json.Marshal(body)
+	if err != nil {
+		log.Fatal(err)
+	}
+	client := http.Client{Timeout: callTimeout}
+	for _, node := range e.nodes {
+		resp, err := client.Post("http://"+node+"/api/rpc?call=instances."+name+"&of="+e.id, "application/json", bytes.NewReader(text))
+		if err != nil {
+			continue
+		}
+		resp.Body.Close()
+		if resp.StatusCode == http.StatusOK {
+			return true
+		}
+	}
+	return false
+}
