--- /dev/null
+++ b/internal/controlplane/audit_sink.go
@@ -0,0 +1,45 @@
+package controlplane
+
+import (
+	"lichentray/audit"
+	"lichentray/internal/apierror"
+	"lichentray/internal/transport"
+	"lichentray/registry"
+)
+
+// auditSink takes the failures that proxies record into the audit log, and reads it.
+type auditSink struct {
+	*environment
+	state    *sharedState
+	proposer *proposer
+}
+
+// isEnabled reports whether this deployment keeps an audit log.
+func (a *auditSink) isEnabled() bool { return a.settings.Audit != nil }
+
+// ingest puts a proxy's batch into the audit log and acknowledges it. A batch that
+// does not come through, or whose acknowledgement does not, is sent again by the
+// proxy and known by its records' numbers.
+func (a *auditSink) ingest(conn *transport.Conn, batch *audit.Batch) {
+	batch.Most = a.settings.Audit.MaxRecords
+	result, err := a.proposer.propose(registry.Command{Audit: batch})
+	if err != nil {
+		a.metrics.auditBatchesDeferred().Inc()
+		return
+	}
+	a.metrics.auditBatches().Inc()
+	ack := &transport.AuditAck{Life: batch.Life, Seq: result.Account, Closed: batch.Closed}
+	_ = conn.Send(&transport.Frame{Account: ack}) // without it the batch comes again
+}
+
+// read queries the audit log, see Node.ReadAudit.
+func (a *auditSink) read(filter audit.Filter) (result audit.QueryResult, err error) {
+	if !a.isEnabled() {
+		return audit.QueryResult{}, apierror.New(apierror.NoRoute, "this deployment keeps no account of failures")
+	}
+	if err := a.proposer.readIndex(a.timing.RequestTimeout); err != nil {
+		return audit.QueryResult{}, err
+	}
+	a.state.view(func(r *replicatedState) { result = r.store.AuditLog().Query(filter) })
+	return result, nil
+}
--- /dev/null
+++ b/internal/controlplane/configuration_store.go
@@ -0,0 +1,75 @@
+package controlplane
+
+import (
+	"time"
+
+	"lichentray/config"
+	"lichentray/internal/apierror"
+	"lichentray/registry"
+)
+
+// configurationStore takes and returns the deployment's configuration.
+type configurationStore struct {
+	*environment
+	state    *sharedState
+	proposer *proposer
+	// validationSlot holds a token while a configuration is validated.
+	validationSlot chan struct{}
+}
+
+// replace takes a whole configuration, see Node.ReplaceConfiguration.
+func (s *configurationStore) replace(text []byte) error {
+	parsed, err := s.validate(text)
+	if err != nil {
+		return err
+	}
+	wrote, err := s.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
+		// The state may not be the newest. It is committed, though: that a content was
+		// taken under a version stays true, and to take one depends on the newest.
+		txn, err := r.store.BuildConfigTxn(parsed.Version, text)
+		if err != nil {
+			return nil, apierror.New(apierror.Conflict, "%v", err)
+		}
+		return txn, nil
+	})
+	if apierror.KindOf(err) == apierror.Conflict {
+		s.metrics.configConflicts.Inc()
+	}
+	if wrote {
+		s.logger.Info("configuration acknowledged", "version", parsed.Version)
+	}
+	return err
+}
+
+// validate parses and checks a configuration, one at a time: to check one of 2000
+// routes takes some ten megabytes, and longer than a storm of them leaves between
+// two. Whoever has waited for too long is better off at another node.
+func (s *configurationStore) validate(text []byte) (*config.Configuration, error) {
+	timer := time.NewTimer(s.timing.RequestTimeout)
+	defer timer.Stop()
+	select {
+	case s.validationSlot <- struct{}{}:
+		defer func() { <-s.validationSlot }()
+	case <-timer.C:
+		s.metrics.configsDeferred.Inc()
+		return nil, apierror.New(apierror.Unavailable, "too many configurations at once")
+	}
+	parsed, err := config.Parse(text)
+	if err != nil {
+		return nil, apierror.New(apierror.InvalidConfiguration, "%v", err)
+	}
+	return parsed, nil
+}
+
+// read returns the newest configuration, see Node.Configuration.
+func (s *configurationStore) read() (text []byte, err error) {
+	if err := s.proposer.readIndex(s.timing.RequestTimeout); err != nil {
+		return nil, err
+	}
+	var isKnown bool
+	s.state.view(func(r *replicatedState) { _, text, isKnown = r.configuration() })
+	if !isKnown {
+		return nil, apierror.New(apierror.NotFound, "no configuration yet")
+	}
+	return text, nil
+}
--- a/internal/controlplane/connection_server.go
+++ b/internal/controlplane/connection_server.go
@@ -5,171 +5,193 @@
 	"errors"
 	"io"
 	"net"
-	"time"
 
 	"lichentray/internal/apierror"
 	"lichentray/internal/transport"
 	"lichentray/registry"
 )
 
-func (l *Node) acceptConnections(ln net.Listener) {
-	defer close(l.listenerDone)
-	defer context.AfterFunc(l.ctx, func() { ln.Close() })()
+// connectionServer accepts the connections of peers, proxies and relays at the
+// internal address and speaks with the peers. Each connection has a goroutine, and
+// each request of a peer another one.
+type connectionServer struct {
+	*environment
+	loop       *eventLoop
+	peers      *peerPool
+	consensus  *consensusView
+	proposer   *proposer
+	membership *membershipManager
+	health     *healthMonitor
+	reports    *reportAggregator
+	watches    *watchServer
+}
+
+// acceptConnections serves whoever connects until the node closes.
+func (s *connectionServer) acceptConnections(listener net.Listener) {
+	defer context.AfterFunc(s.ctx, func() { listener.Close() })()
 	for {
-		raw, err := ln.Accept()
-		if err != nil {
-			if l.ctx.Err() != nil {
-				return
+		raw, err := listener.Accept()
+		if err == nil {
+			if !s.start(func() { s.serveConnection(raw) }) {
+				raw.Close()
 			}
-			time.Sleep(l.timing.TickInterval)
 			continue
 		}
-		go l.serveConnection(raw)
+		if s.ctx.Err() != nil {
+			return
+		}
+		s.sleep(s.timing.TickInterval)
 	}
 }
 
-// serveConnection speaks with one process that connected.
-func (l *Node) serveConnection(raw net.Conn) {
-	conn, hello, err := transport.Accept(raw, l.timing.ConnectionTimeout)
+// serveConnection speaks with one process that connected, until it ends the
+// connection or the node closes.
+func (s *connectionServer) serveConnection(raw net.Conn) {
+	defer context.AfterFunc(s.ctx, func() { raw.Close() })()
+	conn, hello, err := transport.Accept(raw, s.timing.ConnectionTimeout)
 	if err != nil {
 		raw.Close()
-		l.recordRejectedPeer(raw, err)
+		s.recordRejectedPeer(raw, err)
 		return
 	}
 	defer conn.Close()
-	defer context.AfterFunc(l.ctx, conn.Close)()
 	switch hello.Role {
 	case transport.RolePeer:
-		l.servePeer(conn, hello)
+		s.servePeer(conn, hello)
 	case transport.RoleProxy:
-		l.serveProxy(conn, hello)
+		s.watches.serveProxy(conn, hello)
 	case transport.RoleRelay:
-		l.serveRelay(conn)
+		s.watches.serveRelay(conn)
 	}
 }
 
-func (l *Node) recordRejectedPeer(raw net.Conn, err error) {
-	var ne net.Error
-	if errors.As(err, &ne) || errors.Is(err, io.EOF) {
-		return // silence, a broken connection, or one given up before its first byte
+// recordRejectedPeer counts a peer that speaks another protocol or version. Only the
+// first one is logged. Silence, a broken connection, and one that was given up before
+// its first byte are none of these.
+func (s *connectionServer) recordRejectedPeer(raw net.Conn, err error) {
+	var netErr net.Error
+	if errors.As(err, &netErr) || errors.Is(err, io.EOF) {
+		return
 	}
-	l.metrics.rejectedPeers.Inc()
-	if l.metrics.rejectedPeers.Value() == 1 {
-		l.logger.Warn("refused a peer that does not speak this wire (further ones are only counted)", "peer", raw.RemoteAddr().String(), "error", err)
+	s.metrics.rejectedPeers.Inc()
+	if s.metrics.rejectedPeers.Value() == 1 {
+		s.logger.Warn("rejected a peer of another protocol or version (further ones are only counted)",
+			"peer", raw.RemoteAddr().String(), "error", err)
 	}
 }
 
-func (l *Node) servePeer(conn *transport.Conn, h transport.Hello) {
-	l.peers.rememberAddr(h.ID, h.Addr)
-	l.peers.rememberZone(h.Addr, h.Zone)
-	l.peers.redialNow(h.Addr)
+// servePeer takes what another member sends. Its requests are answered on the same
+// connection, everything else on this node's own connection to it.
+func (s *connectionServer) servePeer(conn *transport.Conn, hello transport.Hello) {
+	s.peers.rememberAddr(hello.ID, hello.Addr)
+	s.peers.rememberZone(hello.Addr, hello.Zone)
+	s.peers.redialNow(hello.Addr)
 	for {
-		f, err := conn.Receive(0)
+		frame, err := conn.Receive(0)
 		if err != nil {
 			return
 		}
-		if len(f.Raft) > 0 {
-			ms := f.Raft
-			l.loop.post(func(loop *loopState) {
-				now := l.now()
-				for _, m := range ms {
-					loop.raft.Step(now, m)
-				}
-			})
-		}
-		if len(f.Beats) > 0 {
-			bs := f.Beats
-			l.loop.post(func(loop *loopState) {
-				now := l.now()
-				for _, b := range bs {
-					l.endpointLastSeen[b.ID] = max(l.endpointLastSeen[b.ID], now-time.Duration(b.AgoMS)*time.Millisecond)
-				}
-			})
-		}
-		if p := f.Proxies; p != nil {
-			if p.Sum > 0 {
-				l.mu.Lock()
-				l.proxyCount, l.serviceLoads, l.quotaRounds, l.outlierVerdicts = p.Sum, p.Loads, p.Rounds, p.Verdicts
-				l.mu.Unlock()
-			} else {
-				l.loop.post(func(loop *loopState) {
-					now := l.now()
-					l.nodeReports[h.ID] = nodeReport{reportSequences: p.Here, loads: p.Loads, trials: p.Trials, incarnation: p.Life, receivedAt: now}
-					l.mu.Lock()
-					mergeObservations(l.observationsToReport, p.Seen)
-					l.mu.Unlock()
-					for name := range p.Here {
-						l.proxyLastSeen[name] = now
-					}
-				})
+		s.takePeerFrame(conn, hello.ID, frame)
+	}
+}
+
+// takePeerFrame takes one frame of a member. What concerns consensus or the leader is
+// left to the event loop, requests to a goroutine each.
+func (s *connectionServer) takePeerFrame(conn *transport.Conn, from uint64, frame *transport.Frame) {
+	if messages := frame.Raft; len(messages) > 0 {
+		s.loop.post(func(state *loopState) {
+			now := s.now()
+			for _, m := range messages {
+				state.raft.Step(now, m)
 			}
-		}
-		if f.Ask != nil {
-			go l.serveCall(conn, f.Ask)
-		}
+		})
+	}
+	if heartbeats := frame.Beats; len(heartbeats) > 0 {
+		s.loop.post(func(state *loopState) { s.health.recordReported(state, heartbeats) })
+	}
+	if aggregate := frame.Proxies; aggregate != nil {
+		s.takeAggregate(from, aggregate)
+	}
+	if request := frame.Ask; request != nil {
+		s.start(func() { s.serveRequest(conn, request) })
 	}
 }
 
-func errorAnswer(id uint64, err error) *transport.Response {
-	var e *apierror.Error
-	if errors.As(err, &e) {
-		return &transport.Response{ID: id, Failed: true, Kind: e.Kind, Detail: e.Detail}
+// takeAggregate takes the leader's sums, or at the leader what one node reports.
+func (s *connectionServer) takeAggregate(from uint64, aggregate *transport.ProxyAggregate) {
+	if aggregate.Sum > 0 {
+		s.watches.setSummary(proxySummary{
+			proxies:  aggregate.Sum,
+			loads:    aggregate.Loads,
+			quotas:   aggregate.Rounds,
+			verdicts: aggregate.Verdicts,
+		})
+		return
 	}
-	return &transport.Response{ID: id, Failed: true, Kind: apierror.Internal, Detail: err.Error()}
+	s.loop.post(func(state *loopState) { s.reports.recordNode(state, from, aggregate) })
 }
 
-// serveCall answers a call that a peer forwarded. It does not forward again, but for
+// serveRequest answers a request of a peer. It does not forward it, but for that of
 // a node that wants to join.
-func (l *Node) serveCall(conn *transport.Conn, a *transport.Request) {
-	ans := &transport.Response{ID: a.ID}
-	done := make(chan outcome, 1)
+func (s *connectionServer) serveRequest(conn *transport.Conn, request *transport.Request) {
+	response := s.answer(request)
+	response.ID = request.ID
+	_ = conn.Send(&transport.Frame{Answer: response}) // a broken connection ends at its reader
+}
+
+func (s *connectionServer) answer(request *transport.Request) *transport.Response {
 	switch {
-	case a.Command != nil:
-		cmd, err := registry.DecodeCommand(a.Command)
-		if err != nil {
-			ans = errorAnswer(a.ID, apierror.New(apierror.BadRequest, "%v", err))
-			break
-		}
-		ans = l.answerAsLeader(a.ID, func(loop *loopState) string { return l.proposeOnLoop(loop, cmd, done) }, done)
-	case a.Read:
-		ans = l.answerAsLeader(a.ID, func(loop *loopState) string { return l.readIndexOnLoop(loop, done) }, done)
-		ans.Index = ans.Result.Revision
-	case a.Leave != 0:
-		if err := l.approveLeave(a.Leave); err != nil {
-			ans = errorAnswer(a.ID, err)
-		}
-	case a.Join != nil:
-		if err := l.admitLearner(*a.Join); err != nil {
-			ans = errorAnswer(a.ID, err)
-			l.mu.RLock()
-			leader := l.consensus.leaderAddr
-			l.mu.RUnlock()
-			if errors.Is(err, ErrNotLeader) && !a.Passed && leader != "" && leader != l.self.Addr {
-				// None of the nodes that a new one knows may be the leader.
-				if x, _, err := l.peers.call(callTarget{addr: leader}, &transport.Request{Join: a.Join, Passed: true}, l.timing.ElectionTimeout); err == nil {
-					ans = x
-					ans.ID = a.ID
-				}
-			}
-		}
+	case request.Command != nil:
+		return s.answerCommand(request)
+	case request.Read:
+		return s.proposer.answerAsLeader(request.ID, s.proposer.startReadIndex)
+	case request.Leave != 0:
+		return responseOf(request.ID, s.membership.approveLeave(request.Leave))
+	case request.Join != nil:
+		return s.answerJoin(request)
+	}
+	return &transport.Response{}
+}
+
+func (s *connectionServer) answerCommand(request *transport.Request) *transport.Response {
+	cmd, err := registry.DecodeCommand(request.Command)
+	if err != nil {
+		return errorResponse(request.ID, apierror.New(apierror.BadRequest, "%v", err))
 	}
-	_ = conn.Send(&transport.Frame{Answer: ans}) // a broken connection ends at its reader
+	return s.proposer.answerAsLeader(request.ID, func(state *loopState, done chan<- outcome) string {
+		return s.proposer.startProposal(state, cmd, done)
+	})
 }
 
-// answerAsLeader answers a call that only a leader carries out: f starts it and gives the
-// leader's address.
-func (l *Node) answerAsLeader(id uint64, f func(*loopState) string, done chan outcome) *transport.Response {
-	end := time.Now().Add(l.timing.RequestTimeout)
-	to, err := l.startAtLeader(f)
-	if err != nil || to.addr != l.self.Addr {
-		return errorAnswer(id, ErrNotLeader)
-	}
-	r, err := l.awaitOutcome(done, to.leaderChanged, end)
-	if apierror.KindOf(err) == apierror.UnknownOutcome {
-		l.metrics.proposalsUnknown.Inc()
+// answerJoin admits a node, or forwards its request to the leader once: none of the
+// nodes that a new one knows may be the leader.
+func (s *connectionServer) answerJoin(request *transport.Request) *transport.Response {
+	err := s.membership.admitLearner(*request.Join)
+	leader := s.consensus.get().leaderAddr
+	if errors.Is(err, ErrNotLeader) && !request.Passed && leader != "" && leader != s.self.Addr {
+		forwarded := &transport.Request{Join: request.Join, Passed: true}
+		response, _, callErr := s.peers.call(callTarget{addr: leader}, forwarded, s.timing.ElectionTimeout)
+		if callErr == nil {
+			return response
+		}
 	}
+	return responseOf(request.ID, err)
+}
+
+// responseOf is the response to a request that has no other result than an error.
+func responseOf(id uint64, err error) *transport.Response {
 	if err != nil {
-		return errorAnswer(id, err)
+		return errorResponse(id, err)
 	}
-	return &transport.Response{ID: id, Result: r}
+	return &transport.Response{ID: id}
+}
+
+// errorResponse is the response to a request that failed. An error without a kind is
+// Internal.
+func errorResponse(id uint64, err error) *transport.Response {
+	var apiErr *apierror.Error
+	if errors.As(err, &apiErr) {
+		return &transport.Response{ID: id, Failed: true, Kind: apiErr.Kind, Detail: apiErr.Detail}
+	}
+	return &transport.Response{ID: id, Failed: true, Kind: apierror.Internal, Detail: err.Error()}
 }
--- /dev/null
+++ b/internal/controlplane/decoded_objects.go
@@ -0,0 +1,227 @@
+package controlplane
+
+import (
+	"strings"
+	"time"
+
+	"lichentray/config"
+	"lichentray/loadbalance"
+	"lichentray/registry"
+	"lichentray/rollout"
+)
+
+// decodedObjects is what a node keeps decoded of the registry, so that no request
+// decodes it again. Objects are by their registry key.
+type decodedObjects struct {
+	endpoints map[string]registry.Endpoint
+	proxies   map[string]loadbalance.ProxyNode
+	rollouts  map[string]*rolloutRecord
+
+	evacuations map[string]registry.Evacuation
+	// evacuationOrderedAt is when this node applied the newest order of each kind.
+	evacuationOrderedAt map[evacuationOrder]time.Duration
+
+	// watchedRevision is the revision of the newest change of a watched object.
+	watchedRevision uint64
+}
+
+// evacuationOrder names an evacuation by its registry key, and whether it is begun
+// or taken back.
+type evacuationOrder struct {
+	key     string
+	isBegin bool
+}
+
+func newDecodedObjects() decodedObjects {
+	return decodedObjects{
+		endpoints:           map[string]registry.Endpoint{},
+		proxies:             map[string]loadbalance.ProxyNode{},
+		rollouts:            map[string]*rolloutRecord{},
+		evacuations:         map[string]registry.Evacuation{},
+		evacuationOrderedAt: map[evacuationOrder]time.Duration{},
+	}
+}
+
+// watchedPrefixes are the kinds of object that proxies hold a copy of.
+var watchedPrefixes = [...]string{
+	registry.EndpointPrefix,
+	registry.EvacuationPrefix,
+	registry.RolloutPrefix,
+	registry.ConfigKey,
+}
+
+func isWatched(key string) bool {
+	for _, prefix := range watchedPrefixes {
+		if strings.HasPrefix(key, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
+// decodedPrefixes are the kinds of object that are kept decoded.
+var decodedPrefixes = [...]string{
+	registry.ProxyPrefix,
+	registry.EvacuationPrefix,
+	registry.RolloutPrefix,
+	registry.EndpointPrefix,
+}
+
+// rebuild decodes a store that was taken whole.
+func (r *replicatedState) rebuild() {
+	clear(r.proxies)
+	clear(r.endpoints)
+	clear(r.rollouts)
+	for _, prefix := range decodedPrefixes {
+		for _, o := range r.store.List(prefix) {
+			r.applyEvent(registry.Event{Type: registry.Added, Object: o})
+		}
+	}
+	r.watchedRevision = r.store.Revision()
+}
+
+// applyEvent follows one change of the registry.
+func (r *replicatedState) applyEvent(e registry.Event) {
+	switch key := e.Object.Key; {
+	case strings.HasPrefix(key, registry.ProxyPrefix):
+		r.applyProxyEvent(e)
+	case strings.HasPrefix(key, registry.EvacuationPrefix):
+		r.applyEvacuationEvent(e)
+	case strings.HasPrefix(key, registry.RolloutPrefix):
+		r.applyRolloutEvent(e)
+	case strings.HasPrefix(key, registry.EndpointPrefix):
+		r.applyEndpointEvent(e)
+	}
+	if isWatched(e.Object.Key) {
+		r.watchedRevision = e.Revision
+	}
+}
+
+func (r *replicatedState) applyEndpointEvent(e registry.Event) {
+	delete(r.endpoints, e.Object.Key)
+	if e.Type == registry.Deleted {
+		return
+	}
+	if endpoint, err := registry.DecodeEndpoint(e.Object); err == nil {
+		r.endpoints[e.Object.Key] = endpoint
+	}
+}
+
+func (r *replicatedState) applyProxyEvent(e registry.Event) {
+	if e.Type == registry.Deleted {
+		delete(r.proxies, e.Object.Key)
+		return
+	}
+	proxy, err := registry.DecodeProxy(e.Object)
+	if err != nil {
+		return
+	}
+	r.proxies[e.Object.Key] = loadbalance.ProxyNode{
+		Address:  proxy.Address,
+		Zone:     proxy.Zone,
+		Weight:   proxy.Weight,
+		Draining: proxy.Leaving,
+	}
+}
+
+func (r *replicatedState) applyEvacuationEvent(e registry.Event) {
+	key := e.Object.Key
+	was := r.evacuations[key]
+	now := registry.DecodeEvacuation(e.Object)
+	r.evacuations[key] = now
+	if now.BeginCount != was.BeginCount {
+		r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: true}] = r.env.now()
+	}
+	if now.FinishCount != was.FinishCount {
+		r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: false}] = r.env.now()
+	}
+}
+
+func (r *replicatedState) applyRolloutEvent(e registry.Event) {
+	key := e.Object.Key
+	if e.Type == registry.Deleted {
+		delete(r.rollouts, key)
+		return
+	}
+	decoded, err := rollout.Decode(e.Object.Value)
+	if err != nil {
+		r.env.logger.Error("roll-out cannot be decoded", "key", key, "error", err)
+		return
+	}
+	was := r.rollouts[key]
+	r.rollouts[key] = &rolloutRecord{
+		Rollout:   decoded,
+		revision:  e.Object.ModRevision,
+		appliedAt: r.env.now(),
+	}
+	if decoded.State == "" || (was != nil && was.Rollout == decoded) {
+		return
+	}
+	r.env.logger.Info("roll-out changed",
+		"service", serviceOfRollout(key),
+		"target", decoded.Target,
+		"state", string(decoded.State),
+		"stage", decoded.Stage,
+		"elapsed_s", decoded.ElapsedSeconds,
+		"reason", decoded.Reason)
+}
+
+// configuration returns the newest configuration held, as it was submitted.
+func (r *replicatedState) configuration() (version uint64, text []byte, ok bool) {
+	o, _ := r.store.Get(registry.ConfigKey)
+	return registry.DecodeConfig(o)
+}
+
+// zoneStates returns the state of each zone that is not in ordinary use.
+func (r *replicatedState) zoneStates() map[string]string {
+	states := map[string]string{}
+	for _, o := range r.store.List(registry.EvacuationPrefix) {
+		zone := strings.TrimPrefix(o.Key, registry.EvacuationPrefix)
+		states[zone] = registry.DecodeEvacuation(o).State()
+	}
+	return states
+}
+
+// endpointsByService lists the endpoint IDs of each service.
+func (r *replicatedState) endpointsByService() map[string][]string {
+	ids := map[string][]string{}
+	for _, e := range r.endpoints {
+		ids[e.Service] = append(ids[e.Service], e.ID)
+	}
+	return ids
+}
+
+// compiledConfig is the configuration compiled on demand, once for each revision.
+type compiledConfig struct {
+	table    *config.Table
+	revision uint64
+}
+
+// routeTable returns the compiled configuration, or nil if there is none. It needs
+// the state locked for writing, see sharedState.update.
+func (r *replicatedState) routeTable() *config.Table {
+	o, _ := r.store.Get(registry.ConfigKey)
+	if o.ModRevision == r.compiled.revision {
+		return r.compiled.table
+	}
+	r.compiled = compiledConfig{revision: o.ModRevision}
+	if _, text, ok := registry.DecodeConfig(o); ok {
+		if c, err := config.DecodeValidated(text); err == nil {
+			r.compiled.table = config.Compile(c)
+		}
+	}
+	return r.compiled.table
+}
+
+// cluster returns a service as configured. It needs the state locked for writing.
+func (r *replicatedState) cluster(service string) (config.Cluster, bool) {
+	table := r.routeTable()
+	if table == nil {
+		return config.Cluster{}, false
+	}
+	i := table.ServiceIndex(service)
+	if i < 0 {
+		return config.Cluster{}, false
+	}
+	return table.Services[i], true
+}
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -39,6 +39,16 @@
 // now is the time since the node's start by the monotonic clock.
 func (e *environment) now() time.Duration { return time.Since(e.startedAt) }
 
+// sleep waits for a while, or until the node closes.
+func (e *environment) sleep(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-e.ctx.Done():
+	}
+}
+
 // start runs f in a goroutine that close waits for; f must return soon after ctx
 // ends. Once the node is closing it starts nothing and returns false.
 func (e *environment) start(f func()) bool {
--- /dev/null
+++ b/internal/controlplane/health_monitor.go
@@ -0,0 +1,308 @@
+package controlplane
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"lichentray/internal/apierror"
+	"lichentray/internal/transport"
+	"lichentray/loadbalance"
+	"lichentray/registry"
+)
+
+// healthMonitor takes the heartbeats of endpoints and removes those that crashed:
+// whose heartbeats stopped and whose health check fails. Every node takes heartbeats
+// and reports them to the leader; the leader alone removes endpoints and detects
+// outliers from what proxies observed.
+type healthMonitor struct {
+	*environment
+	loop      *eventLoop
+	state     *sharedState
+	peers     *peerPool
+	proposer  *proposer
+	consensus *consensusView
+
+	// What follows belongs to the event loop and is of use at the leader only.
+	lastSeen map[string]time.Duration // by endpoint ID
+	// isChecking names the endpoints whose health is being checked.
+	isChecking map[string]bool
+	outliers   *loadbalance.OutlierDetector
+
+	// What follows is collected here until it is reported to the leader.
+	mu           sync.Mutex
+	heartbeats   map[string]time.Duration // when each endpoint was last heard of here
+	observations map[string]loadbalance.Observation
+}
+
+func newHealthMonitor(env *environment) *healthMonitor {
+	return &healthMonitor{
+		environment:  env,
+		lastSeen:     map[string]time.Duration{},
+		isChecking:   map[string]bool{},
+		heartbeats:   map[string]time.Duration{},
+		observations: map[string]loadbalance.Observation{},
+	}
+}
+
+// becomeLeader forgets what an earlier leadership knew, so that every endpoint has
+// its full time-out.
+func (h *healthMonitor) becomeLeader() {
+	h.lastSeen = map[string]time.Duration{}
+	h.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
+}
+
+// recordHeartbeat notes that an endpoint was heard of here.
+func (h *healthMonitor) recordHeartbeat(id string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.heartbeats[id] = h.now()
+}
+
+// takeHeartbeats returns the heartbeats not reported yet, nil if there are none.
+func (h *healthMonitor) takeHeartbeats() map[string]time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.heartbeats) == 0 {
+		return nil
+	}
+	taken := h.heartbeats
+	h.heartbeats = map[string]time.Duration{}
+	return taken
+}
+
+// addObservations adds what proxies observed of endpoints.
+func (h *healthMonitor) addObservations(observations map[string]loadbalance.Observation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, o := range observations {
+		h.observations[id] = h.observations[id].Add(o)
+	}
+}
+
+// takeObservations returns the observations not reported yet.
+func (h *healthMonitor) takeObservations() map[string]loadbalance.Observation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	taken := h.observations
+	h.observations = map[string]loadbalance.Observation{}
+	return taken
+}
+
+// reportHeartbeats passes the heartbeats taken here to the leader.
+func (h *healthMonitor) reportHeartbeats(state *loopState, now time.Duration) {
+	heartbeats := h.takeHeartbeats()
+	if heartbeats == nil {
+		return
+	}
+	if state.isLeader() {
+		for id, at := range heartbeats {
+			h.recordSeen(id, at)
+		}
+		return
+	}
+	var frame transport.Frame
+	for id, at := range heartbeats {
+		ago := uint32((now - at).Milliseconds())
+		frame.Beats = append(frame.Beats, transport.Heartbeat{ID: id, AgoMS: ago})
+	}
+	h.peers.enqueue(h.peers.addrOf(state.raft.LeaderID()), &frame)
+}
+
+// recordReported takes the heartbeats that another node reports.
+func (h *healthMonitor) recordReported(_ *loopState, heartbeats []transport.Heartbeat) {
+	now := h.now()
+	for _, beat := range heartbeats {
+		h.recordSeen(beat.ID, now-time.Duration(beat.AgoMS)*time.Millisecond)
+	}
+}
+
+func (h *healthMonitor) recordSeen(id string, at time.Duration) {
+	h.lastSeen[id] = max(h.lastSeen[id], at)
+}
+
+// verdicts judges all endpoints by the observations reported since the last call.
+func (h *healthMonitor) verdicts(state *loopState, now time.Duration, observations map[string]loadbalance.Observation) []loadbalance.Verdict {
+	h.outliers.Observe(observations)
+	return h.outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
+}
+
+// checkLiveness begins a health check of every endpoint whose heartbeats stopped.
+// Only a leader that a majority still hears does, and only once it has led for long
+// enough to have heard from every endpoint that lives.
+func (h *healthMonitor) checkLiveness(state *loopState, now time.Duration) {
+	if !state.raft.HasQuorumContact(h.timing.ElectionTimeout) || now-state.leaderSince < h.timing.EndpointTimeout {
+		return
+	}
+	replicated := h.state.onLoop(state)
+	for key, endpoint := range replicated.endpoints {
+		lastSeen, isKnown := h.lastSeen[endpoint.ID]
+		if !isKnown {
+			h.lastSeen[endpoint.ID] = now
+			continue
+		}
+		if now-lastSeen <= h.timing.EndpointTimeout || h.isChecking[endpoint.ID] {
+			continue
+		}
+		h.isChecking[endpoint.ID] = true
+		object, _ := replicated.store.Get(key)
+		h.start(func() { h.checkEndpoint(object, endpoint) })
+	}
+	h.forgetUnregistered(replicated, now)
+}
+
+// forgetUnregistered drops the heartbeats of endpoints that are registered no more.
+func (h *healthMonitor) forgetUnregistered(replicated *replicatedState, now time.Duration) {
+	for id, lastSeen := range h.lastSeen {
+		_, isRegistered := replicated.endpoints[registry.EndpointPrefix+id]
+		if !isRegistered && now-lastSeen > h.timing.EndpointTimeout {
+			delete(h.lastSeen, id)
+		}
+	}
+}
+
+// checkEndpoint checks the health of an endpoint whose heartbeats stopped and removes
+// it, as it was read, if the check fails.
+func (h *healthMonitor) checkEndpoint(object registry.Object, endpoint registry.Endpoint) {
+	path := h.healthCheckPath(endpoint.Service)
+	isHealthy := path != "" && isEndpointHealthy(h.ctx, endpoint, path, h.timing.ConnectionTimeout)
+	if h.ctx.Err() != nil {
+		return // the check was cut short and tells nothing
+	}
+	h.metrics.healthChecks().Inc()
+	defer h.loop.post(func(*loopState) {
+		delete(h.isChecking, endpoint.ID)
+		if isHealthy {
+			h.lastSeen[endpoint.ID] = h.now()
+		}
+	})
+	if isHealthy {
+		return
+	}
+	response := h.proposer.answerAsLeader(0, func(state *loopState, done chan<- outcome) string {
+		if h.now()-h.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
+			return "" // a heartbeat came in the meantime
+		}
+		return h.proposer.startProposal(state, registry.Command{Txn: deleteIfUnchanged(object)}, done)
+	})
+	if !response.Failed && !response.Result.Conflict {
+		h.metrics.endpointsRemoved.Inc()
+		h.logger.Info("endpoint removed: no heartbeats and health check failed",
+			"endpoint", endpoint.ID, "service", endpoint.Service)
+	}
+}
+
+func (h *healthMonitor) healthCheckPath(service string) (path string) {
+	h.state.update(func(r *replicatedState) {
+		cluster, _ := r.cluster(service)
+		path = cluster.HealthPath
+	})
+	return path
+}
+
+// maxHealthResponseBytes bounds the body of a health check's response.
+const maxHealthResponseBytes = 64 << 10
+
+// isEndpointHealthy asks an endpoint for its health. A response counts if it names
+// the endpoint, as another one may listen at the address by now, or if it names none
+// and is a success.
+func isEndpointHealthy(ctx context.Context, endpoint registry.Endpoint, path string, timeout time.Duration) bool {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + endpoint.Address + path)
+	request.Header.Set("X-Target-Instance", endpoint.ID)
+	request.SetConnectionClose()
+	dialer := net.Dialer{Timeout: timeout}
+	client := fasthttp.HostClient{
+		Addr:                      endpoint.Address,
+		MaxIdemponentCallAttempts: 1,
+		MaxResponseBodySize:       maxHealthResponseBytes,
+		Dial: func(addr string) (net.Conn, error) {
+			conn, err := dialer.DialContext(ctx, "tcp4", addr)
+			if err == nil {
+				context.AfterFunc(ctx, func() { conn.Close() })
+			}
+			return conn, err
+		},
+	}
+	if err := client.DoTimeout(request, response, timeout); err != nil {
+		return false
+	}
+	id := string(response.Header.Peek("X-Instance-Id"))
+	return id == endpoint.ID || (id == "" && response.StatusCode() == fasthttp.StatusOK)
+}
+
+// heartbeat takes a heartbeat of an endpoint, see Node.Heartbeat.
+func (h *healthMonitor) heartbeat(endpoint registry.Endpoint, rollouts *rolloutController) error {
+	h.metrics.heartbeats.Inc()
+	departedKey := registry.DepartedPrefix + endpoint.ID
+	hasLostContact := h.consensus.sinceLastContact() > h.timing.ConnectionTimeout
+	_, err := h.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
+		if _, hasDeparted := r.store.Get(departedKey); hasDeparted {
+			return nil, nil // a late heartbeat of an endpoint that has deregistered
+		}
+		h.recordHeartbeat(endpoint.ID)
+		object, isKnown := r.store.Get(endpoint.Key())
+		// A node that has just started may not hold the configuration yet that bounds
+		// the traffic of the service's new endpoints, so all of them are marked.
+		endpoint.WarmingUp = endpoint.WarmUpSeconds > 0 && h.settings.Bounds.SlowStartOvershoot > 0
+		if !isKnown {
+			txn := putIfUnchanged(endpoint.Key(), 0, endpoint.Encode())
+			txn.If = append(txn.If, registry.Compare{Key: departedKey})
+			rollouts.addBaseVersion(r, txn, endpoint)
+			return txn, nil
+		}
+		return updateEndpoint(object, endpoint, hasLostContact)
+	})
+	return err
+}
+
+// updateEndpoint derives what a heartbeat changes of a registered endpoint. Most
+// heartbeats change nothing: they only show that the endpoint lives, of which the
+// leader must hear, so a node that has lost contact rejects them.
+func updateEndpoint(object registry.Object, heartbeat registry.Endpoint, hasLostContact bool) (*registry.Txn, error) {
+	endpoint, err := registry.DecodeEndpoint(object)
+	if err != nil {
+		return nil, apierror.New(apierror.Internal, "%v", err)
+	}
+	if endpoint.Draining {
+		return nil, nil // for good
+	}
+	isLate := heartbeat.Sequence < endpoint.Sequence
+	changesWarmUp := heartbeat.WarmingUp != endpoint.WarmingUp && !isLate
+	if !heartbeat.Draining && !changesWarmUp {
+		if hasLostContact {
+			return nil, apierror.New(apierror.Unavailable, "this node has lost contact with the group")
+		}
+		return nil, nil
+	}
+	endpoint.Draining = heartbeat.Draining
+	endpoint.Sequence = heartbeat.Sequence
+	endpoint.WarmingUp = heartbeat.WarmingUp
+	return putIfUnchanged(object.Key, object.ModRevision, endpoint.Encode()), nil
+}
+
+// deregister removes an endpoint for good, see Node.Deregister.
+func (h *healthMonitor) deregister(id string) error {
+	key := registry.EndpointPrefix + id
+	departedKey := registry.DepartedPrefix + id
+	_, err := h.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
+		if _, hasDeparted := r.store.Get(departedKey); hasDeparted {
+			return nil, nil
+		}
+		object, isKnown := r.store.Get(key)
+		txn := &registry.Txn{
+			If:   []registry.Compare{{Key: key, ModRevision: object.ModRevision}, {Key: departedKey}},
+			Then: []registry.Write{{Key: departedKey, Value: []byte{}}},
+		}
+		if isKnown {
+			txn.Then = append(txn.Then, registry.Write{Key: key, IsDelete: true})
+		}
+		return txn, nil
+	})
+	return err
+}
--- /dev/null
+++ b/internal/controlplane/history_compactor.go
@@ -0,0 +1,94 @@
+package controlplane
+
+import (
+	"time"
+
+	"lichentray/coordination"
+	"lichentray/registry"
+)
+
+// maxAcceptedDigests is for how many versions it is remembered which configuration
+// was accepted: a day and a half of 5,500 changes a day, some 200 bytes each.
+const maxAcceptedDigests = 8192
+
+// historyCompactor forgets, at the leader, history that nobody may ask for any more.
+// The replicated state holds no time, so it remembers which revision was reached
+// when. It belongs to the event loop.
+type historyCompactor struct {
+	*environment
+	state       *sharedState
+	revisions   []revisionTime // oldest first
+	compactedAt time.Duration
+}
+
+// revisionTime is when this node first saw a revision.
+type revisionTime struct {
+	at       time.Duration
+	revision uint64
+}
+
+// record remembers the present revision, at most once a second.
+func (h *historyCompactor) record(state *loopState, now time.Duration) {
+	if n := len(h.revisions); n > 0 && now-h.revisions[n-1].at < time.Second {
+		return
+	}
+	h.revisions = append(h.revisions, revisionTime{at: now, revision: h.state.onLoop(state).store.Revision()})
+}
+
+// compact proposes to forget what is older than the retention, with a margin.
+func (h *historyCompactor) compact(state *loopState, now time.Duration) {
+	retention := h.settings.Bounds.HistoryRetention.Duration() * 3 / 2
+	if now-h.compactedAt < retention/4 {
+		return
+	}
+	before, isDue := h.expireRevisions(now, retention)
+	if !isDue {
+		return
+	}
+	h.compactedAt = now
+	state.proposeOnce(registry.Command{Coordination: &coordination.Command{
+		Operation:     coordination.CompactHistory,
+		CompactBefore: before,
+	}})
+	if txn := expiredMarkers(h.state.onLoop(state).store, before); len(txn.Then) > 0 {
+		state.proposeOnce(registry.Command{Txn: txn})
+	}
+}
+
+// expireRevisions forgets when the revisions beyond the retention were reached and
+// returns the newest of them; isDue is false if there is none.
+func (h *historyCompactor) expireRevisions(now, retention time.Duration) (newest uint64, isDue bool) {
+	expired := 0
+	for expired < len(h.revisions) && now-h.revisions[expired].at > retention {
+		newest = h.revisions[expired].revision
+		expired++
+	}
+	if expired == 0 {
+		return 0, false
+	}
+	h.revisions = append([]revisionTime(nil), h.revisions[expired:]...)
+	return newest, true
+}
+
+// expiredMarkers deletes the markers of endpoints that departed by a revision, and
+// the digests of accepted configurations beyond the newest ones.
+func expiredMarkers(store *registry.Store, before uint64) *registry.Txn {
+	txn := &registry.Txn{}
+	expire := func(o registry.Object) {
+		deletion := deleteIfUnchanged(o)
+		txn.If = append(txn.If, deletion.If...)
+		txn.Then = append(txn.Then, deletion.Then...)
+	}
+	for _, o := range store.List(registry.DepartedPrefix) {
+		if o.ModRevision <= before {
+			expire(o)
+		}
+	}
+	digests := store.List(registry.AcceptedConfigPrefix)
+	if len(digests) > maxAcceptedDigests {
+		for _, o := range digests[:len(digests)-maxAcceptedDigests] {
+			expire(o)
+		}
+	}
+	return txn
+}
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"sync"
 	"time"
 
 	"lichentray/internal/apierror"
@@ -8,124 +9,199 @@
 	"lichentray/raft"
 )
 
-// adjustMembership takes one step towards a full set of voters that can be counted on.
-func (l *Node) adjustMembership(loop *loopState, now time.Duration) {
-	if loop.raft.Role() != raft.Leader || (now-l.membershipCheckedAt < 4*l.timing.HeartbeatInterval && !l.membershipCheckDue) {
+// membershipManager keeps the group's membership in order while this node leads,
+// admits nodes and lets them go, and has this node itself join and leave the group.
+type membershipManager struct {
+	*environment
+	loop      *eventLoop
+	peers     *peerPool
+	consensus *consensusView
+
+	// What follows belongs to the event loop.
+	planner   *membershipPlanner
+	checkedAt time.Duration
+	// isCheckDue has the membership checked at the next tick, as after a change of
+	// it: a replacement takes two.
+	isCheckDue bool
+
+	mu sync.Mutex
+	// seeds are the API addresses of the settings as they were last read.
+	seeds []string
+	// relayedNodes are the members of the group as a relay named them last.
+	relayedNodes []transport.ControlNode
+}
+
+// failureDomainOf returns what of a member may be lost at once besides machines: its
+// region, else its zone, as the tolerance asks.
+func (m *membershipManager) failureDomainOf(member raft.Member) string {
+	zone := m.peers.zoneOf(member.Addr)
+	switch tolerance := m.settings.FaultTolerance; {
+	case tolerance.Regions > 0:
+		return m.settings.RegionByZone[zone]
+	case tolerance.Zones > 0:
+		return zone
+	}
+	return ""
+}
+
+// adjust takes one step, if this node leads, towards a full set of voters that can
+// be counted on.
+func (m *membershipManager) adjust(state *loopState, now time.Duration) {
+	if !state.isLeader() {
+		return
+	}
+	if now-m.checkedAt < 4*m.timing.HeartbeatInterval && !m.isCheckDue {
 		return
 	}
-	l.membershipCheckedAt, l.membershipCheckDue = now, false
-	next, why := l.membership.nextChange(loop.raft, now)
-	if why == "" {
+	m.checkedAt = now
+	m.isCheckDue = false
+	next, reason := m.planner.nextChange(state.raft, now)
+	if reason == "" {
 		return
 	}
-	if err := loop.raft.ProposeConfChange(next); err == nil {
-		l.logger.Info("changing the membership", "why", why, "voters", len(next.Voters), "learners", len(next.Learners))
+	if err := state.raft.ProposeConfChange(next); err == nil {
+		m.logger.Info("changing the membership", "reason", reason, "voters", len(next.Voters), "learners", len(next.Learners))
 	}
 }
 
-// failureDomainOf gives what of a member may be lost at once besides machines: its
-// region, else its zone.
-func (l *Node) failureDomainOf(m raft.Member) string {
-	zone := l.peers.zoneOf(m.Addr)
-	if l.settings.FaultTolerance.Regions > 0 {
-		return l.settings.RegionByZone[zone]
-	}
-	if l.settings.FaultTolerance.Zones > 0 {
-		return zone
-	}
-	return ""
+// recordChange follows an applied change of the membership.
+func (m *membershipManager) recordChange(state *loopState, index uint64) {
+	m.isCheckDue = true
+	membership := state.raft.Membership()
+	m.logger.Info("membership changed", "index", index, "voters", len(membership.Voters), "learners", len(membership.Learners))
 }
 
-// requestJoin asks every control-plane node known to be taken in.
-func (l *Node) requestJoin(ms raft.Membership) {
-	asked := map[string]bool{l.self.Addr: true}
-	var addrs []string
-	for _, m := range ms.AllMembers() {
-		addrs = append(addrs, m.Addr)
+// joinIfNeeded asks to be admitted if this node is no member or may have been
+// replaced, as a voter that has been without a leader for long.
+func (m *membershipManager) joinIfNeeded(state *loopState, now time.Duration) {
+	membership := state.raft.Membership()
+	if !membership.IsMember(m.self.ID) {
+		m.requestJoin(membership)
+		return
 	}
-	for _, s := range l.seedAddresses() {
-		addrs = append(addrs, l.settings.InternalAddr(s))
+	if state.raft.LeaderID() != 0 {
+		return
 	}
-	l.mu.RLock()
-	for _, n := range l.relayedNodes {
-		addrs = append(addrs, n.Addr)
+	isIsolated := now-state.raft.LastQuorumContact() > m.timing.DeadMemberTimeout
+	if !membership.IsVoter(m.self.ID) || isIsolated {
+		m.requestJoin(membership)
 	}
-	l.mu.RUnlock()
-	self := l.self
-	for _, a := range addrs {
-		if asked[a] {
+}
+
+// requestJoin asks every control-plane node that is known to admit this one.
+func (m *membershipManager) requestJoin(membership raft.Membership) {
+	self := m.self
+	hasAsked := map[string]bool{self.Addr: true}
+	for _, addr := range m.knownAddrs(membership) {
+		if hasAsked[addr] {
 			continue
 		}
-		asked[a] = true
-		go func() {
-			// Refused or unheard, it is asked again at the next duty.
-			_, _, _ = l.peers.call(callTarget{addr: a}, &transport.Request{Join: &self}, l.timing.ElectionTimeout)
-		}()
+		hasAsked[addr] = true
+		m.start(func() {
+			// Without a response it is asked again with the next periodic tasks.
+			_, _, _ = m.peers.call(callTarget{addr: addr}, &transport.Request{Join: &self}, m.timing.ElectionTimeout)
+		})
 	}
 }
 
-// admitLearner takes a node in as a learner; only the leader can.
-func (l *Node) admitLearner(m raft.Member) error {
-	err, stopped := callLoop(l.loop, func(loop *loopState) error {
-		switch {
-		case loop.raft.Role() != raft.Leader:
-			return ErrNotLeader
-		case loop.raft.Membership().IsMember(m.ID):
+// knownAddrs lists the internal addresses of members, seeds, and the nodes that a
+// relay named.
+func (m *membershipManager) knownAddrs(membership raft.Membership) []string {
+	var addrs []string
+	for _, member := range membership.AllMembers() {
+		addrs = append(addrs, member.Addr)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, seed := range m.seeds {
+		addrs = append(addrs, m.settings.InternalAddr(seed))
+	}
+	for _, node := range m.relayedNodes {
+		addrs = append(addrs, node.Addr)
+	}
+	return addrs
+}
+
+func (m *membershipManager) setRelayedNodes(nodes []transport.ControlNode) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.relayedNodes = nodes
+}
+
+func (m *membershipManager) setSeeds(seeds []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.seeds = seeds
+	m.logger.Info("settings reloaded", "seeds", seeds)
+}
+
+// admitLearner makes a node a learner. Only the leader can; it returns once the
+// change is proposed.
+func (m *membershipManager) admitLearner(member raft.Member) error {
+	return m.callLeaderLoop(func(state *loopState) error {
+		membership := state.raft.Membership()
+		if membership.IsMember(member.ID) {
 			return nil
 		}
-		if err := loop.raft.ProposeConfChange(loop.raft.Membership().WithLearner(m)); err != nil {
+		if err := state.raft.ProposeConfChange(membership.WithLearner(member)); err != nil {
 			return apierror.New(apierror.Unavailable, "%v", err)
 		}
-		l.logger.Info("node joins as a learner", "member", formatMemberID(m.ID), "address", m.Addr)
+		m.logger.Info("node joins as a learner", "member", formatMemberID(member.ID), "address", member.Addr)
 		return nil
 	})
-	if stopped != nil {
+}
+
+// approveLeave returns nil once the process of a member may end. Only the leader
+// can; the member asks again until it may.
+func (m *membershipManager) approveLeave(id uint64) error {
+	return m.callLeaderLoop(func(state *loopState) error {
+		m.isCheckDue = true // the member's vote may be taken over
+		if m.planner.requestLeave(state.raft, m.now(), id) {
+			return nil
+		}
+		return apierror.New(apierror.Unavailable, "the group still counts on this member")
+	})
+}
+
+// callLeaderLoop runs f on the event loop if this node leads.
+func (m *membershipManager) callLeaderLoop(f func(*loopState) error) error {
+	result, err := callLoop(m.loop, func(state *loopState) error {
+		if !state.isLeader() {
+			return ErrNotLeader
+		}
+		return f(state)
+	})
+	if err != nil {
 		return ErrNotLeader
 	}
-	return err
+	return result
 }
 
-// PrepareShutdown hands leadership on, if this node has it, and has its vote taken over where
-// another node can; it returns once the group has let this node go, or after wait.
-func (l *Node) PrepareShutdown(wait time.Duration) {
-	l.isStopping.Store(true)
-	var handed time.Time
-	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(l.timing.HeartbeatInterval) {
-		l.mu.RLock()
-		v := l.consensus
-		l.mu.RUnlock()
+// prepareShutdown hands leadership on and asks the group to let this node go, see
+// Node.PrepareShutdown.
+func (m *membershipManager) prepareShutdown(timeout time.Duration) {
+	var transferredAt time.Time
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(m.timing.HeartbeatInterval) {
+		status := m.consensus.get()
 		switch {
-		case v.role == raft.Leader:
-			if len(v.membership.Voters) == 1 {
-				return
+		case status.role == raft.Leader && len(status.membership.Voters) == 1:
+			return // nobody could take over
+		case status.role == raft.Leader:
+			if time.Since(transferredAt) > 2*m.timing.ElectionTimeout {
+				transferredAt = time.Now()
+				m.loop.post(func(state *loopState) { state.raft.TransferLeadership() })
 			}
-			if time.Since(handed) > 2*l.timing.ElectionTimeout {
-				handed = time.Now()
-				l.loop.post(func(loop *loopState) { loop.raft.TransferLeadership() })
-			}
-		case v.leaderAddr != "":
-			if a, _, err := l.peers.call(callTarget{addr: v.leaderAddr}, &transport.Request{Leave: l.self.ID}, l.timing.ElectionTimeout); err == nil && !a.Failed {
+		case status.leaderAddr != "":
+			if m.mayLeave(status.leaderAddr) {
 				return
 			}
 		}
 	}
 }
 
-// approveLeave takes a member's wish to leave; only the leader can. An error tells that it is
-// to stay for now.
-func (l *Node) approveLeave(id uint64) error {
-	err, stopped := callLoop(l.loop, func(loop *loopState) error {
-		l.membershipCheckDue = true
-		switch {
-		case loop.raft.Role() != raft.Leader:
-			return ErrNotLeader
-		case l.membership.requestLeave(loop.raft, l.now(), id):
-			return nil
-		}
-		return apierror.New(apierror.Unavailable, "the group still counts on this member")
-	})
-	if stopped != nil {
-		return ErrNotLeader
-	}
-	return err
+// mayLeave asks the leader whether this node's process may end.
+func (m *membershipManager) mayLeave(leaderAddr string) bool {
+	request := &transport.Request{Leave: m.self.ID}
+	response, _, err := m.peers.call(callTarget{addr: leaderAddr}, request, m.timing.ElectionTimeout)
+	return err == nil && !response.Failed
 }
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -454,7 +454,7 @@
 	done := make(chan bool)
 	l.loop.post(func(state *loopState) {
 		state.role, state.periodicTasksAt = raft.Follower, -time.Hour
-		l.outlierJudge, l.quotaGranter = nil, nil
+		l.health.outliers, l.quotas.allocator = nil, nil
 		l.runPeriodicTasks(state)
 		close(done)
 	})
--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -86,6 +86,12 @@
 	t.Fatal("never came: " + what)
 }
 
+// storedObject returns an object as a node holds it, empty if it holds none.
+func storedObject(n *Node, key string) (object registry.Object) {
+	n.state.view(func(r *replicatedState) { object, _ = r.store.Get(key) })
+	return object
+}
+
 func (g *testCluster) leader() *Node {
 	for _, l := range g.nodes {
 		if l.Status().Role == raft.Leader.String() {
@@ -330,7 +336,7 @@
 	drained := registry.Endpoint{ID: "i-0007", Service: "s", Address: "10.0.0.7:80", Zone: "z", Capacity: 3, Draining: true, Sequence: 1}
 	eventually(t, "the drain is acknowledged", func() bool { return l.Heartbeat(drained) == nil })
 	key := drained.Key()
-	want, _ := l.store.Get(key)
+	want := storedObject(l, key)
 	for i, c := range got {
 		events := 0
 		for c.m.Objects()[key].ModRevision != want.ModRevision {
@@ -378,13 +384,13 @@
 			t.Fatalf("proxy %d holds %d bytes of a configuration of %d", i, len(held), len(large))
 		}
 	}
-	if n := l.encodings.eventsEncodedTotal.Value(); n != 1 {
+	if n := l.metrics.eventsEncoded.Value(); n != 1 {
 		t.Errorf("one configuration was encoded %d times for %d proxies", n, proxies)
 	}
 	// Who does not know the packed form, as an earlier version, gets the same list,
 	// and a list after a change is a new one.
 	_, m := watchAsProxy(t, l.self.Addr, watchcache.NewMirror())
-	plain, _ := l.listObjects(&transport.Request{ID: 1, List: true})
+	plain, _ := l.watches.listObjects(&transport.Request{ID: 1, List: true})
 	if len(plain.Objects) != endpoints+1 || l.metrics.listsEncoded.Value() != 2 {
 		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), l.metrics.listsEncoded.Value())
 	}
@@ -401,14 +407,14 @@
 	g := newTestCluster(t, 1, nil)
 	l := g.nodes[0]
 	eventually(t, "a configuration is taken", func() bool { return l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
-	l.validationSlot <- struct{}{} // somebody's check takes long
+	l.configs.validationSlot <- struct{}{} // somebody's check takes long
 	if err := l.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))); apierror.KindOf(err) != apierror.Unavailable {
 		t.Errorf("while another is checked: %v", err)
 	}
 	if got, err := l.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 5) {
 		t.Errorf("held is %q, %v", got, err)
 	}
-	<-l.validationSlot
+	<-l.configs.validationSlot
 	done := make(chan error, 8)
 	for v := range 8 {
 		go func() {
@@ -439,7 +445,7 @@
 	l := g.nodes
 	eventually(t, "a configuration is taken", func() bool { return l[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 1))) == nil })
 	ask := func(zone string) *transport.Response {
-		a, _ := l[0].listOrWatch(&transport.Request{ID: 1, List: true, Packs: true, Zone: zone})
+		a, _ := l[0].watches.listOrWatch(&transport.Request{ID: 1, List: true, Packs: true, Zone: zone})
 		return a
 	}
 	eventually(t, "a proxy of another zone is sent there", func() bool {
@@ -486,7 +492,7 @@
 		t.Fatalf("not dialled when the peer showed itself: %v", err)
 	}
 	t.Cleanup(func() { c.Close() })
-	eventually(t, "the link is up", func() bool { k.mu.Lock(); defer k.mu.Unlock(); return k.isConnected })
+	eventually(t, "the link is up", k.isUp)
 }
 
 // TestDirectoryWarmUpAndEvacuation drives three nodes of a global tier: directory, leases of proxies,
@@ -529,10 +535,9 @@
 	}
 	self.Leaving = true
 	report()
-	eventually(t, "its leaving is known", func() bool {
-		l[2].mu.RLock()
-		defer l[2].mu.RUnlock()
-		return l[2].directoryPlaces[registry.ProxyPrefix+"p"].Draining
+	eventually(t, "its leaving is known", func() (isDraining bool) {
+		l[2].state.view(func(r *replicatedState) { isDraining = r.proxies[registry.ProxyPrefix+"p"].Draining })
+		return isDraining
 	})
 	stream.Close()
 	eventually(t, "its lease runs out", func() bool { return places(l[2]) == "[] 0s true" })
@@ -540,10 +545,7 @@
 	// A beat that tells of a cold start marks the endpoint, a later one ends it.
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, WarmUpSeconds: 3}
 	marked := func() bool {
-		l[0].mu.RLock()
-		defer l[0].mu.RUnlock()
-		o, _ := l[0].store.Get(e.Key())
-		x, err := registry.DecodeEndpoint(o)
+		x, err := registry.DecodeEndpoint(storedObject(l[0], e.Key()))
 		return err == nil && x.WarmingUp
 	}
 	if err := l[0].Heartbeat(e); err != nil {
@@ -586,10 +588,7 @@
 		// Without a clear answer it is sent again, as an operator does.
 		eventually(t, "an order is acknowledged", func() bool { return l[0].Evacuate("b", begin, waits) == nil })
 		eventually(t, "a read point", func() bool { return l[0].ReadIndex() == nil })
-		l[0].mu.RLock()
-		defer l[0].mu.RUnlock()
-		o, _ := l[0].store.Get(registry.EvacuationPrefix + "b")
-		return registry.DecodeEvacuation(o)
+		return registry.DecodeEvacuation(storedObject(l[0], registry.EvacuationPrefix+"b"))
 	}
 	if now := order(true); now.BeginCount != 1 {
 		t.Errorf("a repeat after the loss of all: %+v", now)
@@ -652,7 +651,7 @@
 	}
 	g.nodes[1].Close()
 	g.nodes[2].Close()
-	eventually(t, "the node knows that it has lost touch", func() bool { return !l.waitToRetry(time.Now().Add(time.Hour)) })
+	eventually(t, "the node knows that it has lost touch", func() bool { return !l.proposer.waitToRetry(time.Now().Add(time.Hour)) })
 
 	beat := func(id string, draining bool) error {
 		return l.Heartbeat(registry.Endpoint{ID: id, Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 9, Draining: draining})
@@ -677,8 +676,8 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if a, _ := l.listOrWatch(&transport.Request{ID: 1, List: true}); !a.Failed || l.isUpToDate() {
-		t.Errorf("a list: %+v; in touch: %v", a, l.isUpToDate())
+	if a, _ := l.watches.listOrWatch(&transport.Request{ID: 1, List: true}); !a.Failed || l.consensus.isUpToDate() {
+		t.Errorf("a list: %+v; in touch: %v", a, l.consensus.isUpToDate())
 	}
 	// What is committed stays true.
 	for what, err := range map[string]error{"the configuration held, again": l.ReplaceConfiguration(held), "a drain that was acknowledged": beat("i-2", true)} {
@@ -692,11 +691,11 @@
 	// It does not count as in touch when it starts anew, from its first moment on.
 	l.Close()
 	g.start(0, false)
-	if l = g.nodes[0]; l.isUpToDate() {
+	if l = g.nodes[0]; l.consensus.isUpToDate() {
 		t.Error("a node that has just started and heard nobody counts as in touch")
 	}
 	// What is committed stays true, but it knows no commit yet.
-	eventually(t, "the node knows that it has lost touch", func() bool { return !l.waitToRetry(time.Now().Add(time.Hour)) })
+	eventually(t, "the node knows that it has lost touch", func() bool { return !l.proposer.waitToRetry(time.Now().Add(time.Hour)) })
 	if err := l.ReplaceConfiguration(held); apierror.KindOf(err) != apierror.Unavailable {
 		t.Errorf("the configuration held, again, before anything is known to be committed: %v", err)
 	}
--- /dev/null
+++ b/internal/controlplane/proposer.go
@@ -0,0 +1,396 @@
+package controlplane
+
+import (
+	"time"
+
+	"lichentray/coordination"
+	"lichentray/internal/apierror"
+	"lichentray/internal/transport"
+	"lichentray/raft"
+	"lichentray/registry"
+)
+
+// ErrNotLeader is the outcome of a call that only the leader carries out, at a node
+// that does not lead. It is of kind Unavailable: nothing was done.
+var ErrNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
+
+// proposer puts commands and linearizable reads through the leader, whichever node
+// that is, and tells callers the outcome. Its exported operations may be called
+// from any goroutine but the event loop.
+type proposer struct {
+	*environment
+	loop      *eventLoop
+	peers     *peerPool
+	state     *sharedState
+	consensus *consensusView
+
+	// What follows belongs to the event loop.
+	leases  *leaseTimers
+	pending pendingRequests
+}
+
+// outcome is what became of a proposal or a read that the event loop started.
+type outcome struct {
+	result registry.Result
+	// readIndex is the index up to which a read needs the log applied.
+	readIndex uint64
+	err       error
+}
+
+// startFunc starts a request on the event loop. It returns the address of the
+// leader, which is this node's own if the request was started and its outcome will
+// go to done, and empty if no leader takes it now.
+type startFunc func(state *loopState, done chan<- outcome) (leaderAddr string)
+
+// callTarget is the leader that a request goes to.
+type callTarget struct {
+	addr string
+	// leaderChanged is closed when another node leads, or none.
+	leaderChanged <-chan struct{}
+}
+
+// leaderCall is a request that only the leader carries out, here or forwarded. Its
+// methods but start run in the goroutine of the caller.
+type leaderCall interface {
+	start(state *loopState, done chan<- outcome) (leaderAddr string)
+	// request is what is forwarded to a leader elsewhere, and for how long its
+	// response is awaited at most.
+	request(remaining time.Duration) (*transport.Request, time.Duration)
+	// finishLocal takes the outcome at this node and reports whether it is final.
+	finishLocal(o outcome) (isFinal bool)
+	// finishForwarded takes the response of a leader elsewhere. With an error there is
+	// none, and mayHaveArrived tells whether the leader may have got the request.
+	finishForwarded(response *transport.Response, mayHaveArrived bool, err error) (isFinal bool)
+}
+
+// callLeader carries a call out at the leader, at the next leader if the first one
+// does not answer, until its outcome is final. It returns false when there is no
+// time for a further attempt, and errStopping, with nothing started in the last
+// attempt, when the node closes.
+func (p *proposer) callLeader(call leaderCall, deadline time.Time) (isFinal bool, err error) {
+	for {
+		target, local, err := p.attemptLocal(call.start, deadline)
+		switch {
+		case err != nil:
+			return false, err
+		case target.addr == p.self.Addr:
+			isFinal = call.finishLocal(local)
+		case target.addr != "":
+			request, timeout := call.request(time.Until(deadline))
+			isFinal = call.finishForwarded(p.peers.call(target, request, timeout))
+		}
+		if isFinal {
+			return true, nil
+		}
+		if !p.waitToRetry(deadline) {
+			return false, nil
+		}
+	}
+}
+
+// attemptLocal starts a request on the event loop and, if this node leads, waits for
+// its outcome. The outcome counts only if the target is this node.
+func (p *proposer) attemptLocal(start startFunc, deadline time.Time) (callTarget, outcome, error) {
+	done := make(chan outcome, 1)
+	target, err := callLoop(p.loop, func(state *loopState) callTarget {
+		addr := start(state, done)
+		return callTarget{addr: addr, leaderChanged: state.leaderChanged}
+	})
+	if err != nil || target.addr != p.self.Addr {
+		return target, outcome{}, err
+	}
+	return target, p.awaitOutcome(done, target.leaderChanged, deadline), nil
+}
+
+// awaitOutcome waits for what becomes of a request that this node started as the
+// leader. When it stops leading, the next leader's log mostly decides within an
+// election time-out.
+func (p *proposer) awaitOutcome(done <-chan outcome, leaderChanged <-chan struct{}, deadline time.Time) outcome {
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	for {
+		select {
+		case o := <-done:
+			return o
+		case <-leaderChanged:
+			leaderChanged = nil
+			timer.Reset(min(time.Until(deadline), p.timing.ElectionTimeout))
+		case <-timer.C:
+			return outcome{err: apierror.New(apierror.UnknownOutcome, "no majority in time")}
+		case <-p.ctx.Done():
+			return outcome{err: apierror.New(apierror.UnknownOutcome, "node is stopping")}
+		}
+	}
+}
+
+// waitToRetry waits a moment before the next attempt of a call that met no leader.
+// It returns false at once if too little time is left, or if this node has been out
+// of contact for so long that its caller had better ask another node.
+func (p *proposer) waitToRetry(deadline time.Time) bool {
+	if time.Until(deadline) < p.timing.RequestTimeout/2 {
+		return false
+	}
+	if p.consensus.sinceLastContact() > 2*p.timing.RequestTimeout {
+		return false
+	}
+	p.sleep(p.timing.TickInterval)
+	return true
+}
+
+// answerAsLeader carries out a request for a peer or for this node itself, without
+// forwarding it.
+func (p *proposer) answerAsLeader(id uint64, start startFunc) *transport.Response {
+	target, o, err := p.attemptLocal(start, time.Now().Add(p.timing.RequestTimeout))
+	if err != nil || target.addr != p.self.Addr {
+		return errorResponse(id, ErrNotLeader)
+	}
+	if apierror.KindOf(o.err) == apierror.UnknownOutcome {
+		p.metrics.proposalsUnknown.Inc()
+	}
+	if o.err != nil {
+		return errorResponse(id, o.err)
+	}
+	return &transport.Response{ID: id, Result: o.result, Index: o.readIndex}
+}
+
+// propose puts a command through the log within RequestTimeout, see Node.Propose.
+func (p *proposer) propose(cmd registry.Command) (registry.Result, error) {
+	call := &proposalCall{proposer: p, cmd: cmd}
+	isFinal, err := p.callLeader(call, time.Now().Add(p.timing.RequestTimeout))
+	switch {
+	case err != nil:
+		return registry.Result{}, err
+	case isFinal:
+		return call.result, call.err
+	case call.mayBeApplied:
+		p.metrics.proposalsUnknown.Inc()
+		return registry.Result{}, apierror.New(apierror.UnknownOutcome, "the leader did not answer")
+	}
+	return registry.Result{}, apierror.New(apierror.Unavailable, "no leader")
+}
+
+// proposalCall is a command on its way through the log.
+type proposalCall struct {
+	proposer *proposer
+	cmd      registry.Command
+	encoded  []byte // once it is to be forwarded
+
+	result registry.Result
+	err    error
+	// mayBeApplied is set once an attempt ended without a clear outcome.
+	mayBeApplied bool
+}
+
+func (c *proposalCall) start(state *loopState, done chan<- outcome) string {
+	return c.proposer.startProposal(state, c.cmd, done)
+}
+
+func (c *proposalCall) request(remaining time.Duration) (*transport.Request, time.Duration) {
+	if c.encoded == nil {
+		c.encoded = registry.EncodeCommand(c.cmd)
+	}
+	return &transport.Request{Command: c.encoded}, remaining
+}
+
+func (c *proposalCall) finishLocal(o outcome) bool {
+	c.result = o.result
+	c.err = o.err
+	if apierror.KindOf(o.err) == apierror.UnknownOutcome {
+		c.proposer.metrics.proposalsUnknown.Inc()
+	}
+	return o.err == nil || apierror.KindOf(o.err) != apierror.Unavailable
+}
+
+func (c *proposalCall) finishForwarded(response *transport.Response, mayHaveArrived bool, err error) bool {
+	if err != nil {
+		c.mayBeApplied = c.mayBeApplied || mayHaveArrived
+		return false
+	}
+	if !response.Failed {
+		c.result = response.Result
+		c.err = nil
+		return true
+	}
+	switch response.Kind {
+	case apierror.Unavailable:
+		return false
+	case apierror.UnknownOutcome:
+		c.mayBeApplied = true
+		return false
+	}
+	c.result = registry.Result{}
+	c.err = &apierror.Error{Kind: response.Kind, Detail: response.Detail}
+	return true
+}
+
+// readIndex returns once this node's state holds all that was acknowledged before
+// the call, see Node.ReadIndex.
+func (p *proposer) readIndex(timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	call := &readIndexCall{proposer: p}
+	isFinal, err := p.callLeader(call, deadline)
+	if err != nil {
+		return err
+	}
+	if !isFinal {
+		return apierror.New(apierror.Unavailable, "no confirmed read point")
+	}
+	return p.state.waitApplied(call.index, time.Until(deadline))
+}
+
+// readIndexCall asks for a confirmed read index (Ongaro, section 6.4).
+type readIndexCall struct {
+	proposer *proposer
+	index    uint64
+}
+
+func (c *readIndexCall) start(state *loopState, done chan<- outcome) string {
+	return c.proposer.startReadIndex(state, done)
+}
+
+func (c *readIndexCall) request(remaining time.Duration) (*transport.Request, time.Duration) {
+	return &transport.Request{Read: true}, min(remaining, c.proposer.timing.RequestTimeout)
+}
+
+func (c *readIndexCall) finishLocal(o outcome) bool {
+	if o.err != nil {
+		c.proposer.metrics.readsUnconfirmed.Inc()
+		return false
+	}
+	c.index = o.readIndex
+	return true
+}
+
+func (c *readIndexCall) finishForwarded(response *transport.Response, _ bool, err error) bool {
+	if err != nil || response.Failed {
+		return false
+	}
+	c.index = response.Index
+	return true
+}
+
+// maxTransactionAttempts bounds how often a transaction is derived anew because
+// an object that it depends on has changed.
+const maxTransactionAttempts = 6
+
+// transact derives a conditional transaction from what this node holds and puts it
+// through; on a conflict it reads again and derives anew. derive runs with the state
+// locked for writing and returns nil when there is nothing to write.
+func (p *proposer) transact(derive func(*replicatedState) (*registry.Txn, error)) (wrote bool, err error) {
+	for range maxTransactionAttempts {
+		var txn *registry.Txn
+		p.state.update(func(r *replicatedState) { txn, err = derive(r) })
+		if txn == nil || err != nil {
+			return false, err
+		}
+		result, err := p.propose(registry.Command{Txn: txn})
+		if err != nil {
+			return false, err
+		}
+		if !result.Conflict {
+			return true, nil
+		}
+		if err := p.readIndex(p.timing.RequestTimeout); err != nil {
+			return false, err
+		}
+	}
+	return false, apierror.New(apierror.Unavailable, "the object changes too often")
+}
+
+// startProposal appends a command to the log if this node leads.
+func (p *proposer) startProposal(state *loopState, cmd registry.Command, done chan<- outcome) string {
+	if !state.isLeader() {
+		return p.peers.addrOf(state.raft.LeaderID())
+	}
+	if c := cmd.Coordination; c != nil && c.Operation == coordination.AcquireLock {
+		locks := p.state.onLoop(state).store.Coordination().Locks
+		cmd.Coordination = p.leases.withExpiredGrant(p.now(), c, locks)
+	}
+	index, term, ok := state.raft.Propose(registry.EncodeCommand(cmd))
+	if !ok {
+		return ""
+	}
+	p.metrics.proposals.Inc()
+	p.pending.addProposal(index, term, done)
+	return p.self.Addr
+}
+
+// startReadIndex asks consensus for a confirmed read index if this node leads.
+func (p *proposer) startReadIndex(state *loopState, done chan<- outcome) string {
+	if !state.isLeader() {
+		return p.peers.addrOf(state.raft.LeaderID())
+	}
+	state.raft.ReadIndex(p.pending.addRead(done))
+	return p.self.Addr
+}
+
+// pendingRequests are the proposals and reads that this node started as a leader
+// and whose outcome is not known yet. They belong to the event loop. A caller may
+// have given up meanwhile: each done channel takes one outcome without waiting.
+type pendingRequests struct {
+	proposals  map[uint64]pendingProposal // by log index
+	reads      map[uint64]chan<- outcome  // by request ID
+	lastReadID uint64
+}
+
+type pendingProposal struct {
+	term uint64
+	done chan<- outcome
+}
+
+func newPendingRequests() pendingRequests {
+	return pendingRequests{
+		proposals: map[uint64]pendingProposal{},
+		reads:     map[uint64]chan<- outcome{},
+	}
+}
+
+func (p *pendingRequests) addProposal(index, term uint64, done chan<- outcome) {
+	p.proposals[index] = pendingProposal{term: term, done: done}
+}
+
+func (p *pendingRequests) addRead(done chan<- outcome) (id uint64) {
+	p.lastReadID++
+	p.reads[p.lastReadID] = done
+	return p.lastReadID
+}
+
+// resolveEntry tells the proposer of an entry, if it is here, what the entry gave.
+func (p *pendingRequests) resolveEntry(entry raft.Entry, result registry.Result) {
+	proposal, isPending := p.proposals[entry.Index]
+	if !isPending {
+		return
+	}
+	delete(p.proposals, entry.Index)
+	if proposal.term != entry.Term {
+		// Another entry stands in its place: it never takes effect.
+		proposal.done <- outcome{err: apierror.New(apierror.Unavailable, "leadership changed")}
+		return
+	}
+	proposal.done <- outcome{result: result}
+}
+
+// resolveRead tells a reader its read index, or that this node lost its leadership.
+func (p *pendingRequests) resolveRead(read raft.ReadState) {
+	done, isPending := p.reads[read.RequestID]
+	if !isPending {
+		return
+	}
+	delete(p.reads, read.RequestID)
+	o := outcome{readIndex: read.Index, result: registry.Result{Revision: read.Index}}
+	if !read.Confirmed {
+		o.err = ErrNotLeader
+	}
+	done <- o
+}
+
+// abandonThrough gives up the proposals that an installed snapshot has overtaken:
+// whether it contains them is not known.
+func (p *pendingRequests) abandonThrough(index uint64) {
+	for i, proposal := range p.proposals {
+		if i <= index {
+			delete(p.proposals, i)
+			proposal.done <- outcome{err: apierror.New(apierror.UnknownOutcome, "replaced by a snapshot")}
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/quota_allocator.go
@@ -0,0 +1,106 @@
+package controlplane
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"lichentray/internal/transport"
+	"lichentray/loadbalance"
+	"lichentray/registry"
+)
+
+// quotaSafetyFactor is the part of what an endpoint that warms up may receive that
+// is granted; the rest covers what proxies send before they hear of a change.
+const quotaSafetyFactor = 0.9
+
+// quotaAllocator shares out, at the leader, what endpoints that warm up may receive
+// among the proxies. It belongs to the event loop.
+type quotaAllocator struct {
+	*environment
+	state     *sharedState
+	allocator *loadbalance.QuotaAllocator
+}
+
+// becomeLeader starts anew. Grants of an earlier leader last for a while, for which
+// the allocator allows.
+func (q *quotaAllocator) becomeLeader(now time.Duration) {
+	q.allocator = loadbalance.NewQuotaAllocator(now, q.settings.QuotaGrantLifetime())
+}
+
+// allocate grants quotas to the proxies that report, in answer to the report of each
+// proxy. It returns nil when nothing is bounded or another node may lead by now.
+func (q *quotaAllocator) allocate(state *loopState, now time.Duration, reportSequences map[string]uint64) map[string]transport.QuotaGrants {
+	if q.settings.Bounds.SlowStartOvershoot <= 0 || !state.raft.HasQuorumContact(q.timing.ElectionTimeout) {
+		return nil
+	}
+	var warming []loadbalance.WarmingEndpoint
+	q.state.update(func(r *replicatedState) { warming = q.warmingEndpoints(r, reportSequences) })
+	quotas := map[string]transport.QuotaGrants{}
+	for proxy, grants := range q.allocator.Allocate(now, warming) {
+		quotas[proxy] = transport.QuotaGrants{Seq: reportSequences[proxy], Grants: grants}
+	}
+	return quotas
+}
+
+// warmingEndpoints lists, by ID, the endpoints that warm up, and which proxies may
+// send to each: those of its zone, else of its region, else all.
+func (q *quotaAllocator) warmingEndpoints(r *replicatedState, reportSequences map[string]uint64) []loadbalance.WarmingEndpoint {
+	var warming []loadbalance.WarmingEndpoint
+	zoneStates := r.zoneStates()
+	var proxies *proxiesByLocality
+	for _, e := range r.endpoints {
+		isWarmingUp := e.WarmingUp || zoneStates[e.Zone] == registry.Returning
+		if e.Draining || !isWarmingUp {
+			continue
+		}
+		cluster, isKnown := r.cluster(e.Service)
+		if !isKnown || cluster.WarmupRatePerSecond <= 0 {
+			continue
+		}
+		if proxies == nil {
+			proxies = q.groupProxies(r, reportSequences)
+		}
+		rate := cluster.WarmupRatePerSecond
+		warming = append(warming, loadbalance.WarmingEndpoint{
+			ID:           e.ID,
+			Rate:         rate,
+			MaxPerSecond: quotaSafetyFactor * (rate*q.settings.Bounds.SlowStartOvershoot + q.settings.Bounds.SlowStartSlack),
+			Proxies:      proxies.nearest(e.Zone, q.settings.RegionByZone[e.Zone]),
+		})
+	}
+	slices.SortFunc(warming, func(a, b loadbalance.WarmingEndpoint) int { return strings.Compare(a.ID, b.ID) })
+	return warming
+}
+
+// proxiesByLocality groups the names of the proxies that take traffic.
+type proxiesByLocality struct {
+	byZone   map[string][]string
+	byRegion map[string][]string
+	all      []string
+}
+
+func (q *quotaAllocator) groupProxies(r *replicatedState, reportSequences map[string]uint64) *proxiesByLocality {
+	groups := &proxiesByLocality{byZone: map[string][]string{}, byRegion: map[string][]string{}}
+	for name := range reportSequences {
+		proxy, isRegistered := r.proxies[registry.ProxyPrefix+name]
+		if !isRegistered || proxy.Draining {
+			continue
+		}
+		region := q.settings.RegionByZone[proxy.Zone]
+		groups.byZone[proxy.Zone] = append(groups.byZone[proxy.Zone], name)
+		groups.byRegion[region] = append(groups.byRegion[region], name)
+		groups.all = append(groups.all, name)
+	}
+	return groups
+}
+
+func (p *proxiesByLocality) nearest(zone, region string) []string {
+	if names := p.byZone[zone]; len(names) > 0 {
+		return names
+	}
+	if names := p.byRegion[region]; len(names) > 0 {
+		return names
+	}
+	return p.all
+}
--- /dev/null
+++ b/internal/controlplane/report_aggregator.go
@@ -0,0 +1,110 @@
+package controlplane
+
+import (
+	"time"
+
+	"lichentray/internal/transport"
+	"lichentray/loadbalance"
+)
+
+// reportAggregator exchanges what proxies report: every node sums the reports of the
+// proxies that watch at it for the leader, and the leader sends every node the sums
+// over all, its quotas and its verdicts. It belongs to the event loop.
+type reportAggregator struct {
+	*environment
+	peers     *peerPool
+	watches   *watchServer
+	health    *healthMonitor
+	rollouts  *rolloutController
+	quotas    *quotaAllocator
+	directory *proxyDirectory
+
+	// byNode holds the newest report of each other node, by member ID.
+	byNode map[uint64]nodeReport
+}
+
+// nodeReport is what one node reports of the proxies that watch at it.
+type nodeReport struct {
+	// sequences are the numbers of the newest report of each proxy, by name.
+	sequences   map[string]uint64
+	loads       map[string]loadbalance.Load        // by service
+	rollouts    map[string]transport.RolloutReport // by service
+	incarnation uint64                             // of the node
+	receivedAt  time.Duration
+}
+
+// becomeLeader forgets what an earlier leadership knew; the nodes report again.
+func (a *reportAggregator) becomeLeader() { a.byNode = map[uint64]nodeReport{} }
+
+// recordNode takes what another node reports.
+func (a *reportAggregator) recordNode(state *loopState, id uint64, aggregate *transport.ProxyAggregate) {
+	now := a.now()
+	a.byNode[id] = nodeReport{
+		sequences:   aggregate.Here,
+		loads:       aggregate.Loads,
+		rollouts:    aggregate.Trials,
+		incarnation: aggregate.Life,
+		receivedAt:  now,
+	}
+	a.health.addObservations(aggregate.Seen)
+	a.directory.recordSeen(state, now, aggregate.Here)
+}
+
+// exchange sends this node's report to the leader, or as the leader the sums over all
+// nodes to every member.
+func (a *reportAggregator) exchange(state *loopState, now time.Duration) {
+	own, observations := a.watches.collectReports(state, now)
+	if !state.isLeader() {
+		a.peers.enqueue(a.peers.addrOf(state.raft.LeaderID()), &transport.Frame{Proxies: &transport.ProxyAggregate{
+			Here:   own.sequences,
+			Loads:  own.loads,
+			Seen:   observations,
+			Trials: own.rollouts,
+			Life:   a.incarnation,
+		}})
+		return
+	}
+	a.directory.recordSeen(state, now, own.sequences)
+	total := a.sumReports(now, own)
+	a.rollouts.reported = total.rollouts
+	summary := proxySummary{
+		proxies:  len(total.sequences),
+		loads:    total.loads,
+		quotas:   a.quotas.allocate(state, now, total.sequences),
+		verdicts: a.health.verdicts(state, now, observations),
+	}
+	a.watches.setSummary(summary)
+	for _, m := range state.raft.Membership().AllMembers() {
+		a.peers.enqueue(m.Addr, &transport.Frame{Proxies: &transport.ProxyAggregate{
+			Sum:      summary.proxies,
+			Loads:    summary.loads,
+			Rounds:   summary.quotas,
+			Verdicts: summary.verdicts,
+		}})
+	}
+}
+
+// sumReports adds the reports of the other nodes to this node's own one, which it
+// changes, and drops those of nodes that do not report any more.
+func (a *reportAggregator) sumReports(now time.Duration, own nodeReport) nodeReport {
+	a.rollouts.recordReports(own.incarnation, own.rollouts)
+	for id, report := range a.byNode {
+		if now-report.receivedAt > a.timing.DeadMemberTimeout {
+			delete(a.byNode, id)
+			continue
+		}
+		for proxy, sequence := range report.sequences {
+			own.sequences[proxy] = max(own.sequences[proxy], sequence)
+		}
+		mergeLoads(own.loads, report.loads)
+		a.rollouts.recordReports(report.incarnation, report.rollouts)
+		mergeRolloutProgress(own.rollouts, report.rollouts)
+	}
+	return own
+}
+
+func mergeLoads(to, from map[string]loadbalance.Load) {
+	for service, load := range from {
+		to[service] = to[service].Add(load)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/rollout_controller.go
@@ -0,0 +1,383 @@
+package controlplane
+
+import (
+	"errors"
+	"strings"
+	"sync"
+	"time"
+
+	"lichentray/internal/apierror"
+	"lichentray/internal/transport"
+	"lichentray/registry"
+	"lichentray/rollout"
+)
+
+// rolloutController takes the orders to roll a version out and, at the leader,
+// advances each roll-out by the evidence that all proxies report. Every node sums the
+// evidence of the proxies that watch at it and reports the sum to the leader.
+type rolloutController struct {
+	*environment
+	state    *sharedState
+	proposer *proposer
+
+	// What follows belongs to the event loop and is of use at the leader only.
+	inProgress map[string]*rolloutProgress // by service
+	// reported is where all proxies together stand, by service.
+	reported map[string]transport.RolloutReport
+
+	mu sync.Mutex
+	// evidence is what proxies reported here since this node's start.
+	evidence rolloutEvidence
+}
+
+func newRolloutController(env *environment) *rolloutController {
+	return &rolloutController{
+		environment: env,
+		inProgress:  map[string]*rolloutProgress{},
+		evidence:    rolloutEvidence{},
+	}
+}
+
+// rolloutRecord is a service's roll-out as last applied.
+type rolloutRecord struct {
+	rollout.Rollout
+	revision uint64
+	// appliedAt is when this node applied the revision.
+	appliedAt time.Duration
+}
+
+// elapsed is how much of the order's time has passed.
+func (r *rolloutRecord) elapsed(now time.Duration) time.Duration {
+	return now - r.appliedAt + time.Duration(r.ElapsedSeconds*float64(time.Second))
+}
+
+func serviceOfRollout(key string) string { return strings.TrimPrefix(key, registry.RolloutPrefix) }
+
+// rolloutProgress is what the leader knows of a roll-out in progress.
+type rolloutProgress struct {
+	order    uint64
+	analyzer *rollout.Analyzer
+	// evidenceByNode is by the incarnation of the node that reported it. What a node
+	// reported that has ended since stays.
+	evidenceByNode map[uint64]rollout.Evidence
+	stage          int
+	// answersAtStageStart are the target's answers when the stage was entered.
+	answersAtStageStart int
+	// proposedRevision is the revision from which the last step was proposed.
+	proposedRevision uint64
+	proposedAt       time.Duration
+}
+
+func newRolloutProgress(order uint64) *rolloutProgress {
+	return &rolloutProgress{
+		order:          order,
+		analyzer:       rollout.NewAnalyzer(),
+		evidenceByNode: map[uint64]rollout.Evidence{},
+		stage:          -1, // none entered yet
+	}
+}
+
+// totalEvidence is the evidence of all nodes.
+func (p *rolloutProgress) totalEvidence() rollout.Evidence {
+	total := rollout.Evidence{}
+	for _, evidence := range p.evidenceByNode {
+		total.Add(evidence)
+	}
+	return total
+}
+
+// rolloutEvidence is what proxies reported of each roll-out, by service.
+type rolloutEvidence map[string]transport.RolloutReport
+
+// add adds what one proxy observed since its last report. Evidence of an older order
+// is dropped.
+func (e rolloutEvidence) add(reports map[string]transport.RolloutReport) {
+	for service, report := range reports {
+		total := e[service]
+		if report.Order < total.Order {
+			continue
+		}
+		if report.Order > total.Order {
+			total = transport.RolloutReport{Order: report.Order, Evidence: rollout.Evidence{}}
+		}
+		total.Evidence.Add(report.Evidence)
+		e[service] = total
+	}
+}
+
+// mergeRolloutProgress merges where proxies stand: the lowest stage that any of them
+// has taken and all their requests to the base version. A node that no proxy
+// follows any more has evidence, but nobody stands there.
+func mergeRolloutProgress(to, from map[string]transport.RolloutReport) {
+	for service, report := range from {
+		merged := to[service]
+		switch {
+		case report.Proxies == 0 || report.Order < merged.Order:
+			continue
+		case merged.Proxies == 0 || report.Order > merged.Order:
+			merged = transport.RolloutReport{
+				Order:   report.Order,
+				Proxies: report.Proxies,
+				Stage:   report.Stage,
+				AtBase:  report.AtBase,
+			}
+		default:
+			merged.Proxies += report.Proxies
+			merged.Stage = min(merged.Stage, report.Stage)
+			merged.AtBase += report.AtBase
+		}
+		to[service] = merged
+	}
+}
+
+// becomeLeader forgets what an earlier leadership knew; the nodes report again.
+func (c *rolloutController) becomeLeader() { c.inProgress = map[string]*rolloutProgress{} }
+
+// addEvidence adds what one proxy observed since its last report.
+func (c *rolloutController) addEvidence(reports map[string]transport.RolloutReport) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evidence.add(reports)
+}
+
+// forgetEnded drops the evidence of roll-outs that the events have ended.
+func (c *rolloutController) forgetEnded(state *loopState, events []registry.Event) {
+	rollouts := c.state.onLoop(state).rollouts
+	for _, e := range events {
+		if strings.HasPrefix(e.Object.Key, registry.RolloutPrefix) {
+			c.forgetIfEnded(e.Object.Key, rollouts[e.Object.Key])
+		}
+	}
+}
+
+// forgetAllEnded does so for a state that was taken whole.
+func (c *rolloutController) forgetAllEnded(state *loopState) {
+	for key, record := range c.state.onLoop(state).rollouts {
+		c.forgetIfEnded(key, record)
+	}
+}
+
+func (c *rolloutController) forgetIfEnded(key string, record *rolloutRecord) {
+	if record == nil || record.State == rollout.InProgress {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.evidence, serviceOfRollout(key))
+}
+
+// collectReports turns progress, where this node's proxies stand, into this node's
+// report: it adds the evidence since the node's start.
+func (c *rolloutController) collectReports(state *loopState, progress map[string]transport.RolloutReport) {
+	rollouts := c.state.onLoop(state).rollouts
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for service, total := range c.evidence {
+		if record := rollouts[registry.RolloutPrefix+service]; record != nil && record.supersedes(total.Order) {
+			delete(c.evidence, service)
+			continue
+		}
+		report := transport.RolloutReport{Order: total.Order, Evidence: total.Evidence.Clone()}
+		if p := progress[service]; p.Order == total.Order {
+			report.Proxies = p.Proxies
+			report.Stage = p.Stage
+			report.AtBase = p.AtBase
+		}
+		progress[service] = report
+	}
+}
+
+// supersedes reports whether evidence of an order is of no use any more.
+func (r *rolloutRecord) supersedes(order uint64) bool {
+	return r.OrderNumber > order || (r.OrderNumber == order && r.State != rollout.InProgress)
+}
+
+// recordReports takes what a node reports, which is all since its start.
+func (c *rolloutController) recordReports(incarnation uint64, reports map[string]transport.RolloutReport) {
+	for service, report := range reports {
+		progress := c.inProgress[service]
+		if progress == nil || progress.order < report.Order {
+			progress = newRolloutProgress(report.Order)
+			c.inProgress[service] = progress
+		}
+		if progress.order == report.Order {
+			progress.evidenceByNode[incarnation] = report.Evidence
+		}
+	}
+}
+
+// advance takes each roll-out one step further if the evidence says so. Each step is
+// written under the condition that the state read still stands, so that of two
+// leaders, or two steps, one takes effect.
+func (c *rolloutController) advance(state *loopState, now time.Duration) {
+	if !state.raft.HasQuorumContact(c.timing.ElectionTimeout) || now-state.leaderSince < c.timing.ConnectionTimeout {
+		return
+	}
+	replicated := c.state.onLoop(state)
+	for key, record := range replicated.rollouts {
+		if record.State != rollout.InProgress {
+			continue
+		}
+		service := serviceOfRollout(key)
+		progress := c.progressOf(service, record.OrderNumber)
+		if progress == nil {
+			continue
+		}
+		observation := c.observe(replicated, service, record, progress, now)
+		c.proposeStep(state, key, record, progress, observation, now)
+	}
+	for service := range c.inProgress {
+		record := replicated.rollouts[registry.RolloutPrefix+service]
+		if record == nil || record.State != rollout.InProgress {
+			delete(c.inProgress, service)
+		}
+	}
+}
+
+// progressOf returns what is known of a service's order, or nil if proxies know of a
+// newer order, which this node has still to apply.
+func (c *rolloutController) progressOf(service string, order uint64) *rolloutProgress {
+	progress := c.inProgress[service]
+	if progress == nil || progress.order < order {
+		progress = newRolloutProgress(order)
+		progress.evidenceByNode[c.incarnation] = nil
+		c.inProgress[service] = progress
+	}
+	if progress.order != order {
+		return nil
+	}
+	return progress
+}
+
+// observe sums up what decides the next step of a roll-out.
+func (c *rolloutController) observe(replicated *replicatedState, service string, record *rolloutRecord, progress *rolloutProgress, now time.Duration) rollout.Observation {
+	evidence := progress.totalEvidence()
+	answers := evidence.TargetAnswers()
+	if progress.stage != record.Stage {
+		progress.stage = record.Stage
+		progress.answersAtStageStart = answers
+	}
+	observation := rollout.Observation{
+		Elapsed:            record.elapsed(now),
+		StageElapsed:       now - record.appliedAt,
+		AnalysisDelay:      c.timing.RolloutStagePause,
+		PropagationDelay:   c.timing.RequestTimeout,
+		TotalAnswers:       evidence.TotalAnswers(),
+		TargetAnswers:      answers,
+		StageTargetAnswers: answers - progress.answersAtStageStart,
+	}
+	targetEndpoints := 0
+	for _, e := range replicated.endpoints {
+		if e.Service != service || e.Draining {
+			continue
+		}
+		switch e.Version {
+		case record.Base:
+			observation.BaseCapacity += e.Capacity
+		case record.Target:
+			observation.TargetCapacity += e.Capacity
+			targetEndpoints++
+		}
+	}
+	observation.Verdict = progress.analyzer.Analyze(evidence, targetEndpoints)
+	report, isReported := c.reported[service]
+	observation.TrafficShifted = isReported && report.Proxies > 0 &&
+		report.Order == record.OrderNumber && report.Stage == record.Stage && report.AtBase == 0
+	return observation
+}
+
+// proposeStep proposes the next state of a roll-out, if it changes. A proposal that
+// may still be on its way is not repeated within an election time-out.
+func (c *rolloutController) proposeStep(state *loopState, key string, record *rolloutRecord, progress *rolloutProgress, observation rollout.Observation, now time.Duration) {
+	next, hasChanged := record.Advance(observation)
+	if !hasChanged {
+		return
+	}
+	if progress.proposedRevision == record.revision && now-progress.proposedAt < c.timing.ElectionTimeout {
+		return
+	}
+	progress.proposedRevision = record.revision
+	progress.proposedAt = now
+	state.proposeOnce(registry.Command{Txn: putIfUnchanged(key, record.revision, next.Encode())})
+}
+
+// addBaseVersion has the first endpoint of a service name the version in use, in
+// the transaction that registers it.
+func (c *rolloutController) addBaseVersion(r *replicatedState, txn *registry.Txn, endpoint registry.Endpoint) {
+	if !c.settings.HasRollouts() {
+		return
+	}
+	key := registry.RolloutPrefix + endpoint.Service
+	if _, isKnown := r.store.Get(key); isKnown {
+		return
+	}
+	txn.If = append(txn.If, registry.Compare{Key: key})
+	// Before the endpoint, so that no proxy holds the endpoint without it.
+	write := registry.Write{Key: key, Value: rollout.Rollout{Base: endpoint.Version}.Encode()}
+	txn.Then = append([]registry.Write{write}, txn.Then...)
+}
+
+var errRolloutsDisabled = apierror.New(apierror.NoRoute, "this deployment does not tell versions apart")
+
+// begin takes an order to move a service's traffic to a version, see Node.BeginRollout.
+func (c *rolloutController) begin(service, target string, deadline time.Duration) error {
+	if !c.settings.HasRollouts() {
+		return errRolloutsDisabled
+	}
+	if err := c.proposer.readIndex(c.timing.RequestTimeout); err != nil {
+		return err
+	}
+	key := registry.RolloutPrefix + service
+	wrote, err := c.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
+		object, _ := r.store.Get(key)
+		current, err := decodeRolloutOrder(r, service, object)
+		if err != nil {
+			return nil, err
+		}
+		next, err := current.Start(target, deadline)
+		var rejected rollout.RejectedError
+		if errors.As(err, &rejected) {
+			return nil, apierror.New(apierror.Conflict, "%s", rejected)
+		}
+		if next == current {
+			return nil, nil
+		}
+		return putIfUnchanged(key, object.ModRevision, next.Encode()), nil
+	})
+	if wrote {
+		c.logger.Info("roll-out order acknowledged", "service", service, "target", target, "deadline", deadline.String())
+	}
+	return err
+}
+
+// decodeRolloutOrder returns a service's roll-out as stored, empty if there is none
+// yet and the service is configured.
+func decodeRolloutOrder(r *replicatedState, service string, object registry.Object) (rollout.Rollout, error) {
+	if object.ModRevision == 0 {
+		if _, isKnown := r.cluster(service); !isKnown {
+			return rollout.Rollout{}, apierror.New(apierror.BadRequest, "backend_service: %q is not known", service)
+		}
+		return rollout.Rollout{}, nil
+	}
+	stored, err := rollout.Decode(object.Value)
+	if err != nil {
+		return rollout.Rollout{}, apierror.New(apierror.Internal, "%v", err)
+	}
+	return stored, nil
+}
+
+// read returns a service's newest roll-out, see Node.Rollout.
+func (c *rolloutController) read(service string) (rollout.Rollout, error) {
+	if !c.settings.HasRollouts() {
+		return rollout.Rollout{}, errRolloutsDisabled
+	}
+	if err := c.proposer.readIndex(c.timing.RequestTimeout); err != nil {
+		return rollout.Rollout{}, err
+	}
+	var record *rolloutRecord
+	c.state.view(func(r *replicatedState) { record = r.rollouts[registry.RolloutPrefix+service] })
+	if record == nil || record.State == "" {
+		return rollout.Rollout{}, apierror.New(apierror.NotFound, "no roll-out of %q", service)
+	}
+	return record.Rollout, nil
+}
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -67,10 +67,10 @@
 
 // TestGauge: where proxies of several nodes stand together; a node that nobody
 // follows any more holds nothing up.
-func TestMergeTrialProgress(t *testing.T) {
+func TestMergeRolloutProgress(t *testing.T) {
 	to := map[string]transport.RolloutReport{}
 	for _, n := range []transport.RolloutReport{{Order: 1, Proxies: 1, Stage: 3, AtBase: 9}, {Order: 2, Proxies: 2, Stage: 3}, {Order: 2, Stage: 0}, {Order: 2, Proxies: 1, Stage: 2, AtBase: 4}, {Order: 1, Proxies: 1}} {
-		mergeTrialProgress(to, map[string]transport.RolloutReport{"s": n})
+		mergeRolloutProgress(to, map[string]transport.RolloutReport{"s": n})
 	}
 	if x := to["s"]; x.Order != 2 || x.Proxies != 3 || x.Stage != 2 || x.AtBase != 4 {
 		t.Errorf("they stand at %+v", x)
--- /dev/null
+++ b/internal/controlplane/snapshotter.go
@@ -0,0 +1,76 @@
+package controlplane
+
+import (
+	"lichentray/raft"
+	"lichentray/registry"
+)
+
+// The log is compacted once it holds this many applied entries or bytes.
+const (
+	maxLogEntries = 6000
+	maxLogBytes   = 4 << 20
+	// logDiskDivisor is the part of the disk that the log may take. SQLite's
+	// write-ahead log holds as much again.
+	logDiskDivisor = 16
+)
+
+// snapshotter bounds the log, in memory and on disk, and restores what the leader
+// sends. It belongs to the event loop.
+type snapshotter struct {
+	env *environment
+	// logBytes is the data of the entries since the last snapshot.
+	logBytes int
+	// received is a store restored from the leader's snapshot until that is installed.
+	received *registry.Store
+}
+
+// countEntry adds an applied entry to the size of the log.
+func (s *snapshotter) countEntry(entry raft.Entry) { s.logBytes += len(entry.Data) }
+
+// restoreReceived restores a leader's snapshot beside the present state. Consensus
+// calls it before it accepts the snapshot; one that cannot be restored is refused.
+func (s *snapshotter) restoreReceived(data []byte) error {
+	store := registry.NewStore()
+	if err := store.Restore(data); err != nil {
+		s.env.logger.Error("snapshot cannot be restored, this node keeps lagging", "error", err)
+		return err
+	}
+	s.received = store
+	return nil
+}
+
+// takeReceived returns the store of the snapshot that consensus has accepted.
+func (s *snapshotter) takeReceived() *registry.Store {
+	store := s.received
+	s.received = nil
+	s.logBytes = 0
+	return store
+}
+
+// compactIfNeeded makes a snapshot of the applied state once the log is too long and
+// returns it to be written, or nil.
+func (s *snapshotter) compactIfNeeded(node *raft.Node, store *registry.Store) *raft.Snapshot {
+	if node.CompactableEntries() < maxLogEntries && s.logBytes < s.maxBytes() {
+		return nil
+	}
+	// Also after a failure: the next attempt is due when the log has grown as much again.
+	s.logBytes = 0
+	data, err := store.Snapshot()
+	if err != nil {
+		s.env.logger.Error("snapshot failed", "error", err)
+		return nil
+	}
+	snapshot, ok := node.Compact(node.AppliedIndex(), data)
+	if !ok {
+		return nil
+	}
+	return &snapshot
+}
+
+func (s *snapshotter) maxBytes() int {
+	diskMB := s.env.settings.Limits.DiskMB
+	if diskMB <= 0 {
+		return maxLogBytes
+	}
+	return min(maxLogBytes, int(diskMB*(1<<20))/logDiskDivisor)
+}
--- /dev/null
+++ b/internal/controlplane/start.go
@@ -0,0 +1,318 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"hash/fnv"
+	"log/slog"
+	"math/rand"
+	"net"
+	"time"
+
+	"lichentray/internal/metrics"
+	"lichentray/internal/settings"
+	"lichentray/internal/storage"
+	"lichentray/raft"
+)
+
+// Start opens the disk and the internal port and begins to run a node. The caller
+// ends it with Close. A disk that refuses is tried for some seconds; one whose state
+// cannot be read is set aside, and the node joins the group as a new member.
+func Start(set *settings.Settings, logger *slog.Logger, registry *metrics.Registry) (*Node, error) {
+	env := newEnvironment(set, logger, newNodeMetrics(registry))
+	node, err := start(env)
+	if err != nil {
+		env.close()
+		return nil, err
+	}
+	return node, nil
+}
+
+func newEnvironment(set *settings.Settings, logger *slog.Logger, nodeMetrics *nodeMetrics) *environment {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &environment{
+		settings:    set,
+		timing:      DeriveTiming(set),
+		logger:      logger,
+		metrics:     nodeMetrics,
+		startedAt:   time.Now(),
+		incarnation: rand.Uint64(),
+		ctx:         ctx,
+		cancel:      cancel,
+	}
+}
+
+func start(env *environment) (_ *Node, err error) {
+	state := newSharedState(env)
+	disk, err := openDisk(env, state)
+	if err != nil {
+		return nil, err
+	}
+	defer func() {
+		if err != nil {
+			disk.store.Close()
+		}
+	}()
+	env.self = raft.Member{
+		ID:        disk.memberID,
+		Addr:      disk.addr,
+		API:       env.settings.Listen.Control,
+		Uncounted: !env.settings.QuorumMember,
+	}
+	node := newNode(env, state, disk.store)
+	loop := node.restore(disk.saved)
+	listener, err := net.Listen("tcp4", env.self.Addr)
+	if err != nil {
+		return nil, fmt.Errorf("internal port: %w", err)
+	}
+	env.logger.Info("started", "member", formatMemberID(env.self.ID), "new", disk.isNew, "last_index", loop.raft.LastIndex())
+	node.run(listener, loop)
+	return node, nil
+}
+
+// disk is what a node finds on its disk at the start.
+type disk struct {
+	store    *storage.Store
+	memberID uint64
+	isNew    bool // the member ID was drawn at this start
+	saved    raft.PersistentState
+	addr     string // this node's internal address
+}
+
+const (
+	// openAttempts bounds how often a disk that refuses is tried, half an election
+	// time-out apart.
+	openAttempts = 21
+)
+
+// openDisk opens the disk and restores its snapshot into state. At the very first
+// start of a group a seed node writes the group's first membership.
+func openDisk(env *environment, state *sharedState) (*disk, error) {
+	d := &disk{addr: env.settings.InternalAddr(env.settings.Listen.Control)}
+	seeds := seedMembership(env.settings)
+	var bootstrapID uint64
+	if env.settings.Bootstrap && seeds.IsMember(memberIDOf(d.addr)) {
+		bootstrapID = memberIDOf(d.addr)
+	}
+	identity, err := d.open(env, state, bootstrapID)
+	if err != nil {
+		return nil, fmt.Errorf("open store: %w", err)
+	}
+	if identity.DiscardReason != nil {
+		env.logger.Error("store set aside as unreadable, joining as a new member", "cause", identity.DiscardReason)
+	}
+	d.memberID = identity.ID
+	d.isNew = identity.IsNew
+	if bootstrapID != 0 && identity.ID == bootstrapID && isBlank(&d.saved) {
+		d.saved.Snapshot.Members = seeds
+		if err := d.store.Save(nil, &d.saved.Snapshot, false, nil); err != nil {
+			d.store.Close()
+			return nil, fmt.Errorf("bootstrap: %w", err)
+		}
+	}
+	return d, nil
+}
+
+// open opens the store, waiting for a disk in trouble, which refuses for seconds.
+func (d *disk) open(env *environment, state *sharedState, bootstrapID uint64) (identity storage.Identity, err error) {
+	restore := func(saved raft.PersistentState) error {
+		if saved.Snapshot.Data == nil {
+			return nil
+		}
+		return state.replicated.store.Restore(saved.Snapshot.Data)
+	}
+	for attempt := 1; ; attempt++ {
+		d.store, identity, d.saved, err = storage.Open(env.settings.DataDirectory, bootstrapID, restore)
+		if err == nil || attempt == openAttempts {
+			return identity, err
+		}
+		env.metrics.diskFailures.Inc()
+		time.Sleep(env.timing.ElectionTimeout / 2)
+	}
+}
+
+// isBlank reports whether a disk holds nothing of a group yet.
+func isBlank(saved *raft.PersistentState) bool {
+	return saved.HardState.Term == 0 && len(saved.Entries) == 0 && len(saved.Snapshot.Members.AllMembers()) == 0
+}
+
+// seedMembership is the first membership of a group: its seed nodes.
+func seedMembership(set *settings.Settings) raft.Membership {
+	var membership raft.Membership
+	for _, api := range set.SeedNodes {
+		addr := set.InternalAddr(api)
+		member := raft.Member{ID: memberIDOf(addr), Addr: addr, API: api}
+		if !membership.IsMember(member.ID) {
+			membership.Voters = append(membership.Voters, member)
+		}
+	}
+	return membership
+}
+
+// memberIDOf derives a seed node's first member ID from its internal address, so that
+// all seeds write the same first membership. IDs drawn later have the highest bit set.
+func memberIDOf(addr string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(addr))
+	return h.Sum64()&^(1<<63) | 1
+}
+
+// newNode makes the parts of a node and joins them. env.self is known.
+func newNode(env *environment, state *sharedState, store durableStore) *Node {
+	n := &Node{
+		environment: env,
+		loop:        newEventLoop(env),
+		state:       state,
+		consensus:   &consensusView{env: env},
+		peers:       newPeerPool(env),
+		writer:      newLogWriter(env, store),
+		leases:      &leaseTimers{},
+		snapshots:   &snapshotter{env: env},
+		history:     &historyCompactor{environment: env, state: state},
+		quotas:      &quotaAllocator{environment: env, state: state},
+	}
+	n.proposer = &proposer{
+		environment: env,
+		loop:        n.loop,
+		peers:       n.peers,
+		state:       state,
+		consensus:   n.consensus,
+		leases:      n.leases,
+		pending:     newPendingRequests(),
+	}
+	n.membership = &membershipManager{
+		environment: env,
+		loop:        n.loop,
+		peers:       n.peers,
+		consensus:   n.consensus,
+		seeds:       env.settings.SeedNodes,
+	}
+	n.membership.planner = newMembershipPlanner(env.settings, env.timing, n.membership.failureDomainOf)
+	n.joinServices()
+	n.joinServers()
+	n.joinCallbacks()
+	return n
+}
+
+// joinServices makes the parts that carry out calls.
+func (n *Node) joinServices() {
+	n.health = newHealthMonitor(n.environment)
+	n.health.loop = n.loop
+	n.health.state = n.state
+	n.health.peers = n.peers
+	n.health.proposer = n.proposer
+	n.health.consensus = n.consensus
+	n.rollouts = newRolloutController(n.environment)
+	n.rollouts.state = n.state
+	n.rollouts.proposer = n.proposer
+	n.directory = &proxyDirectory{
+		environment: n.environment,
+		state:       n.state,
+		consensus:   n.consensus,
+		proposer:    n.proposer,
+		lastSeen:    map[string]time.Duration{},
+	}
+	n.evacuations = &zoneEvacuator{
+		environment: n.environment,
+		state:       n.state,
+		proposer:    n.proposer,
+		returning:   map[string]zoneReturn{},
+	}
+	n.configs = &configurationStore{
+		environment:    n.environment,
+		state:          n.state,
+		proposer:       n.proposer,
+		validationSlot: make(chan struct{}, 1),
+	}
+	n.groups = &groupWatchers{
+		environment: n.environment,
+		state:       n.state,
+		consensus:   n.consensus,
+		proposer:    n.proposer,
+		byGroup:     map[string]*groupWaiters{},
+	}
+	n.audit = &auditSink{environment: n.environment, state: n.state, proposer: n.proposer}
+}
+
+// joinServers makes the parts that speak with other processes.
+func (n *Node) joinServers() {
+	n.watches = &watchServer{
+		environment: n.environment,
+		state:       n.state,
+		consensus:   n.consensus,
+		peers:       n.peers,
+		proposer:    n.proposer,
+		health:      n.health,
+		rollouts:    n.rollouts,
+		directory:   n.directory,
+		audit:       n.audit,
+		sessions:    map[*proxySession]struct{}{},
+	}
+	n.reports = &reportAggregator{
+		environment: n.environment,
+		peers:       n.peers,
+		watches:     n.watches,
+		health:      n.health,
+		rollouts:    n.rollouts,
+		quotas:      n.quotas,
+		directory:   n.directory,
+		byNode:      map[uint64]nodeReport{},
+	}
+	n.server = &connectionServer{
+		environment: n.environment,
+		loop:        n.loop,
+		peers:       n.peers,
+		consensus:   n.consensus,
+		proposer:    n.proposer,
+		membership:  n.membership,
+		health:      n.health,
+		reports:     n.reports,
+		watches:     n.watches,
+	}
+}
+
+// joinCallbacks has the parts below consensus report to it.
+func (n *Node) joinCallbacks() {
+	n.writer.send = n.peers.sendMessages
+	n.writer.reportPersisted = func(index, term uint64) {
+		n.loop.post(func(state *loopState) { state.raft.ReportPersisted(index, term) })
+	}
+	n.peers.onControlNodes = n.membership.setRelayedNodes
+	n.peers.onLogReconnected = func(addr string) {
+		n.loop.post(func(state *loopState) { reportReconnected(state, addr) })
+	}
+}
+
+// reportReconnected has consensus send the log anew to the member at an address.
+func reportReconnected(state *loopState, addr string) {
+	for _, m := range state.raft.Membership().AllMembers() {
+		if m.Addr == addr {
+			state.raft.ReportReconnected(m.ID)
+		}
+	}
+}
+
+// restore takes over what the disk holds and returns the state of the event loop.
+func (n *Node) restore(saved raft.PersistentState) *loopState {
+	replicated := &n.state.replicated
+	replicated.watchCache.Reset(replicated.store.Revision())
+	replicated.rebuild()
+	replicated.appliedIndex = saved.Snapshot.Index
+	n.leases.restart(0, replicated.store.Coordination().Locks)
+	for _, entry := range saved.Entries {
+		n.snapshots.countEntry(entry)
+	}
+	node := raft.New(raft.Config{
+		ID:                n.self.ID,
+		HeartbeatInterval: n.timing.HeartbeatInterval,
+		ElectionTimeout:   n.timing.ElectionTimeout,
+		RandInt63n:        rand.Int63n,
+		ValidateSnapshot:  n.snapshots.restoreReceived,
+	}, 0, saved)
+	n.peers.setMembership(node.Membership())
+	return &loopState{
+		raft:            node,
+		leaderChanged:   make(chan struct{}),
+		membershipIndex: node.MembershipIndex(),
+	}
+}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -8,121 +8,172 @@
 	"lichentray/rollout"
 )
 
-// MemberStatus is one member of the core as the asked node sees it.
+// Status is the state of a control-plane node as it sees itself.
+type Status struct {
+	Node   string `json:"node"`
+	ID     string `json:"id"`
+	Role   string `json:"role"`
+	Term   uint64 `json:"term"`
+	Leader string `json:"leader"`
+	// CommitIndex is the newest index known to be committed, DurableIndex the newest
+	// one on this node's disk.
+	CommitIndex  uint64 `json:"commit_index"`
+	DurableIndex uint64 `json:"durable_index"`
+	// Revision is that of the registry, ConfigVersion that of the configuration.
+	Revision      uint64 `json:"revision"`
+	ConfigVersion uint64 `json:"config_version"`
+	// Endpoints counts those registered, Draining those of them that drain.
+	Endpoints int `json:"endpoints"`
+	Draining  int `json:"draining"`
+	// IsUpToDate tells whether others may count on this node: it holds all that was
+	// acknowledged anywhere until a moment ago.
+	IsUpToDate bool           `json:"in_touch"`
+	Members    []MemberStatus `json:"members"`
+	// Proxies are those that watch at this node.
+	Proxies []ProxyStatus `json:"proxies"`
+	// WarmingUp counts the endpoints in slow start, Unhealthy those that all proxies
+	// together find to be outliers.
+	WarmingUp int `json:"cold"`
+	Unhealthy int `json:"sick"`
+	// Zones holds the state of each zone that is not in ordinary use.
+	Zones map[string]string `json:"zones"`
+	// Services holds, where roll-outs are in force, the versions of each service.
+	Services map[string]ServiceStatus `json:"services,omitempty"`
+	// Registered are the proxies in the directory.
+	Registered []registry.Proxy `json:"registered"`
+}
+
+// MemberStatus is one member of the group as the asked node sees it.
 type MemberStatus struct {
 	ID      string `json:"id"`
 	Addr    string `json:"internal_address"`
 	API     string `json:"control_plane"`
 	Zone    string `json:"zone"`
 	IsVoter bool   `json:"voter"`
-	// MatchIndex and AgoMS are known at the leader only; AgoMS is -1 elsewhere.
+	// MatchIndex and LastContactMS are known at the leader only. LastContactMS is how
+	// many milliseconds ago the member was heard, -1 at any other node.
 	MatchIndex    uint64 `json:"match_index"`
 	LastContactMS int64  `json:"heard_ms_ago"`
 }
 
-// ProxyStatus is one proxy node that watches at the asked node.
+// ProxyStatus is one proxy that watches at the asked node.
 type ProxyStatus struct {
-	Node     string `json:"node"`
+	Node string `json:"node"`
+	// Revision is the newest one that the proxy has acknowledged.
 	Revision uint64 `json:"revision"`
 }
 
-// ServiceStatus is a service's versions: how its newest roll-out stands and how many
-// endpoints there are of each.
+// ServiceStatus is a service's newest roll-out and its endpoints by version.
 type ServiceStatus struct {
 	Rollout   rollout.Rollout `json:"rollout"`
 	Endpoints map[string]int  `json:"endpoints"`
 }
 
-// Status is what a control-plane node tells of itself.
-type Status struct {
-	Node          string         `json:"node"`
-	ID            string         `json:"id"`
-	Role          string         `json:"role"`
-	Term          uint64         `json:"term"`
-	Leader        string         `json:"leader"`
-	CommitIndex   uint64         `json:"commit_index"`
-	DurableIndex  uint64         `json:"durable_index"`
-	Revision      uint64         `json:"revision"`
-	ConfigVersion uint64         `json:"config_version"`
-	Endpoints     int            `json:"endpoints"`
-	Draining      int            `json:"draining"`
-	IsUpToDate    bool           `json:"in_touch"`
-	Members       []MemberStatus `json:"members"`
-	Proxies       []ProxyStatus  `json:"proxies"`
-	// WarmingUp endpoints, and those that all proxies together find ill.
-	WarmingUp int `json:"cold"`
-	Unhealthy int `json:"sick"`
-	// Zones that are not in ordinary use, and the proxies in the directory.
-	Zones map[string]string `json:"zones"`
-	// Services tells, where versions are told apart, which versions there are.
-	Services   map[string]ServiceStatus `json:"services,omitempty"`
-	Registered []registry.Proxy         `json:"registered"`
-}
-
+// formatMemberID writes a member ID as logs and status show it.
 func formatMemberID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// Status tells the node's state.
-func (l *Node) Status() *Status {
-	s, err := callLoop(l.loop, func(loop *loopState) *Status {
-		n := loop.raft
-		now := l.now()
-		s := &Status{Node: l.settings.NodeName, ID: formatMemberID(l.self.ID), Role: n.Role().String(), Term: n.Term(), Leader: formatMemberID(n.LeaderID()), CommitIndex: n.CommitIndex(), DurableIndex: n.StableIndex()}
-		ms := n.Membership()
-		for _, m := range ms.AllMembers() {
-			st := MemberStatus{ID: formatMemberID(m.ID), Addr: m.Addr, API: m.API, Zone: l.peers.zoneOf(m.Addr), IsVoter: ms.IsVoter(m.ID), LastContactMS: -1}
-			if n.Role() == raft.Leader {
-				st.MatchIndex, st.LastContactMS = n.MatchIndex(m.ID), 0
-				if m.ID != l.self.ID {
-					st.LastContactMS = (now - n.LastContact(m.ID)).Milliseconds()
-				}
-			}
-			s.Members = append(s.Members, st)
-		}
-		return s
-	})
+// Status returns the node's state. It may be called from any goroutine; of a node
+// that is stopping it returns the name alone.
+func (n *Node) Status() *Status {
+	status, err := callLoop(n.loop, n.consensusStatus)
 	if err != nil {
-		return &Status{Node: l.settings.NodeName}
+		return &Status{Node: n.settings.NodeName}
 	}
-	s.IsUpToDate = l.isUpToDate()
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	s.Revision = l.store.Revision()
-	for _, o := range l.store.List(registry.EndpointPrefix) {
-		s.Endpoints++
-		if e, err := registry.DecodeEndpoint(o); err == nil {
-			if e.Draining {
-				s.Draining++
-			}
-			if e.WarmingUp {
-				s.WarmingUp++
-			}
-		}
+	status.IsUpToDate = n.consensus.isUpToDate()
+	n.state.view(status.addReplicated)
+	n.watches.addStatus(status)
+	return status
+}
+
+// consensusStatus returns the part of the status that the event loop owns.
+func (n *Node) consensusStatus(state *loopState) *Status {
+	node := state.raft
+	status := &Status{
+		Node:         n.settings.NodeName,
+		ID:           formatMemberID(n.self.ID),
+		Role:         node.Role().String(),
+		Term:         node.Term(),
+		Leader:       formatMemberID(node.LeaderID()),
+		CommitIndex:  node.CommitIndex(),
+		DurableIndex: node.StableIndex(),
+	}
+	for _, m := range node.Membership().AllMembers() {
+		status.Members = append(status.Members, n.memberStatus(state, m))
 	}
-	for _, v := range l.outlierVerdicts {
-		if v.Sick {
-			s.Unhealthy++
+	return status
+}
+
+func (n *Node) memberStatus(state *loopState, m raft.Member) MemberStatus {
+	status := MemberStatus{
+		ID:            formatMemberID(m.ID),
+		Addr:          m.Addr,
+		API:           m.API,
+		Zone:          n.peers.zoneOf(m.Addr),
+		IsVoter:       state.raft.Membership().IsVoter(m.ID),
+		LastContactMS: -1,
+	}
+	if !state.isLeader() {
+		return status
+	}
+	status.MatchIndex = state.raft.MatchIndex(m.ID)
+	status.LastContactMS = 0
+	if m.ID != n.self.ID {
+		status.LastContactMS = (n.now() - state.raft.LastContact(m.ID)).Milliseconds()
+	}
+	return status
+}
+
+// addReplicated adds what the replicated state tells.
+func (s *Status) addReplicated(r *replicatedState) {
+	s.Revision = r.store.Revision()
+	s.ConfigVersion, _, _ = r.configuration()
+	s.Zones = r.zoneStates()
+	s.addEndpoints(r)
+	s.addServices(r)
+	for _, o := range r.store.List(registry.ProxyPrefix) {
+		if proxy, err := registry.DecodeProxy(o); err == nil {
+			s.Registered = append(s.Registered, proxy)
 		}
 	}
-	for key, r := range l.rollouts {
-		if s.Services == nil {
-			s.Services = map[string]ServiceStatus{}
+}
+
+func (s *Status) addEndpoints(r *replicatedState) {
+	s.Endpoints = len(r.store.List(registry.EndpointPrefix))
+	for _, e := range r.endpoints {
+		if e.Draining {
+			s.Draining++
+		}
+		if e.WarmingUp {
+			s.WarmingUp++
 		}
-		s.Services[key[len(registry.RolloutPrefix):]] = ServiceStatus{r.Rollout, map[string]int{}}
 	}
-	for _, e := range l.endpoints {
-		if x, told := s.Services[e.Service]; told {
-			x.Endpoints[e.Version]++
+}
+
+func (s *Status) addServices(r *replicatedState) {
+	if len(r.rollouts) == 0 {
+		return
+	}
+	s.Services = map[string]ServiceStatus{}
+	for key, record := range r.rollouts {
+		s.Services[serviceOfRollout(key)] = ServiceStatus{Rollout: record.Rollout, Endpoints: map[string]int{}}
+	}
+	for _, e := range r.endpoints {
+		if service, isKnown := s.Services[e.Service]; isKnown {
+			service.Endpoints[e.Version]++
 		}
 	}
-	s.Zones = l.zoneStates()
-	for _, o := range l.store.List(registry.ProxyPrefix) {
-		if p, err := registry.DecodeProxy(o); err == nil {
-			s.Registered = append(s.Registered, p)
+}
+
+// addStatus adds the proxies that watch here and what the leader sums up.
+func (w *watchServer) addStatus(status *Status) {
+	w.mu.RLock()
+	defer w.mu.RUnlock()
+	for _, verdict := range w.summary.verdicts {
+		if verdict.Sick {
+			status.Unhealthy++
 		}
 	}
-	s.ConfigVersion, _, _ = l.storedConfiguration()
-	for p := range l.proxySessions {
-		s.Proxies = append(s.Proxies, ProxyStatus{Node: p.proxyName, Revision: p.ackedRevision.Load()})
+	for session := range w.sessions {
+		status.Proxies = append(status.Proxies, ProxyStatus{Node: session.proxyName, Revision: session.ackedRevision.Load()})
 	}
-	return s
 }
--- a/internal/controlplane/watch_server.go
+++ b/internal/controlplane/watch_server.go
@@ -2,353 +2,357 @@
 
 import (
 	"errors"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"lichentray/audit"
 	"lichentray/internal/apierror"
-	"lichentray/internal/metrics"
 	"lichentray/internal/transport"
 	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/watchcache"
 )
 
-// proxySession is one proxy that lists and watches here.
+// watchServer serves the proxies and relays that connect here: a proxy lists the
+// watched objects and then streams their changes, and reports its load and what it
+// observes. Each connection has a goroutine that reads and, once the watch has
+// begun, one that streams.
+type watchServer struct {
+	*environment
+	state     *sharedState
+	consensus *consensusView
+	peers     *peerPool
+	proposer  *proposer
+	health    *healthMonitor
+	rollouts  *rolloutController
+	directory *proxyDirectory
+	audit     *auditSink
+
+	encodings sharedEncodings
+
+	mu       sync.RWMutex
+	sessions map[*proxySession]struct{}
+	summary  proxySummary
+}
+
+// proxySummary is what the leader sums up over all proxies and tells each of them. It
+// is replaced whole and never changed.
+type proxySummary struct {
+	proxies  int
+	loads    map[string]loadbalance.Load      // by service
+	quotas   map[string]transport.QuotaGrants // by proxy
+	verdicts []loadbalance.Verdict
+}
+
+// proxySession is one proxy that is connected here.
 type proxySession struct {
 	proxyName     string
 	ackedRevision atomic.Uint64
-	// Under the node's lock.
+	// isRegistering and isIngestingAudit admit one write of the proxy's entry, and of
+	// its audit batch, at a time. What is skipped comes again with a later report.
+	isRegistering    atomic.Bool
+	isIngestingAudit atomic.Bool
+
+	// What follows is of the newest report, guarded by watchServer.mu.
 	loads          map[string]loadbalance.Load
-	trials         map[string]transport.RolloutReport // of the newest report
+	rollouts       map[string]transport.RolloutReport
 	reportSequence uint64
-	reportedAt     time.Duration // of the newest report
-	// At most one write of its entry is on its way.
-	isRegistering atomic.Bool
-	// And one batch of its account.
-	isAppendingAudit atomic.Bool
+	reportedAt     time.Duration
 }
 
-// maxEventsPerFrame bounds one frame of a stream.
-const maxEventsPerFrame = 512
+func (w *watchServer) setSummary(summary proxySummary) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.summary = summary
+}
 
-// serveProxy answers a proxy's list and then streams to it. A proxy too slow
-// to take its stream is cut off and lists again.
-func (l *Node) serveProxy(conn *transport.Conn, h transport.Hello) {
-	s := &proxySession{proxyName: h.Node, reportedAt: l.now()}
-	l.mu.Lock()
-	l.proxySessions[s] = struct{}{}
-	l.mu.Unlock()
-	defer func() {
-		l.mu.Lock()
-		delete(l.proxySessions, s)
-		l.mu.Unlock()
-	}()
-	started := false
-	gone := make(chan struct{})
-	defer close(gone)
+func (w *watchServer) getSummary() proxySummary {
+	w.mu.RLock()
+	defer w.mu.RUnlock()
+	return w.summary
+}
+
+func (w *watchServer) openSession(proxyName string) *proxySession {
+	session := &proxySession{proxyName: proxyName, reportedAt: w.now()}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.sessions[session] = struct{}{}
+	return session
+}
+
+func (w *watchServer) closeSession(session *proxySession) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.sessions, session)
+}
+
+// serveProxy takes a proxy's reports and answers its list or watch, after which it
+// streams. A proxy too slow to take its stream is disconnected and lists again.
+func (w *watchServer) serveProxy(conn *transport.Conn, hello transport.Hello) {
+	session := w.openSession(hello.Node)
+	defer w.closeSession(session)
+	disconnected := make(chan struct{})
+	defer close(disconnected)
+	isStreaming := false
 	for {
-		f, err := conn.Receive(0)
+		frame, err := conn.Receive(0)
 		if err != nil {
 			return
 		}
-		if f.Ack > 0 {
-			s.ackedRevision.Store(f.Ack)
+		if frame.Ack > 0 {
+			session.ackedRevision.Store(frame.Ack)
 		}
-		if r := f.Report; r != nil {
-			l.mu.Lock()
-			if s.reportedAt = l.now(); r.Seq > 0 {
-				s.loads, s.reportSequence = r.Loads, r.Seq
-				s.trials = r.Trials
-			}
-			l.trialEvidence.add(r.Trials)
-			mergeObservations(l.observationsToReport, r.Seen)
-			l.mu.Unlock()
-			if b := r.Account; b != nil && l.settings.Audit != nil && s.isAppendingAudit.CompareAndSwap(false, true) {
-				go func() {
-					defer s.isAppendingAudit.Store(false)
-					l.appendAudit(conn, b)
-				}()
-			}
-			if r.Self != nil && s.isRegistering.CompareAndSwap(false, true) {
-				go func() {
-					defer s.isRegistering.Store(false)
-					_ = l.registerProxy(*r.Self) // the next report tries again
-				}()
-			}
+		if frame.Report != nil {
+			w.takeReport(conn, session, frame.Report)
 		}
-		if f.Ask == nil || started {
+		if frame.Ask == nil || isStreaming {
 			continue
 		}
-		ans, after := l.listOrWatch(f.Ask)
-		if conn.Send(&transport.Frame{Answer: ans}) != nil || ans.Failed {
+		response, after := w.listOrWatch(frame.Ask)
+		if conn.Send(&transport.Frame{Answer: response}) != nil || response.Failed {
 			return
 		}
-		if !ans.Gone && ans.Nearer == nil {
-			started = true
-			go l.streamEvents(conn, s, after, f.Ask.Packs, gone)
+		if response.Gone || response.Nearer != nil {
+			continue // the proxy lists, here or at another node
+		}
+		isStreaming = true
+		stream := &eventStream{
+			watchServer:  w,
+			conn:         conn,
+			session:      session,
+			after:        after,
+			isPacked:     frame.Ask.Packs,
+			disconnected: disconnected,
 		}
+		w.start(stream.run)
 	}
 }
 
-// listOrWatch answers the first call of a proxy: a list behind a read point, or a
-// watch from a revision that this node must have reached.
-func (l *Node) listOrWatch(a *transport.Request) (*transport.Response, uint64) {
-	// At the first moment not every node's zone may be known, so it is looked twice.
-	if n := l.redirectToZone(a); n != nil {
-		return &transport.Response{ID: a.ID, Nearer: n}, 0
+// takeReport takes what a proxy reports. Writes that it asks for run beside the
+// connection's reader.
+func (w *watchServer) takeReport(conn *transport.Conn, session *proxySession, report *transport.ProxyReport) {
+	w.recordReport(session, report)
+	if report.Account != nil && w.audit.isEnabled() && session.isIngestingAudit.CompareAndSwap(false, true) {
+		w.startIngest(conn, session, report.Account)
 	}
-	// A proxy waits for this answer while it asks others. After a loss of power a leader
-	// comes soon, and to be sent away to ask again takes as long as that.
-	if err := l.readIndexWithin(l.timing.DeadMemberTimeout); err != nil {
-		return errorAnswer(a.ID, err), 0
+	if report.Self != nil && session.isRegistering.CompareAndSwap(false, true) {
+		w.start(func() {
+			defer session.isRegistering.Store(false)
+			_ = w.directory.register(*report.Self) // the next report tries again
+		})
 	}
-	if n := l.redirectToZone(a); n != nil {
-		return &transport.Response{ID: a.ID, Nearer: n}, 0
-	}
-	if !a.Watch {
-		return l.listObjects(a)
-	}
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	ans := &transport.Response{ID: a.ID, Revision: l.store.Revision()}
-	if ans.Revision < a.Least {
-		return l.staleAnswer(a, ans.Revision), 0
+}
+
+func (w *watchServer) startIngest(conn *transport.Conn, session *proxySession, batch *audit.Batch) {
+	w.start(func() {
+		defer session.isIngestingAudit.Store(false)
+		w.audit.ingest(conn, batch)
+	})
+}
+
+func (w *watchServer) recordReport(session *proxySession, report *transport.ProxyReport) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	session.reportedAt = w.now()
+	if report.Seq > 0 {
+		session.loads = report.Loads
+		session.reportSequence = report.Seq
+		session.rollouts = report.Trials
 	}
-	_, err := l.watchCache.EventsSince(a.Least, 1)
-	ans.Gone = errors.Is(err, watchcache.ErrGone)
-	return ans, a.Least
+	w.rollouts.addEvidence(report.Trials)
+	w.health.addObservations(report.Seen)
 }
 
-// redirectToZone names the core to a proxy that would list here while a node of its own
-// zone is up. A proxy that has just started knows the seeds alone; after a loss of
-// power all of them would list at the seed that is back first.
-func (l *Node) redirectToZone(a *transport.Request) []transport.ControlNode {
-	if !a.List || a.Zone == "" || a.Zone == l.settings.Zone {
-		return nil
+// collectReports sums up the proxies that are connected here, and takes what they
+// observed of endpoints since the last call. Sessions that have not reported for
+// long are left out: their proxies are frozen, most likely.
+func (w *watchServer) collectReports(state *loopState, now time.Duration) (nodeReport, map[string]loadbalance.Observation) {
+	report := nodeReport{
+		sequences:   map[string]uint64{},
+		loads:       map[string]loadbalance.Load{},
+		rollouts:    map[string]transport.RolloutReport{},
+		incarnation: w.incarnation,
+		receivedAt:  now,
 	}
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	for _, m := range l.consensus.membership.AllMembers() {
-		if l.peers.zoneOf(m.Addr) == a.Zone && l.peers.isConnected(m.Addr) {
-			l.metrics.listsRedirected.Inc()
-			return l.controlNodes()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for session := range w.sessions {
+		if now-session.reportedAt > w.timing.DeadMemberTimeout {
+			continue
 		}
+		report.sequences[session.proxyName] = max(report.sequences[session.proxyName], session.reportSequence)
+		mergeLoads(report.loads, session.loads)
+		mergeRolloutProgress(report.rollouts, session.rollouts)
 	}
-	return nil
+	w.rollouts.collectReports(state, report.rollouts)
+	return report, w.health.takeObservations()
 }
 
-func (l *Node) staleAnswer(a *transport.Request, rev uint64) *transport.Response {
-	return errorAnswer(a.ID, apierror.New(apierror.Unavailable, "this node is at revision %d, behind %d", rev, a.Least))
+// listOrWatch answers the first request of a proxy: a list behind a read index, or a
+// watch from a revision that this node must have reached. It returns the revision
+// after which the stream begins.
+func (w *watchServer) listOrWatch(request *transport.Request) (response *transport.Response, after uint64) {
+	// At the first moment not every node's zone may be known, so it is looked up
+	// before the read and after it.
+	if nodes := w.redirectToZone(request); nodes != nil {
+		return &transport.Response{ID: request.ID, Nearer: nodes}, 0
+	}
+	// A proxy waits for this response while it asks other nodes. After a loss of power
+	// a leader comes soon, and to be sent away to ask again takes as long as that.
+	if err := w.proposer.readIndex(w.timing.DeadMemberTimeout); err != nil {
+		return errorResponse(request.ID, err), 0
+	}
+	if nodes := w.redirectToZone(request); nodes != nil {
+		return &transport.Response{ID: request.ID, Nearer: nodes}, 0
+	}
+	if request.Watch {
+		return w.openWatch(request)
+	}
+	return w.listObjects(request)
 }
 
-// sharedEncodings is what proxies list, encoded once for all that ask while none of its
-// objects changes, and the newest large events that they are sent.
-type sharedEncodings struct {
-	listMu       sync.Mutex
-	listRevision uint64 // the newest change of a watched object in it
-	listData     []byte
-
-	eventsMu                                sync.Mutex
-	firstRevision, lastRevision, eventCount uint64 // of the events
-	eventsData                              []byte
-	eventsEncodedTotal                      *metrics.Counter
+// openWatch answers a watch after a revision, with Gone if the watch cache no longer
+// reaches back so far.
+func (w *watchServer) openWatch(request *transport.Request) (response *transport.Response, after uint64) {
+	w.state.view(func(r *replicatedState) {
+		revision := r.store.Revision()
+		if revision < request.Least {
+			response = staleResponse(request, revision)
+			return
+		}
+		_, err := r.watchCache.EventsSince(request.Least, 1)
+		response = &transport.Response{
+			ID:       request.ID,
+			Revision: revision,
+			Gone:     errors.Is(err, watchcache.ErrGone),
+		}
+		after = request.Least
+	})
+	return response, after
 }
 
-// packEvents lets a frame of large events be encoded once for all watchers. Each that
-// encodes 400 KB of configuration for itself holds a megabyte while it does.
-func (p *sharedEncodings) packEvents(f *transport.Frame) {
-	size := 0
-	for _, e := range f.Events {
-		size += len(e.Object.Value) + len(e.Patch)
-	}
-	if size < transport.CompressionThreshold {
-		return
+// redirectToZone returns the members of the group to a proxy that would list here
+// while a node of its own zone is up, else nil. A proxy that has just started knows
+// the seeds alone; after a loss of power all proxies would list at the seed that is
+// back first.
+func (w *watchServer) redirectToZone(request *transport.Request) []transport.ControlNode {
+	if !request.List || request.Zone == "" || request.Zone == w.settings.Zone {
+		return nil
 	}
-	first, last, n := f.Events[0].Revision, f.Events[len(f.Events)-1].Revision, uint64(len(f.Events))
-	p.eventsMu.Lock()
-	defer p.eventsMu.Unlock()
-	if p.eventsData == nil || p.firstRevision != first || p.lastRevision != last || p.eventCount != n {
-		p.eventsEncodedTotal.Inc()
-		data, err := transport.Pack(f.Events)
-		if err != nil {
-			return // it goes as it is
+	for _, m := range w.consensus.get().membership.AllMembers() {
+		if w.peers.zoneOf(m.Addr) == request.Zone && w.peers.isConnected(m.Addr) {
+			w.metrics.listsRedirected.Inc()
+			return w.controlNodes()
 		}
-		p.firstRevision, p.lastRevision, p.eventCount, p.eventsData = first, last, n, data
 	}
-	f.Events, f.PackedEvents = nil, p.eventsData
+	return nil
+}
+
+func staleResponse(request *transport.Request, revision uint64) *transport.Response {
+	return errorResponse(request.ID, apierror.New(apierror.Unavailable, "this node is at revision %d, behind %d", revision, request.Least))
 }
 
-// listObjects answers with all watched objects. After a loss of power every proxy asks at
-// the same moment; whoever comes while the list is encoded waits for it.
-func (l *Node) listObjects(a *transport.Request) (*transport.Response, uint64) {
-	if a.Packs {
-		l.encodings.listMu.Lock()
-		defer l.encodings.listMu.Unlock()
+// listObjects answers with all watched objects. After a loss of power every proxy asks
+// at the same moment; who comes while the list is encoded waits for it.
+func (w *watchServer) listObjects(request *transport.Request) (response *transport.Response, after uint64) {
+	if !request.Packs {
+		return w.listPlain(request)
 	}
-	l.mu.RLock()
-	rev, at := l.store.Revision(), l.watchedRevision
-	held := a.Packs && l.encodings.listData != nil && l.encodings.listRevision == at
+	encoding := &w.encodings.list
+	encoding.mu.Lock()
+	defer encoding.mu.Unlock()
+	var revision, watchedRevision uint64
 	var objects []registry.Object
-	if rev >= a.Least && !held {
-		for _, prefix := range watchedPrefixes {
-			objects = append(objects, l.store.List(prefix)...)
+	var isCurrent bool
+	w.state.view(func(r *replicatedState) {
+		revision = r.store.Revision()
+		watchedRevision = r.watchedRevision
+		isCurrent = encoding.isOf(watchedRevision)
+		if revision >= request.Least && !isCurrent {
+			objects = r.watchedObjects()
 		}
+	})
+	if revision < request.Least {
+		return staleResponse(request, revision), 0
 	}
-	l.mu.RUnlock()
-	if rev < a.Least {
-		return l.staleAnswer(a, rev), 0
-	}
-	l.metrics.lists.Inc()
-	ans := &transport.Response{ID: a.ID, Revision: rev}
-	if !a.Packs {
-		ans.Objects = objects
-		return ans, rev
-	}
-	if !held {
-		data, err := transport.Pack(objects)
-		if err != nil {
-			return errorAnswer(a.ID, err), 0
+	w.metrics.lists.Inc()
+	if !isCurrent {
+		if err := encoding.encode(objects, watchedRevision); err != nil {
+			return errorResponse(request.ID, err), 0
 		}
-		l.encodings.listData, l.encodings.listRevision = data, at
-		l.metrics.listsEncoded.Inc()
+		w.metrics.listsEncoded.Inc()
 	}
-	ans.Packed = l.encodings.listData
-	return ans, rev
+	return &transport.Response{ID: request.ID, Revision: revision, Packed: encoding.data}, revision
 }
 
-// watchedPrefixes are the kinds of object that proxies hold a copy of.
-var watchedPrefixes = [...]string{registry.EndpointPrefix, registry.EvacuationPrefix, registry.RolloutPrefix, registry.ConfigKey}
-
-func isWatched(key string) bool {
-	for _, prefix := range watchedPrefixes {
-		if strings.HasPrefix(key, prefix) {
-			return true
+// listPlain answers a proxy of a version that does not know the packed form.
+func (w *watchServer) listPlain(request *transport.Request) (response *transport.Response, after uint64) {
+	w.state.view(func(r *replicatedState) {
+		after = r.store.Revision()
+		if after < request.Least {
+			response = staleResponse(request, after)
+			after = 0
+			return
 		}
+		response = &transport.Response{ID: request.ID, Revision: after, Objects: r.watchedObjects()}
+	})
+	if !response.Failed {
+		w.metrics.lists.Inc()
 	}
-	return false
+	return response, after
 }
 
-// controlNodes lists the members of the core for whoever follows one of them. The
-// caller has the node's lock.
-func (l *Node) controlNodes() []transport.ControlNode {
-	var out []transport.ControlNode
-	for _, m := range l.consensus.membership.AllMembers() {
-		out = append(out, transport.ControlNode{Addr: m.Addr, API: m.API, Zone: l.peers.zoneOf(m.Addr)})
+// watchedObjects returns all objects that proxies hold a copy of.
+func (r *replicatedState) watchedObjects() []registry.Object {
+	var objects []registry.Object
+	for _, prefix := range watchedPrefixes {
+		objects = append(objects, r.store.List(prefix)...)
 	}
-	return out
+	return objects
 }
 
-func (l *Node) newBookmark(s *proxySession) *transport.Bookmark {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	b := &transport.Bookmark{Revision: l.store.Revision(), Proxies: l.proxyCount, Loads: l.serviceLoads, Control: l.controlNodes()}
-	if r, ok := l.quotaRounds[s.proxyName]; ok {
-		b.Round = &r
+// controlNodes lists the members of the group for who follows one of them.
+func (w *watchServer) controlNodes() []transport.ControlNode {
+	var nodes []transport.ControlNode
+	for _, m := range w.consensus.get().membership.AllMembers() {
+		nodes = append(nodes, transport.ControlNode{Addr: m.Addr, API: m.API, Zone: w.peers.zoneOf(m.Addr)})
 	}
-	return b
+	return nodes
 }
 
-// serveRelay lets a relay know, for as long as this node is in touch, that it
-// may send callers here.
-func (l *Node) serveRelay(conn *transport.Conn) {
-	mark := time.NewTicker(l.timing.BookmarkInterval)
-	defer mark.Stop()
-	for !l.isStopping.Load() && l.isUpToDate() {
-		l.mu.RLock()
-		b := &transport.Bookmark{Control: l.controlNodes(), Diskless: l.settings.DataDirectory == ""}
-		l.mu.RUnlock()
-		if conn.Send(&transport.Frame{Bookmark: b}) != nil {
-			return
-		}
-		select {
-		case <-l.ctx.Done():
-			return
-		case <-mark.C:
-		}
+// newBookmark returns a bookmark at the newest revision, with what the leader sums up.
+func (w *watchServer) newBookmark(proxyName string) *transport.Bookmark {
+	summary := w.getSummary()
+	bookmark := &transport.Bookmark{
+		Revision: w.state.revision(),
+		Proxies:  summary.proxies,
+		Loads:    summary.loads,
+		Control:  w.controlNodes(),
 	}
+	if quota, isGranted := summary.quotas[proxyName]; isGranted {
+		bookmark.Round = &quota
+	}
+	return bookmark
 }
 
-// bookmarksPerVerdicts is how many bookmarks one carries the verdicts on endpoints.
-const bookmarksPerVerdicts = 3
-
-// streamEvents sends events as they come and bookmarks while this node is in touch
-// with the newest state; without them the proxy looks for another node.
-func (l *Node) streamEvents(conn *transport.Conn, s *proxySession, after uint64, packs bool, gone chan struct{}) {
-	defer conn.Close()
-	wake := make(chan struct{}, 1)
-	l.mu.Lock()
-	l.streamWakeups[wake] = struct{}{}
-	l.mu.Unlock()
-	defer func() {
-		l.mu.Lock()
-		delete(l.streamWakeups, wake)
-		l.mu.Unlock()
-	}()
-	mark := time.NewTicker(l.timing.BookmarkInterval)
-	defer mark.Stop()
-	// The first mark tells whom else to ask; it must not cover events that are
-	// still to be sent.
-	first := l.newBookmark(s)
-	first.Revision = after
-	if conn.Send(&transport.Frame{Bookmark: first}) != nil {
-		return
-	}
-	round := 0
-	for {
-		l.mu.RLock()
-		events, err := l.watchCache.EventsSince(after, maxEventsPerFrame)
-		l.mu.RUnlock()
-		if err != nil {
-			_ = conn.Send(&transport.Frame{Gone: true}) // it lists again either way
-			return
+// serveRelay tells a relay, for as long as this node is up to date, that it may send
+// callers here.
+func (w *watchServer) serveRelay(conn *transport.Conn) {
+	ticker := time.NewTicker(w.timing.BookmarkInterval)
+	defer ticker.Stop()
+	for !w.isStopping.Load() && w.consensus.isUpToDate() {
+		bookmark := &transport.Bookmark{
+			Control:  w.controlNodes(),
+			Diskless: w.settings.DataDirectory == "",
 		}
-		if n := len(events); n > 0 {
-			out := events[:0]
-			for _, e := range events {
-				if isWatched(e.Object.Key) {
-					out = append(out, e)
-				}
-			}
-			after = events[n-1].Revision
-			f := &transport.Frame{Events: out, Bookmark: &transport.Bookmark{Revision: after}}
-			if packs {
-				l.encodings.packEvents(f)
-			}
-			if conn.Send(f) != nil {
-				return
-			}
-			continue
+		if conn.Send(&transport.Frame{Bookmark: bookmark}) != nil {
+			return
 		}
 		select {
-		case <-gone:
-			return
-		case <-l.ctx.Done():
+		case <-w.ctx.Done():
 			return
-		case <-wake:
-		case <-mark.C:
-			if l.isStopping.Load() {
-				return
-			}
-			// Events that came since go out before the mark that covers them.
-			b := l.newBookmark(s)
-			if round++; round%bookmarksPerVerdicts == 0 {
-				l.mu.RLock()
-				b.Judged, b.Verdicts = true, l.outlierVerdicts
-				l.mu.RUnlock()
-			}
-			l.mu.RLock()
-			rest, err := l.watchCache.EventsSince(after, 1)
-			l.mu.RUnlock()
-			if len(rest) > 0 || err != nil || !l.isUpToDate() {
-				wakeUp(wake)
-				continue
-			}
-			if conn.Send(&transport.Frame{Bookmark: b}) != nil {
-				return
-			}
-			after = max(after, b.Revision)
+		case <-ticker.C:
 		}
 	}
 }
