--- /dev/null
+++ b/internal/controlplane/health_monitor_test.go
@@ -0,0 +1,58 @@
+package controlplane
+
+import (
+	"testing"
+
+	"lichentray/internal/apierror"
+	"lichentray/registry"
+)
+
+// TestUpdateEndpoint: what a heartbeat changes of a registered endpoint, and when a
+// node that has lost contact with the group may acknowledge it.
+func TestUpdateEndpoint(t *testing.T) {
+	const sequence = 5
+	for _, c := range []struct {
+		name           string
+		registered     registry.Endpoint
+		heartbeat      registry.Endpoint
+		hasLostContact bool
+		wantWrite      bool
+		wantKind       apierror.Kind
+	}{
+		{"ordinary", registry.Endpoint{}, registry.Endpoint{Sequence: 6}, false, false, 0},
+		{"ordinary, without contact", registry.Endpoint{}, registry.Endpoint{Sequence: 6}, true, false, apierror.Unavailable},
+		{"drains", registry.Endpoint{}, registry.Endpoint{Sequence: 6, Draining: true}, false, true, 0},
+		{"drains, without contact", registry.Endpoint{}, registry.Endpoint{Sequence: 6, Draining: true}, true, true, 0},
+		{"drains, late", registry.Endpoint{}, registry.Endpoint{Sequence: 4, Draining: true}, false, true, 0},
+		{"drains already", registry.Endpoint{Draining: true}, registry.Endpoint{Sequence: 6}, false, false, 0},
+		{"drains already, without contact", registry.Endpoint{Draining: true}, registry.Endpoint{Sequence: 6}, true, false, 0},
+		{"warms up", registry.Endpoint{}, registry.Endpoint{Sequence: 6, WarmingUp: true}, false, true, 0},
+		{"has warmed up", registry.Endpoint{WarmingUp: true}, registry.Endpoint{Sequence: 6}, false, true, 0},
+		{"has warmed up, late", registry.Endpoint{WarmingUp: true}, registry.Endpoint{Sequence: 4}, false, false, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.registered.ID, c.registered.Sequence = "e", sequence
+			object := registry.Object{Key: c.registered.Key(), Value: c.registered.Encode(), ModRevision: 9}
+			txn, err := updateEndpoint(object, c.heartbeat, c.hasLostContact)
+			if c.wantKind != 0 {
+				if apierror.KindOf(err) != c.wantKind {
+					t.Errorf("error %v", err)
+				}
+				return
+			}
+			if err != nil || (txn != nil) != c.wantWrite {
+				t.Fatalf("transaction %+v, %v", txn, err)
+			}
+			if !c.wantWrite {
+				return
+			}
+			if got := txn.If; len(got) != 1 || got[0] != (registry.Compare{Key: object.Key, ModRevision: 9}) {
+				t.Errorf("condition %+v", got)
+			}
+			written, err := registry.DecodeEndpoint(registry.Object{Value: txn.Then[0].Value})
+			if err != nil || written.Draining != c.heartbeat.Draining || written.WarmingUp != c.heartbeat.WarmingUp || written.Sequence != c.heartbeat.Sequence {
+				t.Errorf("written %+v, %v", written, err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controlplane/peer_connection_test.go
@@ -0,0 +1,76 @@
+package controlplane
+
+import (
+	"context"
+	"errors"
+	"testing"
+
+	"lichentray/internal/transport"
+)
+
+// newTestConnection returns a connection without a goroutine, marked as up.
+func newTestConnection(t *testing.T) *peerConnection {
+	t.Helper()
+	connection := newPeerConnection(context.Background(), nil, "127.0.0.1:1", false)
+	t.Cleanup(connection.cancel)
+	connection.setConnected()
+	return connection
+}
+
+// TestAbandonedCallIsNotSent: a request that its caller gave up while it was queued
+// never leaves, and one that left is known as such.
+func TestAbandonedCallIsNotSent(t *testing.T) {
+	c := newTestConnection(t)
+	for _, leavesFirst := range []bool{false, true} {
+		call, err := c.startCall(&transport.Request{ID: 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		frame := <-c.sendQueue
+		if leavesFirst && !c.claimForSending(frame) {
+			t.Error("a request that is awaited is not sent")
+		}
+		if mayHaveBeenSent := c.abandonCall(1, call); mayHaveBeenSent != leavesFirst {
+			t.Errorf("sent %v, told %v", leavesFirst, mayHaveBeenSent)
+		}
+		if c.claimForSending(frame) {
+			t.Error("a request that nobody awaits is sent")
+		}
+	}
+}
+
+func TestCallsOfAConnection(t *testing.T) {
+	c := newTestConnection(t)
+	answered, err := c.startCall(&transport.Request{ID: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	open, err := c.startCall(&transport.Request{ID: 2})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.deliver(&transport.Response{ID: 1, Index: 7})
+	c.deliver(&transport.Response{ID: 9}) // nobody waits for it
+	if response := <-answered.responses; response == nil || response.Index != 7 {
+		t.Errorf("response %+v", response)
+	}
+	c.setDisconnected()
+	if response := <-open.responses; response != nil {
+		t.Errorf("a broken connection answered %+v", response)
+	}
+	if _, err := c.startCall(&transport.Request{ID: 3}); !errors.Is(err, errPeerNotConnected) {
+		t.Errorf("a call while disconnected: %v", err)
+	}
+}
+
+func TestCallWithAFullQueue(t *testing.T) {
+	c := newTestConnection(t)
+	for c.enqueue(&transport.Frame{}) {
+	}
+	if _, err := c.startCall(&transport.Request{ID: 1}); !errors.Is(err, errPeerNotConnected) {
+		t.Errorf("a call with a full queue: %v", err)
+	}
+	if len(c.pendingCalls) != 0 {
+		t.Error("the call still waits")
+	}
+}
--- /dev/null
+++ b/internal/controlplane/proposer_test.go
@@ -0,0 +1,183 @@
+package controlplane
+
+import (
+	"testing"
+	"time"
+
+	"lichentray/internal/apierror"
+	"lichentray/internal/transport"
+	"lichentray/raft"
+	"lichentray/registry"
+)
+
+// newTestProposer returns a proposer on a running loop without consensus or peers.
+func newTestProposer(t *testing.T) *proposer {
+	t.Helper()
+	env := newTestEnvironment(t)
+	return &proposer{
+		environment: env,
+		loop:        startTestLoop(env),
+		consensus:   &consensusView{env: env},
+		pending:     newPendingRequests(),
+	}
+}
+
+// scriptedCall is a leaderCall whose attempts are played from a script: each entry
+// is what the attempt finds.
+type scriptedCall struct {
+	self     string
+	attempts []scriptedAttempt
+	begun    int
+	finished []outcome
+}
+
+type scriptedAttempt struct {
+	isLocal bool
+	outcome *outcome // nil: none comes
+}
+
+func (c *scriptedCall) start(_ *loopState, done chan<- outcome) string {
+	attempt := c.attempts[min(c.begun, len(c.attempts)-1)]
+	c.begun++
+	if !attempt.isLocal {
+		return ""
+	}
+	if attempt.outcome != nil {
+		done <- *attempt.outcome
+	}
+	return c.self
+}
+
+func (c *scriptedCall) request(time.Duration) (*transport.Request, time.Duration) {
+	panic("nothing is forwarded")
+}
+
+func (c *scriptedCall) finishLocal(o outcome) bool {
+	c.finished = append(c.finished, o)
+	return o.err == nil
+}
+
+func (c *scriptedCall) finishForwarded(*transport.Response, bool, error) bool {
+	panic("nothing is forwarded")
+}
+
+func TestCallLeader(t *testing.T) {
+	success := &outcome{result: registry.Result{Revision: 7}}
+	rejected := &outcome{err: ErrNotLeader}
+	for _, c := range []struct {
+		name         string
+		attempts     []scriptedAttempt
+		timeout      time.Duration
+		isFinal      bool
+		wantFinished int
+		wantLastKind apierror.Kind
+	}{
+		{"first attempt succeeds", []scriptedAttempt{{true, success}}, time.Second, true, 1, 0},
+		{"a leader is found on the way", []scriptedAttempt{{}, {}, {true, success}}, time.Second, true, 1, 0},
+		{"leadership is lost and regained", []scriptedAttempt{{true, rejected}, {true, success}}, time.Second, true, 2, 0},
+		{"no time for a second attempt", []scriptedAttempt{{}}, 100 * time.Millisecond, false, 0, 0},
+		{"no outcome in time", []scriptedAttempt{{true, nil}}, 50 * time.Millisecond, false, 1, apierror.UnknownOutcome},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newTestProposer(t)
+			p.timing.TickInterval = time.Millisecond
+			call := &scriptedCall{self: p.self.Addr, attempts: c.attempts}
+			isFinal, err := p.callLeader(call, time.Now().Add(c.timeout))
+			if err != nil || isFinal != c.isFinal || len(call.finished) != c.wantFinished {
+				t.Fatalf("final %v, %v, outcomes %+v", isFinal, err, call.finished)
+			}
+			if c.wantLastKind != 0 {
+				if last := call.finished[len(call.finished)-1]; apierror.KindOf(last.err) != c.wantLastKind {
+					t.Errorf("last outcome %v", last.err)
+				}
+			}
+		})
+	}
+}
+
+// TestAwaitOutcomeOfADeposedLeader: a leader that is deposed waits an election time-out
+// longer for the next leader's log, not until the deadline.
+func TestAwaitOutcomeOfADeposedLeader(t *testing.T) {
+	p := newTestProposer(t)
+	leaderChanged := make(chan struct{})
+	close(leaderChanged)
+	o := p.awaitOutcome(make(chan outcome), leaderChanged, time.Now().Add(time.Hour))
+	if apierror.KindOf(o.err) != apierror.UnknownOutcome {
+		t.Errorf("outcome %v", o.err)
+	}
+}
+
+// TestForwardedProposal: which responses of a leader elsewhere are final, and which
+// leave it open whether the command is carried out.
+func TestForwardedProposal(t *testing.T) {
+	failed := func(kind apierror.Kind) *transport.Response {
+		return &transport.Response{Failed: true, Kind: kind, Detail: "detail"}
+	}
+	for _, c := range []struct {
+		name           string
+		response       *transport.Response
+		mayHaveArrived bool
+		err            error
+		isFinal        bool
+		mayBeApplied   bool
+		kind           apierror.Kind
+	}{
+		{"applied", &transport.Response{Result: registry.Result{Revision: 3}}, true, nil, true, false, 0},
+		{"rejected for good", failed(apierror.BadRequest), true, nil, true, false, apierror.BadRequest},
+		{"the leader does not lead any more", failed(apierror.Unavailable), true, nil, false, false, 0},
+		{"the leader does not know", failed(apierror.UnknownOutcome), true, nil, false, true, 0},
+		{"never sent", nil, false, errPeerNotConnected, false, false, 0},
+		{"sent, no response", nil, true, errPeerSilent, false, true, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			call := &proposalCall{proposer: newTestProposer(t)}
+			if isFinal := call.finishForwarded(c.response, c.mayHaveArrived, c.err); isFinal != c.isFinal {
+				t.Errorf("final %v", isFinal)
+			}
+			if call.mayBeApplied != c.mayBeApplied {
+				t.Errorf("may be applied %v", call.mayBeApplied)
+			}
+			if c.kind != 0 && apierror.KindOf(call.err) != c.kind {
+				t.Errorf("error %v", call.err)
+			}
+		})
+	}
+}
+
+func TestPendingRequests(t *testing.T) {
+	pending := newPendingRequests()
+	propose := func(index, term uint64) chan outcome {
+		done := make(chan outcome, 1)
+		pending.addProposal(index, term, done)
+		return done
+	}
+	own := propose(5, 2)
+	overwritten := propose(6, 2)
+	covered := propose(7, 2)
+	result := registry.Result{Revision: 9}
+	pending.resolveEntry(raft.Entry{Index: 5, Term: 2}, result)
+	if o := <-own; o.err != nil || o.result.Revision != 9 {
+		t.Errorf("an entry that was applied: %+v", o)
+	}
+	pending.resolveEntry(raft.Entry{Index: 6, Term: 3}, result)
+	if o := <-overwritten; apierror.KindOf(o.err) != apierror.Unavailable {
+		t.Errorf("an entry that another one replaced: %+v", o)
+	}
+	pending.abandonThrough(7)
+	if o := <-covered; apierror.KindOf(o.err) != apierror.UnknownOutcome {
+		t.Errorf("an entry that a snapshot covers: %+v", o)
+	}
+	if len(pending.proposals) != 0 {
+		t.Errorf("%d proposals are left", len(pending.proposals))
+	}
+
+	for _, isConfirmed := range []bool{true, false} {
+		done := make(chan outcome, 1)
+		id := pending.addRead(done)
+		pending.resolveRead(raft.ReadState{RequestID: id, Index: 4, Confirmed: isConfirmed})
+		o := <-done
+		if (o.err == nil) != isConfirmed || o.readIndex != 4 {
+			t.Errorf("a read, confirmed %v: %+v", isConfirmed, o)
+		}
+	}
+}
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -165,3 +165,30 @@
 		t.Errorf("another order for a version that was rolled back: %v", err)
 	}
 }
+
+// TestRolloutEvidence: evidence adds up for the newest order alone, and is dropped
+// once that has ended.
+func TestRolloutEvidence(t *testing.T) {
+	report := func(order uint64, answers int) map[string]transport.RolloutReport {
+		evidence := rollout.Evidence{"r": rollout.NewTargetCounts("e", rollout.Counts{Answers: answers})}
+		return map[string]transport.RolloutReport{"s": {Order: order, Evidence: evidence}}
+	}
+	state := newTestState(t)
+	c := newRolloutController(state.replicated.env)
+	c.state = state
+	for _, reported := range []map[string]transport.RolloutReport{report(1, 9), report(2, 3), report(1, 9), report(2, 4)} {
+		c.addEvidence(reported)
+	}
+	collect := func() transport.RolloutReport {
+		progress := map[string]transport.RolloutReport{"s": {Order: 2, Proxies: 3, Stage: 1, AtBase: 5}}
+		c.collectReports(nil, progress)
+		return progress["s"]
+	}
+	if got := collect(); got.Order != 2 || got.Evidence.TargetAnswers() != 7 || got.Proxies != 3 || got.Stage != 1 || got.AtBase != 5 {
+		t.Errorf("collected %+v", got)
+	}
+	putObject(state, registry.RolloutPrefix+"s", rollout.Rollout{Base: "v1", OrderNumber: 2, State: rollout.RolledBack}.Encode())
+	if got := collect(); got.Evidence != nil || len(c.evidence) != 0 {
+		t.Errorf("after the end %+v, %d kept", got, len(c.evidence))
+	}
+}
--- /dev/null
+++ b/internal/controlplane/state_test.go
@@ -0,0 +1,106 @@
+package controlplane
+
+import (
+	"math/rand"
+	"reflect"
+	"testing"
+	"time"
+
+	"lichentray/internal/apierror"
+	"lichentray/internal/settings"
+	"lichentray/registry"
+	"lichentray/rollout"
+)
+
+// newTestState returns an empty state with a tenth of a gigabyte for its cache.
+func newTestState(t *testing.T) *sharedState {
+	t.Helper()
+	env := newTestEnvironment(t)
+	env.settings = &settings.Settings{Limits: settings.Limits{MemoryMB: 100}}
+	env.timing.WatchWindow = time.Minute
+	return newSharedState(env)
+}
+
+// putObject applies an unconditional write, or a deletion if the value is nil.
+func putObject(s *sharedState, key string, value []byte) {
+	write := registry.Write{Key: key, Value: value, IsDelete: value == nil}
+	s.applyCommand(0, registry.Command{Txn: &registry.Txn{Then: []registry.Write{write}}})
+}
+
+// TestDecodedObjectsFollowTheStore: what is decoded event by event is what a state
+// taken whole decodes to.
+func TestDecodedObjectsFollowTheStore(t *testing.T) {
+	for seed := range int64(50) {
+		r := rand.New(rand.NewSource(seed))
+		s := newTestState(t)
+		for range 60 {
+			name := string(rune('a' + r.Intn(4)))
+			endpoint := registry.Endpoint{ID: name, Service: "s", Draining: r.Intn(2) == 0}
+			proxy := registry.Proxy{Name: name, Zone: "z", Weight: float64(r.Intn(9))}
+			versions := rollout.Rollout{Base: name, OrderNumber: uint64(r.Intn(9))}
+			key, value := endpoint.Key(), endpoint.Encode()
+			switch r.Intn(3) {
+			case 0:
+				key, value = proxy.Key(), proxy.Encode()
+			case 1:
+				key, value = registry.RolloutPrefix+name, versions.Encode()
+			}
+			if r.Intn(3) == 0 {
+				value = nil
+			}
+			putObject(s, key, value)
+		}
+		incremental := s.replicated
+		whole := replicatedState{env: incremental.env, store: incremental.store, decodedObjects: newDecodedObjects()}
+		whole.rebuild()
+		if !reflect.DeepEqual(whole.endpoints, incremental.endpoints) || !reflect.DeepEqual(whole.proxies, incremental.proxies) {
+			t.Fatalf("seed %d: endpoints %+v or proxies %+v differ from %+v and %+v", seed,
+				incremental.endpoints, incremental.proxies, whole.endpoints, whole.proxies)
+		}
+		if len(whole.rollouts) != len(incremental.rollouts) {
+			t.Fatalf("seed %d: %d roll-outs, want %d", seed, len(incremental.rollouts), len(whole.rollouts))
+		}
+		for key, record := range whole.rollouts {
+			if got := incremental.rollouts[key]; got == nil || got.Rollout != record.Rollout || got.revision != record.revision {
+				t.Fatalf("seed %d: roll-out %s is %+v, want %+v", seed, key, got, record)
+			}
+		}
+	}
+}
+
+// TestWatchedRevision: only a change of an object that proxies hold makes the list
+// encoded for them a new one.
+func TestWatchedRevision(t *testing.T) {
+	s := newTestState(t)
+	endpoint := registry.Endpoint{ID: "e", Service: "s"}
+	putObject(s, endpoint.Key(), endpoint.Encode())
+	watched := s.replicated.watchedRevision
+	if watched != s.revision() {
+		t.Errorf("after an endpoint: %d at revision %d", watched, s.revision())
+	}
+	proxy := registry.Proxy{Name: "p"}
+	putObject(s, proxy.Key(), proxy.Encode())
+	if got := s.replicated.watchedRevision; got != watched || s.revision() == watched {
+		t.Errorf("after a proxy: %d at revision %d", got, s.revision())
+	}
+}
+
+func TestWaitApplied(t *testing.T) {
+	s := newTestState(t)
+	if err := s.waitApplied(5, time.Millisecond); apierror.KindOf(err) != apierror.Unavailable {
+		t.Errorf("an index that is not reached: %v", err)
+	}
+	if len(s.applyWaiters) != 0 {
+		t.Errorf("%d waiters are left", len(s.applyWaiters))
+	}
+	applied := make(chan error, 1)
+	go func() { applied <- s.waitApplied(5, time.Minute) }()
+	s.advance(4)
+	s.advance(5)
+	if err := <-applied; err != nil {
+		t.Errorf("an index that is reached: %v", err)
+	}
+	if err := s.waitApplied(5, 0); err != nil {
+		t.Errorf("an index reached before: %v", err)
+	}
+}
