--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -70,6 +70,20 @@
 	retrySafe
 )
 
+// String names the class.
+func (c retryClass) String() string {
+	switch c {
+	case retryNever:
+		return "never"
+	case retryIdempotent:
+		return "idempotent"
+	case retrySafe:
+		return "safe"
+	default:
+		return fmt.Sprintf("retryClass(%d)", uint8(c))
+	}
+}
+
 // permits reports whether a request may be sent again.
 func (c retryClass) permits(isIdempotent bool) bool {
 	return c == retrySafe || c == retryIdempotent && isIdempotent
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -33,7 +33,7 @@
 func (p *Proxy) setRollout(s *service, r rollout.Rollout) {
 	previous := s.setRollout(r)
 	if r.State != previous && r.State != "" {
-		p.log.Info("roll-out", "service", s.name, "target", r.Target, "state", string(r.State))
+		p.log.Info("roll-out state changed", "service", s.name, "target", r.Target, "state", string(r.State))
 	}
 }
 
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"sync"
 	"time"
 
@@ -31,7 +32,7 @@
 	if c < classCount {
 		return responseClassLabels[c]
 	}
-	return "unknown"
+	return fmt.Sprintf("responseClass(%d)", uint8(c))
 }
 
 const (
