--- a/cmd/lichentrayctl/status.go
+++ b/cmd/lichentrayctl/status.go
@@ -13,13 +13,13 @@
 	"lichentray/internal/controlplane"
 )
 
-// statusReport is the state of the control plane as its nodes tell it.
+// statusReport is the state of the control plane as its nodes report it.
 type statusReport struct {
 	nodes       []controlplane.Status // by name
 	unreachable []unreachableNode
 }
 
-// unreachableNode is a node that did not tell its state.
+// unreachableNode is a node that did not report its state.
 type unreachableNode struct {
 	Address string `json:"control_plane"`
 	Error   string `json:"error"`
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -19,7 +19,7 @@
 	if _, err := config.Parse([]byte(sampleConfiguration)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ what, old, new, field string }{
+	for _, c := range []struct{ name, old, new, field string }{
 		{"cut short", `"max_connections":130}]}`, ``, ""},
 		{"more after the end", `"max_connections":130}]}`, `"max_connections":130}]} x`, ""},
 		{"unknown service", `"backend_service":"s1","timeout_s"`, `"backend_service":"nobody","timeout_s"`, "backend_service"},
@@ -33,16 +33,18 @@
 		{"no version", `"config_version":7,`, ``, "config_version"},
 		{"no routes list", `"listeners":[`, `"other":[`, "listeners"},
 	} {
-		text := strings.Replace(sampleConfiguration, c.old, c.new, 1)
-		if text == sampleConfiguration {
-			t.Fatalf("%s: the sample was not changed", c.what)
-		}
-		_, err := config.Parse([]byte(text))
-		if err == nil {
-			t.Errorf("%s was accepted", c.what)
-		} else if !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s: the error does not name %s: %v", c.what, c.field, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(sampleConfiguration, c.old, c.new, 1)
+			if text == sampleConfiguration {
+				t.Fatal("the sample was not changed")
+			}
+			_, err := config.Parse([]byte(text))
+			if err == nil {
+				t.Error("it was accepted")
+			} else if !strings.Contains(err.Error(), c.field) {
+				t.Errorf("the error does not name %s: %v", c.field, err)
+			}
+		})
 	}
 }
 
--- a/examples/endpoint/main.go
+++ b/examples/endpoint/main.go
@@ -1,5 +1,5 @@
 // Command endpoint is a stand-in server for trying lichentray out: it answers every
-// request, sends heartbeats to the control plane, and drains when it is told to end.
+// request, sends heartbeats to the control plane, and drains when a signal asks it to end.
 package main
 
 import (
--- a/examples/scale/hollowproxy.go
+++ b/examples/scale/hollowproxy.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// receive counts what a frame holds.
+// receive counts what a frame contains.
 func (p *hollowProxy) receive(frame *transport.Frame) error {
 	if answer := frame.Answer; answer != nil {
 		if answer.Failed {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -144,7 +144,8 @@
 	}
 }
 
-// announceCore tells a process that takes this relay for a core node where the core is.
+// announceCore sends the addresses of the core to a process that takes this relay for a
+// core node.
 func (r *relay) announceCore(raw net.Conn) {
 	defer raw.Close()
 	conn, _, err := transport.Accept(raw, r.timeouts.silence)
--- a/loadbalance/outlier.go
+++ b/loadbalance/outlier.go
@@ -41,35 +41,35 @@
 }
 
 // isActive reports whether the endpoint is excluded from ordinary choice.
-func (j *ejection) isActive(now time.Duration) bool { return j.state != inService && now < j.until }
+func (x *ejection) isActive(now time.Duration) bool { return x.state != inService && now < x.until }
 
-// canProbe reports whether one request may try whether the endpoint has recovered.
-func (j *ejection) canProbe(now time.Duration) bool { return j.state == ejected && now >= j.until }
+// canProbe reports whether one request may probe whether the endpoint has recovered.
+func (x *ejection) canProbe(now time.Duration) bool { return x.state == ejected && now >= x.until }
 
-func (j *ejection) beginProbe() { j.state = probing }
+func (x *ejection) beginProbe() { x.state = probing }
 
 // endProbe is called when any request to the endpoint ends, which says as much about
 // the endpoint as the probe does.
-func (j *ejection) endProbe() {
-	if j.state == probing {
-		j.state = ejected
+func (x *ejection) endProbe() {
+	if x.state == probing {
+		x.state = ejected
 	}
 }
 
 // recordFailure ejects the endpoint, or extends its ejection. A probe in flight
 // stays so.
-func (j *ejection) recordFailure(now, base, limit time.Duration) {
-	doublings := min(j.consecutiveFailures, maxEjectionDoublings)
-	j.consecutiveFailures++
-	j.until = now + min(base<<doublings, limit)
-	if j.state == inService {
-		j.state = ejected
+func (x *ejection) recordFailure(now, base, limit time.Duration) {
+	doublings := min(x.consecutiveFailures, maxEjectionDoublings)
+	x.consecutiveFailures++
+	x.until = now + min(base<<doublings, limit)
+	if x.state == inService {
+		x.state = ejected
 	}
 }
 
-func (j *ejection) clear() {
-	j.state = inService
-	j.consecutiveFailures = 0
+func (x *ejection) clear() {
+	x.state = inService
+	x.consecutiveFailures = 0
 }
 
 // maxEjectionDoublings bounds the growth of the ejection time.
@@ -78,8 +78,8 @@
 // IsEjected reports whether failures keep the endpoint from ordinary choice.
 func (e *Endpoint) IsEjected(now time.Duration) bool { return e.ejection.isActive(now) }
 
-// RecordFailure ejects an endpoint whose request failed. Finish does so for a request
-// that it is told has failed; call it for an answer that broke off after Finish.
+// RecordFailure ejects an endpoint whose request failed. Finish calls it for a failed
+// request; the caller does so for an answer that broke off after Finish.
 func (p *Pool) RecordFailure(now time.Duration, e *Endpoint) {
 	e.unreported.Bad++
 	e.ejection.recordFailure(now, p.cfg.BaseEjectionTime, p.cfg.MaxEjectionTime)
--- a/loadbalance/picker_test.go
+++ b/loadbalance/picker_test.go
@@ -18,9 +18,9 @@
 	return p
 }
 
-// The plain model knows which endpoints drain, and until when they are ejected. Pick
-// never chooses an endpoint that drains or was attempted, nor an ejected one while
-// another is free.
+// The plain model mirrors Pool.Pick and Pool.Finish: it knows which endpoints drain, and
+// until when they are ejected. Pick never chooses an endpoint that drains or was
+// attempted, nor an ejected one while another is free.
 func TestPickMatchesPlainModel(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	p := newTestPool(8)
--- a/loadbalance/quota.go
+++ b/loadbalance/quota.go
@@ -13,7 +13,7 @@
 	Rate     float64
 }
 
-// ApplyGrant takes a grant that holds until the given time. Grants for endpoints that
+// ApplyGrant takes a grant that is valid until the given time. Grants for endpoints that
 // the pool does not have are ignored.
 func (p *Pool) ApplyGrant(now time.Duration, g Grant, until time.Duration) {
 	if e := p.byID[g.Endpoint]; e != nil {
@@ -153,7 +153,7 @@
 			continue
 		}
 		// A larger share that was granted before counts until it has expired.
-		if held, found := holders[node]; found && held.rate > lease.rate {
+		if current, found := holders[node]; found && current.rate > lease.rate {
 			continue
 		}
 		holders[node] = lease
--- a/loadbalance/quota_test.go
+++ b/loadbalance/quota_test.go
@@ -10,8 +10,8 @@
 )
 
 // Nodes are partitioned, freeze or restart, the allocator is replaced, and grants arrive
-// late: in no second does an endpoint that warms up get more than its bound. The model
-// is the plain list of arrivals.
+// late: in no second does an endpoint that warms up get more than its bound. The plain
+// model mirrors QuotaAllocator.Allocate and Pool.ApplyGrant: it is the list of arrivals.
 func TestQuotaBoundsRequestsToWarmingEndpoint(t *testing.T) {
 	const leaseDuration = 4 * time.Second
 	for seed := int64(0); seed < 12; seed++ {
--- a/loadbalance/retrybudget.go
+++ b/loadbalance/retrybudget.go
@@ -1,6 +1,6 @@
 package loadbalance
 
-// RetryBudget is one node's share of a retry budget that holds for all nodes
+// RetryBudget is one node's share of a retry budget that limits all nodes
 // together.
 //
 // It is a token bucket: a request deposits ratio tokens, an extra attempt (a retry or
--- a/loadbalance/retrybudget_test.go
+++ b/loadbalance/retrybudget_test.go
@@ -9,7 +9,8 @@
 )
 
 // Whatever the nodes do, the extra attempts of all of them within any window stay
-// within ratio times the requests plus the slack.
+// within ratio times the requests plus the slack. The plain model mirrors
+// RetryBudget.TryWithdraw: it is the list of arrivals.
 func TestRetryBudgetHoldsInEveryWindowOverAllNodes(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 64.0
 	for seed := int64(0); seed < 12; seed++ {
--- a/routing/route.go
+++ b/routing/route.go
@@ -8,7 +8,7 @@
 
 // Route is one compiled route. It is not changed after Compile.
 type Route struct {
-	// Index is the place of the route in Table.Routes.
+	// Index is the index of the route in Table.Routes.
 	Index  int
 	Name   string
 	Prefix string // of the path
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -15,7 +15,8 @@
  {"name":"r2","route_type":"non_idempotent","target_latency_s":0.3,"priority":1,"match":{"path_prefix":"/x/y/"},"action":{"backend_service":"s1","timeout_s":2,"max_attempts":2}}]}],
 "clusters":[{"name":"s1","health_check_path":"/health","max_connections":130,"protocol":"h1","tls":false},{"name":"s2","health_check_path":"/health","max_connections":130}]}`
 
-// matchByPlainSearch is the route table as the protocol words it.
+// matchByPlainSearch is the plain model of Table.Match, as the protocol words it. It
+// returns the name of the route, or nothing.
 func matchByPlainSearch(c *config.Configuration, host, path string) string {
 	best, name := -1, ""
 	for _, l := range c.Listeners {
