--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -31,7 +31,7 @@
 }
 
 // NewDirectory returns a directory that answers from resolver and counts its answers in registry,
-// as resolves_total by outcome.
+// as directory_resolutions_total by outcome.
 func NewDirectory(resolver Resolver, registry *metrics.Registry) *Directory {
 	return &Directory{resolver: resolver, metrics: registry}
 }
@@ -49,7 +49,7 @@
 	if err != nil {
 		outcome = apierror.KindOf(err).String()
 	}
-	d.metrics.Counter("resolves_total", "answer", outcome).Inc()
+	d.metrics.Counter("directory_resolutions_total", "outcome", outcome).Inc()
 	if err != nil {
 		WriteError(ctx, err)
 		return
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -58,7 +58,7 @@
 	maxWait time.Duration
 }
 
-// NewHandler returns a handler that calls node and counts calls in registry, as calls_total by
+// NewHandler returns a handler that calls node and counts calls in registry, as api_calls_total by
 // call and outcome. A long poll waits for maxWait at most, whatever its caller asks for.
 func NewHandler(node Node, registry *metrics.Registry, maxWait time.Duration) *Handler {
 	return &Handler{node: node, metrics: registry, maxWait: maxWait}
@@ -72,7 +72,7 @@
 		outcome = apierror.KindOf(err).String()
 		WriteError(ctx, err)
 	}
-	h.metrics.Counter("calls_total", "call", label, "answer", outcome).Inc()
+	h.metrics.Counter("api_calls_total", "call", label, "outcome", outcome).Inc()
 	if err != nil && answer == nil {
 		return
 	}
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -59,9 +59,9 @@
 }
 
 func (m *nodeMetrics) auditBatches() *metrics.Counter {
-	return m.registry.Counter("account_batches_total")
+	return m.registry.Counter("audit_batches_total")
 }
 
 func (m *nodeMetrics) auditBatchesDeferred() *metrics.Counter {
-	return m.registry.Counter("account_batches_deferred_total")
+	return m.registry.Counter("audit_batches_deferred_total")
 }
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -63,9 +63,9 @@
 		settings:       set.Audit,
 		incarnation:    incarnation,
 		buffer:         audit.NewRecorder(incarnation, set.NodeName, set.Audit.MaxPendingRecords),
-		recordsNoted:   registry.Counter("account_noted_total"),
-		recordsHeld:    registry.Counter("account_held"),
-		recordsDropped: registry.Counter("account_dropped"),
+		recordsNoted:   registry.Counter("audit_records_total"),
+		recordsHeld:    registry.Counter("audit_records_pending"),
+		recordsDropped: registry.Counter("audit_records_dropped"),
 	}
 }
 
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -22,16 +22,16 @@
 func newCounters(r *metrics.Registry) counters {
 	return counters{
 		requests:             r.Counter("requests_total"),
-		rejections:           r.Counter("refused_total"),
+		rejections:           r.Counter("requests_rejected_total"),
 		retries:              r.Counter("retries_total"),
-		retryBudgetExhausted: r.Counter("retry_budget_refused_total"),
+		retryBudgetExhausted: r.Counter("retry_budget_exhausted_total"),
 		ejections:            r.Counter("ejections_total"),
-		invalidResponses:     r.Counter("endpoint_bad_answers_total"),
+		invalidResponses:     r.Counter("endpoint_invalid_responses_total"),
 		dialFailures:         r.Counter("endpoint_dial_failures_total"),
-		staleConnections:     r.Counter("endpoint_connections_forgotten_total"),
-		streamsLost:          r.Counter("stream_lost_total"),
-		lists:                r.Counter("stream_lists_total"),
-		watches:              r.Counter("stream_watches_total"),
+		staleConnections:     r.Counter("endpoint_stale_connections_total"),
+		streamsLost:          r.Counter("watch_streams_lost_total"),
+		lists:                r.Counter("watch_streams_listed_total"),
+		watches:              r.Counter("watch_streams_resumed_total"),
 		registryRevision:     r.Counter("registry_revision"),
 		configVersion:        r.Counter("config_version"),
 	}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -167,7 +167,7 @@
 // handleReadError answers a request that the server could not read.
 func (f *Frontend) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	status := readErrorStatus(err)
-	f.proxy.metrics.Counter("unreadable_total", "status", fasthttp.StatusMessage(status)).Inc()
+	f.proxy.metrics.Counter("requests_malformed_total", "status", fasthttp.StatusMessage(status)).Inc()
 	ctx.SetConnectionClose()
 	ctx.SetStatusCode(status)
 }
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -80,7 +80,7 @@
 func (p *Proxy) takeRolloutReport(s *service) (report transport.RolloutReport, isInProgress bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.metrics.Counter("endpoints_barred", "service", s.name).Set(int64(s.pool.ExcludedCount()))
+	p.metrics.Counter("endpoints_excluded", "service", s.name).Set(int64(s.pool.ExcludedCount()))
 	if s.rollout.State != rollout.InProgress {
 		return transport.RolloutReport{}, false
 	}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -69,7 +69,7 @@
 func newRouteStats(name string, registry *metrics.Registry) *routeStats {
 	s := &routeStats{name: name}
 	for class := range classCount {
-		s.responses[class] = registry.Counter("answers_total", "route", name, "answer", class.String())
+		s.responses[class] = registry.Counter("responses_total", "route", name, "outcome", class.String())
 	}
 	return s
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -84,10 +84,10 @@
 		locator:        discovery.NewLocator(set),
 		board:          board,
 		coreDiskless:   make(chan struct{}),
-		forwarded:      board.Counter("relayed_total"),
-		redirected:     board.Counter("relayed_by_redirect_total"),
-		unavailable:    board.Counter("relayed_without_target_total"),
-		outcomeUnknown: board.Counter("relayed_unclear_total"),
+		forwarded:      board.Counter("relay_forwarded_total"),
+		redirected:     board.Counter("relay_redirected_total"),
+		unavailable:    board.Counter("relay_unavailable_total"),
+		outcomeUnknown: board.Counter("relay_outcome_unknown_total"),
 	}
 }
 
