--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -43,53 +43,71 @@
 	}
 }
 
-func differences(path string, got, want reflect.Value) (out []string) {
+// differences lists what differs between two values. A difference is named by the path
+// that leads to it from the top.
+func differences(path string, got, want reflect.Value) []string {
 	if !got.IsValid() || !want.IsValid() || got.Type() != want.Type() {
 		return []string{fmt.Sprintf("%s: got %v, want %v", path, got, want)}
 	}
 	switch got.Kind() {
 	case reflect.Struct:
-		for i := range got.NumField() {
-			if f := got.Type().Field(i); f.IsExported() {
-				out = append(out, differences(path+"."+f.Name, got.Field(i), want.Field(i))...)
-			}
-		}
-		return out
+		return fieldDifferences(path, got, want)
 	case reflect.Pointer, reflect.Interface:
-		if got.IsNil() || want.IsNil() {
-			if got.IsNil() != want.IsNil() {
-				out = append(out, fmt.Sprintf("%s: got nil: %t, want nil: %t", path, got.IsNil(), want.IsNil()))
-			}
-			return out
-		}
-		return differences(path, got.Elem(), want.Elem())
+		return pointeeDifferences(path, got, want)
 	case reflect.Slice, reflect.Array:
-		if got.Len() != want.Len() {
-			return []string{fmt.Sprintf("%s: got %d items, want %d: got %v, want %v", path, got.Len(), want.Len(), got, want)}
-		}
-		if got.Type().Elem().Kind() == reflect.Uint8 {
-			if !reflect.DeepEqual(got.Interface(), want.Interface()) && got.Len() > 0 {
-				out = append(out, fmt.Sprintf("%s: got %q, want %q", path, got, want))
-			}
-			return out
-		}
-		for i := range got.Len() {
-			out = append(out, differences(fmt.Sprintf("%s[%d]", path, i), got.Index(i), want.Index(i))...)
-		}
-		return out
+		return itemDifferences(path, got, want)
 	case reflect.Map:
-		if got.Len() != want.Len() {
-			return []string{fmt.Sprintf("%s: got %d keys, want %d", path, got.Len(), want.Len())}
+		return keyDifferences(path, got, want)
+	}
+	if got.Interface() != want.Interface() {
+		return []string{fmt.Sprintf("%s: got %v, want %v", path, got, want)}
+	}
+	return nil
+}
+
+func fieldDifferences(path string, got, want reflect.Value) (found []string) {
+	for i := range got.NumField() {
+		if f := got.Type().Field(i); f.IsExported() {
+			found = append(found, differences(path+"."+f.Name, got.Field(i), want.Field(i))...)
 		}
-		for _, k := range want.MapKeys() {
-			out = append(out, differences(fmt.Sprintf("%s[%v]", path, k), got.MapIndex(k), want.MapIndex(k))...)
+	}
+	return found
+}
+
+func pointeeDifferences(path string, got, want reflect.Value) []string {
+	if !got.IsNil() && !want.IsNil() {
+		return differences(path, got.Elem(), want.Elem())
+	}
+	if got.IsNil() != want.IsNil() {
+		return []string{fmt.Sprintf("%s: got nil: %t, want nil: %t", path, got.IsNil(), want.IsNil())}
+	}
+	return nil
+}
+
+func itemDifferences(path string, got, want reflect.Value) (found []string) {
+	if got.Len() != want.Len() {
+		return []string{fmt.Sprintf("%s: got %d items, want %d: got %v, want %v", path, got.Len(), want.Len(), got, want)}
+	}
+	if got.Type().Elem().Kind() == reflect.Uint8 {
+		if got.Len() > 0 && !reflect.DeepEqual(got.Interface(), want.Interface()) {
+			return []string{fmt.Sprintf("%s: got %q, want %q", path, got, want)}
 		}
-		return out
+		return nil
 	}
-	if got.Interface() != want.Interface() {
-		out = append(out, fmt.Sprintf("%s: got %v, want %v", path, got, want))
+	for i := range got.Len() {
+		found = append(found, differences(fmt.Sprintf("%s[%d]", path, i), got.Index(i), want.Index(i))...)
 	}
-	return out
+	return found
+}
+
+func keyDifferences(path string, got, want reflect.Value) (found []string) {
+	if got.Len() != want.Len() {
+		return []string{fmt.Sprintf("%s: got %d keys, want %d", path, got.Len(), want.Len())}
+	}
+	for _, k := range want.MapKeys() {
+		found = append(found, differences(fmt.Sprintf("%s[%v]", path, k), got.MapIndex(k), want.MapIndex(k))...)
+	}
+	return found
 }
 
 // Complete reports every exported field, of all struct types that can be reached
@@ -97,18 +115,19 @@
 // that was added and is in no golden value is found by it.
 func Complete(t testing.TB, values ...any) {
 	t.Helper()
-	for _, name := range unset(values) {
+	for _, name := range unsetFields(values) {
 		t.Errorf("%s is zero in every golden value", name)
 	}
 }
 
-func unset(values []any) []string {
+// unsetFields lists the exported fields that are zero in all values.
+func unsetFields(values []any) []string {
 	fields := map[string]bool{} // by type and name; true if set somewhere
 	for _, v := range values {
-		reach(reflect.TypeOf(v), fields, map[reflect.Type]bool{})
+		collectFields(reflect.TypeOf(v), fields, map[reflect.Type]bool{})
 	}
 	for _, v := range values {
-		mark(reflect.ValueOf(v), fields)
+		markSetFields(reflect.ValueOf(v), fields)
 	}
 	var out []string
 	for name, set := range fields {
@@ -120,41 +139,43 @@
 	return out
 }
 
-func reach(typ reflect.Type, fields map[string]bool, seen map[reflect.Type]bool) {
+// collectFields adds the exported fields of all struct types that can be reached from typ.
+func collectFields(typ reflect.Type, fields map[string]bool, seen map[reflect.Type]bool) {
 	if seen[typ] {
 		return
 	}
 	seen[typ] = true
 	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		reach(typ.Elem(), fields, seen)
+		collectFields(typ.Elem(), fields, seen)
 	case reflect.Map:
-		reach(typ.Key(), fields, seen)
-		reach(typ.Elem(), fields, seen)
+		collectFields(typ.Key(), fields, seen)
+		collectFields(typ.Elem(), fields, seen)
 	case reflect.Struct:
 		for i := range typ.NumField() {
 			if f := typ.Field(i); f.IsExported() {
 				fields[typ.String()+"."+f.Name] = false
-				reach(f.Type, fields, seen)
+				collectFields(f.Type, fields, seen)
 			}
 		}
 	}
 }
 
-func mark(v reflect.Value, fields map[string]bool) {
+// markSetFields marks the fields that are not zero in v or in what v reaches.
+func markSetFields(v reflect.Value, fields map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			mark(v.Elem(), fields)
+			markSetFields(v.Elem(), fields)
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			mark(v.Index(i), fields)
+			markSetFields(v.Index(i), fields)
 		}
 	case reflect.Map:
 		for _, k := range v.MapKeys() {
-			mark(k, fields)
-			mark(v.MapIndex(k), fields)
+			markSetFields(k, fields)
+			markSetFields(v.MapIndex(k), fields)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
@@ -165,7 +186,7 @@
 			if !v.Field(i).IsZero() {
 				fields[v.Type().String()+"."+f.Name] = true
 			}
-			mark(v.Field(i), fields)
+			markSetFields(v.Field(i), fields)
 		}
 	}
 }
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -59,16 +59,16 @@
 }
 
 func TestUnset(t *testing.T) {
-	if got := unset([]any{full()}); got != nil {
+	if got := unsetFields([]any{full()}); got != nil {
 		t.Errorf("unset %q", got)
 	}
 	some := full()
 	some.Flag, some.List, some.Pointer = false, nil, nil
 	want := []string{"goldentest.inner.Bytes", "goldentest.outer.Flag", "goldentest.outer.List", "goldentest.outer.Pointer"}
-	if got := unset([]any{some}); !reflect.DeepEqual(got, want) {
+	if got := unsetFields([]any{some}); !reflect.DeepEqual(got, want) {
 		t.Errorf("unset %q, want %q", got, want)
 	}
-	if got := unset([]any{some, full()}); got != nil {
+	if got := unsetFields([]any{some, full()}); got != nil {
 		t.Errorf("unset in both %q", got)
 	}
 }
