--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -5,10 +5,10 @@
 //
 // Frontend accepts client connections and hands each request to Proxy.HandleRequest
 // (handle.go). That reads and checks the request and finds its route (request.go), and
-// forwards it: the service admits it (queue.go, rollout.go), an endpoint is picked
-// (service.go), attempted (attempt.go, on a connection of connpool.go and conn.go, whose
-// response response.go reads), and the outcome decided on by one table (retry.go), until
-// the response is relayed (relay.go) or the client gets an error.
+// forwards it (forwarding.go): the service admits it (queue.go, rollout.go), an endpoint is
+// picked (service.go) and attempted (attempt.go, on a connection of connpool.go and conn.go,
+// whose response response.go reads), and one table decides on the outcome (outcome.go,
+// retry.go), until the response is relayed (relay.go) or the client gets an error.
 //
 // # The way of a change
 //
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -41,6 +41,49 @@
 	wake chan struct{}
 }
 
+// endpointQueue has the requests of a service that wait for an endpoint, in the order of
+// their ranks and, within one rank, of their arrival. The service's lock protects it.
+type endpointQueue struct {
+	waiters []*waiter
+}
+
+// ahead is how many waiting requests a request of a rank would stand behind.
+func (q *endpointQueue) ahead(rank queueRank) int {
+	ahead := 0
+	for _, w := range q.waiters {
+		if !rank.before(w.rank) {
+			ahead++
+		}
+	}
+	return ahead
+}
+
+// push adds a request.
+func (q *endpointQueue) push(rank queueRank) *waiter {
+	w := &waiter{rank: rank, wake: make(chan struct{}, 1)}
+	at := sort.Search(len(q.waiters), func(i int) bool { return rank.before(q.waiters[i].rank) })
+	q.waiters = slices.Insert(q.waiters, at, w)
+	return w
+}
+
+// remove removes a request, wherever in the queue it is.
+func (q *endpointQueue) remove(w *waiter) {
+	if i := slices.Index(q.waiters, w); i >= 0 {
+		q.waiters = slices.Delete(q.waiters, i, i+1)
+	}
+}
+
+// wakeFirst wakes the first request, which then looks for an endpoint.
+func (q *endpointQueue) wakeFirst() {
+	if len(q.waiters) == 0 {
+		return
+	}
+	select {
+	case q.waiters[0].wake <- struct{}{}:
+	default: // it was woken already
+	}
+}
+
 // recordArrival counts a request of a client and returns its rank in the queue.
 func (s *service) recordArrival(client string, priority int) queueRank {
 	s.mu.Lock()
@@ -59,7 +102,7 @@
 func (s *service) acquireEndpoint(p *Proxy, rank queueRank, maxWait time.Duration, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, *connPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ahead := s.waitersAhead(rank)
+	ahead := s.queue.ahead(rank)
 	limit := 0
 	if ahead == 0 {
 		var e *loadbalance.Endpoint
@@ -70,10 +113,10 @@
 	if maxWait <= 0 || ahead > max(limit, minQueueLimit)/2 {
 		return nil, nil
 	}
-	w := s.enqueue(rank)
+	w := s.queue.push(rank)
 	e := s.awaitEndpoint(p, w, maxWait, skip)
-	s.dequeue(w)
-	s.wakeNext()
+	s.queue.remove(w)
+	s.queue.wakeFirst()
 	return e, s.connPools[e]
 }
 
@@ -96,42 +139,3 @@
 		}
 	}
 }
-
-// waitersAhead is how many requests in the queue a request of a rank would wait for. The
-// caller has the lock.
-func (s *service) waitersAhead(rank queueRank) int {
-	ahead := 0
-	for _, w := range s.waiters {
-		if !rank.before(w.rank) {
-			ahead++
-		}
-	}
-	return ahead
-}
-
-// enqueue adds a request to the queue, behind those of the same rank. The caller has the
-// lock.
-func (s *service) enqueue(rank queueRank) *waiter {
-	w := &waiter{rank: rank, wake: make(chan struct{}, 1)}
-	at := sort.Search(len(s.waiters), func(i int) bool { return rank.before(s.waiters[i].rank) })
-	s.waiters = slices.Insert(s.waiters, at, w)
-	return w
-}
-
-// dequeue removes a request from the queue. The caller has the lock.
-func (s *service) dequeue(w *waiter) {
-	if i := slices.Index(s.waiters, w); i >= 0 {
-		s.waiters = slices.Delete(s.waiters, i, i+1)
-	}
-}
-
-// wakeNext wakes the first in the queue. The caller has the lock.
-func (s *service) wakeNext() {
-	if len(s.waiters) == 0 {
-		return
-	}
-	select {
-	case s.waiters[0].wake <- struct{}{}:
-	default: // it was woken already
-	}
-}
--- a/internal/proxy/queue_test.go
+++ b/internal/proxy/queue_test.go
@@ -30,7 +30,7 @@
 		}()
 		for { // until it stands in the queue
 			s.mu.Lock()
-			n := len(s.waiters)
+			n := len(s.queue.waiters)
 			s.mu.Unlock()
 			if n == queued {
 				return
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -52,7 +52,7 @@
 		Target:      r.Target,
 		TargetShare: r.TrafficShare(),
 	})
-	s.wakeNext()
+	s.queue.wakeFirst()
 	return previous.State
 }
 
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -37,8 +37,7 @@
 	connPools   map[*loadbalance.Endpoint]*connPool
 	admission   *loadbalance.AdmissionLimiter
 	rollout     rolloutState
-	// waiters is the queue of requests that wait for an endpoint, in the order of ranks.
-	waiters []*waiter
+	queue       endpointQueue
 	// arrivals counts the requests since the last report, arrivalsByClient those of each
 	// client: in the queue, clients that ask often stand behind those that do not.
 	arrivals         int
@@ -197,15 +196,15 @@
 	return s.pool.Pick(now, rand.Float64, skip), limit
 }
 
-// releaseEndpoint ends a request at an endpoint and wakes the first in the queue. latency
-// is the request's latency over what is typical; 0 if it says nothing.
+// releaseEndpoint ends a request at an endpoint and wakes the first in the queue.
+// latencyRatio is the request's latency over what is typical; 0 if it says nothing.
 func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, isSuccess bool, latencyRatio float64) {
 	s.mu.Lock()
 	if conns := s.connPools[e]; conns != nil {
 		e.IdleConnections = conns.idleCount()
 	}
 	s.pool.Finish(p.now(), e, isSuccess, latencyRatio)
-	s.wakeNext()
+	s.queue.wakeFirst()
 	s.mu.Unlock()
 	if !isSuccess {
 		p.counters.ejections.Inc()
