--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -32,9 +32,7 @@
 
 // Heartbeat takes a heartbeat of an endpoint and registers the endpoint if it is new.
 // A heartbeat that is late, or of an endpoint that has deregistered, changes nothing.
-func (n *Node) Heartbeat(endpoint registry.Endpoint) error {
-	return n.health.heartbeat(endpoint, n.rollouts)
-}
+func (n *Node) Heartbeat(endpoint registry.Endpoint) error { return n.health.heartbeat(endpoint) }
 
 // Deregister removes an endpoint for good: its ID is not registered again.
 func (n *Node) Deregister(id string) error { return n.health.deregister(id) }
@@ -82,8 +80,8 @@
 // there was none yet.
 func (n *Node) Rollout(service string) (rollout.Rollout, error) { return n.rollouts.read(service) }
 
-// Resolve tells a client which proxy nodes to use for a host, and for how long the
-// answer holds. A node that has lost contact with the group answers from what it
+// Resolve selects the proxy nodes that a client uses for a host, and how long it may
+// keep the answer. A node that has lost contact with the group answers from what it
 // holds: proxies that were there a while ago are better than none.
 func (n *Node) Resolve(client, host, region, zone string) (addresses []string, ttl time.Duration, err error) {
 	return n.directory.resolve(client, host, region, zone)
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -20,8 +20,8 @@
 	metrics  *nodeMetrics
 	// startedAt is the origin of the node's clock.
 	startedAt time.Time
-	// incarnation is drawn at each start. It tells the reports of two lives of one
-	// node apart.
+	// incarnation is drawn at each start. It distinguishes the reports of a node before
+	// and after a restart.
 	incarnation uint64
 	// self is this node as a member of the group.
 	self raft.Member
--- a/internal/controlplane/event_loop_test.go
+++ b/internal/controlplane/event_loop_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestCallLoopOfAClosedNode: a call either ran and has its result, or is told that
-// it never will, wherever the end of the node finds it.
+// TestCallLoopOfAClosedNode: a call either ran and returns its result, or fails and
+// never runs, whenever the node is closed.
 func TestCallLoopOfAClosedNode(t *testing.T) {
 	env := newTestEnvironment(t)
 	loop := startTestLoop(env)
--- a/internal/controlplane/event_stream.go
+++ b/internal/controlplane/event_stream.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// sendFirstBookmark tells whom else to ask. It must not cover events that are still
-// to be sent.
+// sendFirstBookmark sends the addresses of the other nodes. It must not cover events
+// that are still to be sent.
 func (s *eventStream) sendFirstBookmark() (ok bool) {
 	bookmark := s.newBookmark(s.session.proxyName)
 	bookmark.Revision = s.after
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -25,6 +25,7 @@
 	peers     *peerPool
 	proposer  *proposer
 	consensus *consensusView
+	rollouts  *rolloutController
 
 	// What follows belongs to the event loop and is of use at the leader only.
 	lastSeen map[string]time.Duration // by endpoint ID
@@ -38,16 +39,6 @@
 	observations map[string]loadbalance.Observation
 }
 
-func newHealthMonitor(env *environment) *healthMonitor {
-	return &healthMonitor{
-		environment:  env,
-		lastSeen:     map[string]time.Duration{},
-		isChecking:   map[string]bool{},
-		heartbeats:   map[string]time.Duration{},
-		observations: map[string]loadbalance.Observation{},
-	}
-}
-
 // becomeLeader forgets what an earlier leadership knew, so that every endpoint has
 // its full time-out.
 func (h *healthMonitor) becomeLeader() {
@@ -115,8 +106,9 @@
 // recordReported takes the heartbeats that another node reports.
 func (h *healthMonitor) recordReported(_ *loopState, heartbeats []transport.Heartbeat) {
 	now := h.now()
-	for _, beat := range heartbeats {
-		h.recordSeen(beat.ID, now-time.Duration(beat.AgoMS)*time.Millisecond)
+	for _, heartbeat := range heartbeats {
+		age := time.Duration(heartbeat.AgoMS) * time.Millisecond
+		h.recordSeen(heartbeat.ID, now-age)
 	}
 }
 
@@ -132,7 +124,7 @@
 
 // checkLiveness begins a health check of every endpoint whose heartbeats stopped.
 // Only a leader that a majority still hears does, and only once it has led for long
-// enough to have heard from every endpoint that lives.
+// enough to have heard from every endpoint that is alive.
 func (h *healthMonitor) checkLiveness(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(h.timing.ElectionTimeout) || now-state.leaderSince < h.timing.EndpointTimeout {
 		return
@@ -170,7 +162,7 @@
 	path := h.healthCheckPath(endpoint.Service)
 	isHealthy := path != "" && isEndpointHealthy(h.ctx, endpoint, path, h.timing.ConnectionTimeout)
 	if h.ctx.Err() != nil {
-		return // the check was cut short and tells nothing
+		return // the check was cut short and proves nothing
 	}
 	h.metrics.healthChecks().Inc()
 	defer h.loop.post(func(*loopState) {
@@ -216,6 +208,8 @@
 	request.SetRequestURI("http://" + endpoint.Address + path)
 	request.Header.Set("X-Target-Instance", endpoint.ID)
 	request.SetConnectionClose()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // closes the connection
 	dialer := net.Dialer{Timeout: timeout}
 	client := fasthttp.HostClient{
 		Addr:                      endpoint.Address,
@@ -237,7 +231,7 @@
 }
 
 // heartbeat takes a heartbeat of an endpoint, see Node.Heartbeat.
-func (h *healthMonitor) heartbeat(endpoint registry.Endpoint, rollouts *rolloutController) error {
+func (h *healthMonitor) heartbeat(endpoint registry.Endpoint) error {
 	h.metrics.heartbeats.Inc()
 	departedKey := registry.DepartedPrefix + endpoint.ID
 	hasLostContact := h.consensus.sinceLastContact() > h.timing.ConnectionTimeout
@@ -253,7 +247,7 @@
 		if !isKnown {
 			txn := putIfUnchanged(endpoint.Key(), 0, endpoint.Encode())
 			txn.If = append(txn.If, registry.Compare{Key: departedKey})
-			rollouts.addBaseVersion(r, txn, endpoint)
+			h.rollouts.addBaseVersion(r, txn, endpoint)
 			return txn, nil
 		}
 		return updateEndpoint(object, endpoint, hasLostContact)
@@ -262,7 +256,7 @@
 }
 
 // updateEndpoint derives what a heartbeat changes of a registered endpoint. Most
-// heartbeats change nothing: they only show that the endpoint lives, of which the
+// heartbeats change nothing: they only show that the endpoint is alive, of which the
 // leader must hear, so a node that has lost contact rejects them.
 func updateEndpoint(object registry.Object, heartbeat registry.Endpoint, hasLostContact bool) (*registry.Txn, error) {
 	endpoint, err := registry.DecodeEndpoint(object)
--- a/internal/controlplane/log_writer.go
+++ b/internal/controlplane/log_writer.go
@@ -28,7 +28,7 @@
 	queue chan writeRequest
 	// send sends what must not leave before the write is durable.
 	send func([]raft.Message)
-	// reportPersisted tells consensus that the log is durable up to an entry.
+	// reportPersisted informs consensus that the log is durable up to an entry.
 	reportPersisted func(index, term uint64)
 }
 
--- a/internal/controlplane/log_writer_test.go
+++ b/internal/controlplane/log_writer_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestLogWriterDropsWritesOfAClosedNode: a write that the disk never took is
-// neither sent nor reported, and does not hold up the end of the node.
+// neither sent nor reported, and does not delay the end of the node.
 func TestLogWriterDropsWritesOfAClosedNode(t *testing.T) {
 	env := newTestEnvironment(t)
 	writer := newLogWriter(env, &fakeDisk{refusals: 1 << 30})
@@ -126,10 +126,10 @@
 	j := mergeWrites(writeRequest{entries: []raft.Entry{e(5, 1), e(6, 1), e(7, 1)}, hardState: &raft.HardState{Term: 1}},
 		writeRequest{entries: []raft.Entry{e(6, 2)}, hardState: &raft.HardState{Term: 2}})
 	if len(j.entries) != 2 || j.entries[1].Term != 2 || j.hardState.Term != 2 {
-		t.Errorf("a cut was lost in the merge: %+v", j.entries)
+		t.Errorf("a truncation was lost in the merge: %+v", j.entries)
 	}
 	j = mergeWrites(writeRequest{entries: []raft.Entry{e(5, 1), e(6, 1)}}, writeRequest{entries: []raft.Entry{e(3, 2)}})
 	if len(j.entries) != 1 || j.entries[0].Index != 3 {
-		t.Errorf("a cut below the batch was lost: %+v", j.entries)
+		t.Errorf("a truncation below the batch was lost: %+v", j.entries)
 	}
 }
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -12,8 +12,8 @@
 	"lichentray/raft/rafttest"
 )
 
-// TestNextMembershipAgainstModel compares the steps, taken to their end while nothing else
-// changes, with a slow plain model that tries every set of voters.
+// TestNextMembershipAgainstModel compares the changes, made until there is nothing left to
+// change, with a slow plain model that tries every set of voters.
 func TestNextMembershipAgainstModel(t *testing.T) {
 	for seed := range int64(20000) {
 		r := rand.New(rand.NewSource(seed))
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestWhatALeaveWaitsFor: a leaver goes once every voter that serves holds what was
-// committed, and a spare that can still catch up has its vote.
+// TestCanLeave: a member may leave once every voter that serves holds what was committed,
+// and a spare member that can still catch up has its vote.
 func TestCanLeave(t *testing.T) {
 	m := func(id uint64) raft.Member { return raft.Member{ID: id} }
 	three := raft.Membership{Voters: []raft.Member{m(1), m(2), m(3)}}
@@ -140,7 +140,7 @@
 			c.edit(of)
 		}
 		if got := canLeave(c.ms, 1, 3, faultTolerance{machines: 1}, 10, func(m raft.Member) memberHealth { return of[m.ID] }); got != c.want {
-			t.Errorf("%s: let go %v", c.name, got)
+			t.Errorf("%s: may leave %v", c.name, got)
 		}
 	}
 }
@@ -166,13 +166,13 @@
 	}
 }
 
-// simulatedCore is a simulated core whose leaders tend their members as a node does.
+// simulatedCore is a simulated group whose leaders adjust its membership as a node does.
 type simulatedCore struct {
 	*rafttest.Cluster
 	t                   *testing.T
 	seed                int64
 	planners            map[uint64]*membershipPlanner
-	addrs               map[uint64]string // addresses of the lives that run
+	addrs               map[uint64]string // addresses of the members that run
 	lastID              uint64
 	membershipCheckedAt time.Duration
 	lastCommand         uint64
@@ -198,7 +198,7 @@
 	return c
 }
 
-// startWithEmptyDisk starts a life with an empty disk.
+// startWithEmptyDisk starts a member with an empty disk at an address.
 func (c *simulatedCore) startWithEmptyDisk(addr string) uint64 {
 	c.lastID++
 	c.Add(c.lastID)
@@ -274,8 +274,8 @@
 	}
 }
 
-// shutDown is a process that is told to end: it asks until it is let go, and ends then,
-// or after some time.
+// shutDown ends a process gracefully: it asks to leave until it may, and ends then, or
+// after some time.
 func (c *simulatedCore) shutDown(id uint64) (letGo bool) {
 	for end := c.Now + 2*simCatchUpTime; c.Now < end && !letGo; {
 		if lead := c.Leader(); lead != nil && lead.ID == id {
@@ -301,10 +301,10 @@
 	}
 }
 
-// TestSecondLoss: over many seeds a machine of a core is lost, comes back as it was,
-// with an empty disk or as another machine, and the next one is lost as soon as the
-// tolerance allows; each time changes are soon acknowledged again, and none that was
-// acknowledged is forgotten.
+// TestSecondLossAfterRepair: over many seeds a machine of a group is lost, comes back as
+// it was, with an empty disk or as another machine, and the next one is lost as soon as
+// the tolerance allows; each time commands are soon acknowledged again, and none that was
+// acknowledged is lost.
 func TestSecondLossAfterRepair(t *testing.T) {
 	for seed := range int64(16) {
 		c := newSimulatedCore(t, seed, 3+int(seed%4))
@@ -348,7 +348,7 @@
 		c.runFor(simDeadMemberTimeout)
 		for _, x := range c.acknowledged {
 			if !c.Leader().StateMachine.(commandSet)[x] {
-				t.Fatalf("seed %d: %d was acknowledged and is forgotten", seed, x)
+				t.Fatalf("seed %d: %d was acknowledged and is lost", seed, x)
 			}
 		}
 		if c.Violation != "" {
@@ -357,9 +357,9 @@
 	}
 }
 
-// TestLossRightAfterALeave: of a core with a machine to spare one is told to end and,
-// as soon as its process has ended, another one is lost. With its disk it returns into
-// full strength; without a spare machine it is let go all the same.
+// TestLossRightAfterLeave: of a group with a machine to spare one shuts down and, as soon
+// as its process has ended, another one is lost. Once they return with their disks the
+// group is complete; without a spare machine the one may leave all the same.
 func TestLossRightAfterLeave(t *testing.T) {
 	for seed := range int64(24) {
 		n := 3 + int(seed%4)
@@ -367,7 +367,7 @@
 		id := c.anyRunning(0)
 		commit, changed := c.Leader().Raft.CommitIndex(), c.Leader().Raft.MembershipIndex()
 		if !c.shutDown(id) {
-			t.Fatalf("seed %d: one of %d is not let go", seed, n)
+			t.Fatalf("seed %d: one of %d may not leave", seed, n)
 		}
 		for _, m := range c.Leader().Raft.Membership().Voters {
 			if m.ID != id && c.Nodes[m.ID].Raft.StableIndex() < commit {
@@ -391,9 +391,9 @@
 	}
 }
 
-// TestHangingDisk: a voter whose disk hangs is heard and of no use, so the one that
-// stands by votes in its stead before a further one is lost; and one that stands by
-// with a hanging disk, a few entries behind, gets no vote.
+// TestVoterWithHangingDiskIsReplaced: a voter whose disk hangs is heard but of no use, so
+// the learner votes in its place before a further voter is lost; and a learner with
+// a hanging disk, a few entries behind, gets no vote.
 func TestVoterWithHangingDiskIsReplaced(t *testing.T) {
 	for seed := range int64(16) {
 		c := newSimulatedCore(t, seed, 4)
@@ -416,60 +416,60 @@
 	}
 }
 
-// TestLifeAfterAnElection: a leader that has just been elected has heard of both lives
-// plannerOf an address alike, and does not take the new one for the old.
+// TestReplacementIsKeptAfterElection: a leader that has just been elected has heard of
+// both incarnations at an address alike, and does not take the new one for the old.
 func TestReplacementIsKeptAfterElection(t *testing.T) {
 	c := newSimulatedCore(t, 1, 3)
 	c.Crash(1)
 	c.requireProgress(10*simElectionTimeout, "the loss")
-	life := c.startWithEmptyDisk("node-1")
-	for end := c.Now + simElectionTimeout; c.Now < end && !c.Leader().Raft.Membership().IsMember(life); {
+	replacement := c.startWithEmptyDisk("node-1")
+	for end := c.Now + simElectionTimeout; c.Now < end && !c.Leader().Raft.Membership().IsMember(replacement); {
 		c.runFor(c.StepInterval)
 	}
 	old := c.Leader()
 	for _, id := range c.IDs() {
-		c.SetLinkCut(life, id, true)
+		c.SetLinkCut(replacement, id, true)
 	}
 	old.Raft.TransferLeadership()
 	c.Run(simElectionTimeout)
 	if c.Leader() == nil || c.Leader() == old {
-		t.Fatal("leadership was not handed on")
+		t.Fatal("leadership was not transferred")
 	}
 	c.runFor(3 * simElectionTimeout)
-	if !c.Leader().Raft.Membership().IsMember(life) {
-		t.Error("the new life was given up for the old one")
+	if !c.Leader().Raft.Membership().IsMember(replacement) {
+		t.Error("the new incarnation was removed in place of the old one")
 	}
 	c.Heal()
 	c.runFor(simDeadMemberTimeout)
-	if ms := c.Leader().Raft.Membership(); ms.IsMember(1) || !ms.IsVoter(life) {
-		t.Errorf("the new life does not take the old one's place: %+v", ms)
+	if ms := c.Leader().Raft.Membership(); ms.IsMember(1) || !ms.IsVoter(replacement) {
+		t.Errorf("the new incarnation does not replace the old one: %+v", ms)
 	}
 }
 
-// TestDutiesOfANewLeader: the only voter of a core wins its election within a tick,
-// and its duties may be due in the same one, as after a slow start.
+// TestPeriodicTasksOfNewLeader: the only voter of a group wins its election within a tick,
+// and its periodic tasks may be due in the same one, as after a slow start.
 func TestPeriodicTasksOfNewLeader(t *testing.T) {
-	l := newTestCluster(t, 1, nil).nodes[0]
-	eventually(t, "it leads", func() bool { return l.Status().Role == raft.Leader.String() })
+	node := newTestCluster(t, 1, nil).nodes[0]
+	eventually(t, "it leads", func() bool { return node.Status().Role == raft.Leader.String() })
 	done := make(chan bool)
-	l.loop.post(func(state *loopState) {
+	node.loop.post(func(state *loopState) {
 		state.role, state.periodicTasksAt = raft.Follower, -time.Hour
-		l.health.outliers, l.quotas.allocator = nil, nil
-		l.runPeriodicTasks(state)
+		node.health.outliers, node.quotas.allocator = nil, nil
+		node.runPeriodicTasks(state)
 		close(done)
 	})
 	<-done
 }
 
-// TestLeaveAndRejoin drives real nodes: one of four is told to end, a second one is
-// lost at once, the first returns and has its vote; the lost one is away until it is
-// no member any more, and by its disk, on which it votes, finds back in.
+// TestLeaveAndRejoin drives real nodes: one of four shuts down, a second one is lost at
+// once, the first returns and votes; the lost one stays away until it is no member any
+// more, and rejoins with its disk, on which it is a voter.
 func TestLeaveAndRejoin(t *testing.T) {
-	g := newTestCluster(t, 4, func(s *settings.Settings) {
+	cluster := newTestCluster(t, 4, func(s *settings.Settings) {
 		s.Bounds.Recovery, s.Bounds.CatchUp = 1, 1
 	})
 	voters := func(without string) (n, members int) {
-		x := g.leader()
+		x := cluster.leader()
 		if x == nil {
 			return 0, 0
 		}
@@ -483,32 +483,32 @@
 		}
 		return n, members
 	}
-	eventually(t, "three vote and one stands by", func() bool { n, all := voters(""); return n == 3 && all == 4 })
+	eventually(t, "three vote and one is a learner", func() bool { n, all := voters(""); return n == 3 && all == 4 })
 	first := 0
-	for i, l := range g.nodes {
+	for i, l := range cluster.nodes {
 		if s := l.Status(); s.Role != raft.Leader.String() && l.loop != nil && i < 3 {
 			first = i
 		}
 	}
-	id := formatMemberID(g.nodes[first].self.ID)
-	g.nodes[first].PrepareShutdown(30 * time.Second)
+	id := formatMemberID(cluster.nodes[first].self.ID)
+	cluster.nodes[first].PrepareShutdown(30 * time.Second)
 	if n, _ := voters(id); n != 3 {
 		t.Errorf("%d voters beside the one that leaves", n)
 	}
-	g.nodes[first].Close()
+	cluster.nodes[first].Close()
 	lost := (first + 1) % 3
-	g.nodes[lost].Close()
+	cluster.nodes[lost].Close()
 	eventually(t, "a change is taken", func() bool {
-		return g.nodes[3].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil
+		return cluster.nodes[3].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil
 	})
-	g.start(first, false)
-	away := formatMemberID(g.nodes[lost].self.ID)
+	cluster.start(first, false)
+	away := formatMemberID(cluster.nodes[lost].self.ID)
 	eventually(t, "it votes in place of the lost one, which is no member any more", func() bool {
 		n, all := voters("")
 		others, _ := voters(away)
 		return n == 3 && all == 3 && others == 3
 	})
-	g.start(lost, false)
+	cluster.start(lost, false)
 	eventually(t, "the lost one is a member again", func() bool { _, all := voters(""); return all == 4 })
-	eventually(t, "and follows", func() bool { return g.nodes[lost].ReadIndex() == nil })
+	eventually(t, "and follows", func() bool { return cluster.nodes[lost].ReadIndex() == nil })
 }
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -140,8 +140,8 @@
 	})
 }
 
-// changeLeader follows a change of role or leader. Who waits for the old leader's
-// response waits in vain and is told.
+// changeLeader follows a change of role or leader, and notifies the callers that wait
+// for a response of the old leader.
 func (n *Node) changeLeader(state *loopState, role raft.Role, leaderID uint64) {
 	close(state.leaderChanged)
 	state.leaderChanged = make(chan struct{})
@@ -172,7 +172,7 @@
 	n.logger.Info("leading", "term", state.raft.Term())
 }
 
-// applyEntry carries out a committed entry and tells its proposer, if it is here.
+// applyEntry carries out a committed entry and notifies its proposer, if it is here.
 func (n *Node) applyEntry(state *loopState, entry raft.Entry) {
 	var result registry.Result
 	switch {
--- a/internal/controlplane/peer_connection.go
+++ b/internal/controlplane/peer_connection.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// dial makes one attempt. wasInterrupted tells that it was given up because the peer
+// dial makes one attempt. wasInterrupted reports that it was given up because the peer
 // has connected here meanwhile.
 func (c *peerConnection) dial() (conn *transport.Conn, wasInterrupted bool, err error) {
 	ctx, cancel := context.WithCancel(c.ctx)
--- a/internal/controlplane/peer_connection_test.go
+++ b/internal/controlplane/peer_connection_test.go
@@ -31,7 +31,7 @@
 			t.Error("a request that is awaited is not sent")
 		}
 		if mayHaveBeenSent := c.abandonCall(1, call); mayHaveBeenSent != leavesFirst {
-			t.Errorf("sent %v, told %v", leavesFirst, mayHaveBeenSent)
+			t.Errorf("sent %v, reported %v", leavesFirst, mayHaveBeenSent)
 		}
 		if c.claimForSending(frame) {
 			t.Error("a request that nobody awaits is sent")
--- a/internal/controlplane/peer_pool.go
+++ b/internal/controlplane/peer_pool.go
@@ -211,7 +211,7 @@
 )
 
 // call sends a request to a peer and waits for the response, until another node
-// leads or the time-out passes. With an error, mayHaveArrived tells whether the peer
+// leads or the time-out passes. With an error, mayHaveArrived reports whether the peer
 // may have got the request; if not, it never will.
 func (p *peerPool) call(target callTarget, request *transport.Request, timeout time.Duration) (response *transport.Response, mayHaveArrived bool, err error) {
 	request.ID = p.lastCallID.Add(1)
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -15,8 +15,8 @@
 var ErrNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
 
 // proposer puts commands and linearizable reads through the leader, whichever node
-// that is, and tells callers the outcome. Its exported operations may be called
-// from any goroutine but the event loop.
+// that is, and returns the outcome to callers. Operations that wait may be
+// called from any goroutine but the event loop.
 type proposer struct {
 	*environment
 	loop      *eventLoop
@@ -59,7 +59,7 @@
 	// finishLocal takes the outcome at this node and reports whether it is final.
 	finishLocal(o outcome) (isFinal bool)
 	// finishForwarded takes the response of a leader elsewhere. With an error there is
-	// none, and mayHaveArrived tells whether the leader may have got the request.
+	// none, and mayHaveArrived reports whether the leader may have got the request.
 	finishForwarded(response *transport.Response, mayHaveArrived bool, err error) (isFinal bool)
 }
 
@@ -355,7 +355,7 @@
 	return p.lastReadID
 }
 
-// resolveEntry tells the proposer of an entry, if it is here, what the entry gave.
+// resolveEntry returns the result of an entry to its proposer, if it is here.
 func (p *pendingRequests) resolveEntry(entry raft.Entry, result registry.Result) {
 	proposal, isPending := p.proposals[entry.Index]
 	if !isPending {
@@ -370,7 +370,8 @@
 	proposal.done <- outcome{result: result}
 }
 
-// resolveRead tells a reader its read index, or that this node lost its leadership.
+// resolveRead returns its read index to a reader, or ErrNotLeader if this node lost its
+// leadership.
 func (p *pendingRequests) resolveRead(read raft.ReadState) {
 	done, isPending := p.reads[read.RequestID]
 	if !isPending {
--- a/internal/controlplane/proxy_directory.go
+++ b/internal/controlplane/proxy_directory.go
@@ -12,7 +12,7 @@
 // maxResolvedAddresses bounds the addresses in an answer of the directory.
 const maxResolvedAddresses = 64
 
-// proxyDirectory tells clients which proxy nodes to use. Proxies register through
+// proxyDirectory selects the proxy nodes that clients use. Proxies register through
 // their reports; the leader removes those whose lease has run out.
 type proxyDirectory struct {
 	*environment
--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -30,9 +30,11 @@
 	evidence rolloutEvidence
 }
 
-func newRolloutController(env *environment) *rolloutController {
+func newRolloutController(env *environment, state *sharedState, proposer *proposer) *rolloutController {
 	return &rolloutController{
 		environment: env,
+		state:       state,
+		proposer:    proposer,
 		inProgress:  map[string]*rolloutProgress{},
 		evidence:    rolloutEvidence{},
 	}
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -15,8 +15,8 @@
 	"lichentray/watchcache"
 )
 
-// reportAsProxy follows some node of a group and reports what a version under trial does
-// there: nothing but failures if bad.
+// reportAsProxy watches at some node of a group and reports the answers of the target
+// version of a roll-out: nothing but failures if bad.
 func reportAsProxy(ctx context.Context, nodes []string, bad *atomic.Bool) {
 	m := watchcache.NewMirror()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -65,51 +65,51 @@
 	}
 }
 
-// TestGauge: where proxies of several nodes stand together; a node that nobody
-// follows any more holds nothing up.
+// TestMergeRolloutProgress: how far the proxies of several nodes are together. A node
+// that no proxy watches any more delays nothing.
 func TestMergeRolloutProgress(t *testing.T) {
 	to := map[string]transport.RolloutReport{}
 	for _, n := range []transport.RolloutReport{{Order: 1, Proxies: 1, Stage: 3, AtBase: 9}, {Order: 2, Proxies: 2, Stage: 3}, {Order: 2, Stage: 0}, {Order: 2, Proxies: 1, Stage: 2, AtBase: 4}, {Order: 1, Proxies: 1}} {
 		mergeRolloutProgress(to, map[string]transport.RolloutReport{"s": n})
 	}
 	if x := to["s"]; x.Order != 2 || x.Proxies != 3 || x.Stage != 2 || x.AtBase != 4 {
-		t.Errorf("they stand at %+v", x)
+		t.Errorf("merged to %+v", x)
 	}
 }
 
-// TestRolloutSucceedsAndRollsBack drives three nodes through orders that are bad input, one that ends in
-// success although its leader is lost on the way, one that is rolled back, and the
-// loss of all processes after that.
+// TestRolloutSucceedsAndRollsBack drives three nodes through orders that are invalid, one
+// that succeeds although the leader fails meanwhile, one that is rolled back, and the
+// failure of all processes after that.
 func TestRolloutSucceedsAndRollsBack(t *testing.T) {
-	g := newTestCluster(t, 3, func(s *settings.Settings) {
+	cluster := newTestCluster(t, 3, func(s *settings.Settings) {
 		s.Guarantees = []string{"rollout"}
 		s.Bounds.ConfigApply, s.Bounds.DrainApply = 1, 1
 	})
-	l := g.nodes
-	eventually(t, "a configuration is taken", func() bool { return l[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
-	if _, err := l[0].Rollout("s"); apierror.KindOf(err) != apierror.NotFound {
+	nodes := cluster.nodes
+	eventually(t, "a configuration is taken", func() bool { return nodes[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
+	if _, err := nodes[0].Rollout("s"); apierror.KindOf(err) != apierror.NotFound {
 		t.Errorf("reading before any order: %v", err)
 	}
-	if err := l[0].BeginRollout("other", "v2", time.Minute); apierror.KindOf(err) != apierror.BadRequest {
+	if err := nodes[0].BeginRollout("other", "v2", time.Minute); apierror.KindOf(err) != apierror.BadRequest {
 		t.Errorf("a service that is not known: %v", err)
 	}
-	if err := l[0].BeginRollout("s", "v2", time.Minute); apierror.KindOf(err) != apierror.Conflict {
+	if err := nodes[0].BeginRollout("s", "v2", time.Minute); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("a service without an endpoint: %v", err)
 	}
 	for id := range 6 {
 		for v, kind := range []string{"old", "new"} {
 			e := registry.Endpoint{ID: fmt.Sprint(kind, "-", id), Service: "s", Version: fmt.Sprint("v", v+1), Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
-			eventually(t, "a beat is taken", func() bool { return l[id%3].Heartbeat(e) == nil })
+			eventually(t, "a heartbeat is acknowledged", func() bool { return nodes[id%3].Heartbeat(e) == nil })
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var bad atomic.Bool
-	var nodes []string
-	for _, x := range l {
-		nodes = append(nodes, x.self.Addr)
+	var addrs []string
+	for _, node := range nodes {
+		addrs = append(addrs, node.self.Addr)
 	}
-	go reportAsProxy(ctx, nodes, &bad)
+	go reportAsProxy(ctx, addrs, &bad)
 	read := func(at *Node) (r rollout.Rollout) {
 		eventually(t, "the roll-out is read", func() bool {
 			var err error
@@ -121,47 +121,47 @@
 	begin := func(at *Node, target string, d time.Duration) {
 		eventually(t, "the order is acknowledged", func() bool { return at.BeginRollout("s", target, d) == nil })
 	}
-	begin(l[1], "v2", 14*time.Second)
-	begin(l[2], "v2", 14*time.Second) // once more, to another node
-	if err := l[0].BeginRollout("s", "v3", time.Minute); apierror.KindOf(err) != apierror.Conflict {
+	begin(nodes[1], "v2", 14*time.Second)
+	begin(nodes[2], "v2", 14*time.Second) // once more, to another node
+	if err := nodes[0].BeginRollout("s", "v3", time.Minute); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("another version while one is under way: %v", err)
 	}
-	if r := read(l[0]); r.State != rollout.InProgress || r.Base != "v1" || r.OrderNumber != 1 {
+	if r := read(nodes[0]); r.State != rollout.InProgress || r.Base != "v1" || r.OrderNumber != 1 {
 		t.Errorf("begun: %+v", r)
 	}
-	// The leader is lost and comes back; whoever follows goes on.
+	// The leader fails and restarts; the next one continues.
 	lost := 0
 	eventually(t, "a leader", func() bool {
-		for i := range l {
-			if g.leader() == l[i] {
+		for i := range nodes {
+			if cluster.leader() == nodes[i] {
 				lost = i
 				return true
 			}
 		}
 		return false
 	})
-	l[lost].Close()
-	g.start(lost, false)
-	eventually(t, "the good version has succeeded", func() bool { return read(l[(lost+1)%3]).State != rollout.InProgress })
-	if r := read(l[lost]); r.State != rollout.Succeeded || r.Base != "v2" || r.OrderNumber != 1 {
+	nodes[lost].Close()
+	cluster.start(lost, false)
+	eventually(t, "the good version has succeeded", func() bool { return read(nodes[(lost+1)%3]).State != rollout.InProgress })
+	if r := read(nodes[lost]); r.State != rollout.Succeeded || r.Base != "v2" || r.OrderNumber != 1 {
 		t.Fatalf("ended: %+v", r)
 	}
 	bad.Store(true)
-	begin(l[0], "v3", time.Minute)
-	eventually(t, "the bad version is rolled back", func() bool { return read(l[1]).State != rollout.InProgress })
-	for i := range l {
-		l[i].Close()
+	begin(nodes[0], "v3", time.Minute)
+	eventually(t, "the bad version is rolled back", func() bool { return read(nodes[1]).State != rollout.InProgress })
+	for i := range nodes {
+		nodes[i].Close()
 	}
-	for i := range l {
-		g.start(i, false)
+	for i := range nodes {
+		cluster.start(i, false)
 	}
-	if r := read(l[2]); r.State != rollout.RolledBack || r.Base != "v2" || r.Target != "v3" || r.OrderNumber != 2 || r.Reason == "" {
+	if r := read(nodes[2]); r.State != rollout.RolledBack || r.Base != "v2" || r.Target != "v3" || r.OrderNumber != 2 || r.Reason == "" {
 		t.Errorf("after the restart: %+v", r)
 	}
-	if err := l[0].BeginRollout("s", "v3", time.Minute); err != nil || read(l[0]).State != rollout.RolledBack {
-		t.Errorf("the order again after its roll-back: %v, %+v", err, read(l[0]))
+	if err := nodes[0].BeginRollout("s", "v3", time.Minute); err != nil || read(nodes[0]).State != rollout.RolledBack {
+		t.Errorf("the order again after its roll-back: %v, %+v", err, read(nodes[0]))
 	}
-	if err := l[0].BeginRollout("s", "v3", time.Hour); apierror.KindOf(err) != apierror.Conflict {
+	if err := nodes[0].BeginRollout("s", "v3", time.Hour); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("another order for a version that was rolled back: %v", err)
 	}
 }
@@ -174,8 +174,7 @@
 		return map[string]transport.RolloutReport{"s": {Order: order, Evidence: evidence}}
 	}
 	state := newTestState(t)
-	c := newRolloutController(state.replicated.env)
-	c.state = state
+	c := newRolloutController(state.replicated.env, state, nil)
 	for _, reported := range []map[string]transport.RolloutReport{report(1, 9), report(2, 3), report(1, 9), report(2, 4)} {
 		c.addEvidence(reported)
 	}
--- a/internal/controlplane/shared_encodings.go
+++ b/internal/controlplane/shared_encodings.go
@@ -46,7 +46,7 @@
 	data []byte
 }
 
-// eventRange tells the frames of one watch cache apart.
+// eventRange identifies a frame of the watch cache.
 type eventRange struct {
 	first, last uint64 // revisions
 	count       int
--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/snapshot_test.go
@@ -14,7 +14,7 @@
 	"lichentray/registry"
 )
 
-// throttledLink is a link of so many bytes a second that several connections share.
+// throttledLink is a link of limited bandwidth that several connections share.
 type throttledLink struct {
 	mu             sync.Mutex
 	bytesPerSecond int
@@ -47,18 +47,18 @@
 	return n, err
 }
 
-// TestSnapshotOverANarrowLink: a new member gets a state that takes longer than the
-// connections' time-out, over a link that carries nothing else, while changes go on,
-// the first of them of a megabyte: that follows the snapshot at once.
-// The member is the core of consensus alone; the leader and the wire are whole.
+// TestSnapshotOverNarrowLink: a new member receives a state that takes longer than the
+// connections' time-out, over a link that carries nothing else, while commands go on,
+// the first of them of a megabyte, which follows the snapshot at once. The member is
+// consensus alone; the leader and the transport are complete.
 func TestSnapshotOverNarrowLink(t *testing.T) {
-	g := newTestCluster(t, 1, nil)
-	l := g.nodes[0]
+	cluster := newTestCluster(t, 1, nil)
+	node := cluster.nodes[0]
 	r := rand.New(rand.NewSource(1))
 	put := func(key string, size int) (err error) {
 		value := make([]byte, size)
 		r.Read(value)
-		_, err = l.Propose(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key, Value: value}}}})
+		_, err = node.Propose(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: key, Value: value}}}})
 		return err
 	}
 	const state = 3 << 20
@@ -68,7 +68,7 @@
 			return false // a disk that others use as well may be late
 		}
 		first := make(chan int, 1)
-		l.loop.post(func(state *loopState) { first <- state.raft.CompactableEntries() })
+		node.loop.post(func(state *loopState) { first <- state.raft.CompactableEntries() })
 		return <-first < 3
 	})
 
@@ -102,7 +102,7 @@
 		}
 	}()
 	self := raft.Member{ID: 1<<63 | 5, Addr: addr}
-	out, err := transport.Dial(t.Context(), l.self.Addr, 5*time.Second, transport.Hello{Role: transport.RolePeer, Node: "late", ID: self.ID, Addr: addr})
+	out, err := transport.Dial(t.Context(), node.self.Addr, 5*time.Second, transport.Hello{Role: transport.RolePeer, Node: "late", ID: self.ID, Addr: addr})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,10 +111,10 @@
 		t.Fatal(err)
 	}
 
-	n := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: l.timing.HeartbeatInterval, ElectionTimeout: l.timing.ElectionTimeout, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
+	n := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: node.timing.HeartbeatInterval, ElectionTimeout: node.timing.ElectionTimeout, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
 	start := time.Now()
 	installed := 0
-	tick := time.NewTicker(l.timing.TickInterval)
+	tick := time.NewTicker(node.timing.TickInterval)
 	defer tick.Stop()
 	change := time.NewTicker(100 * time.Millisecond)
 	defer change.Stop()
@@ -136,7 +136,7 @@
 				r.Read(value)
 				size = 2000
 				done := make(chan uint64, 1)
-				l.loop.post(func(state *loopState) {
+				node.loop.post(func(state *loopState) {
 					i, _, _ := state.raft.Propose(registry.EncodeCommand(registry.Command{Txn: &registry.Txn{Then: []registry.Write{{Key: "account/tick", Value: value}}}}))
 					done <- i
 				})
@@ -177,14 +177,16 @@
 	}
 }
 
-// TestUnreadableStateAtAStart: a node whose snapshot cannot be read doesn't end by
-// itself; it joins as a new member and has what the others have.
+// TestUnreadableSnapshotAtStart: a node whose snapshot cannot be restored does not end; it
+// joins as a new member and receives what the others have.
 func TestUnreadableSnapshotAtStart(t *testing.T) {
-	g := newTestCluster(t, 3, nil)
-	eventually(t, "a configuration", func() bool { return g.nodes[0].ReplaceConfiguration(fmt.Appendf(nil, configurationFormat, 5)) == nil })
-	old := g.nodes[2].self.ID
-	g.nodes[2].Close()
-	c, _, saved, err := storage.Open(g.dataDirectory(2), 0, nil)
+	cluster := newTestCluster(t, 3, nil)
+	eventually(t, "a configuration", func() bool {
+		return cluster.nodes[0].ReplaceConfiguration(fmt.Appendf(nil, configurationFormat, 5)) == nil
+	})
+	old := cluster.nodes[2].self.ID
+	cluster.nodes[2].Close()
+	c, _, saved, err := storage.Open(cluster.dataDirectory(2), 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,12 +195,12 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	g.start(2, false)
-	if g.nodes[2].self.ID == old {
+	cluster.start(2, false)
+	if cluster.nodes[2].self.ID == old {
 		t.Error("the identity is used again")
 	}
 	eventually(t, "the node reads the configuration", func() bool {
-		got, err := g.nodes[2].Configuration()
+		got, err := cluster.nodes[2].Configuration()
 		return err == nil && string(got) == fmt.Sprintf(configurationFormat, 5)
 	})
 }
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -12,14 +12,15 @@
 	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 	"lichentray/internal/storage"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 )
 
 // Start opens the disk and the internal port and begins to run a node. The caller
 // ends it with Close. A disk that refuses is tried for some seconds; one whose state
 // cannot be read is set aside, and the node joins the group as a new member.
-func Start(set *settings.Settings, logger *slog.Logger, registry *metrics.Registry) (*Node, error) {
-	env := newEnvironment(set, logger, newNodeMetrics(registry))
+func Start(set *settings.Settings, logger *slog.Logger, metricsRegistry *metrics.Registry) (*Node, error) {
+	env := newEnvironment(set, logger, newNodeMetrics(metricsRegistry))
 	node, err := start(env)
 	if err != nil {
 		env.close()
@@ -196,15 +197,20 @@
 
 // joinServices makes the parts that carry out calls.
 func (n *Node) joinServices() {
-	n.health = newHealthMonitor(n.environment)
-	n.health.loop = n.loop
-	n.health.state = n.state
-	n.health.peers = n.peers
-	n.health.proposer = n.proposer
-	n.health.consensus = n.consensus
-	n.rollouts = newRolloutController(n.environment)
-	n.rollouts.state = n.state
-	n.rollouts.proposer = n.proposer
+	n.rollouts = newRolloutController(n.environment, n.state, n.proposer)
+	n.health = &healthMonitor{
+		environment:  n.environment,
+		loop:         n.loop,
+		state:        n.state,
+		peers:        n.peers,
+		proposer:     n.proposer,
+		consensus:    n.consensus,
+		rollouts:     n.rollouts,
+		lastSeen:     map[string]time.Duration{},
+		isChecking:   map[string]bool{},
+		heartbeats:   map[string]time.Duration{},
+		observations: map[string]loadbalance.Observation{},
+	}
 	n.directory = &proxyDirectory{
 		environment: n.environment,
 		state:       n.state,
--- a/internal/controlplane/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -27,8 +27,8 @@
 	s.applyCommand(0, registry.Command{Txn: &registry.Txn{Then: []registry.Write{write}}})
 }
 
-// TestDecodedObjectsFollowTheStore: what is decoded event by event is what a state
-// taken whole decodes to.
+// TestDecodedObjectsFollowTheStore: decoding event by event gives the same as decoding
+// the resulting store at once.
 func TestDecodedObjectsFollowTheStore(t *testing.T) {
 	for seed := range int64(50) {
 		r := rand.New(rand.NewSource(seed))
@@ -51,16 +51,16 @@
 			putObject(s, key, value)
 		}
 		incremental := s.replicated
-		whole := replicatedState{env: incremental.env, store: incremental.store, decodedObjects: newDecodedObjects()}
-		whole.rebuild()
-		if !reflect.DeepEqual(whole.endpoints, incremental.endpoints) || !reflect.DeepEqual(whole.proxies, incremental.proxies) {
+		atOnce := replicatedState{env: incremental.env, store: incremental.store, decodedObjects: newDecodedObjects()}
+		atOnce.rebuild()
+		if !reflect.DeepEqual(atOnce.endpoints, incremental.endpoints) || !reflect.DeepEqual(atOnce.proxies, incremental.proxies) {
 			t.Fatalf("seed %d: endpoints %+v or proxies %+v differ from %+v and %+v", seed,
-				incremental.endpoints, incremental.proxies, whole.endpoints, whole.proxies)
+				incremental.endpoints, incremental.proxies, atOnce.endpoints, atOnce.proxies)
 		}
-		if len(whole.rollouts) != len(incremental.rollouts) {
-			t.Fatalf("seed %d: %d roll-outs, want %d", seed, len(incremental.rollouts), len(whole.rollouts))
+		if len(atOnce.rollouts) != len(incremental.rollouts) {
+			t.Fatalf("seed %d: %d roll-outs, want %d", seed, len(incremental.rollouts), len(atOnce.rollouts))
 		}
-		for key, record := range whole.rollouts {
+		for key, record := range atOnce.rollouts {
 			if got := incremental.rollouts[key]; got == nil || got.Rollout != record.Rollout || got.revision != record.revision {
 				t.Fatalf("seed %d: roll-out %s is %+v, want %+v", seed, key, got, record)
 			}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -25,7 +25,7 @@
 	// Endpoints counts those registered, Draining those of them that drain.
 	Endpoints int `json:"endpoints"`
 	Draining  int `json:"draining"`
-	// IsUpToDate tells whether others may count on this node: it holds all that was
+	// IsUpToDate reports whether others may count on this node: it holds all that was
 	// acknowledged anywhere until a moment ago.
 	IsUpToDate bool           `json:"in_touch"`
 	Members    []MemberStatus `json:"members"`
@@ -123,7 +123,7 @@
 	return status
 }
 
-// addReplicated adds what the replicated state tells.
+// addReplicated adds the part of the status that is replicated.
 func (s *Status) addReplicated(r *replicatedState) {
 	s.Revision = r.store.Revision()
 	s.ConfigVersion, _, _ = r.configuration()
--- a/internal/controlplane/watch_server.go
+++ b/internal/controlplane/watch_server.go
@@ -36,8 +36,8 @@
 	summary  proxySummary
 }
 
-// proxySummary is what the leader sums up over all proxies and tells each of them. It
-// is replaced whole and never changed.
+// proxySummary is what the leader sums up over all proxies and sends to each of them.
+// It is replaced as a whole and never changed.
 type proxySummary struct {
 	proxies  int
 	loads    map[string]loadbalance.Load      // by service
@@ -336,8 +336,8 @@
 	return bookmark
 }
 
-// serveRelay tells a relay, for as long as this node is up to date, that it may send
-// callers here.
+// serveRelay sends bookmarks to a relay for as long as this node is up to date. While
+// they come, the relay forwards its callers here.
 func (w *watchServer) serveRelay(conn *transport.Conn) {
 	ticker := time.NewTicker(w.timing.BookmarkInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -95,7 +95,7 @@
 }
 
 // finishReturns returns zones to ordinary use once the heartbeats of their endpoints
-// have had the time to tell which of them warm up.
+// have had the time to show which of them warm up.
 func (z *zoneEvacuator) finishReturns(state *loopState, now time.Duration) {
 	wait := 2*z.settings.HeartbeatInterval.Duration() + z.timing.ConnectionTimeout
 	for _, object := range z.state.onLoop(state).store.List(registry.EvacuationPrefix) {
