--- a/internal/controlplane/decoded_objects.go
+++ b/internal/controlplane/decoded_objects.go
@@ -8,6 +8,7 @@
 	"lichentray/loadbalance"
 	"lichentray/registry"
 	"lichentray/rollout"
+	"lichentray/routing"
 )
 
 // decodedObjects is what a node keeps decoded of the registry, so that no request
@@ -193,13 +194,13 @@
 
 // compiledConfig is the configuration compiled on demand, once for each revision.
 type compiledConfig struct {
-	table    *config.Table
+	table    *routing.Table
 	revision uint64
 }
 
 // routeTable returns the compiled configuration, or nil if there is none. It needs
 // the state locked for writing, see sharedState.update.
-func (r *replicatedState) routeTable() *config.Table {
+func (r *replicatedState) routeTable() *routing.Table {
 	o, _ := r.store.Get(registry.ConfigKey)
 	if o.ModRevision == r.compiled.revision {
 		return r.compiled.table
@@ -207,7 +208,7 @@
 	r.compiled = compiledConfig{revision: o.ModRevision}
 	if _, text, ok := registry.DecodeConfig(o); ok {
 		if c, err := config.DecodeValidated(text); err == nil {
-			r.compiled.table = config.Compile(c)
+			r.compiled.table = routing.Compile(c)
 		}
 	}
 	return r.compiled.table
