--- a/internal/controlplane/event_loop_test.go
+++ b/internal/controlplane/event_loop_test.go
@@ -3,12 +3,10 @@
 import (
 	"errors"
 	"testing"
-	"time"
 )
 
 // startTestLoop runs an event loop on an empty state.
 func startTestLoop(env *environment) *eventLoop {
-	env.timing.TickInterval = time.Hour
 	loop := newEventLoop(env)
 	ignore := func(*loopState) {}
 	env.start(func() { loop.run(&loopState{}, ignore, ignore) })
--- a/internal/controlplane/log_writer_test.go
+++ b/internal/controlplane/log_writer_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	env := &environment{
-		timing:    Timing{HeartbeatInterval: time.Millisecond, ElectionTimeout: 20 * time.Millisecond, RequestTimeout: time.Second},
+		timing:    Timing{TickInterval: time.Millisecond, HeartbeatInterval: time.Millisecond, ElectionTimeout: 20 * time.Millisecond, RequestTimeout: time.Second},
 		logger:    slog.New(slog.NewTextHandler(io.Discard, nil)),
 		metrics:   newNodeMetrics(metrics.NewRegistry()),
 		startedAt: time.Now(),
--- a/internal/controlplane/proposer_test.go
+++ b/internal/controlplane/proposer_test.go
@@ -80,7 +80,6 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newTestProposer(t)
-			p.timing.TickInterval = time.Millisecond
 			call := &scriptedCall{self: p.self.Addr, attempts: c.attempts}
 			isFinal, err := p.callLeader(call, time.Now().Add(c.timeout))
 			if err != nil || isFinal != c.isFinal || len(call.finished) != c.wantFinished {
