--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -33,10 +33,9 @@
 //
 // # Concurrency
 //
-// The event loop is one goroutine. State that belongs to it is reachable only
-// through a *loopState, which only loop tasks receive, or through parts whose
-// methods take one. State that several goroutines use stands behind the mutex of
-// the type that holds it. Locks are held briefly and never while waiting for
+// The event loop is one goroutine. State that belongs to it is in loopState, which
+// only loop tasks receive; a method that takes a *loopState runs there. State that
+// several goroutines use stands behind the mutex of the type that holds it. Locks are held briefly and never while waiting for
 // a peer, the disk or the loop. Where two are held, the order is sharedState,
 // then the lock of any other part; peerPool before peerConnection.
 //
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lichentray/internal/apierror"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 	"lichentray/registry"
 )
@@ -12,8 +13,9 @@
 // waits when it is full.
 const taskQueueLength = 1024
 
-// loopState is the state of consensus and of this node's leadership. It belongs to
-// the event loop: only loop tasks receive it, and none of them may keep it.
+// loopState is the state that belongs to the event loop: consensus, this node's
+// leadership, and what the parts of the node keep there. Only loop tasks receive it,
+// and none of them may keep it.
 type loopState struct {
 	raft *raft.Node
 	// role and leaderID are those of the last call of Ready that was carried out.
@@ -27,6 +29,38 @@
 	membershipIndex uint64
 	// periodicTasksAt is when the slower periodic tasks last ran.
 	periodicTasksAt time.Duration
+
+	// What the parts of the node keep in the loop. The types stand beside the parts.
+	requests   pendingRequests
+	leases     leaseTimers
+	snapshots  *snapshotter
+	history    revisionHistory
+	membership membershipSchedule
+
+	// What is of use to a leader alone.
+	liveness    endpointLiveness
+	rollouts    rolloutAnalysis
+	quotas      *loadbalance.QuotaAllocator
+	proxyLeases proxyLeases
+	zoneReturns map[string]zoneReturn
+	nodeReports map[uint64]nodeReport
+}
+
+// newLoopState returns the state of a node that has just been restored.
+func newLoopState(node *raft.Node, snapshots *snapshotter, planner *membershipPlanner) *loopState {
+	return &loopState{
+		raft:            node,
+		leaderChanged:   make(chan struct{}),
+		membershipIndex: node.MembershipIndex(),
+		requests:        newPendingRequests(),
+		snapshots:       snapshots,
+		membership:      membershipSchedule{planner: planner},
+		liveness:        newEndpointLiveness(),
+		rollouts:        rolloutAnalysis{inProgress: map[string]*rolloutProgress{}},
+		proxyLeases:     proxyLeases{},
+		zoneReturns:     map[string]zoneReturn{},
+		nodeReports:     map[uint64]nodeReport{},
+	}
 }
 
 // isLeader reports whether this node leads now.
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -27,23 +27,35 @@
 	consensus *consensusView
 	rollouts  *rolloutController
 
-	// What follows belongs to the event loop and is of use at the leader only.
-	lastSeen map[string]time.Duration // by endpoint ID
-	// isChecking names the endpoints whose health is being checked.
-	isChecking map[string]bool
-	outliers   *loadbalance.OutlierDetector
-
 	// What follows is collected here until it is reported to the leader.
 	mu           sync.Mutex
 	heartbeats   map[string]time.Duration // when each endpoint was last heard of here
 	observations map[string]loadbalance.Observation
 }
 
+// endpointLiveness is what the leader knows of endpoints, see loopState. Endpoints are
+// by their ID.
+type endpointLiveness struct {
+	lastSeen map[string]time.Duration
+	// isChecking names the endpoints whose health is being checked.
+	isChecking map[string]bool
+	outliers   *loadbalance.OutlierDetector
+}
+
+func newEndpointLiveness() endpointLiveness {
+	return endpointLiveness{lastSeen: map[string]time.Duration{}, isChecking: map[string]bool{}}
+}
+
+// recordSeen records that an endpoint was alive at a time.
+func (l *endpointLiveness) recordSeen(id string, at time.Duration) {
+	l.lastSeen[id] = max(l.lastSeen[id], at)
+}
+
 // becomeLeader forgets what an earlier leadership knew, so that every endpoint has
 // its full time-out.
-func (h *healthMonitor) becomeLeader() {
-	h.lastSeen = map[string]time.Duration{}
-	h.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
+func (h *healthMonitor) becomeLeader(state *loopState) {
+	state.liveness.lastSeen = map[string]time.Duration{}
+	state.liveness.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
 }
 
 // recordHeartbeat notes that an endpoint was heard of here.
@@ -91,7 +103,7 @@
 	}
 	if state.isLeader() {
 		for id, at := range heartbeats {
-			h.recordSeen(id, at)
+			state.liveness.recordSeen(id, at)
 		}
 		return
 	}
@@ -104,22 +116,19 @@
 }
 
 // recordReported takes the heartbeats that another node reports.
-func (h *healthMonitor) recordReported(_ *loopState, heartbeats []transport.Heartbeat) {
+func (h *healthMonitor) recordReported(state *loopState, heartbeats []transport.Heartbeat) {
 	now := h.now()
 	for _, heartbeat := range heartbeats {
 		age := time.Duration(heartbeat.AgoMS) * time.Millisecond
-		h.recordSeen(heartbeat.ID, now-age)
+		state.liveness.recordSeen(heartbeat.ID, now-age)
 	}
 }
 
-func (h *healthMonitor) recordSeen(id string, at time.Duration) {
-	h.lastSeen[id] = max(h.lastSeen[id], at)
-}
-
 // verdicts judges all endpoints by the observations reported since the last call.
 func (h *healthMonitor) verdicts(state *loopState, now time.Duration, observations map[string]loadbalance.Observation) []loadbalance.Verdict {
-	h.outliers.Observe(observations)
-	return h.outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
+	outliers := state.liveness.outliers
+	outliers.Observe(observations)
+	return outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
 }
 
 // checkLiveness begins a health check of every endpoint whose heartbeats stopped.
@@ -130,28 +139,29 @@
 		return
 	}
 	replicated := h.state.onLoop(state)
+	liveness := &state.liveness
 	for key, endpoint := range replicated.endpoints {
-		lastSeen, isKnown := h.lastSeen[endpoint.ID]
+		lastSeen, isKnown := liveness.lastSeen[endpoint.ID]
 		if !isKnown {
-			h.lastSeen[endpoint.ID] = now
+			liveness.lastSeen[endpoint.ID] = now
 			continue
 		}
-		if now-lastSeen <= h.timing.EndpointTimeout || h.isChecking[endpoint.ID] {
+		if now-lastSeen <= h.timing.EndpointTimeout || liveness.isChecking[endpoint.ID] {
 			continue
 		}
-		h.isChecking[endpoint.ID] = true
+		liveness.isChecking[endpoint.ID] = true
 		object, _ := replicated.store.Get(key)
 		h.start(func() { h.checkEndpoint(object, endpoint) })
 	}
-	h.forgetUnregistered(replicated, now)
+	h.forgetUnregistered(liveness, replicated, now)
 }
 
 // forgetUnregistered drops the heartbeats of endpoints that are registered no more.
-func (h *healthMonitor) forgetUnregistered(replicated *replicatedState, now time.Duration) {
-	for id, lastSeen := range h.lastSeen {
+func (h *healthMonitor) forgetUnregistered(liveness *endpointLiveness, replicated *replicatedState, now time.Duration) {
+	for id, lastSeen := range liveness.lastSeen {
 		_, isRegistered := replicated.endpoints[registry.EndpointPrefix+id]
 		if !isRegistered && now-lastSeen > h.timing.EndpointTimeout {
-			delete(h.lastSeen, id)
+			delete(liveness.lastSeen, id)
 		}
 	}
 }
@@ -165,17 +175,17 @@
 		return // the check was cut short and proves nothing
 	}
 	h.metrics.healthChecks().Inc()
-	defer h.loop.post(func(*loopState) {
-		delete(h.isChecking, endpoint.ID)
+	defer h.loop.post(func(state *loopState) {
+		delete(state.liveness.isChecking, endpoint.ID)
 		if isHealthy {
-			h.lastSeen[endpoint.ID] = h.now()
+			state.liveness.lastSeen[endpoint.ID] = h.now()
 		}
 	})
 	if isHealthy {
 		return
 	}
 	response := h.proposer.answerAsLeader(0, func(state *loopState, done chan<- outcome) string {
-		if h.now()-h.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
+		if h.now()-state.liveness.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
 			return "" // a heartbeat came in the meantime
 		}
 		return h.proposer.startProposal(state, registry.Command{Txn: deleteIfUnchanged(object)}, done)
--- a/internal/controlplane/history_compactor.go
+++ b/internal/controlplane/history_compactor.go
@@ -13,11 +13,15 @@
 
 // historyCompactor forgets, at the leader, history that nobody may ask for any more.
 // The replicated state holds no time, so it remembers which revision was reached
-// when. It belongs to the event loop.
+// when.
 type historyCompactor struct {
 	*environment
-	state       *sharedState
-	revisions   []revisionTime // oldest first
+	state *sharedState
+}
+
+// revisionHistory is which revision was reached when, oldest first, see loopState.
+type revisionHistory struct {
+	revisions   []revisionTime
 	compactedAt time.Duration
 }
 
@@ -29,23 +33,24 @@
 
 // record remembers the present revision, at most once a second.
 func (h *historyCompactor) record(state *loopState, now time.Duration) {
-	if n := len(h.revisions); n > 0 && now-h.revisions[n-1].at < time.Second {
+	history := &state.history
+	if n := len(history.revisions); n > 0 && now-history.revisions[n-1].at < time.Second {
 		return
 	}
-	h.revisions = append(h.revisions, revisionTime{at: now, revision: h.state.onLoop(state).store.Revision()})
+	history.revisions = append(history.revisions, revisionTime{at: now, revision: h.state.onLoop(state).store.Revision()})
 }
 
 // compact proposes to forget what is older than the retention, with a margin.
 func (h *historyCompactor) compact(state *loopState, now time.Duration) {
 	retention := h.settings.Bounds.HistoryRetention.Duration() * 3 / 2
-	if now-h.compactedAt < retention/4 {
+	if now-state.history.compactedAt < retention/4 {
 		return
 	}
-	before, isDue := h.expireRevisions(now, retention)
+	before, isDue := state.history.expireRevisions(now, retention)
 	if !isDue {
 		return
 	}
-	h.compactedAt = now
+	state.history.compactedAt = now
 	state.proposeOnce(registry.Command{Coordination: &coordination.Command{
 		Operation:     coordination.CompactHistory,
 		CompactBefore: before,
@@ -57,7 +62,7 @@
 
 // expireRevisions forgets when the revisions beyond the retention were reached and
 // returns the newest of them; isDue is false if there is none.
-func (h *historyCompactor) expireRevisions(now, retention time.Duration) (newest uint64, isDue bool) {
+func (h *revisionHistory) expireRevisions(now, retention time.Duration) (newest uint64, isDue bool) {
 	expired := 0
 	for expired < len(h.revisions) && now-h.revisions[expired].at > retention {
 		newest = h.revisions[expired].revision
--- a/internal/controlplane/lease_timers.go
+++ b/internal/controlplane/lease_timers.go
@@ -11,7 +11,7 @@
 // lock's timer when it applies the grant, and a leader names an expired grant in
 // the command that takes the lock over, which every replica then checks alike.
 //
-// leaseTimers belong to the event loop.
+// They are part of loopState.
 type leaseTimers struct {
 	byLock map[string]leaseTimer
 }
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -17,13 +17,6 @@
 	peers     *peerPool
 	consensus *consensusView
 
-	// What follows belongs to the event loop.
-	planner   *membershipPlanner
-	checkedAt time.Duration
-	// isCheckDue has the membership checked at the next tick, as after a change of
-	// it: a replacement takes two.
-	isCheckDue bool
-
 	mu sync.Mutex
 	// seeds are the API addresses of the settings as they were last read.
 	seeds []string
@@ -31,6 +24,15 @@
 	relayedNodes []transport.ControlNode
 }
 
+// membershipSchedule is the planner and when it is next asked, see loopState.
+type membershipSchedule struct {
+	planner   *membershipPlanner
+	checkedAt time.Duration
+	// isCheckDue has the membership checked at the next tick, as after a change of
+	// it: a replacement takes two.
+	isCheckDue bool
+}
+
 // failureDomainOf returns what of a member may be lost at once besides machines: its
 // region, else its zone, as the tolerance asks.
 func (m *membershipManager) failureDomainOf(member raft.Member) string {
@@ -50,12 +52,13 @@
 	if !state.isLeader() {
 		return
 	}
-	if now-m.checkedAt < 4*m.timing.HeartbeatInterval && !m.isCheckDue {
+	schedule := &state.membership
+	if now-schedule.checkedAt < 4*m.timing.HeartbeatInterval && !schedule.isCheckDue {
 		return
 	}
-	m.checkedAt = now
-	m.isCheckDue = false
-	next, reason := m.planner.nextChange(state.raft, now)
+	schedule.checkedAt = now
+	schedule.isCheckDue = false
+	next, reason := schedule.planner.nextChange(state.raft, now)
 	if reason == "" {
 		return
 	}
@@ -66,7 +69,7 @@
 
 // recordChange follows an applied change of the membership.
 func (m *membershipManager) recordChange(state *loopState, index uint64) {
-	m.isCheckDue = true
+	state.membership.isCheckDue = true
 	membership := state.raft.Membership()
 	m.logger.Info("membership changed", "index", index, "voters", len(membership.Voters), "learners", len(membership.Learners))
 }
@@ -155,8 +158,8 @@
 // can; the member asks again until it may.
 func (m *membershipManager) approveLeave(id uint64) error {
 	return m.callLeaderLoop(func(state *loopState) error {
-		m.isCheckDue = true // the member's vote may be taken over
-		if m.planner.requestLeave(state.raft, m.now(), id) {
+		state.membership.isCheckDue = true // the member's vote may be taken over
+		if state.membership.planner.requestLeave(state.raft, m.now(), id) {
 			return nil
 		}
 		return apierror.New(apierror.Unavailable, "the group still counts on this member")
--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -9,7 +9,7 @@
 
 // membershipPlanner is a leader's view of the group's members over time, from which
 // it plans changes of membership. It does no input or output, so that it runs
-// under the simulator as well. It belongs to the event loop.
+// under the simulator as well. It is part of loopState.
 type membershipPlanner struct {
 	tolerance faultTolerance
 	// deadMemberTimeout is how long a voter may go unheard before it is replaced.
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -454,7 +454,7 @@
 	done := make(chan bool)
 	node.loop.post(func(state *loopState) {
 		state.role, state.periodicTasksAt = raft.Follower, -time.Hour
-		node.health.outliers, node.quotas.allocator = nil, nil
+		state.liveness.outliers, state.quotas = nil, nil
 		node.runPeriodicTasks(state)
 		close(done)
 	})
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -29,13 +29,9 @@
 	configs     *configurationStore
 	groups      *groupWatchers
 	audit       *auditSink
-
-	// What follows belongs to the event loop.
-	snapshots *snapshotter
-	leases    *leaseTimers
-	quotas    *quotaAllocator
-	reports   *reportAggregator
-	history   *historyCompactor
+	quotas      *quotaAllocator
+	reports     *reportAggregator
+	history     *historyCompactor
 }
 
 // run begins the node's goroutines.
@@ -107,9 +103,9 @@
 			n.applyEntry(state, entry)
 		}
 		for _, read := range ready.ReadStates {
-			n.proposer.pending.resolveRead(read)
+			state.requests.resolveRead(read)
 		}
-		if snapshot := n.snapshots.compactIfNeeded(state.raft, n.state.onLoop(state).store); snapshot != nil {
+		if snapshot := state.snapshots.compactIfNeeded(state.raft, n.state.onLoop(state).store); snapshot != nil {
 			n.writer.submit(writeRequest{compactedSnapshot: snapshot})
 		}
 	}
@@ -162,12 +158,12 @@
 func (n *Node) becomeLeader(state *loopState) {
 	now := n.now()
 	state.leaderSince = now
-	n.health.becomeLeader()
-	n.reports.becomeLeader()
-	n.directory.becomeLeader()
-	n.evacuations.becomeLeader()
-	n.rollouts.becomeLeader()
-	n.quotas.becomeLeader(now)
+	n.health.becomeLeader(state)
+	n.reports.becomeLeader(state)
+	n.directory.becomeLeader(state)
+	n.evacuations.becomeLeader(state)
+	n.rollouts.becomeLeader(state)
+	n.quotas.becomeLeader(state, now)
 	n.metrics.elections.Inc()
 	n.logger.Info("leading", "term", state.raft.Term())
 }
@@ -181,10 +177,10 @@
 	case entry.Type == raft.EntryConfChange:
 		n.membership.recordChange(state, entry.Index)
 	}
-	n.snapshots.countEntry(entry)
+	state.snapshots.countEntry(entry)
 	n.metrics.appliedIndex.Set(int64(entry.Index))
 	n.state.advance(entry.Index)
-	n.proposer.pending.resolveEntry(entry, result)
+	state.requests.resolveEntry(entry, result)
 }
 
 func (n *Node) applyCommand(state *loopState, entry raft.Entry) registry.Result {
@@ -198,7 +194,7 @@
 	result, events := n.state.applyCommand(now, cmd)
 	n.rollouts.forgetEnded(state, events)
 	if c := cmd.Coordination; c != nil {
-		n.leases.update(now, c, result.Latch, n.state.onLoop(state).store.Coordination().Locks)
+		state.leases.update(now, c, result.Latch, n.state.onLoop(state).store.Coordination().Locks)
 		if c.Operation == coordination.PutCell {
 			n.groups.wake(coordination.GroupOf(c.Name))
 		}
@@ -208,10 +204,10 @@
 
 // installSnapshot puts the state that the leader sent in place of the present one.
 func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
-	n.state.replace(n.snapshots.takeReceived(), snapshot.Index)
-	n.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
+	n.state.replace(state.snapshots.takeReceived(), snapshot.Index)
+	state.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
 	n.rollouts.forgetAllEnded(state)
 	n.groups.wakeAll()
-	n.proposer.pending.abandonThrough(snapshot.Index)
+	state.requests.abandonThrough(snapshot.Index)
 	n.logger.Info("snapshot installed", "index", snapshot.Index)
 }
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -23,10 +23,6 @@
 	peers     *peerPool
 	state     *sharedState
 	consensus *consensusView
-
-	// What follows belongs to the event loop.
-	leases  *leaseTimers
-	pending pendingRequests
 }
 
 // outcome is what became of a proposal or a read that the event loop started.
@@ -304,14 +300,14 @@
 	}
 	if c := cmd.Coordination; c != nil && c.Operation == coordination.AcquireLock {
 		locks := p.state.onLoop(state).store.Coordination().Locks
-		cmd.Coordination = p.leases.withExpiredGrant(p.now(), c, locks)
+		cmd.Coordination = state.leases.withExpiredGrant(p.now(), c, locks)
 	}
 	index, term, ok := state.raft.Propose(registry.EncodeCommand(cmd))
 	if !ok {
 		return ""
 	}
 	p.metrics.proposals.Inc()
-	p.pending.addProposal(index, term, done)
+	state.requests.addProposal(index, term, done)
 	return p.self.Addr
 }
 
@@ -320,13 +316,13 @@
 	if !state.isLeader() {
 		return p.peers.addrOf(state.raft.LeaderID())
 	}
-	state.raft.ReadIndex(p.pending.addRead(done))
+	state.raft.ReadIndex(state.requests.addRead(done))
 	return p.self.Addr
 }
 
 // pendingRequests are the proposals and reads that this node started as a leader
-// and whose outcome is not known yet. They belong to the event loop. A caller may
-// have given up meanwhile: each done channel takes one outcome without waiting.
+// and whose outcome is not known yet, see loopState. A caller may have given up
+// meanwhile: each done channel takes one outcome without waiting.
 type pendingRequests struct {
 	proposals  map[uint64]pendingProposal // by log index
 	reads      map[uint64]chan<- outcome  // by request ID
--- a/internal/controlplane/proposer_test.go
+++ b/internal/controlplane/proposer_test.go
@@ -18,7 +18,6 @@
 		environment: env,
 		loop:        startTestLoop(env),
 		consensus:   &consensusView{env: env},
-		pending:     newPendingRequests(),
 	}
 }
 
--- a/internal/controlplane/proxy_directory.go
+++ b/internal/controlplane/proxy_directory.go
@@ -19,22 +19,21 @@
 	state     *sharedState
 	consensus *consensusView
 	proposer  *proposer
-
-	// lastSeen is when the leader last heard of each proxy, by name. It belongs to
-	// the event loop.
-	lastSeen map[string]time.Duration
 }
 
-// becomeLeader gives every proxy its full lease.
-func (d *proxyDirectory) becomeLeader() { d.lastSeen = map[string]time.Duration{} }
+// proxyLeases are when the leader last heard of each proxy, by name, see loopState.
+type proxyLeases map[string]time.Duration
 
-// recordSeen renews the leases of the proxies that a node reports.
-func (d *proxyDirectory) recordSeen(_ *loopState, now time.Duration, reportSequences map[string]uint64) {
+// renew renews the leases of the proxies that a node reports.
+func (l proxyLeases) renew(now time.Duration, reportSequences map[string]uint64) {
 	for name := range reportSequences {
-		d.lastSeen[name] = now
+		l[name] = now
 	}
 }
 
+// becomeLeader gives every proxy its full lease.
+func (d *proxyDirectory) becomeLeader(state *loopState) { state.proxyLeases = proxyLeases{} }
+
 // expire removes the entries of proxies whose lease has run out.
 func (d *proxyDirectory) expire(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(d.timing.ElectionTimeout) || now-state.leaderSince < d.timing.ProxyLease {
@@ -42,11 +41,11 @@
 	}
 	for _, object := range d.state.onLoop(state).store.List(registry.ProxyPrefix) {
 		name := strings.TrimPrefix(object.Key, registry.ProxyPrefix)
-		lastSeen, isKnown := d.lastSeen[name]
+		lastSeen, isKnown := state.proxyLeases[name]
 		if isKnown && now-lastSeen <= d.timing.ProxyLease {
 			continue
 		}
-		d.lastSeen[name] = now // the removal is proposed again if it does not come through
+		state.proxyLeases[name] = now // the removal is proposed again if it does not come through
 		if !isKnown {
 			continue
 		}
--- a/internal/controlplane/quota_allocator.go
+++ b/internal/controlplane/quota_allocator.go
@@ -15,17 +15,16 @@
 const quotaSafetyFactor = 0.9
 
 // quotaAllocator shares out, at the leader, what endpoints that warm up may receive
-// among the proxies. It belongs to the event loop.
+// among the proxies.
 type quotaAllocator struct {
 	*environment
-	state     *sharedState
-	allocator *loadbalance.QuotaAllocator
+	state *sharedState
 }
 
 // becomeLeader starts anew. Grants of an earlier leader last for a while, for which
 // the allocator allows.
-func (q *quotaAllocator) becomeLeader(now time.Duration) {
-	q.allocator = loadbalance.NewQuotaAllocator(now, q.settings.QuotaGrantLifetime())
+func (q *quotaAllocator) becomeLeader(state *loopState, now time.Duration) {
+	state.quotas = loadbalance.NewQuotaAllocator(now, q.settings.QuotaGrantLifetime())
 }
 
 // allocate grants quotas to the proxies that report, in answer to the report of each
@@ -37,7 +36,7 @@
 	var warming []loadbalance.WarmingEndpoint
 	q.state.update(func(r *replicatedState) { warming = q.warmingEndpoints(r, reportSequences) })
 	quotas := map[string]transport.QuotaGrants{}
-	for proxy, grants := range q.allocator.Allocate(now, warming) {
+	for proxy, grants := range state.quotas.Allocate(now, warming) {
 		quotas[proxy] = transport.QuotaGrants{Seq: reportSequences[proxy], Grants: grants}
 	}
 	return quotas
--- a/internal/controlplane/report_aggregator.go
+++ b/internal/controlplane/report_aggregator.go
@@ -9,21 +9,18 @@
 
 // reportAggregator exchanges what proxies report: every node sums the reports of the
 // proxies that watch at it for the leader, and the leader sends every node the sums
-// over all, its quotas and its verdicts. It belongs to the event loop.
+// over all, its quotas and its verdicts.
 type reportAggregator struct {
 	*environment
-	peers     *peerPool
-	watches   *watchServer
-	health    *healthMonitor
-	rollouts  *rolloutController
-	quotas    *quotaAllocator
-	directory *proxyDirectory
-
-	// byNode holds the newest report of each other node, by member ID.
-	byNode map[uint64]nodeReport
+	peers    *peerPool
+	watches  *watchServer
+	health   *healthMonitor
+	rollouts *rolloutController
+	quotas   *quotaAllocator
 }
 
-// nodeReport is what one node reports of the proxies that watch at it.
+// nodeReport is what one node reports of the proxies that watch at it. The leader keeps
+// the newest one of each other node, by member ID, see loopState.
 type nodeReport struct {
 	// sequences are the numbers of the newest report of each proxy, by name.
 	sequences   map[string]uint64
@@ -34,12 +31,14 @@
 }
 
 // becomeLeader forgets what an earlier leadership knew; the nodes report again.
-func (a *reportAggregator) becomeLeader() { a.byNode = map[uint64]nodeReport{} }
+func (a *reportAggregator) becomeLeader(state *loopState) {
+	state.nodeReports = map[uint64]nodeReport{}
+}
 
 // recordNode takes what another node reports.
 func (a *reportAggregator) recordNode(state *loopState, id uint64, aggregate *transport.ProxyAggregate) {
 	now := a.now()
-	a.byNode[id] = nodeReport{
+	state.nodeReports[id] = nodeReport{
 		sequences:   aggregate.Here,
 		loads:       aggregate.Loads,
 		rollouts:    aggregate.Trials,
@@ -47,7 +46,7 @@
 		receivedAt:  now,
 	}
 	a.health.addObservations(aggregate.Seen)
-	a.directory.recordSeen(state, now, aggregate.Here)
+	state.proxyLeases.renew(now, aggregate.Here)
 }
 
 // exchange sends this node's report to the leader, or as the leader the sums over all
@@ -64,9 +63,9 @@
 		}})
 		return
 	}
-	a.directory.recordSeen(state, now, own.sequences)
-	total := a.sumReports(now, own)
-	a.rollouts.reported = total.rollouts
+	state.proxyLeases.renew(now, own.sequences)
+	total := a.sumReports(state, now, own)
+	state.rollouts.reported = total.rollouts
 	summary := proxySummary{
 		proxies:  len(total.sequences),
 		loads:    total.loads,
@@ -86,18 +85,18 @@
 
 // sumReports adds the reports of the other nodes to this node's own one, which it
 // changes, and drops those of nodes that do not report any more.
-func (a *reportAggregator) sumReports(now time.Duration, own nodeReport) nodeReport {
-	a.rollouts.recordReports(own.incarnation, own.rollouts)
-	for id, report := range a.byNode {
+func (a *reportAggregator) sumReports(state *loopState, now time.Duration, own nodeReport) nodeReport {
+	a.rollouts.recordReports(state, own.incarnation, own.rollouts)
+	for id, report := range state.nodeReports {
 		if now-report.receivedAt > a.timing.DeadMemberTimeout {
-			delete(a.byNode, id)
+			delete(state.nodeReports, id)
 			continue
 		}
 		for proxy, sequence := range report.sequences {
 			own.sequences[proxy] = max(own.sequences[proxy], sequence)
 		}
 		mergeLoads(own.loads, report.loads)
-		a.rollouts.recordReports(report.incarnation, report.rollouts)
+		a.rollouts.recordReports(state, report.incarnation, report.rollouts)
 		mergeRolloutProgress(own.rollouts, report.rollouts)
 	}
 	return own
--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -20,11 +20,6 @@
 	state    *sharedState
 	proposer *proposer
 
-	// What follows belongs to the event loop and is of use at the leader only.
-	inProgress map[string]*rolloutProgress // by service
-	// reported is where all proxies together stand, by service.
-	reported map[string]transport.RolloutReport
-
 	mu sync.Mutex
 	// evidence is what proxies reported here since this node's start.
 	evidence rolloutEvidence
@@ -35,7 +30,6 @@
 		environment: env,
 		state:       state,
 		proposer:    proposer,
-		inProgress:  map[string]*rolloutProgress{},
 		evidence:    rolloutEvidence{},
 	}
 }
@@ -55,6 +49,13 @@
 
 func serviceOfRollout(key string) string { return strings.TrimPrefix(key, registry.RolloutPrefix) }
 
+// rolloutAnalysis is what the leader knows of the roll-outs, by service, see loopState.
+type rolloutAnalysis struct {
+	inProgress map[string]*rolloutProgress
+	// reported is how far all proxies together are.
+	reported map[string]transport.RolloutReport
+}
+
 // rolloutProgress is what the leader knows of a roll-out in progress.
 type rolloutProgress struct {
 	order    uint64
@@ -133,7 +134,9 @@
 }
 
 // becomeLeader forgets what an earlier leadership knew; the nodes report again.
-func (c *rolloutController) becomeLeader() { c.inProgress = map[string]*rolloutProgress{} }
+func (c *rolloutController) becomeLeader(state *loopState) {
+	state.rollouts.inProgress = map[string]*rolloutProgress{}
+}
 
 // addEvidence adds what one proxy observed since its last report.
 func (c *rolloutController) addEvidence(reports map[string]transport.RolloutReport) {
@@ -195,12 +198,12 @@
 }
 
 // recordReports takes what a node reports, which is all since its start.
-func (c *rolloutController) recordReports(incarnation uint64, reports map[string]transport.RolloutReport) {
+func (c *rolloutController) recordReports(state *loopState, incarnation uint64, reports map[string]transport.RolloutReport) {
 	for service, report := range reports {
-		progress := c.inProgress[service]
+		progress := state.rollouts.inProgress[service]
 		if progress == nil || progress.order < report.Order {
 			progress = newRolloutProgress(report.Order)
-			c.inProgress[service] = progress
+			state.rollouts.inProgress[service] = progress
 		}
 		if progress.order == report.Order {
 			progress.evidenceByNode[incarnation] = report.Evidence
@@ -221,29 +224,29 @@
 			continue
 		}
 		service := serviceOfRollout(key)
-		progress := c.progressOf(service, record.OrderNumber)
+		progress := c.progressOf(state, service, record.OrderNumber)
 		if progress == nil {
 			continue
 		}
-		observation := c.observe(replicated, service, record, progress, now)
+		observation := c.observe(state, service, record, progress, now)
 		c.proposeStep(state, key, record, progress, observation, now)
 	}
-	for service := range c.inProgress {
+	for service := range state.rollouts.inProgress {
 		record := replicated.rollouts[registry.RolloutPrefix+service]
 		if record == nil || record.State != rollout.InProgress {
-			delete(c.inProgress, service)
+			delete(state.rollouts.inProgress, service)
 		}
 	}
 }
 
 // progressOf returns what is known of a service's order, or nil if proxies know of a
 // newer order, which this node has still to apply.
-func (c *rolloutController) progressOf(service string, order uint64) *rolloutProgress {
-	progress := c.inProgress[service]
+func (c *rolloutController) progressOf(state *loopState, service string, order uint64) *rolloutProgress {
+	progress := state.rollouts.inProgress[service]
 	if progress == nil || progress.order < order {
 		progress = newRolloutProgress(order)
 		progress.evidenceByNode[c.incarnation] = nil
-		c.inProgress[service] = progress
+		state.rollouts.inProgress[service] = progress
 	}
 	if progress.order != order {
 		return nil
@@ -252,7 +255,7 @@
 }
 
 // observe sums up what decides the next step of a roll-out.
-func (c *rolloutController) observe(replicated *replicatedState, service string, record *rolloutRecord, progress *rolloutProgress, now time.Duration) rollout.Observation {
+func (c *rolloutController) observe(state *loopState, service string, record *rolloutRecord, progress *rolloutProgress, now time.Duration) rollout.Observation {
 	evidence := progress.totalEvidence()
 	answers := evidence.TargetAnswers()
 	if progress.stage != record.Stage {
@@ -269,7 +272,7 @@
 		StageTargetAnswers: answers - progress.answersAtStageStart,
 	}
 	targetEndpoints := 0
-	for _, e := range replicated.endpoints {
+	for _, e := range c.state.onLoop(state).endpoints {
 		if e.Service != service || e.Draining {
 			continue
 		}
@@ -282,7 +285,7 @@
 		}
 	}
 	observation.Verdict = progress.analyzer.Analyze(evidence, targetEndpoints)
-	report, isReported := c.reported[service]
+	report, isReported := state.rollouts.reported[service]
 	observation.TrafficShifted = isReported && report.Proxies > 0 &&
 		report.Order == record.OrderNumber && report.Stage == record.Stage && report.AtBase == 0
 	return observation
--- a/internal/controlplane/snapshotter.go
+++ b/internal/controlplane/snapshotter.go
@@ -15,7 +15,7 @@
 )
 
 // snapshotter bounds the log, in memory and on disk, and restores what the leader
-// sends. It belongs to the event loop.
+// sends. It is part of loopState.
 type snapshotter struct {
 	env *environment
 	// logBytes is the data of the entries since the last snapshot.
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -167,8 +167,6 @@
 		consensus:   &consensusView{env: env},
 		peers:       newPeerPool(env),
 		writer:      newLogWriter(env, store),
-		leases:      &leaseTimers{},
-		snapshots:   &snapshotter{env: env},
 		history:     &historyCompactor{environment: env, state: state},
 		quotas:      &quotaAllocator{environment: env, state: state},
 	}
@@ -178,8 +176,6 @@
 		peers:       n.peers,
 		state:       state,
 		consensus:   n.consensus,
-		leases:      n.leases,
-		pending:     newPendingRequests(),
 	}
 	n.membership = &membershipManager{
 		environment: env,
@@ -188,7 +184,6 @@
 		consensus:   n.consensus,
 		seeds:       env.settings.SeedNodes,
 	}
-	n.membership.planner = newMembershipPlanner(env.settings, env.timing, n.membership.failureDomainOf)
 	n.joinServices()
 	n.joinServers()
 	n.joinCallbacks()
@@ -206,8 +201,6 @@
 		proposer:     n.proposer,
 		consensus:    n.consensus,
 		rollouts:     n.rollouts,
-		lastSeen:     map[string]time.Duration{},
-		isChecking:   map[string]bool{},
 		heartbeats:   map[string]time.Duration{},
 		observations: map[string]loadbalance.Observation{},
 	}
@@ -216,13 +209,11 @@
 		state:       n.state,
 		consensus:   n.consensus,
 		proposer:    n.proposer,
-		lastSeen:    map[string]time.Duration{},
 	}
 	n.evacuations = &zoneEvacuator{
 		environment: n.environment,
 		state:       n.state,
 		proposer:    n.proposer,
-		returning:   map[string]zoneReturn{},
 	}
 	n.configs = &configurationStore{
 		environment:    n.environment,
@@ -261,8 +252,6 @@
 		health:      n.health,
 		rollouts:    n.rollouts,
 		quotas:      n.quotas,
-		directory:   n.directory,
-		byNode:      map[uint64]nodeReport{},
 	}
 	n.server = &connectionServer{
 		environment: n.environment,
@@ -304,21 +293,20 @@
 	replicated.watchCache.Reset(replicated.store.Revision())
 	replicated.rebuild()
 	replicated.appliedIndex = saved.Snapshot.Index
-	n.leases.restart(0, replicated.store.Coordination().Locks)
+	snapshots := &snapshotter{env: n.environment}
 	for _, entry := range saved.Entries {
-		n.snapshots.countEntry(entry)
+		snapshots.countEntry(entry)
 	}
 	node := raft.New(raft.Config{
 		ID:                n.self.ID,
 		HeartbeatInterval: n.timing.HeartbeatInterval,
 		ElectionTimeout:   n.timing.ElectionTimeout,
 		RandInt63n:        rand.Int63n,
-		ValidateSnapshot:  n.snapshots.restoreReceived,
+		ValidateSnapshot:  snapshots.restoreReceived,
 	}, 0, saved)
 	n.peers.setMembership(node.Membership())
-	return &loopState{
-		raft:            node,
-		leaderChanged:   make(chan struct{}),
-		membershipIndex: node.MembershipIndex(),
-	}
+	planner := newMembershipPlanner(n.settings, n.timing, n.membership.failureDomainOf)
+	state := newLoopState(node, snapshots, planner)
+	state.leases.restart(0, replicated.store.Coordination().Locks)
+	return state
 }
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -13,20 +13,17 @@
 	*environment
 	state    *sharedState
 	proposer *proposer
-
-	// returning is since when the leader has seen each zone return, by registry key.
-	// It belongs to the event loop.
-	returning map[string]zoneReturn
 }
 
-// zoneReturn is when a zone's return was first seen, or proposed to be complete.
+// zoneReturn is when the leader first saw a zone return, or last proposed that its
+// return is complete, see loopState.
 type zoneReturn struct {
 	at       time.Duration
 	revision uint64
 }
 
 // becomeLeader forgets what an earlier leadership knew.
-func (z *zoneEvacuator) becomeLeader() { z.returning = map[string]zoneReturn{} }
+func (z *zoneEvacuator) becomeLeader(state *loopState) { state.zoneReturns = map[string]zoneReturn{} }
 
 // order takes an order for a zone, see Node.Evacuate.
 func (z *zoneEvacuator) order(zone string, begin bool, callerIsWaiting func() bool) error {
@@ -100,18 +97,18 @@
 	wait := 2*z.settings.HeartbeatInterval.Duration() + z.timing.ConnectionTimeout
 	for _, object := range z.state.onLoop(state).store.List(registry.EvacuationPrefix) {
 		if registry.DecodeEvacuation(object).State() != registry.Returning {
-			delete(z.returning, object.Key)
+			delete(state.zoneReturns, object.Key)
 			continue
 		}
-		since, isKnown := z.returning[object.Key]
+		since, isKnown := state.zoneReturns[object.Key]
 		if !isKnown || since.revision != object.ModRevision {
-			z.returning[object.Key] = zoneReturn{at: now, revision: object.ModRevision}
+			state.zoneReturns[object.Key] = zoneReturn{at: now, revision: object.ModRevision}
 			continue
 		}
 		if now-since.at > wait {
 			state.proposeOnce(registry.Command{Txn: deleteIfUnchanged(object)})
 			// It is proposed again if it does not come through.
-			z.returning[object.Key] = zoneReturn{at: now, revision: object.ModRevision}
+			state.zoneReturns[object.Key] = zoneReturn{at: now, revision: object.ModRevision}
 		}
 	}
 }
