--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -34,7 +34,7 @@
 // A heartbeat that is late, or of an endpoint that has deregistered, changes nothing.
 func (n *Node) Heartbeat(endpoint registry.Endpoint) error { return n.health.heartbeat(endpoint) }
 
-// Deregister removes an endpoint for good: its ID is not registered again.
+// Deregister removes an endpoint for good: late heartbeats do not register it again.
 func (n *Node) Deregister(id string) error { return n.health.deregister(id) }
 
 // ReplaceConfiguration validates a whole configuration and puts it in place of the
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -35,12 +35,15 @@
 //
 // The event loop is one goroutine. State that belongs to it is in loopState, which
 // only loop tasks receive; a method that takes a *loopState runs there. State that
-// several goroutines use stands behind the mutex of the type that holds it. Locks are held briefly and never while waiting for
-// a peer, the disk or the loop. Where two are held, the order is sharedState,
-// then the lock of any other part; peerPool before peerConnection.
+// several goroutines use stands behind the mutex of the type that holds it. Locks are
+// held briefly and never while waiting for a peer, the disk or the loop. One is held
+// for longer: that of listEncoding, while the list is encoded for all who wait for it.
+// Where two are held, the order is: listEncoding before sharedState; sharedState or
+// watchServer before healthMonitor or rolloutController; groupWatchers before its
+// wakeups; peerPool before peerConnection.
 //
-// Further goroutines: the log writer, the listener, one for each connection
-// accepted, two for each peer connection, and short-lived ones for health checks
-// and forwarded calls. All of them end when Close cancels the node's context, and
-// Close waits for them.
+// Further goroutines: the log writer, the listener, one for each connection accepted
+// and one for each stream on it, two for each peer connection, and short-lived ones
+// for health checks, requests of peers and writes that proxies ask for. All of them
+// end when Close cancels the node's context, and Close waits for them.
 package controlplane
