--- a/raft/election.go
+++ b/raft/election.go
@@ -148,6 +148,8 @@
 // handlePreVote answers whether this node would vote for the sender.
 func (n *Node) handlePreVote(m *Message) {
 	isGranted := m.Term > n.hardState.Term && n.log.isUpToDate(m.Index, m.LogTerm) && !n.inLeaderLease()
+	// A granted pre-vote carries the term that the candidate would begin, as this node
+	// stays in its own. A rejection carries this node's term, for the sender to adopt.
 	resp := Message{Type: MsgPreVoteResp, To: m.From, Term: m.Term, Reject: !isGranted}
 	if !isGranted {
 		resp.Term = n.hardState.Term
@@ -155,7 +157,8 @@
 	n.sendAfterAppend(resp)
 }
 
-// handleVote grants a vote of the current term, to one candidate only.
+// handleVote grants a vote of the current term, to one candidate only. In a term whose
+// leader is known the election is decided.
 func (n *Node) handleVote(m *Message) {
 	canVote := n.hardState.Vote == 0 || n.hardState.Vote == m.From
 	isGranted := canVote && n.leaderID == 0 && n.log.isUpToDate(m.Index, m.LogTerm)
@@ -214,7 +217,7 @@
 // TransferLeadership starts to hand leadership to the voter with the longest log among
 // those heard within an election timeout. It returns false if this node does not lead
 // or there is no such voter. Until the target leads, or an election timeout has passed,
-// proposals are refused.
+// proposals are rejected.
 func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
--- a/raft/log.go
+++ b/raft/log.go
@@ -76,8 +76,9 @@
 	return ok && t == term
 }
 
-// entriesFrom returns entries from index on, as far as they are stored together. The
-// entry before index must be in memory.
+// entriesFrom returns the entries from index on: up to the last one, or only up to the
+// snapshot if index lies in compactedTail, so that the caller asks again for the
+// others. The entry before index must be in memory.
 func (l *raftLog) entriesFrom(index uint64) []Entry {
 	if index > l.snapshot.Index {
 		return l.entries[index-l.snapshot.Index-1:]
@@ -196,15 +197,15 @@
 		return false // a node that is joining, before the entry that names it
 	}
 	l.memberships[0].index = index
-	kept := index - l.snapshot.Index
-	compacted := append(slices.Clip(l.compactedTail), l.entries[:kept]...)
+	dropped := index - l.snapshot.Index
+	compacted := append(slices.Clip(l.compactedTail), l.entries[:dropped]...)
 	first, size := len(compacted), 0
 	for first > 0 && size+entrySize(compacted[first-1]) <= len(data) {
 		first--
 		size += entrySize(compacted[first])
 	}
 	l.compactedTail = append([]Entry(nil), compacted[first:]...)
-	l.entries = append([]Entry(nil), l.entries[kept:]...)
+	l.entries = append([]Entry(nil), l.entries[dropped:]...)
 	l.snapshot = Snapshot{Index: index, Term: term, Members: membership, Data: data}
 	return true
 }
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -18,8 +18,9 @@
 }
 
 // Membership is the configuration of the group (the paper, section 6): the members that
-// vote, and the learners (thesis, section 4.2.1), which receive the log and do not. It
-// is a value; its methods do not change it. The field names are part of the wire format.
+// vote, and the learners (thesis, section 4.2.1), which receive the log but do not
+// vote. It is a value; its methods do not change it. The field names are part of the
+// wire format.
 type Membership struct {
 	Voters   []Member
 	Learners []Member
--- a/raft/message.go
+++ b/raft/message.go
@@ -60,7 +60,7 @@
 	MsgAppend // AppendEntries (the paper, section 5.3)
 	MsgAppendResp
 	MsgHeartbeat     // AppendEntries without entries; confirms reads and leases
-	MsgHeartbeatResp //
+	MsgHeartbeatResp // repeats the heartbeat's Context, and its Sent as Echo
 	MsgSnapshot      // InstallSnapshot (the paper, section 7), one chunk
 	MsgTimeoutNow    // TimeoutNow (thesis, section 3.10)
 	MsgSnapshotResp  // Offset is how much of the snapshot at Index has arrived
--- a/raft/modelcheck/state.go
+++ b/raft/modelcheck/state.go
@@ -156,7 +156,7 @@
 	after := s.fork()
 	after.nodes[position] = t.next
 	after.violation = t.violation
-	after.account(e)
+	after.recordClusterEffects(e)
 	for _, p := range t.sent {
 		after.addToNetwork(p)
 	}
@@ -188,8 +188,8 @@
 		!slices.ContainsFunc(t.sent, s.isNewPacket)
 }
 
-// account records what an event changes beside its node.
-func (s *clusterState) account(e event) {
+// recordClusterEffects records what an event changes beside its node.
+func (s *clusterState) recordClusterEffects(e event) {
 	switch e.kind {
 	case Deliver:
 		s.network = slices.DeleteFunc(s.network, func(p *packet) bool { return p == e.packet })
--- a/raft/modelcheck/trace.go
+++ b/raft/modelcheck/trace.go
@@ -16,8 +16,8 @@
 	lineElect  = "elect"
 )
 
-// maxSettleEvents ends a settle or elect that does not come to rest.
-const maxSettleEvents = 10_000
+// maxEventsUntilQuiet limits the events of one settle or elect line.
+const maxEventsUntilQuiet = 10_000
 
 // Replay plays a trace: lines as Result.Trace has them, and besides
 //
@@ -60,13 +60,13 @@
 		next.network = nil
 		return next, nil
 	case lineSettle:
-		return s.settle(strings.Fields(rest), "")
+		return s.runUntilQuiet(strings.Fields(rest), "")
 	case lineElect:
 		among := strings.Fields(rest)
 		if len(among) == 0 {
 			return nil, errors.New("elect names no node")
 		}
-		return s.settle(among, among[0])
+		return s.runUntilQuiet(among, among[0])
 	}
 	for _, e := range s.enabledEvents() {
 		if e.String() != line {
@@ -80,14 +80,14 @@
 	return nil, fmt.Errorf("%q cannot happen", line)
 }
 
-// settle delivers and syncs among some nodes, or all if none is named, until nothing is
-// left to do or, if a leader is named, until it leads. A violation ends it.
-func (s *clusterState) settle(among []string, leader string) (*clusterState, error) {
-	for range maxSettleEvents {
+// runUntilQuiet delivers and syncs among some nodes, or all if none is named, until
+// nothing is left to do or, if a leader is named, until it leads. A violation ends it.
+func (s *clusterState) runUntilQuiet(among []string, leader string) (*clusterState, error) {
+	for range maxEventsUntilQuiet {
 		if leader != "" && s.isLedBy(leader) {
 			return s, nil
 		}
-		next := s.settleStep(among)
+		next := s.nextSyncOrDelivery(among)
 		if next == nil && leader != "" {
 			return nil, fmt.Errorf("%s does not lead", leader)
 		}
@@ -108,9 +108,9 @@
 	})
 }
 
-// settleStep returns the state after the first sync or delivery among the nodes that
-// changes something, or nil if there is none.
-func (s *clusterState) settleStep(among []string) *clusterState {
+// nextSyncOrDelivery returns the state after the first sync or delivery among the nodes
+// that changes something, or nil if there is none.
+func (s *clusterState) nextSyncOrDelivery(among []string) *clusterState {
 	isIncluded := func(id uint64) bool {
 		return len(among) == 0 || slices.Contains(among, fmt.Sprint(id))
 	}
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -93,8 +93,10 @@
 }
 
 const (
+	// minWindowBytes is the least that a window shrinks to.
 	minWindowBytes = 4 << 10
-	maxInflights   = 128
+	// maxInflights limits the messages in flight to one member, however small they are.
+	maxInflights = 128
 	// bytesPerTimeout is how many bytes in flight lengthen the wait for an
 	// acknowledgement by its basic length once more.
 	bytesPerTimeout = 32 << 10
--- a/raft/raft.go
+++ b/raft/raft.go
@@ -126,9 +126,9 @@
 	reads             readOnly
 	transferTarget    uint64 // 0 unless leadership is being transferred
 	transferStartedAt time.Duration
-	termStartIndex    uint64 // index of the entry that opened this leader's term
-	diskLagIndex      uint64 // the disk is watched until it has reached this index
-	diskLagSince      time.Duration
+	termStartIndex    uint64        // index of the entry that opened this leader's term
+	diskLagIndex      uint64        // last index of the log when the disk last caught up
+	diskLagSince      time.Duration // then, or at the last transfer; see transferIfDiskLags
 
 	// Collected for the next Ready, beside the log's entriesToWrite and the answers in
 	// reads.
@@ -222,8 +222,9 @@
 	}
 }
 
-// transferIfDiskLags hands the leadership on if this leader's own disk has not made
-// the entries durable that were the last of the log an election timeout ago.
+// transferIfDiskLags transfers leadership if this leader's own disk has not, within an
+// election timeout, made the log durable up to diskLagIndex. The other voters can still
+// commit, but the group tolerates one failure less.
 func (n *Node) transferIfDiskLags() {
 	if n.log.stableIndex >= n.diskLagIndex {
 		n.diskLagIndex = n.log.lastIndex()
@@ -234,9 +235,9 @@
 	}
 }
 
-// Step takes a message from another node. now is the caller's clock; it may lie before
-// the newest reading that the node has seen. A message to another ID, as to an earlier
-// incarnation of this address, is ignored.
+// Step handles a message from another node. now is the caller's clock; it may lie
+// before the newest reading that the node has seen. A message to another ID, as to an
+// earlier incarnation of this address, is ignored.
 func (n *Node) Step(now time.Duration, m Message) {
 	n.now = max(n.now, now)
 	if m.To != n.config.ID {
@@ -304,10 +305,10 @@
 	return true
 }
 
-// stepFromLeader takes a message that only the leader of the current term sends.
+// stepFromLeader handles a message that only the leader of the current term sends.
 func (n *Node) stepFromLeader(m *Message) {
 	if n.role == Leader {
-		return // A term has one leader; a corrupt peer is ignored.
+		return // A term has one leader (Election Safety): the sender is faulty.
 	}
 	if n.role != Follower || n.leaderID != m.From {
 		n.becomeRole(Follower, m.Term, m.From)
@@ -332,13 +333,13 @@
 		n.sendAfterAppend(m)
 		return
 	}
-	n.address(&m)
+	n.setSender(&m)
 	n.messages = append(n.messages, m)
 }
 
 // sendAfterAppend queues m to be sent once all that was changed before is durable.
 func (n *Node) sendAfterAppend(m Message) {
-	n.address(&m)
+	n.setSender(&m)
 	n.messagesAfterAppend = append(n.messagesAfterAppend, m)
 }
 
@@ -352,8 +353,8 @@
 	}
 }
 
-// address sets the sender of m and, unless it has one, its term.
-func (n *Node) address(m *Message) {
+// setSender sets the sender of m and, unless it has one, its term.
+func (n *Node) setSender(m *Message) {
 	m.From = n.config.ID
 	if m.Term == 0 {
 		m.Term = n.hardState.Term
@@ -383,7 +384,7 @@
 // and reads of one turn of the caller's loop share them.
 func (n *Node) readyLeader() {
 	n.startDeferredReads()
-	if n.reads.needsRound() {
+	if n.reads.needsHeartbeatRound() {
 		n.reads.round++
 		n.broadcastHeartbeat()
 	}
@@ -392,7 +393,8 @@
 			continue
 		}
 		p := n.ensureProgress(m.ID)
-		// A member that is not heard is sent nothing more until it answers.
+		// A member that is not heard from gets heartbeats only: appends would fill its
+		// window, and are sent again anyway once it answers.
 		if p.nextIndex <= n.log.lastIndex() && n.now-p.lastContact <= n.config.ElectionTimeout {
 			n.sendAppend(m.ID)
 		}
--- a/raft/rafttest/rafttest.go
+++ b/raft/rafttest/rafttest.go
@@ -73,7 +73,7 @@
 	inflight        []inflightMessage
 	cutLinks        map[link]bool
 	linkFreeAt      map[link]time.Duration // when a limited link has sent all that waits
-	readSeq         uint64
+	lastReadID      uint64
 	committed       map[uint64]string // entries by index, as first committed anywhere
 	compactAfter    int               // applied entries
 }
@@ -239,9 +239,9 @@
 		done(0, false)
 		return
 	}
-	c.readSeq++
-	n.pendingReads[c.readSeq] = done
-	n.Raft.ReadIndex(c.readSeq)
+	c.lastReadID++
+	n.pendingReads[c.lastReadID] = done
+	n.Raft.ReadIndex(c.lastReadID)
 }
 
 // Run lets simulated time pass, in steps of StepInterval.
--- a/raft/read_only.go
+++ b/raft/read_only.go
@@ -28,8 +28,9 @@
 	readIndex uint64
 }
 
-// needsRound reports whether a read waits for a heartbeat round that has not begun.
-func (r *readOnly) needsRound() bool {
+// needsHeartbeatRound reports whether a read waits for a heartbeat round that has not
+// begun.
+func (r *readOnly) needsHeartbeatRound() bool {
 	return len(r.pending) > 0 && r.pending[len(r.pending)-1].round > r.round
 }
 
@@ -43,8 +44,9 @@
 
 // ReadIndex asks for a read index, which a later Ready returns in ReadStates under
 // requestID. The request is answered after a majority has confirmed that this node
-// still leads; at a leader that has committed nothing in its term yet, not before it
-// has. All reads between two calls of Ready share a heartbeat round.
+// still leads. A leader that has committed nothing in its term yet answers only once it
+// has, as it does not know the commit index before. All reads between two calls of
+// Ready share a heartbeat round.
 func (n *Node) ReadIndex(requestID uint64) {
 	switch {
 	case n.role != Leader:
--- a/raft/replication.go
+++ b/raft/replication.go
@@ -143,7 +143,8 @@
 	return append([]Entry(nil), entries[:count]...), size
 }
 
-// handleAppend takes entries from the leader.
+// handleAppend appends the leader's entries, or rejects them if the entry before them
+// is missing.
 func (n *Node) handleAppend(m *Message) {
 	if m.Index < n.log.commitIndex {
 		n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: n.log.commitIndex})
@@ -165,7 +166,7 @@
 	n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: matchIndex})
 }
 
-// handleHeartbeat takes the leader's commit index and answers with this node's clock.
+// handleHeartbeat follows the leader's commit index and answers with this node's clock.
 func (n *Node) handleHeartbeat(m *Message) {
 	n.log.commitTo(min(m.Commit, n.log.lastIndex()))
 	// If the log holds the leader's last committed entry, all up to it is committed,
@@ -184,8 +185,8 @@
 	})
 }
 
-// handleFollowerResp takes a follower's answer to an append, a heartbeat or a snapshot
-// chunk.
+// handleFollowerResp handles a follower's answer to an append, a heartbeat or a
+// snapshot chunk.
 func (n *Node) handleFollowerResp(m *Message) {
 	p := n.progress[m.From]
 	if p == nil {
@@ -222,8 +223,8 @@
 	}
 	// A member that missed one append rejects each of those that were in flight behind
 	// it. The first rejection has everything sent again; the others are older.
-	isOlder := m.Index >= p.resentFrom && m.Index <= p.resentThrough
-	if isOlder && n.now-p.resentAt <= resendGuardHeartbeats*n.config.HeartbeatInterval {
+	isResentAlready := m.Index >= p.resentFrom && m.Index <= p.resentThrough
+	if isResentAlready && n.now-p.resentAt <= resendGuardHeartbeats*n.config.HeartbeatInterval {
 		return
 	}
 	p.nextIndex = max(p.matchIndex+1, min(m.Hint+1, m.Index))
--- a/raft/snapshot.go
+++ b/raft/snapshot.go
@@ -119,12 +119,14 @@
 	n.sendSnapshotChunk(m.From, p)
 }
 
-// handleSnapshot takes a chunk of a snapshot, and installs the snapshot once it is
-// complete and valid.
+// handleSnapshot adds a chunk of a snapshot, and installs the snapshot once it is
+// complete and valid. One that is not valid is not answered: the leader sends its last
+// chunk again after a timeout, and the snapshot is validated anew.
 func (n *Node) handleSnapshot(m *Message) {
 	if m.Snap == nil {
 		return
 	}
+	// The log covers the snapshot already: the leader can go on with entries.
 	if index := m.Snap.Index; index <= n.log.commitIndex || n.log.holds(index, m.Snap.Term) {
 		n.log.commitTo(min(index, n.log.lastIndex()))
 		n.sendAfterAppend(Message{Type: MsgAppendResp, To: m.From, Index: n.log.commitIndex})
