--- a/coordination/lock.go
+++ b/coordination/lock.go
@@ -13,8 +13,9 @@
 	// that was started for an older grant is void.
 	Grant uint64
 	// HoldMS is the duration of the lease in ms, counted from the newest grant. It is
-	// the longest that the holder asked for: calls may overtake each other, and a late
-	// one that asks for less must not end the lease that a newer one was given.
+	// the longest that the holder has asked for since it acquired the lock: calls may
+	// overtake each other, and a late one that asks for less must not end the lease
+	// that a newer one was given.
 	HoldMS uint64
 }
 
@@ -34,6 +35,7 @@
 	return Result{Fence: revision, Grant: revision}
 }
 
+// renewLock extends the lease of a lock that the holder has under its fencing token.
 func (t *Table) renewLock(revision uint64, c Command) Result {
 	lock, ok := t.ownedLock(c)
 	if !ok {
--- a/coordination/table.go
+++ b/coordination/table.go
@@ -3,11 +3,10 @@
 // are compare-and-set registers whose writes can be watched in groups.
 //
 // It is a deterministic state machine without a clock. A lease is timed outside: each
-// replica starts its own timer when it applies a grant, and an acquisition that takes
-// a lock over names the grant whose time its proposer saw run out. The state only
-// checks that this grant is still the newest one, so a renewal that is committed
-// first wins. Replicas that apply the same commands in the same order hold the same
-// state.
+// replica starts its own timer when it applies a grant, and an acquisition that takes a
+// lock over names the grant whose lease expired by its proposer's timer. The state only
+// checks that this grant is still the newest one, so a renewal that is committed first
+// wins. Replicas that apply the same commands in the same order hold the same state.
 //
 // The package does no input or output, reads no clock and starts no goroutine. A
 // Table is part of the state of package registry, which applies the commands;
@@ -85,8 +84,8 @@
 	Holder       string // who acquires, renews or releases the lock
 	FencingToken uint64 // of the lock to renew or release
 	LeaseMS      uint64 // duration of the lease in ms
-	// ExpiredToken and ExpiredGrant name the grant of which the proposer of an
-	// acquisition has seen the lease run out; zero if it has seen none.
+	// ExpiredToken and ExpiredGrant are the Fence and Grant of the lock whose lease has
+	// expired by the timer of the proposer of an acquisition; zero if none has.
 	ExpiredToken, ExpiredGrant uint64
 
 	Value               string // to put into the cell
@@ -152,8 +151,9 @@
 	}
 }
 
-// Apply carries out one command. revision is the global revision of the command. It
-// must rise with every call, as it serves as fencing token, grant and number.
+// Apply carries out one command. revision is the global revision that the command gets
+// if it succeeds; it must be above that of every earlier success, as it serves as
+// fencing token, grant and number.
 func (t *Table) Apply(revision uint64, c Command) Result {
 	switch c.Operation {
 	case AcquireLock:
--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -1,13 +1,13 @@
 // Package eventlog is an append-only log of numbered events by topic, replayed from
 // offsets.
 //
-// Each entry carries the index that the replicated log gave its change, and, where
-// topics are used, its offset within its topic, which rises by one from 1. Both
-// follow from the entries before it alone, so all replicas that appended the same
-// changes hold the same log. A reader is only an offset: it can go on at any replica
-// and costs nothing while it is slow. Entries may be forgotten from the oldest on;
-// the log keeps how far it did so, so that a reader that comes too late is told
-// apart from one that has read everything.
+// Each entry carries the global revision of its change, which the caller gives and
+// which never decreases, and its offset within its topic, which rises by one from 1.
+// Both follow from the changes alone, so all replicas that appended the same changes
+// hold the same log. A reader is only an offset: it can go on at any replica and costs
+// nothing while it is slow. Entries may be forgotten from the oldest on; the log keeps
+// how far it did so, so that a reader that comes too late is not mistaken for one that
+// has read everything.
 //
 // The package does no input or output, reads no clock and starts no goroutine. It is
 // used by packages watchcache and coordination.
@@ -18,7 +18,7 @@
 // Entry is one event. Entries are stored in snapshots by gob, so the field names are
 // part of that format.
 type Entry[T any] struct {
-	At     uint64 // index in the replicated log
+	At     uint64 // global revision of the change
 	Topic  string
 	Number uint64 // offset within the topic
 	Value  T
@@ -28,24 +28,24 @@
 // see BuildIndex for reading. The exported fields are stored in snapshots by gob, so
 // their names are part of that format.
 type Log[T any] struct {
-	// Entries are in the order of their indexes.
+	// Entries are in the order of their revisions.
 	Entries []Entry[T]
 	// Last is the newest offset of each topic, Floor the highest that has been
 	// forgotten.
 	Last, Floor map[string]uint64
 
 	// firstPosition is how many entries have been forgotten since the log was made or
-	// decoded. An entry's position is its place in Entries plus firstPosition, and
-	// does not change when older ones are forgotten.
+	// decoded. An entry's position is its index in Entries plus firstPosition, and does
+	// not change when older ones are forgotten.
 	firstPosition uint64
 	// positions holds the positions of each topic's entries in order; nil until
 	// BuildIndex.
 	positions map[string][]uint64
 }
 
-// Append adds an event to a topic and returns its offset there. index must not be
-// below that of the entry before.
-func (l *Log[T]) Append(index uint64, topic string, value T) (offset uint64) {
+// Append adds an event to a topic and returns its offset there. revision must not be
+// below that of the entry before; several events may share one.
+func (l *Log[T]) Append(revision uint64, topic string, value T) (offset uint64) {
 	if l.Last == nil {
 		l.Last = map[string]uint64{}
 		l.Floor = map[string]uint64{}
@@ -54,7 +54,7 @@
 	l.Last[topic]++
 	offset = l.Last[topic]
 	l.positions[topic] = append(l.positions[topic], l.firstPosition+uint64(len(l.Entries)))
-	l.Entries = append(l.Entries, Entry[T]{At: index, Topic: topic, Number: offset, Value: value})
+	l.Entries = append(l.Entries, Entry[T]{At: revision, Topic: topic, Number: offset, Value: value})
 	return offset
 }
 
@@ -71,10 +71,10 @@
 	}
 }
 
-// Compact forgets the entries up to and including an index of the replicated log.
-func (l *Log[T]) Compact(index uint64) { l.DropOldest(l.FirstAfter(index)) }
+// Compact forgets the entries up to and including a global revision.
+func (l *Log[T]) Compact(revision uint64) { l.DropOldest(l.FirstAfter(revision)) }
 
-// DropOldest forgets the oldest n entries, of which there must be as many.
+// DropOldest forgets the oldest n entries. n must not exceed len(l.Entries).
 func (l *Log[T]) DropOldest(n int) {
 	if n == 0 {
 		return
@@ -120,8 +120,8 @@
 	return true
 }
 
-// FirstAfter returns the place in Entries of the first entry above an index of the
-// replicated log, or their number if there is none.
-func (l *Log[T]) FirstAfter(index uint64) int {
-	return sort.Search(len(l.Entries), func(i int) bool { return l.Entries[i].At > index })
+// FirstAfter returns the index in Entries of the first entry above a global revision,
+// or len(l.Entries) if there is none.
+func (l *Log[T]) FirstAfter(revision uint64) int {
+	return sort.Search(len(l.Entries), func(i int) bool { return l.Entries[i].At > revision })
 }
--- a/registry/configuration.go
+++ b/registry/configuration.go
@@ -54,12 +54,12 @@
 	return fmt.Sprintf("version %d was taken with the content %x, not %x", e.Version, e.AcceptedDigest, e.ProposedDigest)
 }
 
-// BuildConfigTxn returns the transaction that accepts a configuration, made from
-// the state of this replica. It returns nil if there is nothing to write because
-// the same content was accepted under the version before, so that a repeated
-// submission is idempotent. The error is a *ConfigConflictError if another content
-// was accepted under the version. The replica may lag: a transaction that conflicts
-// must be built again behind a read point.
+// BuildConfigTxn returns the transaction that accepts a configuration, made from the
+// state of this replica. It returns nil if there is nothing to write because the same
+// content was accepted under the version before, so that a repeated submission is
+// idempotent. The error is a *ConfigConflictError if another content was accepted under
+// the version. The replica may lag: after a conflict the caller brings it up to date
+// with a linearizable read and builds the transaction again.
 //
 // A version lower than the one in force does not replace it but is accepted all
 // the same, so that no other content can take its number.
@@ -85,7 +85,7 @@
 	}
 	replace := Write{Key: ConfigKey, Value: EncodeConfig(version, text)}
 	if exists {
-		replace = shortenWrite(replace, current.Value)
+		replace = useDeltaIfShort(replace, current.Value)
 	}
 	return &Txn{
 		If:   []Compare{{Key: ConfigKey, ModRevision: current.ModRevision}, notAccepted},
@@ -93,10 +93,10 @@
 	}, nil
 }
 
-// shortenWrite turns a write into one that carries the delta against the old value
-// if that is less than half as long. The object is replaced as a whole either way;
-// only what is logged and sent gets shorter.
-func shortenWrite(w Write, old []byte) Write {
+// useDeltaIfShort turns a write into one that carries the delta against the old value
+// if that is less than half as long. The object is replaced completely either way; only
+// what is logged and sent gets shorter.
+func useDeltaIfShort(w Write, old []byte) Write {
 	if delta := ComputeDelta(old, w.Value); len(delta) < len(w.Value)/2 {
 		w.Value = delta
 		w.IsDelta = true
--- a/registry/delta.go
+++ b/registry/delta.go
@@ -10,18 +10,20 @@
 // A delta describes a new value as copies of parts of the old one and literal bytes
 // between them: any number of times the offset and the length of a copy as uvarints,
 // then literal bytes with their length before them. An update still replaces the
-// whole object; the delta is only its form in the log and on the wire, and is tied
+// complete object; the delta is only its form in the log and on the wire, and is tied
 // to the revision of the value that it was made against.
 
 // ErrDeltaMismatch says that a delta is malformed or was made against another value.
 var ErrDeltaMismatch = errors.New("registry: delta does not fit the value")
 
-// Blocks end after the first closing brace behind minBlockSize bytes, so that an
-// object of a JSON text is found again after it moved as a whole, and after
-// maxBlockSize bytes at the latest.
+// Blocks end after the first closing brace behind minBlockSize bytes, so that an object
+// of a JSON text is found again after it moved unchanged, and after maxBlockSize bytes
+// at the latest.
 const (
 	minBlockSize = 24
 	maxBlockSize = 512
+	// typicalBlockSize only sizes the index, for blocks of this length.
+	typicalBlockSize = 64
 )
 
 // blockHashSeed may differ between processes: hashes never leave ComputeDelta.
@@ -42,7 +44,7 @@
 
 // indexBlocks returns the offset of each block of b by its hash.
 func indexBlocks(b []byte) map[uint64]int {
-	offsets := make(map[uint64]int, len(b)/64+1)
+	offsets := make(map[uint64]int, len(b)/typicalBlockSize+1)
 	for start := 0; start < len(b); {
 		end := blockEnd(b, start)
 		offsets[maphash.Bytes(blockHashSeed, b[start:end])] = start
--- a/registry/evacuation.go
+++ b/registry/evacuation.go
@@ -14,16 +14,17 @@
 // Evacuation is the state of a zone, as it is stored under EvacuationPrefix. The
 // zero value is a zone in ordinary use.
 //
-// Several operators may evacuate one zone at the same time. The zone returns only
-// when each of them has finished, so begin and finish orders are counted. Orders
-// carry no identity, and an operator whose answer was lost sends the order again: a
-// repeat is told from a new order by its age and by whether the order before it was
-// acknowledged.
+// Several operators may evacuate one zone at the same time. The zone returns only when
+// each of them has finished, so begin and finish orders are counted. Orders carry no
+// identity, and an operator whose answer was lost sends the order again: a repeat is
+// distinguished from a new order by its age and by whether the order before it was
+// acknowledged, see RepeatWindow.
 type Evacuation struct {
 	BeginCount  int `json:"begins,omitempty"`
 	FinishCount int `json:"finishes,omitempty"`
-	// BeginAcknowledged and FinishAcknowledged say that the node that took the newest
-	// order of the kind was still alive after it had answered.
+	// BeginAcknowledged and FinishAcknowledged say that the node that accepted the
+	// newest order of the kind was still alive after it had answered, so that its
+	// answer most likely arrived.
 	BeginAcknowledged  bool `json:"begin_told,omitempty"`
 	FinishAcknowledged bool `json:"finish_told,omitempty"`
 }
@@ -79,7 +80,7 @@
 	return age < window.Unacknowledged
 }
 
-// Acknowledge returns the state after the node that took the newest order of a kind
+// Acknowledge returns the state after the node that accepted the newest order of a kind
 // was seen alive after its answer.
 func (e Evacuation) Acknowledge(begin bool) Evacuation {
 	if begin {
--- a/registry/objects.go
+++ b/registry/objects.go
@@ -29,8 +29,8 @@
 	// Sequence is that of the newest heartbeat that changed the object. An endpoint
 	// numbers its heartbeats, so that one that arrives late is recognised.
 	Sequence uint64 `json:"sequence"`
-	// WarmUpSeconds is how much longer the endpoint was to be slow from its start when
-	// the object was created.
+	// WarmUpSeconds is how many seconds of warm-up the endpoint had left when it was
+	// registered. Later heartbeats do not change it.
 	WarmUpSeconds float64 `json:"cold_s,omitempty"`
 	// WarmingUp is true from the heartbeat that announces a warm-up to the one that no
 	// longer does. It is kept only where the settings bound the load of an endpoint
--- a/registry/store.go
+++ b/registry/store.go
@@ -90,10 +90,11 @@
 	Conflict bool
 	// Current holds the objects whose comparison failed, without their values.
 	Current []Object
-	// Latch is the outcome of a coordination command.
+	// Latch is the outcome of a coordination command, under its name in the internal
+	// protocol.
 	Latch coordination.Result
 	// Account is, for a batch of audit records, the sequence number up to which the
-	// audit log holds all records of the sending incarnation.
+	// audit log holds all records of the sending incarnation, see audit.Log.Ingest.
 	Account uint64
 }
 
@@ -171,6 +172,7 @@
 	if outcome.Code == coordination.OK {
 		s.revision++
 	}
+	// One command bounds both histories, as their retention is the same.
 	if c.Operation == coordination.CompactHistory {
 		s.auditLog.Compact(c.CompactBefore)
 	}
--- a/registry/txn.go
+++ b/registry/txn.go
@@ -7,12 +7,12 @@
 	ModRevision uint64
 }
 
-// Write puts or deletes the object under Key. A put replaces the value as a whole.
+// Write puts or deletes the object under Key. A put replaces the complete value.
 // Deleting what does not exist changes nothing and makes no event.
 type Write struct {
 	Key string
-	// Value is the new value or, with IsDelta, the delta (see ComputeDelta) against
-	// the object's present value. A transaction with a delta must compare the
+	// Value is the new value or, if IsDelta is set, the delta (see ComputeDelta)
+	// against the object's present value. A transaction with a delta must compare the
 	// revision that the delta was made against.
 	Value    []byte
 	IsDelete bool
--- a/watchcache/cache.go
+++ b/watchcache/cache.go
@@ -41,8 +41,8 @@
 	arrivals   []time.Duration              // when each event of log was appended
 	valueBytes int                          // sum of valueSize over the events of log
 	revision   uint64                       // of the newest write appended
-	// compactedRevision is the highest revision whose events are not in the window,
-	// be it that they left it or that they never came.
+	// compactedRevision is the highest revision whose events are not in the window:
+	// they left it, or the cache was reset to a state that includes them.
 	compactedRevision uint64
 }
 
@@ -113,10 +113,9 @@
 // Revision returns the revision of the newest write.
 func (c *Cache) Revision() uint64 { return c.revision }
 
-// EventsSince returns the events of the writes after a revision in their order, at
-// most limit of them, which must be positive, except that the events of one write are
-// never separated. The
-// error is ErrGone or ErrFutureRevision.
+// EventsSince returns the events of the writes after a revision in their order, at most
+// limit of them, except that the events of one write are never separated. limit must be
+// positive. The error is ErrGone or ErrFutureRevision.
 func (c *Cache) EventsSince(after uint64, limit int) ([]registry.Event, error) {
 	if after > c.revision {
 		return nil, ErrFutureRevision
--- a/watchcache/mirror.go
+++ b/watchcache/mirror.go
@@ -8,7 +8,7 @@
 
 // ErrBaseMismatch says that an event's delta was made against a value that the
 // mirror does not hold: the follower must list again.
-var ErrBaseMismatch = errors.New("watchcache: change does not fit the copy")
+var ErrBaseMismatch = errors.New("watchcache: delta does not fit the mirror's value")
 
 // Mirror is a follower's exact copy of a store or of a part of it. Its revision never
 // decreases. It is not safe for concurrent use.
