--- a/audit/log.go
+++ b/audit/log.go
@@ -35,7 +35,8 @@
 func (i *Incarnation) markGap(unixMS int64) {
 	elapsedMS := float64(max(0, unixMS-i.LastMS))
 	i.Gap = true
-	// Replicas must agree: the order of these operations decides how they round.
+	// Replicas must agree: the order of these operations decides how they round. 0.999
+	// rounds up to a whole request.
 	i.MayMiss = int64(i.Out) + int64(i.PerS*elapsedMS/1000+0.999)
 }
 
@@ -125,9 +126,9 @@
 	l.Ats = nil
 }
 
-// Ingest takes in a batch at a global revision. It returns the sequence number up to
-// which the log holds all records of the incarnation that were not dropped. A record
-// that was ingested before is skipped, so a batch may come again.
+// Ingest adds a batch at a global revision. It returns the sequence number up to which
+// the log holds all records of the incarnation that were not dropped. A record that was
+// ingested before is skipped, so a batch may come again.
 func (l *Log) Ingest(revision uint64, batch Batch) (acknowledged uint64) {
 	incarnation := l.Lives[batch.Life]
 	if incarnation == nil {
@@ -152,7 +153,7 @@
 	if batch.Closed {
 		incarnation.Closed = true
 	}
-	if incarnation.Closed { // whatever was assumed of it, nothing is missing
+	if incarnation.Closed { // a gap that was assumed meanwhile is none
 		incarnation.Gap = false
 		incarnation.MayMiss = 0
 	}
@@ -194,8 +195,12 @@
 	e.revision = revision
 }
 
-// evictEntries drops a sixteenth of the entries: first commitments without a failure,
-// then the oldest. It is a sixteenth at once as each eviction sorts all of them.
+// evictionDivisor is the part of the entries that one eviction drops. Several are
+// dropped at once, as each eviction sorts all of them.
+const evictionDivisor = 16
+
+// evictEntries drops a part of the entries: first commitments without a failure, then
+// the oldest.
 func (l *Log) evictEntries() {
 	keys := make([]string, 0, len(l.Entries))
 	for key := range l.Entries {
@@ -214,7 +219,7 @@
 			cmp.Compare(a, b),
 		)
 	})
-	for _, key := range keys[:max(1, len(keys)/16)] {
+	for _, key := range keys[:max(1, len(keys)/evictionDivisor)] {
 		l.Dropped[l.Entries[key].Tenant]++
 		delete(l.Entries, key)
 	}
--- a/internal/api/audit.go
+++ b/internal/api/audit.go
@@ -7,7 +7,7 @@
 	"lichentray/internal/apierror"
 )
 
-// readAudit answers with the audit records that a filter picks, all of them without one.
+// readAudit answers with the failures that a filter selects, all of them without a filter.
 func (h *Handler) readAudit(c call) (any, error) {
 	var filter audit.Filter
 	if len(c.body) > 0 {
@@ -18,14 +18,14 @@
 	if err := validateFilter(filter); err != nil {
 		return nil, err
 	}
-	records, err := h.node.ReadAudit(filter)
+	result, err := h.node.ReadAudit(filter)
 	if err != nil {
 		return nil, err
 	}
-	return records, nil
+	return result, nil
 }
 
-// validateFilter rejects a filter that can pick nothing.
+// validateFilter rejects a filter that can select nothing.
 func validateFilter(f audit.Filter) error {
 	switch {
 	case f.Kind != "" && !slices.Contains(audit.FailureKinds(), f.Kind):
--- a/internal/api/cells.go
+++ b/internal/api/cells.go
@@ -13,7 +13,7 @@
 type cellRequest struct {
 	Value *string `json:"value"`
 	// ExpectedRevision, if it is given, is the revision that the cell must have, 0 for a cell
-	// that does not exist.
+	// that does not exist. Its key is that of the public protocol.
 	ExpectedRevision *uint64 `json:"enabled"`
 }
 
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -11,7 +11,7 @@
 
 const (
 	resolvePath = "/api/resolve"
-	// maxResolveBytes bounds each parameter of a question to the directory.
+	// maxResolveBytes bounds each parameter of a lookup.
 	maxResolveBytes = 255
 )
 
@@ -36,7 +36,7 @@
 	return &Directory{resolver: resolver, metrics: registry}
 }
 
-// resolveAnswer is the answer to a question.
+// resolveAnswer is the answer to a lookup.
 type resolveAnswer struct {
 	Addresses  []string `json:"addresses"`
 	TTLSeconds float64  `json:"ttl_s"`
@@ -57,7 +57,7 @@
 	writeJSON(ctx, answer)
 }
 
-// resolve reads a question and answers it.
+// resolve reads a lookup and answers it.
 func (d *Directory) resolve(ctx *fasthttp.RequestCtx) (resolveAnswer, error) {
 	if string(ctx.Path()) != resolvePath {
 		return resolveAnswer{}, apierror.New(apierror.NoRoute, "no call at %s", ctx.Path())
--- a/internal/api/evacuations.go
+++ b/internal/api/evacuations.go
@@ -19,9 +19,10 @@
 // finishEvacuation takes a zone back into use.
 func (h *Handler) finishEvacuation(c call) (any, error) { return nil, h.evacuateZone(c, false) }
 
-// evacuateZone begins or finishes the evacuation of a zone. These orders have neither a body nor a
-// number. One that was delayed, as in the socket of a process that was stopped for a while, can be
-// told from a new one only by its caller, who has gone on to another node.
+// evacuateZone begins or finishes the evacuation of a zone. These orders carry no number that
+// would show that one was delayed, as in the socket of a process that was stopped for a while. A
+// delayed order is recognised by its caller, who has closed the connection and gone on to another
+// node.
 func (h *Handler) evacuateZone(c call, begin bool) error {
 	if err := requireName(c.name); err != nil {
 		return err
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -112,8 +112,8 @@
 	ctx.SetBody(body)
 }
 
-// retryAfterSeconds tells a caller when to try again after a rejection that promises that nothing
-// was done.
+// retryAfterSeconds is how long a caller should wait before it retries after a rejection that
+// promises that nothing was done.
 const retryAfterSeconds = "0.2"
 
 // errorAnswer is the body of an error.
--- a/internal/api/listen.go
+++ b/internal/api/listen.go
@@ -12,9 +12,9 @@
 // acceptRetryDelay is the pause after a failed Accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// retryingListener is a listener that outlives a shortage of descriptors, memory or buffers:
-// open connections go on, and new ones wait in the kernel's queue. A server that is handed such
-// an error ends, and its process with it.
+// retryingListener is a listener that outlives a shortage of descriptors, memory or buffers: open
+// connections go on, and new ones wait in the kernel's queue. Without it, the server would end
+// with the first such error of Accept, and its process with it.
 type retryingListener struct {
 	net.Listener
 	failures   *metrics.Counter
--- a/internal/api/locks.go
+++ b/internal/api/locks.go
@@ -75,6 +75,8 @@
 	if err != nil {
 		return coordination.Result{}, err
 	}
+	// The public protocol has one kind for a lock that another holder has and for one that the
+	// caller has lost.
 	if result.Latch.Code != coordination.OK {
 		return coordination.Result{}, apierror.New(apierror.LockHeld, "%s", c.name)
 	}
--- a/internal/storage/checksum.go
+++ b/internal/storage/checksum.go
@@ -7,16 +7,16 @@
 	"hash/crc32"
 )
 
-// ErrChecksum is the reason for which a store is discarded in which the content of a row does
-// not match its checksum. It is damage that SQLite does not notice.
+// ErrChecksum is the DiscardReason of a store in which the content of a row does not match its
+// checksum. It is damage that SQLite does not notice.
 var ErrChecksum = errors.New("storage: checksum does not match")
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// rowChecksum returns the CRC-32 (Castagnoli) of a row: of the columns that name it, as
-// fmt.Sprint prints them, followed by its data.
-func rowChecksum(data []byte, names ...any) int64 {
-	sum := crc32.Checksum([]byte(fmt.Sprint(names...)), castagnoliTable)
+// rowChecksum returns the CRC-32 (Castagnoli) of a row: of its other columns, as fmt.Sprint
+// prints them, followed by its data.
+func rowChecksum(data []byte, columns ...any) int64 {
+	sum := crc32.Checksum([]byte(fmt.Sprint(columns...)), castagnoliTable)
 	return int64(crc32.Update(sum, castagnoliTable, data))
 }
 
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -17,8 +17,8 @@
 	"lichentray/raft"
 )
 
-// ErrLogGap is the reason for which a store is discarded whose log does not continue its
-// snapshot, or itself, without a gap.
+// ErrLogGap is the DiscardReason of a store whose log does not continue its snapshot, or itself,
+// without a gap.
 var ErrLogGap = errors.New("storage: log has a gap")
 
 const (
@@ -35,12 +35,12 @@
 	if s.dir == "" {
 		return s.loadChecked(initialID, check)
 	}
-	wasUsed, err := s.prepareDirectory()
+	hasQuarantined, err := s.prepareDirectory()
 	if err != nil {
 		return Identity{}, raft.PersistentState{}, err
 	}
-	if wasUsed {
-		initialID = 0
+	if hasQuarantined {
+		initialID = 0 // the group may know this disk under initialID: draw another
 	}
 	id, state, err := s.loadChecked(initialID, check)
 	if err == nil {
@@ -62,10 +62,11 @@
 	return id, state, syncDirectory(s.dir)
 }
 
-// prepareDirectory quarantines journals that were left without their database, as SQLite
-// would play them into a new one. It reports whether the directory holds files that were
-// quarantined, so that an earlier identity of this disk may be known to the group.
-func (s *Store) prepareDirectory() (wasUsed bool, err error) {
+// prepareDirectory quarantines journals that were left without their database, as SQLite would
+// play them into a new one. It reports whether the directory holds files that were quarantined,
+// so that an earlier identity of this disk may be known to the group. A directory whose name is
+// no valid pattern for filepath.Glob counts as holding some, which is the safe side.
+func (s *Store) prepareDirectory() (hasQuarantined bool, err error) {
 	database := filepath.Join(s.dir, databaseName)
 	if _, err := os.Stat(database); errors.Is(err, os.ErrNotExist) {
 		if err := s.quarantine(); err != nil {
@@ -76,8 +77,8 @@
 	return err != nil || len(quarantined) > 0, nil
 }
 
-// isDeviceError reports that the disk refused an operation, in contrast to a file whose
-// content is damaged: the same file may be readable later.
+// isDeviceError reports that the disk failed an operation, in contrast to a file whose content is
+// damaged: the same file may be readable later.
 func isDeviceError(err error) bool {
 	var sqliteErr sqlite3.Error
 	if !errors.As(err, &sqliteErr) {
--- a/internal/storage/save.go
+++ b/internal/storage/save.go
@@ -13,9 +13,9 @@
 // Save makes one batch durable, all of it or nothing, and returns after the sync. hardState
 // and snapshot may be nil, which leaves the stored ones as they are.
 //
-// Entries replace all entries of the log from the index of the first one on. A snapshot
-// removes the entries up to its index. If replaceLog is set, as it is for a snapshot that the
-// leader sent, the snapshot stands for the whole log and entries follow it.
+// Entries replace all entries of the log from the index of the first one on. A snapshot removes
+// the entries up to its index. If replaceLog is set, as it is for a snapshot that the leader
+// sent, the snapshot replaces the complete log and entries follow it.
 //
 // After an error nothing of the batch is in the store, and Save may be called again. It cannot
 // be cancelled: an outcome that is not known would be of no use to Raft.
@@ -84,9 +84,9 @@
 // inTransaction calls body within a transaction and commits it. It opens the database first if
 // an earlier transaction failed.
 //
-// After a refused write or sync nothing is trusted that the connection holds in memory, as the
-// disk may have another state. The connection is closed, and the next transaction reads the
-// file anew.
+// After a failed write or sync nothing is trusted that the connection holds in memory, as the
+// disk may have another state. The connection is closed, and the next transaction reads the file
+// anew.
 func (s *Store) inTransaction(body func() error) error {
 	if s.conn == nil {
 		if err := s.openDatabase(); err != nil {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// execStatement executes a prepared statement with its arguments in order. A statement of a
-// transaction is not cancelled by itself.
+// execStatement executes a prepared statement with its arguments in order. It takes no context,
+// as a statement is not cancelled apart from its transaction.
 func execStatement(statement driver.Stmt, args ...driver.Value) error {
 	named := make([]driver.NamedValue, len(args))
 	for i, arg := range args {
--- a/internal/storage/schema.go
+++ b/internal/storage/schema.go
@@ -20,8 +20,9 @@
 )
 
 // pragmas configure a connection. An exclusive lock keeps SQLite's shared memory file away, and
-// synchronous=FULL syncs the write-ahead log at each commit. The page cache and the journal are
-// bounded, as a node has little memory and little disk.
+// synchronous=FULL syncs the write-ahead log at each commit. The page cache (512 KiB), the
+// write-ahead log (500 pages before a checkpoint) and its file (4 MiB) are bounded, as a node has
+// little memory and little disk.
 var pragmas = []string{
 	"PRAGMA locking_mode=EXCLUSIVE",
 	"PRAGMA journal_mode=WAL",
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -60,9 +60,9 @@
 // A new store gets initialID as its identity, or a random one if initialID is 0 or if the
 // directory holds a store that was quarantined. Random identities have the highest bit set.
 //
-// An error means that the disk refused to work or that the directory cannot be used. No store
-// is open then, and a later call may succeed. When Open returns without an error, the identity
-// is durable, and no quarantined file can come back under its old name after a loss of power.
+// An error means that the disk failed or that the directory cannot be used. No store is open
+// then, and a later call may succeed. When Open returns without an error, the identity is
+// durable, and no quarantined file can come back under its old name after a loss of power.
 func Open(dir string, initialID uint64, check func(raft.PersistentState) error) (*Store, Identity, raft.PersistentState, error) {
 	s := &Store{dir: dir}
 	id, state, err := s.recoverOrReplace(initialID, check)
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -3,7 +3,7 @@
 //
 // A connection carries frames in both directions, and any number of them may be under way; the
 // package does not match answers with requests. The process that connects sends a Hello first,
-// which tells the version of the wire and the role of the sender. Who may send which part of a
+// which gives the version of the wire and the role of the sender. Who may send which part of a
 // Frame is documented at its fields.
 //
 // A frame is a header of four bytes, big-endian, and a body. The header holds the length of
@@ -51,7 +51,8 @@
 	Bookmark *Bookmark
 	// Gone ends a watch whose next events are no longer retained. The proxy has to list again.
 	Gone bool
-	// Proxies is exchanged between control-plane nodes.
+	// Proxies sums up what proxies report. It is exchanged between control-plane nodes and their
+	// leader.
 	Proxies *ProxyAggregate
 	// Ack is the revision up to which a proxy has applied the events, or 0.
 	Ack uint64
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -56,8 +56,8 @@
 	Zone string
 }
 
-// Heartbeat says that an endpoint was heard of. The node that received the endpoint's call
-// passes it to the leader, which judges liveness.
+// Heartbeat says that an endpoint has called a control-plane node. The node that received the
+// call forwards it to the leader, which judges liveness.
 type Heartbeat struct {
 	// ID is the endpoint's instance ID.
 	ID string
@@ -79,8 +79,8 @@
 	Join *raft.Member
 	// Passed marks a Join that a follower forwarded to the leader. It is not forwarded again.
 	Passed bool
-	// Leave is the ID of a member whose process asks whether it may end. It is asked again
-	// until the answer is no failure.
+	// Leave is the ID of a member whose process asks whether it may end. The member repeats the
+	// request until the response is no failure.
 	Leave uint64
 	// List asks a control-plane node for all watched objects as of a linearizable read, and
 	// for the events that follow.
@@ -92,8 +92,8 @@
 	Watch bool
 	// Packs says that the caller understands Response.Packed and Frame.PackedEvents.
 	Packs bool
-	// Zone, if it is set, allows the node to refuse a list because a node of this zone is
-	// up, see Response.Nearer.
+	// Zone, if it is set, is the caller's zone and allows the node to redirect a list because a
+	// node of this zone is up, see Response.Nearer.
 	Zone string
 }
 
@@ -112,7 +112,7 @@
 	Revision uint64
 	// Objects is the list.
 	Objects []registry.Object
-	// Gone refuses a watch, as the events after Least are no longer retained.
+	// Gone rejects a watch, as the events after Least are no longer retained.
 	Gone bool
 	// Nearer, in place of a list, names the core, which has a node in the zone that the
 	// request gave.
--- a/internal/transport/pack.go
+++ b/internal/transport/pack.go
@@ -21,10 +21,10 @@
 	return w
 }}
 
-// Pack encodes and compresses items once for all the connections that they are sent on, in
-// Response.Packed or Frame.PackedEvents. Most of the work and of the memory that it takes to
-// send a large list or event is in that. The result must not be modified while a frame that
-// holds it is being sent.
+// Pack encodes and compresses items once for all the connections over which they are sent, in
+// Response.Packed or Frame.PackedEvents. Encoding is most of the work and of the memory that it
+// takes to send a large list or event. The result must not be modified while a frame that holds
+// it is being sent.
 func Pack[T registry.Object | registry.Event](items []T) ([]byte, error) {
 	var packed bytes.Buffer
 	w := compressorPool.Get().(*flate.Writer)
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// IsIdle reports that a connection is open and has nothing to read: neither its end nor bytes
+// IsIdle reports whether a connection is open and has nothing to read: neither its end nor bytes
 // that belong to no request. It does not wait, and it consumes nothing.
 func IsIdle(c syscall.RawConn) bool {
 	hasNothingToRead := false
--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -42,8 +42,8 @@
 // the log-likelihood ratio of each answer under a bad and a tolerable rate. It never
 // falls below 0, so that a fault that comes late has no good past to make up for. At
 // alarmThreshold the version is bad: a false alarm takes some e^12 answers at the
-// tolerable rate, a true one a few dozen at the bad rate. At suspectThreshold the
-// roll-out stops to advance.
+// tolerable rate, a true one a few dozen at the bad rate. From suspectThreshold on the
+// roll-out does not advance.
 const (
 	alarmThreshold   = 12
 	suspectThreshold = 4
@@ -176,7 +176,8 @@
 	return faults
 }
 
-// reason says what a target was found bad for.
+// reason says by which criterion a target was found bad. The text is stored and
+// returned by the API.
 func reason(criterion, route string, faults, trials int, base faultRate) string {
 	text := fmt.Sprintf("%s: %d of %d lately, the base's rate is %.3f",
 		criterion, faults, trials, base.faults/max(1, base.trials))
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -46,7 +46,7 @@
 // the field names are part of the internal protocol.
 type RouteCounts struct {
 	Base, Target Counts
-	// Ill holds the faults among Target by endpoint id; endpoints without any are left
+	// Ill holds the faults among Target by endpoint ID; endpoints without any are left
 	// out. The map may be shared and is never modified.
 	Ill map[string]Counts
 }
--- a/rollout/split.go
+++ b/rollout/split.go
@@ -11,11 +11,11 @@
 	minCount    = 0.01
 )
 
-// StratifiedSplit tells how much of each route's requests goes to the target, so that
-// a fault on a rare route is found as soon as one on a common route: each common route
-// sends the target about as many requests as any other, with at most maxShareFactor
-// times the share of all. The zero value has seen no requests. It is not safe for
-// concurrent use.
+// StratifiedSplit computes how much of each route's requests goes to the target, so
+// that a fault on a rare route is found as soon as one on a common route: each common
+// route sends the target about as many requests as any other, with at most
+// maxShareFactor times the share of all. The zero value has seen no requests. It is not
+// safe for concurrent use.
 type StratifiedSplit struct {
 	requestsByRoute map[int]float64
 	totalRequests   float64
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -3,15 +3,15 @@
 // canary analysis, a sequential test that compares the answers of both versions.
 //
 // Rollout is the state machine of one service. Analyzer judges the evidence that the
-// proxies gather, StratifiedSplit tells a proxy how much of each route to send to the
-// new version. Package internal/controlplane runs the state machine and the analysis
-// on the Raft leader and stores each state in the registry; internal/proxy counts
-// answers and splits traffic.
+// proxies gather, StratifiedSplit computes for a proxy how much of each route to send
+// to the new version. Package internal/controlplane runs the state machine and the
+// analysis on the Raft leader and stores each state in the registry; internal/proxy
+// counts answers and splits traffic.
 //
 // The package does no input or output, reads no clock and starts no goroutine: times
-// and evidence come in as arguments. It does not decide alone which of two next
-// states holds either: the caller must write a state under the condition that the
-// one that it was derived from is still the newest.
+// and evidence come in as arguments. Nor does it decide alone which of two next states
+// takes effect: the caller must write a state under the condition that the one that it
+// was derived from is still the newest.
 package rollout
 
 import (
@@ -35,7 +35,7 @@
 type Rollout struct {
 	// Base is the version in ordinary use; empty until the service has an endpoint.
 	Base string `json:"base"`
-	// OrderNumber counts the orders, so that evidence of an earlier one is told apart.
+	// OrderNumber counts the orders, so that evidence of an earlier one is recognised.
 	OrderNumber uint64 `json:"order,omitempty"`
 	// Target is the version that the newest order is to bring into use.
 	Target string `json:"target,omitempty"`
@@ -74,7 +74,7 @@
 // The stages. The first takes most of the time, as a fault may show late and costs
 // little while the share is small. All traffic is moved late and fast, as each second
 // of it weighs as much as a minute of the canary. The first share is a fifth of the
-// greatest exposure to a bad version that is tolerated over the whole deadline.
+// greatest exposure to a bad version that is tolerated until the deadline.
 var stages = [...]stage{
 	{trafficShare: 0.02, notBefore: 0},
 	{trafficShare: 0.08, notBefore: 0.55},
@@ -111,7 +111,8 @@
 	return stages[max(0, min(r.Stage, len(stages)-1))].trafficShare
 }
 
-// RejectedError says why an order cannot be accepted, for people to read.
+// RejectedError says why an order cannot be accepted, for people to read. Its texts are
+// returned by the API.
 type RejectedError string
 
 // Error implements the error interface.
@@ -200,9 +201,9 @@
 	// proven target is promoted without waiting until traffic has shifted.
 	isLastChance := o.Elapsed >= deadline-2*o.PropagationDelay
 	isOverdue := o.Elapsed >= deadline-o.PropagationDelay
-	isSettled := o.TrafficShifted && o.Elapsed >= fractionOf(deadline, earliestPromotion)
+	isComplete := o.TrafficShifted && o.Elapsed >= fractionOf(deadline, earliestPromotion)
 	switch {
-	case r.isProven(o) && (isLastChance || isSettled):
+	case r.isProven(o) && (isLastChance || isComplete):
 		return r.finish(Succeeded, "", o.Elapsed), true
 	case isOverdue:
 		return r.finish(RolledBack, o.rollbackReason(), o.Elapsed), true
@@ -248,7 +249,8 @@
 	return next.trafficShare < 1 || o.hasEnoughAnswers() && o.hasEnoughCapacity()
 }
 
-// rollbackReason says why a roll-out was not promoted before its deadline.
+// rollbackReason says why a roll-out was not promoted before its deadline. The texts
+// are stored and returned by the API.
 func (o Observation) rollbackReason() string {
 	switch {
 	case o.TargetCapacity == 0:
