--- a/internal/controlplane/audit_sink.go
+++ b/internal/controlplane/audit_sink.go
@@ -7,7 +7,7 @@
 	"lichentray/registry"
 )
 
-// auditSink takes the failures that proxies record into the audit log, and reads it.
+// auditSink appends the failures that proxies record to the audit log, and queries it.
 type auditSink struct {
 	*environment
 	state    *sharedState
@@ -17,9 +17,9 @@
 // isEnabled reports whether this deployment keeps an audit log.
 func (a *auditSink) isEnabled() bool { return a.settings.Audit != nil }
 
-// ingest puts a proxy's batch into the audit log and acknowledges it. A batch that
-// does not come through, or whose acknowledgement does not, is sent again by the
-// proxy and known by its records' numbers.
+// ingest appends a proxy's batch to the audit log and acknowledges it. A batch that is
+// not committed, or whose acknowledgement is lost, is sent again by the proxy; records
+// that the log holds already are recognised by their numbers.
 func (a *auditSink) ingest(conn *transport.Conn, batch *audit.Batch) {
 	batch.Most = a.settings.Audit.MaxRecords
 	result, err := a.proposer.propose(registry.Command{Audit: batch})
@@ -29,7 +29,7 @@
 	}
 	a.metrics.auditBatches().Inc()
 	ack := &transport.AuditAck{Life: batch.Life, Seq: result.Account, Closed: batch.Closed}
-	_ = conn.Send(&transport.Frame{Account: ack}) // without it the batch comes again
+	_ = conn.Send(&transport.Frame{Account: ack}) // without it the proxy sends the batch again
 }
 
 // read queries the audit log, see Node.ReadAudit.
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -30,7 +30,7 @@
 // Timing.RequestTimeout. Its errors are of kind Unavailable.
 func (n *Node) ReadIndex() error { return n.proposer.readIndex(n.timing.RequestTimeout) }
 
-// Heartbeat takes a heartbeat of an endpoint and registers the endpoint if it is new.
+// Heartbeat records a heartbeat of an endpoint and registers the endpoint if it is new.
 // A heartbeat that is late, or of an endpoint that has deregistered, changes nothing.
 func (n *Node) Heartbeat(endpoint registry.Endpoint) error {
 	return n.health.heartbeat(endpoint, n.rollouts)
@@ -39,11 +39,10 @@
 // Deregister removes an endpoint for good: its ID is not registered again.
 func (n *Node) Deregister(id string) error { return n.health.deregister(id) }
 
-// ReplaceConfiguration validates a whole configuration and puts it in place of the
-// present one. A version below the present one is acknowledged without effect if
-// its content is the one accepted under it. The kinds of error are
-// InvalidConfiguration, Conflict if another content was accepted under the version,
-// Unavailable and UnknownOutcome.
+// ReplaceConfiguration validates a complete configuration and replaces the present one
+// by it. A version below the present one is acknowledged without effect if its content
+// is the one accepted under it. The kinds of error are InvalidConfiguration, Conflict
+// if another content was accepted under the version, Unavailable and UnknownOutcome.
 func (n *Node) ReplaceConfiguration(text []byte) error { return n.configs.replace(text) }
 
 // Configuration reads the newest configuration as it was submitted. Its error is of
@@ -62,8 +61,9 @@
 	return n.groups.watch(group, after, timeout)
 }
 
-// Evacuate takes an order to evacuate a zone (begin) or to return it to use, for as
-// long as callerIsWaiting reports true; its error is of kind Unavailable otherwise.
+// Evacuate carries out an order to evacuate a zone (begin) or to return it to use.
+// Nothing is proposed once callerIsWaiting reports false; the error is of kind
+// Unavailable then.
 func (n *Node) Evacuate(zone string, begin bool, callerIsWaiting func() bool) error {
 	return n.evacuations.order(zone, begin, callerIsWaiting)
 }
@@ -71,8 +71,8 @@
 // Evacuations returns the state of each zone that is not in ordinary use.
 func (n *Node) Evacuations() (map[string]string, error) { return n.evacuations.list() }
 
-// BeginRollout takes an order to move a service's traffic to a version by a deadline.
-// Its error is of kind Conflict if the order cannot be taken as the service stands,
+// BeginRollout orders that a service's traffic move to a version by a deadline. Its
+// error is of kind Conflict if the order contradicts the service's present roll-out,
 // and of kind NoRoute if this deployment has no roll-outs.
 func (n *Node) BeginRollout(service, target string, deadline time.Duration) error {
 	return n.rollouts.begin(service, target, deadline)
@@ -82,9 +82,9 @@
 // there was none yet.
 func (n *Node) Rollout(service string) (rollout.Rollout, error) { return n.rollouts.read(service) }
 
-// Resolve tells a client which proxy nodes to use for a host, and for how long the
-// answer holds. A node that has lost contact with the group answers from what it
-// holds: proxies that were there a while ago are better than none.
+// Resolve returns the addresses of the proxy nodes that a client should use for a host,
+// and for how long the answer holds. A node that has lost contact with the group
+// answers from what it holds: proxies that were there a while ago are better than none.
 func (n *Node) Resolve(client, host, region, zone string) (addresses []string, ttl time.Duration, err error) {
 	return n.directory.resolve(client, host, region, zone)
 }
@@ -95,12 +95,13 @@
 	return n.audit.read(filter)
 }
 
-// SetSeeds takes the seed nodes' API addresses of settings that were reloaded.
+// SetSeeds replaces the API addresses of the seed nodes after a reload of the settings.
 func (n *Node) SetSeeds(seeds []string) { n.membership.setSeeds(seeds) }
 
-// PrepareShutdown hands leadership on, if this node has it, and has another node take
-// over its vote where one can. It returns once the group has let this node go, or
-// after the time-out. Streams and watches end meanwhile. Close is to follow.
+// PrepareShutdown transfers leadership, if this node has it, and asks the leader to
+// give its vote to another node where there is one. It returns once the leader has
+// approved the departure, or after the time-out. Streams and watches end meanwhile.
+// Close is to follow.
 func (n *Node) PrepareShutdown(timeout time.Duration) {
 	n.isStopping.Store(true)
 	n.membership.prepareShutdown(timeout)
--- a/internal/controlplane/configuration_store.go
+++ b/internal/controlplane/configuration_store.go
@@ -8,7 +8,7 @@
 	"lichentray/registry"
 )
 
-// configurationStore takes and returns the deployment's configuration.
+// configurationStore replaces and reads the deployment's configuration.
 type configurationStore struct {
 	*environment
 	state    *sharedState
@@ -17,15 +17,16 @@
 	validationSlot chan struct{}
 }
 
-// replace takes a whole configuration, see Node.ReplaceConfiguration.
+// replace stores a complete configuration, see Node.ReplaceConfiguration.
 func (s *configurationStore) replace(text []byte) error {
 	parsed, err := s.validate(text)
 	if err != nil {
 		return err
 	}
 	wrote, err := s.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
-		// The state may not be the newest. It is committed, though: that a content was
-		// taken under a version stays true, and to take one depends on the newest.
+		// This state may lag, but all of it is committed: a content that was accepted
+		// under a version stays so. The transaction that accepts another one compares
+		// revisions, so it conflicts if this state is not the newest.
 		txn, err := r.store.BuildConfigTxn(parsed.Version, text)
 		if err != nil {
 			return nil, apierror.New(apierror.Conflict, "%v", err)
@@ -41,9 +42,9 @@
 	return err
 }
 
-// validate parses and checks a configuration, one at a time: to check one of 2000
-// routes takes some ten megabytes, and longer than a storm of them leaves between
-// two. Whoever has waited for too long is better off at another node.
+// validate parses and validates one configuration at a time: one of 2000 routes takes
+// some ten megabytes, and in a storm of submissions the next arrives before it is done.
+// A caller that has waited for too long is better served by another node.
 func (s *configurationStore) validate(text []byte) (*config.Configuration, error) {
 	timer := time.NewTimer(s.timing.RequestTimeout)
 	defer timer.Stop()
--- a/internal/controlplane/connection_server.go
+++ b/internal/controlplane/connection_server.go
@@ -66,8 +66,8 @@
 }
 
 // recordRejectedPeer counts a peer that speaks another protocol or version. Only the
-// first one is logged. Silence, a broken connection, and one that was given up before
-// its first byte are none of these.
+// first one is logged. A time-out, a broken connection, and one that was closed before
+// its first byte are not counted.
 func (s *connectionServer) recordRejectedPeer(raw net.Conn, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) || errors.Is(err, io.EOF) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// servePeer takes what another member sends. Its requests are answered on the same
+// servePeer handles what another member sends. Its requests are answered on the same
 // connection, everything else on this node's own connection to it.
 func (s *connectionServer) servePeer(conn *transport.Conn, hello transport.Hello) {
 	s.peers.rememberAddr(hello.ID, hello.Addr)
@@ -91,13 +91,13 @@
 		if err != nil {
 			return
 		}
-		s.takePeerFrame(conn, hello.ID, frame)
+		s.handlePeerFrame(conn, hello.ID, frame)
 	}
 }
 
-// takePeerFrame takes one frame of a member. What concerns consensus or the leader is
-// left to the event loop, requests to a goroutine each.
-func (s *connectionServer) takePeerFrame(conn *transport.Conn, from uint64, frame *transport.Frame) {
+// handlePeerFrame handles one frame of a member. What concerns consensus or the leader
+// goes to the event loop, each request to a goroutine of its own.
+func (s *connectionServer) handlePeerFrame(conn *transport.Conn, from uint64, frame *transport.Frame) {
 	if messages := frame.Raft; len(messages) > 0 {
 		s.loop.post(func(state *loopState) {
 			now := s.now()
@@ -110,15 +110,15 @@
 		s.loop.post(func(state *loopState) { s.health.recordReported(state, heartbeats) })
 	}
 	if aggregate := frame.Proxies; aggregate != nil {
-		s.takeAggregate(from, aggregate)
+		s.handleAggregate(from, aggregate)
 	}
 	if request := frame.Ask; request != nil {
 		s.start(func() { s.serveRequest(conn, request) })
 	}
 }
 
-// takeAggregate takes the leader's sums, or at the leader what one node reports.
-func (s *connectionServer) takeAggregate(from uint64, aggregate *transport.ProxyAggregate) {
+// handleAggregate records the leader's sums or, at the leader, what one node reports.
+func (s *connectionServer) handleAggregate(from uint64, aggregate *transport.ProxyAggregate) {
 	if aggregate.Sum > 0 {
 		s.watches.setSummary(proxySummary{
 			proxies:  aggregate.Sum,
--- a/internal/controlplane/decoded_objects.go
+++ b/internal/controlplane/decoded_objects.go
@@ -26,8 +26,8 @@
 	watchedRevision uint64
 }
 
-// evacuationOrder names an evacuation by its registry key, and whether it is begun
-// or taken back.
+// evacuationOrder identifies a kind of order for one zone: the registry key of the
+// zone's evacuation, and whether the order begins or finishes it.
 type evacuationOrder struct {
 	key     string
 	isBegin bool
@@ -68,7 +68,7 @@
 	registry.EndpointPrefix,
 }
 
-// rebuild decodes a store that was taken whole.
+// rebuild decodes all objects of a store that was just restored.
 func (r *replicatedState) rebuild() {
 	clear(r.proxies)
 	clear(r.endpoints)
@@ -127,13 +127,13 @@
 
 func (r *replicatedState) applyEvacuationEvent(e registry.Event) {
 	key := e.Object.Key
-	was := r.evacuations[key]
-	now := registry.DecodeEvacuation(e.Object)
-	r.evacuations[key] = now
-	if now.BeginCount != was.BeginCount {
+	previous := r.evacuations[key]
+	current := registry.DecodeEvacuation(e.Object)
+	r.evacuations[key] = current
+	if current.BeginCount != previous.BeginCount {
 		r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: true}] = r.env.now()
 	}
-	if now.FinishCount != was.FinishCount {
+	if current.FinishCount != previous.FinishCount {
 		r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: false}] = r.env.now()
 	}
 }
@@ -149,13 +149,13 @@
 		r.env.logger.Error("roll-out cannot be decoded", "key", key, "error", err)
 		return
 	}
-	was := r.rollouts[key]
+	previous := r.rollouts[key]
 	r.rollouts[key] = &rolloutRecord{
 		Rollout:   decoded,
 		revision:  e.Object.ModRevision,
 		appliedAt: r.env.now(),
 	}
-	if decoded.State == "" || (was != nil && was.Rollout == decoded) {
+	if decoded.State == "" || (previous != nil && previous.Rollout == decoded) {
 		return
 	}
 	r.env.logger.Info("roll-out changed",
@@ -167,7 +167,8 @@
 		"reason", decoded.Reason)
 }
 
-// configuration returns the newest configuration held, as it was submitted.
+// configuration returns the newest configuration that this node has applied, as it was
+// submitted.
 func (r *replicatedState) configuration() (version uint64, text []byte, ok bool) {
 	o, _ := r.store.Get(registry.ConfigKey)
 	return registry.DecodeConfig(o)
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -23,7 +23,7 @@
 //   - peerPool keeps the connections to the other members
 //   - watchServer serves the lists and watches of proxies
 //   - healthMonitor tracks endpoint heartbeats and removes crashed endpoints
-//   - leaseTimers tell which coordination locks have expired
+//   - leaseTimers time the leases of coordination locks
 //   - rolloutController advances roll-outs
 //   - quotaAllocator shares out what endpoints that warm up may receive
 //   - proxyDirectory, zoneEvacuator, configurationStore, groupWatchers and
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -11,8 +11,8 @@
 	"lichentray/raft"
 )
 
-// environment is what every part of a node needs and no part changes after Start,
-// but for isStopping. It also owns the node's goroutines.
+// environment is what every part of a node needs. After Start only isStopping changes.
+// It also owns the node's goroutines.
 type environment struct {
 	settings *settings.Settings
 	timing   Timing
@@ -20,8 +20,8 @@
 	metrics  *nodeMetrics
 	// startedAt is the origin of the node's clock.
 	startedAt time.Time
-	// incarnation is drawn at each start. It tells the reports of two lives of one
-	// node apart.
+	// incarnation is drawn at each start. It distinguishes the reports of two runs of
+	// one node.
 	incarnation uint64
 	// self is this node as a member of the group.
 	self raft.Member
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -32,9 +32,9 @@
 // isLeader reports whether this node leads now.
 func (s *loopState) isLeader() bool { return s.raft.Role() == raft.Leader }
 
-// proposeOnce appends a command if this node leads, for callers that do not wait
-// for the outcome and would propose again if it came to nothing.
-func (s *loopState) proposeOnce(cmd registry.Command) {
+// proposeWithoutWaiting appends a command if this node leads, for periodic tasks: they
+// do not wait for the outcome and propose again if the command takes no effect.
+func (s *loopState) proposeWithoutWaiting(cmd registry.Command) {
 	s.raft.Propose(registry.EncodeCommand(cmd))
 }
 
--- a/internal/controlplane/event_stream.go
+++ b/internal/controlplane/event_stream.go
@@ -15,7 +15,7 @@
 )
 
 // eventStream sends a proxy the changes of the watched objects as they come, and
-// bookmarks while this node is up to date; without them the proxy goes on to another
+// bookmarks while this node is up to date. Without bookmarks the proxy follows another
 // node.
 type eventStream struct {
 	*watchServer
@@ -61,8 +61,8 @@
 	}
 }
 
-// sendFirstBookmark tells whom else to ask. It must not cover events that are still
-// to be sent.
+// sendFirstBookmark names the other members of the group to the proxy. It must not
+// cover events that are still to be sent.
 func (s *eventStream) sendFirstBookmark() (ok bool) {
 	bookmark := s.newBookmark(s.session.proxyName)
 	bookmark.Revision = s.after
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -14,10 +14,10 @@
 	"lichentray/registry"
 )
 
-// healthMonitor takes the heartbeats of endpoints and removes those that crashed:
-// whose heartbeats stopped and whose health check fails. Every node takes heartbeats
-// and reports them to the leader; the leader alone removes endpoints and detects
-// outliers from what proxies observed.
+// healthMonitor records the heartbeats of endpoints and removes the endpoints that
+// crashed: whose heartbeats stopped and whose health check fails. Every node receives
+// heartbeats and reports them to the leader; the leader alone removes endpoints and
+// detects outliers from what proxies observed.
 type healthMonitor struct {
 	*environment
 	loop      *eventLoop
@@ -34,7 +34,7 @@
 
 	// What follows is collected here until it is reported to the leader.
 	mu           sync.Mutex
-	heartbeats   map[string]time.Duration // when each endpoint was last heard of here
+	heartbeats   map[string]time.Duration // when the newest one of each endpoint came
 	observations map[string]loadbalance.Observation
 }
 
@@ -55,7 +55,7 @@
 	h.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
 }
 
-// recordHeartbeat notes that an endpoint was heard of here.
+// recordHeartbeat records that an endpoint sent a heartbeat to this node.
 func (h *healthMonitor) recordHeartbeat(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +92,7 @@
 	return taken
 }
 
-// reportHeartbeats passes the heartbeats taken here to the leader.
+// reportHeartbeats sends the heartbeats recorded here to the leader.
 func (h *healthMonitor) reportHeartbeats(state *loopState, now time.Duration) {
 	heartbeats := h.takeHeartbeats()
 	if heartbeats == nil {
@@ -112,11 +112,11 @@
 	h.peers.enqueue(h.peers.addrOf(state.raft.LeaderID()), &frame)
 }
 
-// recordReported takes the heartbeats that another node reports.
+// recordReported records the heartbeats that another node reports.
 func (h *healthMonitor) recordReported(_ *loopState, heartbeats []transport.Heartbeat) {
 	now := h.now()
-	for _, beat := range heartbeats {
-		h.recordSeen(beat.ID, now-time.Duration(beat.AgoMS)*time.Millisecond)
+	for _, heartbeat := range heartbeats {
+		h.recordSeen(heartbeat.ID, now-time.Duration(heartbeat.AgoMS)*time.Millisecond)
 	}
 }
 
@@ -130,9 +130,9 @@
 	return h.outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
 }
 
-// checkLiveness begins a health check of every endpoint whose heartbeats stopped.
-// Only a leader that a majority still hears does, and only once it has led for long
-// enough to have heard from every endpoint that lives.
+// checkLiveness begins a health check of every endpoint whose heartbeats stopped. Only
+// a leader in contact with a majority does so, and only once it has led for long enough
+// to have got a heartbeat of every endpoint that lives.
 func (h *healthMonitor) checkLiveness(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(h.timing.ElectionTimeout) || now-state.leaderSince < h.timing.EndpointTimeout {
 		return
@@ -154,7 +154,7 @@
 	h.forgetUnregistered(replicated, now)
 }
 
-// forgetUnregistered drops the heartbeats of endpoints that are registered no more.
+// forgetUnregistered drops the heartbeats of endpoints that are no longer registered.
 func (h *healthMonitor) forgetUnregistered(replicated *replicatedState, now time.Duration) {
 	for id, lastSeen := range h.lastSeen {
 		_, isRegistered := replicated.endpoints[registry.EndpointPrefix+id]
@@ -170,7 +170,7 @@
 	path := h.healthCheckPath(endpoint.Service)
 	isHealthy := path != "" && isEndpointHealthy(h.ctx, endpoint, path, h.timing.ConnectionTimeout)
 	if h.ctx.Err() != nil {
-		return // the check was cut short and tells nothing
+		return // the check was cut short and has no result
 	}
 	h.metrics.healthChecks().Inc()
 	defer h.loop.post(func(*loopState) {
@@ -236,7 +236,7 @@
 	return id == endpoint.ID || (id == "" && response.StatusCode() == fasthttp.StatusOK)
 }
 
-// heartbeat takes a heartbeat of an endpoint, see Node.Heartbeat.
+// heartbeat handles a heartbeat of an endpoint, see Node.Heartbeat.
 func (h *healthMonitor) heartbeat(endpoint registry.Endpoint, rollouts *rolloutController) error {
 	h.metrics.heartbeats.Inc()
 	departedKey := registry.DepartedPrefix + endpoint.ID
@@ -270,7 +270,7 @@
 		return nil, apierror.New(apierror.Internal, "%v", err)
 	}
 	if endpoint.Draining {
-		return nil, nil // for good
+		return nil, nil // a draining endpoint never returns to use
 	}
 	isLate := heartbeat.Sequence < endpoint.Sequence
 	changesWarmUp := heartbeat.WarmingUp != endpoint.WarmingUp && !isLate
--- a/internal/controlplane/history_compactor.go
+++ b/internal/controlplane/history_compactor.go
@@ -46,12 +46,12 @@
 		return
 	}
 	h.compactedAt = now
-	state.proposeOnce(registry.Command{Coordination: &coordination.Command{
+	state.proposeWithoutWaiting(registry.Command{Coordination: &coordination.Command{
 		Operation:     coordination.CompactHistory,
 		CompactBefore: before,
 	}})
-	if txn := expiredMarkers(h.state.onLoop(state).store, before); len(txn.Then) > 0 {
-		state.proposeOnce(registry.Command{Txn: txn})
+	if txn := expiryTxn(h.state.onLoop(state).store, before); len(txn.Then) > 0 {
+		state.proposeWithoutWaiting(registry.Command{Txn: txn})
 	}
 }
 
@@ -70,9 +70,9 @@
 	return newest, true
 }
 
-// expiredMarkers deletes the markers of endpoints that departed by a revision, and
-// the digests of accepted configurations beyond the newest ones.
-func expiredMarkers(store *registry.Store, before uint64) *registry.Txn {
+// expiryTxn returns a transaction that deletes the markers of endpoints that departed
+// by a revision, and the digests of accepted configurations beyond the newest ones.
+func expiryTxn(store *registry.Store, before uint64) *registry.Txn {
 	txn := &registry.Txn{}
 	expire := func(o registry.Object) {
 		deletion := deleteIfUnchanged(o)
--- a/internal/controlplane/lease_timers.go
+++ b/internal/controlplane/lease_timers.go
@@ -6,10 +6,10 @@
 	"lichentray/coordination"
 )
 
-// leaseTimers tell, by this node's monotonic clock, which coordination locks have
-// outlived their lease. The replicated state holds no time: each node starts a
-// lock's timer when it applies the grant, and a leader names an expired grant in
-// the command that takes the lock over, which every replica then checks alike.
+// leaseTimers time the leases of coordination locks by this node's monotonic clock. The
+// replicated state holds no time: each node starts a lock's timer when it applies the
+// grant, and a leader names an expired grant in the command that takes the lock over,
+// which every replica then checks alike.
 //
 // leaseTimers belong to the event loop.
 type leaseTimers struct {
--- a/internal/controlplane/log_writer.go
+++ b/internal/controlplane/log_writer.go
@@ -13,8 +13,8 @@
 
 // durableStore is the disk of a log writer. It is implemented by storage.Store.
 type durableStore interface {
-	// Save returns once its arguments are durable, or changes nothing. replaceLog
-	// drops all entries held, as the snapshot stands for them.
+	// Save returns once its arguments are durable, or changes nothing. replaceLog drops
+	// all stored entries, as the snapshot includes them.
 	Save(hardState *raft.HardState, snapshot *raft.Snapshot, replaceLog bool, entries []raft.Entry) error
 	Close()
 }
@@ -28,14 +28,14 @@
 	queue chan writeRequest
 	// send sends what must not leave before the write is durable.
 	send func([]raft.Message)
-	// reportPersisted tells consensus that the log is durable up to an entry.
+	// reportPersisted reports to consensus that the log is durable up to an entry.
 	reportPersisted func(index, term uint64)
 }
 
 // writeRequest is a batch for the disk. At most one of the snapshots is set.
 type writeRequest struct {
 	hardState *raft.HardState
-	// installedSnapshot came from the leader and replaces the whole log.
+	// installedSnapshot came from the leader and replaces the complete log.
 	installedSnapshot *raft.Snapshot
 	// compactedSnapshot was made here and stands for the log up to its index.
 	compactedSnapshot *raft.Snapshot
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -9,8 +9,13 @@
 	"lichentray/raft"
 )
 
-// membershipManager keeps the group's membership in order while this node leads,
-// admits nodes and lets them go, and has this node itself join and leave the group.
+// membershipCheckHeartbeats is how many heartbeat intervals pass between two checks of
+// the membership.
+const membershipCheckHeartbeats = 4
+
+// membershipManager keeps the group's membership in order while this node leads, admits
+// nodes and approves their departure, and makes this node itself join and leave the
+// group.
 type membershipManager struct {
 	*environment
 	loop      *eventLoop
@@ -20,8 +25,8 @@
 	// What follows belongs to the event loop.
 	planner   *membershipPlanner
 	checkedAt time.Duration
-	// isCheckDue has the membership checked at the next tick, as after a change of
-	// it: a replacement takes two.
+	// isCheckDue requests a check at the next tick, as after a change: to replace a
+	// voter takes two changes.
 	isCheckDue bool
 
 	mu sync.Mutex
@@ -31,8 +36,8 @@
 	relayedNodes []transport.ControlNode
 }
 
-// failureDomainOf returns what of a member may be lost at once besides machines: its
-// region, else its zone, as the tolerance asks.
+// failureDomainOf returns the failure domain of a member: its region or else its zone,
+// whichever the deployment must be able to lose, or an empty string if neither.
 func (m *membershipManager) failureDomainOf(member raft.Member) string {
 	zone := m.peers.zoneOf(member.Addr)
 	switch tolerance := m.settings.FaultTolerance; {
@@ -50,7 +55,7 @@
 	if !state.isLeader() {
 		return
 	}
-	if now-m.checkedAt < 4*m.timing.HeartbeatInterval && !m.isCheckDue {
+	if now-m.checkedAt < membershipCheckHeartbeats*m.timing.HeartbeatInterval && !m.isCheckDue {
 		return
 	}
 	m.checkedAt = now
@@ -177,8 +182,8 @@
 	return result
 }
 
-// prepareShutdown hands leadership on and asks the group to let this node go, see
-// Node.PrepareShutdown.
+// prepareShutdown transfers leadership and asks the leader to approve the departure,
+// see Node.PrepareShutdown.
 func (m *membershipManager) prepareShutdown(timeout time.Duration) {
 	var transferredAt time.Time
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(m.timing.HeartbeatInterval) {
--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// newestContactByAddr tells which of several incarnations at one address was heard
-// last. Just after an election all of them may have been heard at the same moment;
+// newestContactByAddr returns when any of the incarnations at each address was last
+// heard. Just after an election all of them may have been heard at the same moment;
 // then none counts as replaced.
 func newestContactByAddr(node *raft.Node, now time.Duration) map[string]time.Duration {
 	newest := map[string]time.Duration{}
--- a/internal/controlplane/membership_rules.go
+++ b/internal/controlplane/membership_rules.go
@@ -85,8 +85,8 @@
 	serving       int // voters that serve
 	acknowledging int // voters that count towards a majority now
 
-	// departing is the voter that loses its vote first, nil if all voters serve;
-	// notServing is how many do not.
+	// departing is the voter that loses its vote first, as it is replaced, dead or
+	// leaving; nil if all voters serve. notServing is how many do not.
 	departing  *raft.Member
 	notServing int
 
@@ -328,8 +328,9 @@
 	return membershipChange{a.current.WithLearner(m), "leaving voter demoted to learner"}
 }
 
-// chooseSpare is the voter that the group misses least: of the failure domain with
-// the most votes the one that holds the least of the log, and never the leader.
+// chooseSpare returns the voter that the group misses least: of the failure domain with
+// the most votes the one that holds the least of the log, and never the leader. There
+// must be another voter than the leader.
 func (a *membershipAssessment) chooseSpare() raft.Member {
 	var spare *raft.Member
 	for i, m := range a.current.Voters {
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -115,6 +115,8 @@
 	}
 }
 
+// isEmpty reports whether there is nothing to do. A SnapshotToInstall comes with a
+// Write.
 func isEmpty(ready *raft.Ready) bool {
 	return len(ready.Messages) == 0 && ready.Write == nil &&
 		len(ready.CommittedEntries) == 0 && len(ready.ReadStates) == 0
@@ -140,8 +142,8 @@
 	})
 }
 
-// changeLeader follows a change of role or leader. Who waits for the old leader's
-// response waits in vain and is told.
+// changeLeader follows a change of role or leader. It wakes the callers that wait for a
+// response of the old leader, as it may never come.
 func (n *Node) changeLeader(state *loopState, role raft.Role, leaderID uint64) {
 	close(state.leaderChanged)
 	state.leaderChanged = make(chan struct{})
@@ -158,7 +160,7 @@
 	state.leaderID = leaderID
 }
 
-// becomeLeader has every part forget what an earlier leadership knew.
+// becomeLeader resets what every part knows of an earlier leadership of this node.
 func (n *Node) becomeLeader(state *loopState) {
 	now := n.now()
 	state.leaderSince = now
@@ -172,7 +174,8 @@
 	n.logger.Info("leading", "term", state.raft.Term())
 }
 
-// applyEntry carries out a committed entry and tells its proposer, if it is here.
+// applyEntry applies a committed entry and passes the result to its proposer, if that
+// waits at this node.
 func (n *Node) applyEntry(state *loopState, entry raft.Entry) {
 	var result registry.Result
 	switch {
@@ -190,7 +193,7 @@
 func (n *Node) applyCommand(state *loopState, entry raft.Entry) registry.Result {
 	cmd, err := registry.DecodeCommand(entry.Data)
 	if err != nil {
-		// Every replica skips it alike.
+		// Every replica skips the entry, so their states stay equal.
 		n.logger.Error("log entry cannot be decoded", "index", entry.Index, "error", err)
 		return registry.Result{}
 	}
@@ -206,7 +209,7 @@
 	return result
 }
 
-// installSnapshot puts the state that the leader sent in place of the present one.
+// installSnapshot replaces the replicated state by the one that the leader sent.
 func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
 	n.state.replace(n.snapshots.takeReceived(), snapshot.Index)
 	n.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
--- a/internal/controlplane/peer_connection.go
+++ b/internal/controlplane/peer_connection.go
@@ -25,10 +25,10 @@
 	// redial receives when the peer has connected here while this side is down.
 	redial chan struct{}
 
-	// log is the connection that carries the log to the same peer, guarded by the
-	// pool's lock. It is nil until there is something to carry, and in that
+	// logConnection is the connection that carries the log to the same peer, guarded by
+	// the pool's lock. It is nil until there is something to carry, and in that
 	// connection itself.
-	log *peerConnection
+	logConnection *peerConnection
 
 	mu           sync.Mutex
 	pendingCalls map[uint64]*pendingCall
@@ -183,7 +183,7 @@
 	}
 }
 
-// dial makes one attempt. wasInterrupted tells that it was given up because the peer
+// dial makes one attempt. wasInterrupted is true if it was given up because the peer
 // has connected here meanwhile.
 func (c *peerConnection) dial() (conn *transport.Conn, wasInterrupted bool, err error) {
 	ctx, cancel := context.WithCancel(c.ctx)
--- a/internal/controlplane/peer_pool.go
+++ b/internal/controlplane/peer_pool.go
@@ -20,8 +20,8 @@
 // Its methods may be called from any goroutine, and none of them but call waits.
 type peerPool struct {
 	*environment
-	// onControlNodes takes the members of the group as a relay names them, and
-	// onLogReconnected the address of a peer whose log connection is a new one.
+	// onControlNodes is called with the members of the group as a relay names them, and
+	// onLogReconnected with the address of a peer whose log connection is a new one.
 	onControlNodes   func([]transport.ControlNode)
 	onLogReconnected func(addr string)
 
@@ -43,7 +43,7 @@
 }
 
 // setMembership begins to connect to the members of the group, ahead of the first
-// message to each, and ends the connections to who is not one.
+// message to each, and ends the connections to all others.
 func (p *peerPool) setMembership(membership raft.Membership) {
 	members := membership.AllMembers()
 	p.disconnectOthers(members)
@@ -122,10 +122,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	connection := p.connectionLocked(addr)
-	if connection.log == nil {
-		connection.log = p.startConnection(connection.ctx, addr, true)
+	if connection.logConnection == nil {
+		connection.logConnection = p.startConnection(connection.ctx, addr, true)
 	}
-	return connection.log
+	return connection.logConnection
 }
 
 func (p *peerPool) connectionLocked(addr string) *peerConnection {
@@ -186,9 +186,9 @@
 	return connection != nil && connection.isUp()
 }
 
-// redialNow has the connections to a peer that has just connected here dialled at
-// once if they are down: an attempt that began while its machine had no power hangs
-// for long, and one that was refused waits.
+// redialNow has the connections to a peer that has just connected here dialled at once
+// if they are down: an attempt that began while its machine had no power hangs for
+// long, and after one that was refused the connection waits out its backoff.
 func (p *peerPool) redialNow(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,22 +197,22 @@
 		return
 	}
 	connection.redialIfDown()
-	if connection.log != nil {
-		connection.log.redialIfDown()
+	if connection.logConnection != nil {
+		connection.logConnection.redialIfDown()
 	}
 }
 
 // The reasons why a call to a peer has no response.
 var (
 	errPeerNotConnected = errors.New("controlplane: peer is not connected")
-	errPeerSilent       = errors.New("controlplane: peer did not answer")
+	errPeerTimeout      = errors.New("controlplane: peer did not answer")
 	errPeerDisconnected = errors.New("controlplane: connection to the peer broke")
 	errLeaderChanged    = errors.New("controlplane: another node leads, or none")
 )
 
-// call sends a request to a peer and waits for the response, until another node
-// leads or the time-out passes. With an error, mayHaveArrived tells whether the peer
-// may have got the request; if not, it never will.
+// call sends a request to a peer and waits for the response, until another node leads
+// or the time-out passes. With an error, mayHaveArrived is true if the peer may have
+// got the request; if it is false, the peer never will.
 func (p *peerPool) call(target callTarget, request *transport.Request, timeout time.Duration) (response *transport.Response, mayHaveArrived bool, err error) {
 	request.ID = p.lastCallID.Add(1)
 	connection := p.connection(target.addr)
@@ -231,7 +231,7 @@
 	case <-target.leaderChanged:
 		err = errLeaderChanged
 	case <-timer.C:
-		err = errPeerSilent
+		err = errPeerTimeout
 	case <-p.ctx.Done():
 		err = errPeerDisconnected
 	}
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -14,9 +14,9 @@
 // that does not lead. It is of kind Unavailable: nothing was done.
 var ErrNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
 
-// proposer puts commands and linearizable reads through the leader, whichever node
-// that is, and tells callers the outcome. Its exported operations may be called
-// from any goroutine but the event loop.
+// proposer puts commands and linearizable reads through the leader, whichever node that
+// is, and returns the outcome to callers. Its exported operations may be called from
+// any goroutine but the event loop.
 type proposer struct {
 	*environment
 	loop      *eventLoop
@@ -56,10 +56,10 @@
 	// request is what is forwarded to a leader elsewhere, and for how long its
 	// response is awaited at most.
 	request(remaining time.Duration) (*transport.Request, time.Duration)
-	// finishLocal takes the outcome at this node and reports whether it is final.
+	// finishLocal records the outcome at this node and reports whether it is final.
 	finishLocal(o outcome) (isFinal bool)
-	// finishForwarded takes the response of a leader elsewhere. With an error there is
-	// none, and mayHaveArrived tells whether the leader may have got the request.
+	// finishForwarded records the response of a leader elsewhere. With an error there
+	// is none, and mayHaveArrived is true if the leader may have got the request.
 	finishForwarded(response *transport.Response, mayHaveArrived bool, err error) (isFinal bool)
 }
 
@@ -275,7 +275,8 @@
 
 // transact derives a conditional transaction from what this node holds and puts it
 // through; on a conflict it reads again and derives anew. derive runs with the state
-// locked for writing and returns nil when there is nothing to write.
+// locked for writing, as it may compile the configuration, and returns nil when there
+// is nothing to write.
 func (p *proposer) transact(derive func(*replicatedState) (*registry.Txn, error)) (wrote bool, err error) {
 	for range maxTransactionAttempts {
 		var txn *registry.Txn
@@ -355,7 +356,8 @@
 	return p.lastReadID
 }
 
-// resolveEntry tells the proposer of an entry, if it is here, what the entry gave.
+// resolveEntry passes the result of an applied entry to its proposer, if that waits
+// here.
 func (p *pendingRequests) resolveEntry(entry raft.Entry, result registry.Result) {
 	proposal, isPending := p.proposals[entry.Index]
 	if !isPending {
@@ -363,14 +365,15 @@
 	}
 	delete(p.proposals, entry.Index)
 	if proposal.term != entry.Term {
-		// Another entry stands in its place: it never takes effect.
+		// Another entry was committed at this index: the command never takes effect.
 		proposal.done <- outcome{err: apierror.New(apierror.Unavailable, "leadership changed")}
 		return
 	}
 	proposal.done <- outcome{result: result}
 }
 
-// resolveRead tells a reader its read index, or that this node lost its leadership.
+// resolveRead passes a reader its read index, or ErrNotLeader if this node lost its
+// leadership.
 func (p *pendingRequests) resolveRead(read raft.ReadState) {
 	done, isPending := p.reads[read.RequestID]
 	if !isPending {
--- a/internal/controlplane/proposer_test.go
+++ b/internal/controlplane/proposer_test.go
@@ -127,7 +127,7 @@
 		{"the leader does not lead any more", failed(apierror.Unavailable), true, nil, false, false, 0},
 		{"the leader does not know", failed(apierror.UnknownOutcome), true, nil, false, true, 0},
 		{"never sent", nil, false, errPeerNotConnected, false, false, 0},
-		{"sent, no response", nil, true, errPeerSilent, false, true, 0},
+		{"sent, no response", nil, true, errPeerTimeout, false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			call := &proposalCall{proposer: newTestProposer(t)}
--- a/internal/controlplane/proxy_directory.go
+++ b/internal/controlplane/proxy_directory.go
@@ -12,8 +12,8 @@
 // maxResolvedAddresses bounds the addresses in an answer of the directory.
 const maxResolvedAddresses = 64
 
-// proxyDirectory tells clients which proxy nodes to use. Proxies register through
-// their reports; the leader removes those whose lease has run out.
+// proxyDirectory selects the proxy nodes that a client should use. Proxies register
+// through their reports; the leader removes those whose lease has run out.
 type proxyDirectory struct {
 	*environment
 	state     *sharedState
@@ -51,7 +51,7 @@
 			continue
 		}
 		d.metrics.proxiesRemoved().Inc()
-		state.proposeOnce(registry.Command{Txn: deleteIfUnchanged(object)})
+		state.proposeWithoutWaiting(registry.Command{Txn: deleteIfUnchanged(object)})
 	}
 }
 
@@ -93,8 +93,9 @@
 	return addresses, d.timing.DirectoryTTL, nil
 }
 
-// checkHost returns an error if no configuration has a host. A node that is not up to
-// date does not know that for sure.
+// checkHost returns an error if the configuration does not have a host: of kind
+// NoRoute, or Unavailable at a node that is not up to date and may lack the newest
+// configuration.
 func checkHost(r *replicatedState, host string, isUpToDate bool) error {
 	table := r.routeTable()
 	switch {
--- a/internal/controlplane/report_aggregator.go
+++ b/internal/controlplane/report_aggregator.go
@@ -36,7 +36,7 @@
 // becomeLeader forgets what an earlier leadership knew; the nodes report again.
 func (a *reportAggregator) becomeLeader() { a.byNode = map[uint64]nodeReport{} }
 
-// recordNode takes what another node reports.
+// recordNode records what another node reports.
 func (a *reportAggregator) recordNode(state *loopState, id uint64, aggregate *transport.ProxyAggregate) {
 	now := a.now()
 	a.byNode[id] = nodeReport{
--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -12,7 +12,7 @@
 	"lichentray/rollout"
 )
 
-// rolloutController takes the orders to roll a version out and, at the leader,
+// rolloutController carries out the orders to roll a version out and, at the leader,
 // advances each roll-out by the evidence that all proxies report. Every node sums the
 // evidence of the proxies that watch at it and reports the sum to the leader.
 type rolloutController struct {
@@ -22,7 +22,7 @@
 
 	// What follows belongs to the event loop and is of use at the leader only.
 	inProgress map[string]*rolloutProgress // by service
-	// reported is where all proxies together stand, by service.
+	// reported is the progress of all proxies together, by service.
 	reported map[string]transport.RolloutReport
 
 	mu sync.Mutex
@@ -57,8 +57,8 @@
 type rolloutProgress struct {
 	order    uint64
 	analyzer *rollout.Analyzer
-	// evidenceByNode is by the incarnation of the node that reported it. What a node
-	// reported that has ended since stays.
+	// evidenceByNode is by the incarnation of the node that reported it. The evidence
+	// of a node that has ended stays.
 	evidenceByNode map[uint64]rollout.Evidence
 	stage          int
 	// answersAtStageStart are the target's answers when the stage was entered.
@@ -105,9 +105,9 @@
 	}
 }
 
-// mergeRolloutProgress merges where proxies stand: the lowest stage that any of them
-// has taken and all their requests to the base version. A node that no proxy
-// follows any more has evidence, but nobody stands there.
+// mergeRolloutProgress merges the progress of proxies: the lowest stage that any of
+// them has applied, and the sum of their requests in flight to the base version. A node
+// that no proxy follows any more has evidence, but no progress.
 func mergeRolloutProgress(to, from map[string]transport.RolloutReport) {
 	for service, report := range from {
 		merged := to[service]
@@ -150,7 +150,8 @@
 	}
 }
 
-// forgetAllEnded does so for a state that was taken whole.
+// forgetAllEnded drops the evidence of all roll-outs that have ended, after the state
+// was replaced by a snapshot.
 func (c *rolloutController) forgetAllEnded(state *loopState) {
 	for key, record := range c.state.onLoop(state).rollouts {
 		c.forgetIfEnded(key, record)
@@ -166,9 +167,9 @@
 	delete(c.evidence, serviceOfRollout(key))
 }
 
-// collectReports turns progress, where this node's proxies stand, into this node's
-// report: it adds the evidence since the node's start.
-func (c *rolloutController) collectReports(state *loopState, progress map[string]transport.RolloutReport) {
+// addTotalEvidence turns the progress of this node's proxies into this node's report:
+// it adds the evidence since the node's start.
+func (c *rolloutController) addTotalEvidence(state *loopState, progress map[string]transport.RolloutReport) {
 	rollouts := c.state.onLoop(state).rollouts
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +193,7 @@
 	return r.OrderNumber > order || (r.OrderNumber == order && r.State != rollout.InProgress)
 }
 
-// recordReports takes what a node reports, which is all since its start.
+// recordReports records what a node reports, which is the evidence since its start.
 func (c *rolloutController) recordReports(incarnation uint64, reports map[string]transport.RolloutReport) {
 	for service, report := range reports {
 		progress := c.inProgress[service]
@@ -206,8 +207,8 @@
 	}
 }
 
-// advance takes each roll-out one step further if the evidence says so. Each step is
-// written under the condition that the state read still stands, so that of two
+// advance proposes the next step of each roll-out whose evidence calls for one. Each
+// step is written under the condition that the state read still stands, so that of two
 // leaders, or two steps, one takes effect.
 func (c *rolloutController) advance(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(c.timing.ElectionTimeout) || now-state.leaderSince < c.timing.ConnectionTimeout {
@@ -298,11 +299,11 @@
 	}
 	progress.proposedRevision = record.revision
 	progress.proposedAt = now
-	state.proposeOnce(registry.Command{Txn: putIfUnchanged(key, record.revision, next.Encode())})
+	state.proposeWithoutWaiting(registry.Command{Txn: putIfUnchanged(key, record.revision, next.Encode())})
 }
 
-// addBaseVersion has the first endpoint of a service name the version in use, in
-// the transaction that registers it.
+// addBaseVersion makes the version of the first endpoint of a service the one in use,
+// in the transaction that registers the endpoint.
 func (c *rolloutController) addBaseVersion(r *replicatedState, txn *registry.Txn, endpoint registry.Endpoint) {
 	if !c.settings.HasRollouts() {
 		return
@@ -312,14 +313,16 @@
 		return
 	}
 	txn.If = append(txn.If, registry.Compare{Key: key})
-	// Before the endpoint, so that no proxy holds the endpoint without it.
+	// It is written before the endpoint, so that no proxy holds the endpoint without
+	// it.
 	write := registry.Write{Key: key, Value: rollout.Rollout{Base: endpoint.Version}.Encode()}
 	txn.Then = append([]registry.Write{write}, txn.Then...)
 }
 
 var errRolloutsDisabled = apierror.New(apierror.NoRoute, "this deployment does not tell versions apart")
 
-// begin takes an order to move a service's traffic to a version, see Node.BeginRollout.
+// begin carries out an order to move a service's traffic to a version, see
+// Node.BeginRollout.
 func (c *rolloutController) begin(service, target string, deadline time.Duration) error {
 	if !c.settings.HasRollouts() {
 		return errRolloutsDisabled
@@ -330,7 +333,7 @@
 	key := registry.RolloutPrefix + service
 	wrote, err := c.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
 		object, _ := r.store.Get(key)
-		current, err := decodeRolloutOrder(r, service, object)
+		current, err := storedRollout(r, service, object)
 		if err != nil {
 			return nil, err
 		}
@@ -350,9 +353,9 @@
 	return err
 }
 
-// decodeRolloutOrder returns a service's roll-out as stored, empty if there is none
-// yet and the service is configured.
-func decodeRolloutOrder(r *replicatedState, service string, object registry.Object) (rollout.Rollout, error) {
+// storedRollout returns a service's roll-out as stored, a zero one if there is none
+// yet. A service that is not configured and has none is an error.
+func storedRollout(r *replicatedState, service string, object registry.Object) (rollout.Rollout, error) {
 	if object.ModRevision == 0 {
 		if _, isKnown := r.cluster(service); !isKnown {
 			return rollout.Rollout{}, apierror.New(apierror.BadRequest, "backend_service: %q is not known", service)
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -181,7 +181,7 @@
 	}
 	collect := func() transport.RolloutReport {
 		progress := map[string]transport.RolloutReport{"s": {Order: 2, Proxies: 3, Stage: 1, AtBase: 5}}
-		c.collectReports(nil, progress)
+		c.addTotalEvidence(nil, progress)
 		return progress["s"]
 	}
 	if got := collect(); got.Order != 2 || got.Evidence.TargetAnswers() != 7 || got.Proxies != 3 || got.Stage != 1 || got.AtBase != 5 {
--- a/internal/controlplane/shared_encodings.go
+++ b/internal/controlplane/shared_encodings.go
@@ -46,7 +46,7 @@
 	data []byte
 }
 
-// eventRange tells the frames of one watch cache apart.
+// eventRange identifies a frame among those of one watch cache.
 type eventRange struct {
 	first, last uint64 // revisions
 	count       int
@@ -70,7 +70,7 @@
 		encoded.Inc()
 		data, err := transport.Pack(events)
 		if err != nil {
-			return // it goes unpacked
+			return // the events are sent unpacked
 		}
 		e.of = wanted
 		e.data = data
--- a/internal/controlplane/snapshotter.go
+++ b/internal/controlplane/snapshotter.go
@@ -28,7 +28,7 @@
 func (s *snapshotter) countEntry(entry raft.Entry) { s.logBytes += len(entry.Data) }
 
 // restoreReceived restores a leader's snapshot beside the present state. Consensus
-// calls it before it accepts the snapshot; one that cannot be restored is refused.
+// calls it before it accepts the snapshot; one that cannot be restored is rejected.
 func (s *snapshotter) restoreReceived(data []byte) error {
 	store := registry.NewStore()
 	if err := store.Restore(data); err != nil {
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -15,9 +15,9 @@
 	"lichentray/raft"
 )
 
-// Start opens the disk and the internal port and begins to run a node. The caller
-// ends it with Close. A disk that refuses is tried for some seconds; one whose state
-// cannot be read is set aside, and the node joins the group as a new member.
+// Start opens the disk and the internal port and begins to run a node. The caller ends
+// it with Close. A disk that fails is tried openAttempts times; a store whose state
+// cannot be read is quarantined, and the node joins the group as a new member.
 func Start(set *settings.Settings, logger *slog.Logger, registry *metrics.Registry) (*Node, error) {
 	env := newEnvironment(set, logger, newNodeMetrics(registry))
 	node, err := start(env)
@@ -79,11 +79,9 @@
 	addr     string // this node's internal address
 }
 
-const (
-	// openAttempts bounds how often a disk that refuses is tried, half an election
-	// time-out apart.
-	openAttempts = 21
-)
+// openAttempts bounds how often a disk that fails is tried, half an election time-out
+// apart.
+const openAttempts = 21
 
 // openDisk opens the disk and restores its snapshot into state. At the very first
 // start of a group a seed node writes the group's first membership.
@@ -113,7 +111,7 @@
 	return d, nil
 }
 
-// open opens the store, waiting for a disk in trouble, which refuses for seconds.
+// open opens the store. A disk may fail for some seconds and recover, so it is retried.
 func (d *disk) open(env *environment, state *sharedState, bootstrapID uint64) (identity storage.Identity, err error) {
 	restore := func(saved raft.PersistentState) error {
 		if saved.Snapshot.Data == nil {
@@ -157,7 +155,7 @@
 	return h.Sum64()&^(1<<63) | 1
 }
 
-// newNode makes the parts of a node and joins them. env.self is known.
+// newNode creates the parts of a node and connects them. env.self must be set.
 func newNode(env *environment, state *sharedState, store durableStore) *Node {
 	n := &Node{
 		environment: env,
@@ -194,7 +192,7 @@
 	return n
 }
 
-// joinServices makes the parts that carry out calls.
+// joinServices creates the parts that carry out calls.
 func (n *Node) joinServices() {
 	n.health = newHealthMonitor(n.environment)
 	n.health.loop = n.loop
@@ -234,7 +232,7 @@
 	n.audit = &auditSink{environment: n.environment, state: n.state, proposer: n.proposer}
 }
 
-// joinServers makes the parts that speak with other processes.
+// joinServers creates the parts that serve other processes.
 func (n *Node) joinServers() {
 	n.watches = &watchServer{
 		environment: n.environment,
@@ -271,7 +269,7 @@
 	}
 }
 
-// joinCallbacks has the parts below consensus report to it.
+// joinCallbacks connects the parts that report to consensus or to the membership.
 func (n *Node) joinCallbacks() {
 	n.writer.send = n.peers.sendMessages
 	n.writer.reportPersisted = func(index, term uint64) {
@@ -283,7 +281,8 @@
 	}
 }
 
-// reportReconnected has consensus send the log anew to the member at an address.
+// reportReconnected makes consensus send again what was in flight to the member at an
+// address.
 func reportReconnected(state *loopState, addr string) {
 	for _, m := range state.raft.Membership().AllMembers() {
 		if m.Addr == addr {
@@ -292,7 +291,8 @@
 	}
 }
 
-// restore takes over what the disk holds and returns the state of the event loop.
+// restore derives the node's state from what its disk holds and returns the state of
+// the event loop.
 func (n *Node) restore(saved raft.PersistentState) *loopState {
 	replicated := &n.state.replicated
 	replicated.watchCache.Reset(replicated.store.Revision())
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -22,9 +22,9 @@
 	compiled compiledConfig
 }
 
-// sharedState guards the replicated state. Other goroutines reach it through view
-// and update, the event loop also through onLoop. The lock is held briefly: nobody
-// waits for the disk, a peer or the loop while holding it.
+// sharedState guards the replicated state. Other goroutines reach it through view and
+// update, the event loop also through onLoop. The lock is held briefly, and never while
+// waiting for the disk, a peer or the loop.
 type sharedState struct {
 	mu         sync.RWMutex
 	replicated replicatedState
@@ -35,12 +35,17 @@
 	changed wakeups
 }
 
-// watchCacheEvents bounds the events in the watch cache.
-const watchCacheEvents = 20000
+const (
+	// watchCacheEvents bounds the events in the watch cache.
+	watchCacheEvents = 20000
+	// watchCacheMemoryDivisor is the part of the node's memory limit that the values of
+	// the events may take.
+	watchCacheMemoryDivisor = 12
+)
 
 // newSharedState returns an empty state.
 func newSharedState(env *environment) *sharedState {
-	cacheBytes := int(env.settings.Limits.MemoryMB*(1<<20)) / 12
+	cacheBytes := int(env.settings.Limits.MemoryMB*(1<<20)) / watchCacheMemoryDivisor
 	return &sharedState{
 		replicated: replicatedState{
 			env:            env,
@@ -113,7 +118,7 @@
 	}
 }
 
-// replace puts a store restored from a snapshot in place of the present one.
+// replace replaces the store by one that was restored from a snapshot.
 func (s *sharedState) replace(store *registry.Store, index uint64) {
 	s.mu.Lock()
 	r := &s.replicated
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -25,8 +25,8 @@
 	// Endpoints counts those registered, Draining those of them that drain.
 	Endpoints int `json:"endpoints"`
 	Draining  int `json:"draining"`
-	// IsUpToDate tells whether others may count on this node: it holds all that was
-	// acknowledged anywhere until a moment ago.
+	// IsUpToDate is true if the node holds all that was acknowledged anywhere until two
+	// election time-outs ago, so that others may count on it.
 	IsUpToDate bool           `json:"in_touch"`
 	Members    []MemberStatus `json:"members"`
 	// Proxies are those that watch at this node.
@@ -123,7 +123,7 @@
 	return status
 }
 
-// addReplicated adds what the replicated state tells.
+// addReplicated adds what is known from the replicated state.
 func (s *Status) addReplicated(r *replicatedState) {
 	s.Revision = r.store.Revision()
 	s.ConfigVersion, _, _ = r.configuration()
--- a/internal/controlplane/watch_server.go
+++ b/internal/controlplane/watch_server.go
@@ -36,8 +36,8 @@
 	summary  proxySummary
 }
 
-// proxySummary is what the leader sums up over all proxies and tells each of them. It
-// is replaced whole and never changed.
+// proxySummary is what the leader sums up over all proxies and sends to every node,
+// which passes it on to its proxies. A summary is never changed, only replaced.
 type proxySummary struct {
 	proxies  int
 	loads    map[string]loadbalance.Load      // by service
@@ -87,7 +87,7 @@
 	delete(w.sessions, session)
 }
 
-// serveProxy takes a proxy's reports and answers its list or watch, after which it
+// serveProxy handles a proxy's reports and answers its list or watch, after which it
 // streams. A proxy too slow to take its stream is disconnected and lists again.
 func (w *watchServer) serveProxy(conn *transport.Conn, hello transport.Hello) {
 	session := w.openSession(hello.Node)
@@ -104,7 +104,7 @@
 			session.ackedRevision.Store(frame.Ack)
 		}
 		if frame.Report != nil {
-			w.takeReport(conn, session, frame.Report)
+			w.handleReport(conn, session, frame.Report)
 		}
 		if frame.Ask == nil || isStreaming {
 			continue
@@ -129,9 +129,9 @@
 	}
 }
 
-// takeReport takes what a proxy reports. Writes that it asks for run beside the
-// connection's reader.
-func (w *watchServer) takeReport(conn *transport.Conn, session *proxySession, report *transport.ProxyReport) {
+// handleReport records what a proxy reports. The writes that it asks for run in their
+// own goroutines, so that the connection's reader does not wait for them.
+func (w *watchServer) handleReport(conn *transport.Conn, session *proxySession, report *transport.ProxyReport) {
 	w.recordReport(session, report)
 	if report.Account != nil && w.audit.isEnabled() && session.isIngestingAudit.CompareAndSwap(false, true) {
 		w.startIngest(conn, session, report.Account)
@@ -164,9 +164,9 @@
 	w.health.addObservations(report.Seen)
 }
 
-// collectReports sums up the proxies that are connected here, and takes what they
-// observed of endpoints since the last call. Sessions that have not reported for
-// long are left out: their proxies are frozen, most likely.
+// collectReports sums up the proxies that are connected here, and returns what they
+// observed of endpoints since the last call. Sessions that have not reported for long
+// are left out: their proxies are frozen, most likely.
 func (w *watchServer) collectReports(state *loopState, now time.Duration) (nodeReport, map[string]loadbalance.Observation) {
 	report := nodeReport{
 		sequences:   map[string]uint64{},
@@ -185,7 +185,7 @@
 		mergeLoads(report.loads, session.loads)
 		mergeRolloutProgress(report.rollouts, session.rollouts)
 	}
-	w.rollouts.collectReports(state, report.rollouts)
+	w.rollouts.addTotalEvidence(state, report.rollouts)
 	return report, w.health.takeObservations()
 }
 
@@ -198,8 +198,8 @@
 	if nodes := w.redirectToZone(request); nodes != nil {
 		return &transport.Response{ID: request.ID, Nearer: nodes}, 0
 	}
-	// A proxy waits for this response while it asks other nodes. After a loss of power
-	// a leader comes soon, and to be sent away to ask again takes as long as that.
+	// The time-out is long, as a proxy asks other nodes while it waits. After a loss of
+	// power a leader is elected soon, and a rejected proxy would not be served earlier.
 	if err := w.proposer.readIndex(w.timing.DeadMemberTimeout); err != nil {
 		return errorResponse(request.ID, err), 0
 	}
@@ -254,7 +254,7 @@
 }
 
 // listObjects answers with all watched objects. After a loss of power every proxy asks
-// at the same moment; who comes while the list is encoded waits for it.
+// at the same moment; those that ask while the list is encoded wait and share it.
 func (w *watchServer) listObjects(request *transport.Request) (response *transport.Response, after uint64) {
 	if !request.Packs {
 		return w.listPlain(request)
@@ -312,7 +312,8 @@
 	return objects
 }
 
-// controlNodes lists the members of the group for who follows one of them.
+// controlNodes lists the members of the group for a proxy or relay that follows one of
+// them.
 func (w *watchServer) controlNodes() []transport.ControlNode {
 	var nodes []transport.ControlNode
 	for _, m := range w.consensus.get().membership.AllMembers() {
@@ -336,8 +337,8 @@
 	return bookmark
 }
 
-// serveRelay tells a relay, for as long as this node is up to date, that it may send
-// callers here.
+// serveRelay sends bookmarks to a relay for as long as this node is up to date. While
+// they come, the relay may forward callers here.
 func (w *watchServer) serveRelay(conn *transport.Conn) {
 	ticker := time.NewTicker(w.timing.BookmarkInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -7,7 +7,7 @@
 	"lichentray/registry"
 )
 
-// zoneEvacuator takes the orders to evacuate a zone and to return it to use, and
+// zoneEvacuator carries out the orders to evacuate a zone and to return it to use, and
 // completes returns while this node leads.
 type zoneEvacuator struct {
 	*environment
@@ -28,7 +28,7 @@
 // becomeLeader forgets what an earlier leadership knew.
 func (z *zoneEvacuator) becomeLeader() { z.returning = map[string]zoneReturn{} }
 
-// order takes an order for a zone, see Node.Evacuate.
+// order carries out an order for a zone, see Node.Evacuate.
 func (z *zoneEvacuator) order(zone string, begin bool, callerIsWaiting func() bool) error {
 	if _, isKnown := z.settings.RegionByZone[zone]; !isKnown {
 		return apierror.New(apierror.BadRequest, "of: zone %q is not known", zone)
@@ -65,9 +65,10 @@
 	return err
 }
 
-// recordAcknowledged notes, some time after this node answered an order, that it lived
-// on, so that a further order of the kind is hardly a repeat. It is attempted once:
-// without the note more orders count as repeats.
+// recordAcknowledged records, some time after this node answered an order, that it is
+// still alive: its answer most likely arrived, so that a further order of the kind is
+// hardly a repeat. It is attempted once: without the record, orders count as repeats
+// for longer (registry.RepeatWindow).
 func (z *zoneEvacuator) recordAcknowledged(key string, begin bool, order registry.Evacuation) {
 	select {
 	case <-time.After(z.timing.HeartbeatInterval):
@@ -95,7 +96,7 @@
 }
 
 // finishReturns returns zones to ordinary use once the heartbeats of their endpoints
-// have had the time to tell which of them warm up.
+// have had the time to say which of them warm up.
 func (z *zoneEvacuator) finishReturns(state *loopState, now time.Duration) {
 	wait := 2*z.settings.HeartbeatInterval.Duration() + z.timing.ConnectionTimeout
 	for _, object := range z.state.onLoop(state).store.List(registry.EvacuationPrefix) {
@@ -109,7 +110,7 @@
 			continue
 		}
 		if now-since.at > wait {
-			state.proposeOnce(registry.Command{Txn: deleteIfUnchanged(object)})
+			state.proposeWithoutWaiting(registry.Command{Txn: deleteIfUnchanged(object)})
 			// It is proposed again if it does not come through.
 			z.returning[object.Key] = zoneReturn{at: now, revision: object.ModRevision}
 		}
