--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -31,7 +31,7 @@
 }
 
 // NewDirectory returns a directory that answers from resolver and counts its answers in registry,
-// as resolves_total by outcome.
+// as resolves_total with the label answer, which is "ok" or the kind of the error.
 func NewDirectory(resolver Resolver, registry *metrics.Registry) *Directory {
 	return &Directory{resolver: resolver, metrics: registry}
 }
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -29,23 +29,23 @@
 	ReplaceConfiguration(text []byte) error
 	// Configuration returns the newest configuration, in the JSON form in which it came.
 	Configuration() ([]byte, error)
-	// Propose commits a command on locks, numbers or cells and returns its result.
+	// Propose commits a command on locks, sequences or cells and returns its result.
 	Propose(cmd registry.Command) (registry.Result, error)
 	// Cell returns a cell, or an error of the kind NotFound.
 	Cell(name string) (coordination.Cell, error)
 	// Watch waits, for wait at most, for writes to cells of a group whose revisions are
 	// above after. It returns them in order, and the revision that they reach up to.
 	Watch(group string, after uint64, wait time.Duration) ([]coordination.Event, uint64, error)
-	// Evacuate begins or finishes the evacuation of a zone. It gives up if waits returns
-	// false, which says that the caller does not wait for the answer any more.
-	Evacuate(zone string, begin bool, waits func() bool) error
+	// Evacuate begins or finishes the evacuation of a zone. It gives up if callerIsWaiting
+	// returns false, as a caller that is gone repeats the order at another node.
+	Evacuate(zone string, begin bool, callerIsWaiting func() bool) error
 	// Evacuations returns the states of the zones that are not in ordinary use.
 	Evacuations() (map[string]string, error)
 	// BeginRollout orders the roll-out of a service's target version within deadline.
 	BeginRollout(service, target string, deadline time.Duration) error
 	// Rollout returns the newest roll-out of a service, or an error of the kind NotFound.
 	Rollout(service string) (rollout.Rollout, error)
-	// ReadAudit returns the audit records that a filter picks.
+	// ReadAudit returns the failures that a filter selects.
 	ReadAudit(f audit.Filter) (audit.QueryResult, error)
 	// Status returns the state of the node in a form that encodes to JSON.
 	Status() any
@@ -58,8 +58,9 @@
 	maxWait time.Duration
 }
 
-// NewHandler returns a handler that calls node and counts calls in registry, as calls_total by
-// call and outcome. A long poll waits for maxWait at most, whatever its caller asks for.
+// NewHandler returns a handler that calls node and counts calls in registry, as calls_total with
+// the labels call and answer, which is "ok" or the kind of the error. A long poll waits for
+// maxWait at most, whatever its caller asks for.
 func NewHandler(node Node, registry *metrics.Registry, maxWait time.Duration) *Handler {
 	return &Handler{node: node, metrics: registry, maxWait: maxWait}
 }
--- a/internal/api/locks.go
+++ b/internal/api/locks.go
@@ -14,12 +14,12 @@
 // lockRequest is the body of the calls on locks. A call that acquires a lock needs no fencing
 // token, and one that releases it no lease.
 type lockRequest struct {
-	LeaseHolder  string  `json:"holder"`
+	Holder       string  `json:"holder"`
 	FencingToken uint64  `json:"fence"`
 	LeaseSeconds float64 `json:"hold_s"`
 }
 
-// leaseMS returns the lease in milliseconds, rounded up: a lock must not end before its owner
+// leaseMS returns the lease in milliseconds, rounded up: a lease must not end before its holder
 // expects it to.
 func (r *lockRequest) leaseMS() uint64 { return uint64(r.LeaseSeconds*1000 + 0.999) }
 
@@ -28,7 +28,7 @@
 	FencingToken uint64 `json:"fence"`
 }
 
-// acquireLock acquires a lock, or renews it if the caller holds it already.
+// acquireLock acquires a lock, or renews its lease if the caller is its holder already.
 func (h *Handler) acquireLock(c call) (any, error) {
 	result, err := h.executeLock(coordination.AcquireLock, c)
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err := decodeBody(c.body, &r); err != nil {
 		return coordination.Result{}, err
 	}
-	if r.LeaseHolder == "" || len(r.LeaseHolder) > maxNameBytes {
+	if r.Holder == "" || len(r.Holder) > maxNameBytes {
 		return coordination.Result{}, apierror.New(apierror.BadRequest, "holder: missing or over %d bytes", maxNameBytes)
 	}
 	needsLease := operation != coordination.ReleaseLock
@@ -68,7 +68,7 @@
 	result, err := h.node.Propose(registry.Command{Coordination: &coordination.Command{
 		Operation:    operation,
 		Name:         c.name,
-		Holder:       r.LeaseHolder,
+		Holder:       r.Holder,
 		FencingToken: r.FencingToken,
 		LeaseMS:      r.leaseMS(),
 	}})
--- a/internal/api/numbers.go
+++ b/internal/api/numbers.go
@@ -5,7 +5,7 @@
 	"lichentray/registry"
 )
 
-// numberAnswer is the answer to a call that draws a number.
+// numberAnswer is the answer to a call that draws a number from a sequence.
 type numberAnswer struct {
 	Value uint64 `json:"value"`
 }
--- a/internal/api/params.go
+++ b/internal/api/params.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxNameBytes bounds the name of an instance, a lock, a number, a cell, a group, a zone
-	// or a service, and that of the owner of a lock.
+	// maxNameBytes bounds the name of an instance, a lock, a sequence, a cell, a group, a zone or
+	// a service, and that of the holder of a lock.
 	maxNameBytes = 512
 	// maxExactInteger is the largest number that a query may give. All integers up to it are
 	// exact in the floating-point numbers of JSON.
--- a/raft/election.go
+++ b/raft/election.go
@@ -214,10 +214,10 @@
 	return n.leaderID != 0 && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-// TransferLeadership starts to hand leadership to the voter with the longest log among
-// those heard within an election timeout. It returns false if this node does not lead
-// or there is no such voter. Until the target leads, or an election timeout has passed,
-// proposals are rejected.
+// TransferLeadership starts to transfer leadership to the voter with the longest log
+// among those heard within an election timeout. It returns false if this node does not
+// lead or there is no such voter. Until the target leads, or an election timeout has
+// passed, proposals are rejected.
 func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
--- a/raft/log.go
+++ b/raft/log.go
@@ -199,17 +199,22 @@
 	l.memberships[0].index = index
 	dropped := index - l.snapshot.Index
 	compacted := append(slices.Clip(l.compactedTail), l.entries[:dropped]...)
-	first, size := len(compacted), 0
-	for first > 0 && size+entrySize(compacted[first-1]) <= len(data) {
-		first--
-		size += entrySize(compacted[first])
-	}
-	l.compactedTail = append([]Entry(nil), compacted[first:]...)
+	l.compactedTail = newestWithin(compacted, len(data))
 	l.entries = append([]Entry(nil), l.entries[dropped:]...)
 	l.snapshot = Snapshot{Index: index, Term: term, Members: membership, Data: data}
 	return true
 }
 
+// newestWithin returns the newest entries that take at most maxBytes, in new memory.
+func newestWithin(entries []Entry, maxBytes int) []Entry {
+	first, size := len(entries), 0
+	for first > 0 && size+entrySize(entries[first-1]) <= maxBytes {
+		first--
+		size += entrySize(entries[first])
+	}
+	return append([]Entry(nil), entries[first:]...)
+}
+
 // clone returns a copy that shares no slice that either log could change.
 func (l *raftLog) clone() raftLog {
 	c := *l
--- a/raft/modelcheck/event.go
+++ b/raft/modelcheck/event.go
@@ -13,7 +13,7 @@
 	noConfChange   confChangeKind = iota
 	addLearner                    // the target becomes a learner
 	promoteLearner                // the target becomes a voter
-	swapVoter                     // the target becomes a voter in place of the removed one
+	swapVoter                     // the same in place of another voter; it must be rejected
 	removeVoter                   // the target leaves
 )
 
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -109,7 +109,7 @@
 }
 
 func decodeCoordination(r *byteReader) *coordination.Command {
-	// The fields are read in the order in which they are written here.
+	// Go evaluates the calls in this order, which is that of encodeCoordination.
 	return &coordination.Command{
 		Operation:           coordination.Operation(r.byte()),
 		Name:                string(r.bytes()),
