--- a/internal/controlplane/event_stream.go
+++ b/internal/controlplane/event_stream.go
@@ -15,7 +15,7 @@
 )
 
 // eventStream sends a proxy the changes of the watched objects as they come, and
-// bookmarks while this node is up to date; without them the proxy goes on to another
+// bookmarks while this node is up to date. Without bookmarks the proxy follows another
 // node.
 type eventStream struct {
 	*watchServer
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -14,10 +14,10 @@
 	"lichentray/registry"
 )
 
-// healthMonitor takes the heartbeats of endpoints and removes those that crashed:
-// whose heartbeats stopped and whose health check fails. Every node takes heartbeats
-// and reports them to the leader; the leader alone removes endpoints and detects
-// outliers from what proxies observed.
+// healthMonitor records the heartbeats of endpoints and removes the endpoints that
+// crashed: whose heartbeats stopped and whose health check fails. Every node receives
+// heartbeats and reports them to the leader; the leader alone removes endpoints and
+// detects outliers from what proxies observed.
 type healthMonitor struct {
 	*environment
 	loop      *eventLoop
@@ -29,7 +29,7 @@
 
 	// What follows is collected here until it is reported to the leader.
 	mu           sync.Mutex
-	heartbeats   map[string]time.Duration // when each endpoint was last heard of here
+	heartbeats   map[string]time.Duration // when the newest one of each endpoint came
 	observations map[string]loadbalance.Observation
 }
 
@@ -58,7 +58,7 @@
 	state.liveness.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
 }
 
-// recordHeartbeat notes that an endpoint was heard of here.
+// recordHeartbeat records that an endpoint sent a heartbeat to this node.
 func (h *healthMonitor) recordHeartbeat(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,7 +95,7 @@
 	return taken
 }
 
-// reportHeartbeats passes the heartbeats taken here to the leader.
+// reportHeartbeats sends the heartbeats recorded here to the leader.
 func (h *healthMonitor) reportHeartbeats(state *loopState, now time.Duration) {
 	heartbeats := h.takeHeartbeats()
 	if heartbeats == nil {
@@ -274,7 +274,7 @@
 		return nil, apierror.New(apierror.Internal, "%v", err)
 	}
 	if endpoint.Draining {
-		return nil, nil // for good
+		return nil, nil // a draining endpoint never returns to use
 	}
 	isLate := heartbeat.Sequence < endpoint.Sequence
 	changesWarmUp := heartbeat.WarmingUp != endpoint.WarmingUp && !isLate
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -9,8 +9,13 @@
 	"lichentray/raft"
 )
 
-// membershipManager keeps the group's membership in order while this node leads,
-// admits nodes and lets them go, and has this node itself join and leave the group.
+// membershipCheckHeartbeats is how many heartbeat intervals pass between two checks of
+// the membership.
+const membershipCheckHeartbeats = 4
+
+// membershipManager keeps the group's membership in order while this node leads, admits
+// nodes and approves their departure, and makes this node itself join and leave the
+// group.
 type membershipManager struct {
 	*environment
 	loop      *eventLoop
@@ -180,8 +185,8 @@
 	return result
 }
 
-// prepareShutdown hands leadership on and asks the group to let this node go, see
-// Node.PrepareShutdown.
+// prepareShutdown transfers leadership and asks the leader to approve the departure,
+// see Node.PrepareShutdown.
 func (m *membershipManager) prepareShutdown(timeout time.Duration) {
 	var transferredAt time.Time
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(m.timing.HeartbeatInterval) {
--- a/internal/controlplane/report_aggregator.go
+++ b/internal/controlplane/report_aggregator.go
@@ -35,7 +35,7 @@
 	state.nodeReports = map[uint64]nodeReport{}
 }
 
-// recordNode takes what another node reports.
+// recordNode records what another node reports.
 func (a *reportAggregator) recordNode(state *loopState, id uint64, aggregate *transport.ProxyAggregate) {
 	now := a.now()
 	state.nodeReports[id] = nodeReport{
--- a/internal/controlplane/shared_encodings.go
+++ b/internal/controlplane/shared_encodings.go
@@ -70,7 +70,7 @@
 		encoded.Inc()
 		data, err := transport.Pack(events)
 		if err != nil {
-			return // it goes unpacked
+			return // the events are sent unpacked
 		}
 		e.of = wanted
 		e.data = data
