--- a/internal/controlplane/history_compactor.go
+++ b/internal/controlplane/history_compactor.go
@@ -51,7 +51,7 @@
 		return
 	}
 	state.history.compactedAt = now
-	state.proposeOnce(registry.Command{Coordination: &coordination.Command{
+	state.proposeWithoutWaiting(registry.Command{Coordination: &coordination.Command{
 		Operation:     coordination.CompactHistory,
 		CompactBefore: before,
 	}})
