--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -58,7 +58,7 @@
 		return
 	}
 	schedule := &state.membership
-	if now-schedule.checkedAt < 4*m.timing.HeartbeatInterval && !schedule.isCheckDue {
+	if now-schedule.checkedAt < membershipCheckHeartbeats*m.timing.HeartbeatInterval && !schedule.isCheckDue {
 		return
 	}
 	schedule.checkedAt = now
