--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -8,13 +8,14 @@
 // forwards it (forwarding.go): the service admits it (queue.go, rollout.go), an endpoint is
 // picked (service.go) and attempted (attempt.go, on a connection of connpool.go and conn.go,
 // whose response response.go reads), and one table decides on the outcome (outcome.go,
-// retry.go), until the response is relayed (relay.go) or the client gets an error.
+// retry.go), until the response is relayed (respond.go; a long body streams through
+// responsestream.go) or the client gets an error.
 //
 // # The way of a change
 //
 // Proxy.ListAndWatch is a reflector (reflector.go): it finds a control-plane node
-// (finder.go), lists the registry once and then watches it (stream.go). Each change is
-// applied to the services, or compiled into the next routing snapshot (apply.go,
+// (finder.go), lists the registry once and then watches it (watchstream.go). Each change
+// is applied to the services, or compiled into the next routing snapshot (apply.go,
 // snapshot.go). On the way back the node reports its load and what it saw of endpoints and
 // roll-outs, and applies what the control plane makes of all reports (report.go).
 //
--- a/internal/proxy/relay.go
+++ b/internal/proxy/respond.go
@@ -1,14 +1,11 @@
 package proxy
 
 import (
-	"errors"
-	"io"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
 	"lichentray/audit"
-	"lichentray/loadbalance"
 )
 
 // relayResponse gives an endpoint's response to the client and releases the endpoint.
@@ -75,58 +72,3 @@
 		p.recordAttempt(q, audit.MissedLatencyTarget, status)
 	}
 }
-
-// responseStream relays the body of a long response as it arrives, in chunks that the
-// link has room for. The server that sends it to the client reads and closes it.
-type responseStream struct {
-	proxy    *Proxy
-	request  *request
-	endpoint *loadbalance.Endpoint
-	conns    *connPool
-	conn     *upstreamConn
-	response *response
-	received int64 // bytes
-	// endpointFailed: the endpoint, not the client, ended the body early.
-	endpointFailed bool
-}
-
-func newResponseStream(p *Proxy, q *request, t target, o outcome) *responseStream {
-	return &responseStream{
-		proxy:    p,
-		request:  q,
-		endpoint: t.endpoint,
-		conns:    t.conns,
-		conn:     o.conn,
-		response: o.response,
-	}
-}
-
-// Read implements io.Reader.
-func (s *responseStream) Read(b []byte) (int, error) {
-	n, err := s.response.stream.Read(b[:min(len(b), pacedChunk)])
-	s.received += int64(n)
-	if errors.Is(err, io.EOF) && !s.isComplete() {
-		err = io.ErrUnexpectedEOF // the client must not take a part for the whole
-	}
-	s.endpointFailed = err != nil && !errors.Is(err, io.EOF) && time.Until(s.request.deadline) > 0
-	s.proxy.pacer.wait(n, s.response.contentLength-s.received, s.request.deadline)
-	return n, err
-}
-
-// isComplete reports whether all of the body was received.
-func (s *responseStream) isComplete() bool { return s.received >= s.response.contentLength }
-
-// Close ends the exchange, complete or not. It implements io.Closer.
-func (s *responseStream) Close() error {
-	if s.isComplete() {
-		s.proxy.recordResponse(s.request, s.response.status)
-		s.proxy.recycleConnection(s.conns, s.conn, s.response)
-		return nil
-	}
-	s.conn.close()
-	if s.endpointFailed {
-		s.proxy.recordAttempt(s.request, audit.Truncated, s.response.status)
-		s.request.service.recordBrokenStream(s.proxy, s.endpoint)
-	}
-	return nil
-}
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -38,7 +38,10 @@
 	phaseFailed
 	// phaseAnswered: any other complete response.
 	phaseAnswered
-	// phaseStreaming: the head of a long response, whose body is relayed as it arrives.
+	// phaseStreaming: the head of a long response, whose body is relayed as it arrives. If
+	// the body breaks off, the client has had the head and there is no retry:
+	// responseStream.Close closes the endpoint's connection, and if the endpoint is at
+	// fault ejects it and records audit.Truncated.
 	phaseStreaming
 
 	phaseCount
