--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// recordArrival counts a request of a client and returns its rank in the queue.
+// recordArrival counts a request of a client, deposits its tokens in the retry budget, and
+// returns its rank in the queue.
 func (s *service) recordArrival(client string, priority int) queueRank {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/loadbalance/retrybudget.go
+++ b/loadbalance/retrybudget.go
@@ -9,6 +9,11 @@
 // at most ratio times its requests plus its part; summed over the nodes, ratio times
 // all requests plus the slack. The bucket starts empty, so that a restart of the node
 // grants nothing twice. It is not safe for concurrent use.
+//
+// What counts as an extra attempt is the caller's choice. The proxy withdraws only once
+// an earlier attempt has sent a part of the request. Before that, as after a failed dial,
+// further attempts are free and bounded by their number (forwarding.pick and
+// maxUnsentAttempts in internal/proxy).
 type RetryBudget struct {
 	ratio     float64 // tokens per request
 	maxTokens float64
--- a/raft/message.go
+++ b/raft/message.go
@@ -45,7 +45,9 @@
 	Index   uint64
 	Term    uint64 // of the entry at Index
 	Members Membership
-	Data    []byte
+	// Data is the opaque state of the embedder; the control plane's is the encoded
+	// registry (registry.Store.Snapshot).
+	Data []byte
 }
 
 // MessageType is the type of a message between two nodes.
--- a/registry/snapshot.go
+++ b/registry/snapshot.go
@@ -15,8 +15,8 @@
 type snapshotImage struct {
 	Revision uint64
 	Objects  []Object
-	Latches  *coordination.Table
-	Account  *audit.Log
+	Latches  *coordination.Table // coordination: locks, sequences, cells, event log
+	Account  *audit.Log          // audit log
 }
 
 // Snapshot returns the complete state in a form that Restore reads.
