--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -267,7 +267,17 @@
 		TargetAnswers:      answers,
 		StageTargetAnswers: answers - progress.answersAtStageStart,
 	}
-	targetEndpoints := 0
+	targetEndpoints := addCapacities(&observation, replicated, service, record)
+	observation.Verdict = progress.analyzer.Analyze(evidence, targetEndpoints)
+	report, isReported := c.reported[service]
+	observation.TrafficShifted = isReported && report.Proxies > 0 &&
+		report.Order == record.OrderNumber && report.Stage == record.Stage && report.AtBase == 0
+	return observation
+}
+
+// addCapacities adds the capacities of a service's endpoints to an observation, by
+// version, and returns the number of the target's endpoints.
+func addCapacities(observation *rollout.Observation, replicated *replicatedState, service string, record *rolloutRecord) (targetEndpoints int) {
 	for _, e := range replicated.endpoints {
 		if e.Service != service || e.Draining {
 			continue
@@ -280,11 +290,7 @@
 			targetEndpoints++
 		}
 	}
-	observation.Verdict = progress.analyzer.Analyze(evidence, targetEndpoints)
-	report, isReported := c.reported[service]
-	observation.TrafficShifted = isReported && report.Proxies > 0 &&
-		report.Order == record.OrderNumber && report.Stage == record.Stage && report.AtBase == 0
-	return observation
+	return targetEndpoints
 }
 
 // proposeStep proposes the next state of a roll-out, if it changes. A proposal that
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -38,6 +38,10 @@
 	RolloutStagePause time.Duration
 }
 
+// maxRequestTimeout bounds Timing.RequestTimeout where the bound on acknowledgements is
+// long.
+const maxRequestTimeout = 900 * time.Millisecond
+
 // DeriveTiming computes a node's timing from its settings.
 func DeriveTiming(s *settings.Settings) Timing {
 	contact := s.Bounds.ContactWindow.Duration()
@@ -48,7 +52,7 @@
 		DeadMemberTimeout: contact / 2,
 		ConnectionTimeout: contact / 4,
 		BookmarkInterval:  s.PropagationBound() / 10,
-		RequestTimeout:    min(s.Bounds.AckTimeout.Duration()/5, 900*time.Millisecond),
+		RequestTimeout:    min(s.Bounds.AckTimeout.Duration()/5, maxRequestTimeout),
 		WatchWindow:       5 * time.Minute,
 		EndpointTimeout:   s.HeartbeatInterval.Duration()*2 + contact/6,
 		ProxyLease:        contact / 4,
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -39,21 +39,13 @@
 		return err
 	}
 	key := registry.EvacuationPrefix + zone
-	ackTimeout := z.settings.Bounds.AckTimeout.Duration()
-	window := registry.RepeatWindow{Acknowledged: ackTimeout / 5, Unacknowledged: ackTimeout}
 	var next registry.Evacuation
-	wrote, err := z.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
+	wrote, err := z.proposer.transact(func(r *replicatedState) (txn *registry.Txn, err error) {
 		if !callerIsWaiting() {
 			return nil, apierror.New(apierror.Unavailable, "the caller has gone on to another node")
 		}
-		object, _ := r.store.Get(key)
-		current := registry.DecodeEvacuation(object)
-		orderedAt := r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: begin}]
-		next = current.ApplyOrder(begin, z.now()-orderedAt, window)
-		if next == current {
-			return nil, nil
-		}
-		return putIfUnchanged(key, object.ModRevision, next.Encode()), nil
+		next, txn = z.deriveOrder(r, key, begin)
+		return txn, nil
 	})
 	if wrote {
 		z.logger.Info("evacuation order acknowledged",
@@ -65,6 +57,21 @@
 	return err
 }
 
+// deriveOrder returns the state of a zone after an order, and the transaction that
+// writes it, nil if the order changes nothing.
+func (z *zoneEvacuator) deriveOrder(r *replicatedState, key string, begin bool) (next registry.Evacuation, txn *registry.Txn) {
+	ackTimeout := z.settings.Bounds.AckTimeout.Duration()
+	window := registry.RepeatWindow{Acknowledged: ackTimeout / 5, Unacknowledged: ackTimeout}
+	object, _ := r.store.Get(key)
+	current := registry.DecodeEvacuation(object)
+	orderedAt := r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: begin}]
+	next = current.ApplyOrder(begin, z.now()-orderedAt, window)
+	if next == current {
+		return next, nil
+	}
+	return next, putIfUnchanged(key, object.ModRevision, next.Encode())
+}
+
 // recordAcknowledged records, some time after this node answered an order, that it is
 // still alive: its answer most likely arrived, so that a further order of the kind is
 // hardly a repeat. It is attempted once: without the record, orders count as repeats
