--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -25,12 +25,7 @@
 	peers     *peerPool
 	proposer  *proposer
 	consensus *consensusView
-
-	// What follows belongs to the event loop and is of use at the leader only.
-	lastSeen map[string]time.Duration // by endpoint ID
-	// isChecking names the endpoints whose health is being checked.
-	isChecking map[string]bool
-	outliers   *loadbalance.OutlierDetector
+	rollouts  *rolloutController
 
 	// What follows is collected here until it is reported to the leader.
 	mu           sync.Mutex
@@ -38,21 +33,29 @@
 	observations map[string]loadbalance.Observation
 }
 
-func newHealthMonitor(env *environment) *healthMonitor {
-	return &healthMonitor{
-		environment:  env,
-		lastSeen:     map[string]time.Duration{},
-		isChecking:   map[string]bool{},
-		heartbeats:   map[string]time.Duration{},
-		observations: map[string]loadbalance.Observation{},
-	}
+// endpointLiveness is what the leader knows of endpoints, see loopState. Endpoints are
+// by their ID.
+type endpointLiveness struct {
+	lastSeen map[string]time.Duration
+	// isChecking names the endpoints whose health is being checked.
+	isChecking map[string]bool
+	outliers   *loadbalance.OutlierDetector
+}
+
+func newEndpointLiveness() endpointLiveness {
+	return endpointLiveness{lastSeen: map[string]time.Duration{}, isChecking: map[string]bool{}}
+}
+
+// recordSeen records that an endpoint was alive at a time.
+func (l *endpointLiveness) recordSeen(id string, at time.Duration) {
+	l.lastSeen[id] = max(l.lastSeen[id], at)
 }
 
 // becomeLeader forgets what an earlier leadership knew, so that every endpoint has
 // its full time-out.
-func (h *healthMonitor) becomeLeader() {
-	h.lastSeen = map[string]time.Duration{}
-	h.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
+func (h *healthMonitor) becomeLeader(state *loopState) {
+	state.liveness.lastSeen = map[string]time.Duration{}
+	state.liveness.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
 }
 
 // recordHeartbeat records that an endpoint sent a heartbeat to this node.
@@ -100,7 +103,7 @@
 	}
 	if state.isLeader() {
 		for id, at := range heartbeats {
-			h.recordSeen(id, at)
+			state.liveness.recordSeen(id, at)
 		}
 		return
 	}
@@ -112,54 +115,53 @@
 	h.peers.enqueue(h.peers.addrOf(state.raft.LeaderID()), &frame)
 }
 
-// recordReported records the heartbeats that another node reports.
-func (h *healthMonitor) recordReported(_ *loopState, heartbeats []transport.Heartbeat) {
+// recordReported takes the heartbeats that another node reports.
+func (h *healthMonitor) recordReported(state *loopState, heartbeats []transport.Heartbeat) {
 	now := h.now()
 	for _, heartbeat := range heartbeats {
-		h.recordSeen(heartbeat.ID, now-time.Duration(heartbeat.AgoMS)*time.Millisecond)
+		age := time.Duration(heartbeat.AgoMS) * time.Millisecond
+		state.liveness.recordSeen(heartbeat.ID, now-age)
 	}
 }
 
-func (h *healthMonitor) recordSeen(id string, at time.Duration) {
-	h.lastSeen[id] = max(h.lastSeen[id], at)
-}
-
 // verdicts judges all endpoints by the observations reported since the last call.
 func (h *healthMonitor) verdicts(state *loopState, now time.Duration, observations map[string]loadbalance.Observation) []loadbalance.Verdict {
-	h.outliers.Observe(observations)
-	return h.outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
+	outliers := state.liveness.outliers
+	outliers.Observe(observations)
+	return outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
 }
 
-// checkLiveness begins a health check of every endpoint whose heartbeats stopped. Only
-// a leader in contact with a majority does so, and only once it has led for long enough
-// to have got a heartbeat of every endpoint that lives.
+// checkLiveness begins a health check of every endpoint whose heartbeats stopped.
+// Only a leader that a majority still hears does, and only once it has led for long
+// enough to have heard from every endpoint that is alive.
 func (h *healthMonitor) checkLiveness(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(h.timing.ElectionTimeout) || now-state.leaderSince < h.timing.EndpointTimeout {
 		return
 	}
 	replicated := h.state.onLoop(state)
+	liveness := &state.liveness
 	for key, endpoint := range replicated.endpoints {
-		lastSeen, isKnown := h.lastSeen[endpoint.ID]
+		lastSeen, isKnown := liveness.lastSeen[endpoint.ID]
 		if !isKnown {
-			h.lastSeen[endpoint.ID] = now
+			liveness.lastSeen[endpoint.ID] = now
 			continue
 		}
-		if now-lastSeen <= h.timing.EndpointTimeout || h.isChecking[endpoint.ID] {
+		if now-lastSeen <= h.timing.EndpointTimeout || liveness.isChecking[endpoint.ID] {
 			continue
 		}
-		h.isChecking[endpoint.ID] = true
+		liveness.isChecking[endpoint.ID] = true
 		object, _ := replicated.store.Get(key)
 		h.start(func() { h.checkEndpoint(object, endpoint) })
 	}
-	h.forgetUnregistered(replicated, now)
+	h.forgetUnregistered(liveness, replicated, now)
 }
 
-// forgetUnregistered drops the heartbeats of endpoints that are no longer registered.
-func (h *healthMonitor) forgetUnregistered(replicated *replicatedState, now time.Duration) {
-	for id, lastSeen := range h.lastSeen {
+// forgetUnregistered drops the heartbeats of endpoints that are registered no more.
+func (h *healthMonitor) forgetUnregistered(liveness *endpointLiveness, replicated *replicatedState, now time.Duration) {
+	for id, lastSeen := range liveness.lastSeen {
 		_, isRegistered := replicated.endpoints[registry.EndpointPrefix+id]
 		if !isRegistered && now-lastSeen > h.timing.EndpointTimeout {
-			delete(h.lastSeen, id)
+			delete(liveness.lastSeen, id)
 		}
 	}
 }
@@ -170,20 +172,20 @@
 	path := h.healthCheckPath(endpoint.Service)
 	isHealthy := path != "" && isEndpointHealthy(h.ctx, endpoint, path, h.timing.ConnectionTimeout)
 	if h.ctx.Err() != nil {
-		return // the check was cut short and has no result
+		return // the check was cut short and proves nothing
 	}
 	h.metrics.healthChecks().Inc()
-	defer h.loop.post(func(*loopState) {
-		delete(h.isChecking, endpoint.ID)
+	defer h.loop.post(func(state *loopState) {
+		delete(state.liveness.isChecking, endpoint.ID)
 		if isHealthy {
-			h.lastSeen[endpoint.ID] = h.now()
+			state.liveness.lastSeen[endpoint.ID] = h.now()
 		}
 	})
 	if isHealthy {
 		return
 	}
 	response := h.proposer.answerAsLeader(0, func(state *loopState, done chan<- outcome) string {
-		if h.now()-h.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
+		if h.now()-state.liveness.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
 			return "" // a heartbeat came in the meantime
 		}
 		return h.proposer.startProposal(state, registry.Command{Txn: deleteIfUnchanged(object)}, done)
@@ -216,6 +218,8 @@
 	request.SetRequestURI("http://" + endpoint.Address + path)
 	request.Header.Set("X-Target-Instance", endpoint.ID)
 	request.SetConnectionClose()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // closes the connection
 	dialer := net.Dialer{Timeout: timeout}
 	client := fasthttp.HostClient{
 		Addr:                      endpoint.Address,
@@ -236,8 +240,8 @@
 	return id == endpoint.ID || (id == "" && response.StatusCode() == fasthttp.StatusOK)
 }
 
-// heartbeat handles a heartbeat of an endpoint, see Node.Heartbeat.
-func (h *healthMonitor) heartbeat(endpoint registry.Endpoint, rollouts *rolloutController) error {
+// heartbeat takes a heartbeat of an endpoint, see Node.Heartbeat.
+func (h *healthMonitor) heartbeat(endpoint registry.Endpoint) error {
 	h.metrics.heartbeats.Inc()
 	departedKey := registry.DepartedPrefix + endpoint.ID
 	hasLostContact := h.consensus.sinceLastContact() > h.timing.ConnectionTimeout
@@ -253,7 +257,7 @@
 		if !isKnown {
 			txn := putIfUnchanged(endpoint.Key(), 0, endpoint.Encode())
 			txn.If = append(txn.If, registry.Compare{Key: departedKey})
-			rollouts.addBaseVersion(r, txn, endpoint)
+			h.rollouts.addBaseVersion(r, txn, endpoint)
 			return txn, nil
 		}
 		return updateEndpoint(object, endpoint, hasLostContact)
@@ -262,7 +266,7 @@
 }
 
 // updateEndpoint derives what a heartbeat changes of a registered endpoint. Most
-// heartbeats change nothing: they only show that the endpoint lives, of which the
+// heartbeats change nothing: they only show that the endpoint is alive, of which the
 // leader must hear, so a node that has lost contact rejects them.
 func updateEndpoint(object registry.Object, heartbeat registry.Endpoint, hasLostContact bool) (*registry.Txn, error) {
 	endpoint, err := registry.DecodeEndpoint(object)
--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -9,7 +9,7 @@
 
 // membershipPlanner is a leader's view of the group's members over time, from which
 // it plans changes of membership. It does no input or output, so that it runs
-// under the simulator as well. It belongs to the event loop.
+// under the simulator as well. It is part of loopState.
 type membershipPlanner struct {
 	tolerance faultTolerance
 	// deadMemberTimeout is how long a voter may go unheard before it is replaced.
@@ -98,8 +98,8 @@
 	}
 }
 
-// newestContactByAddr returns when any of the incarnations at each address was last
-// heard. Just after an election all of them may have been heard at the same moment;
+// newestContactByAddr returns when the most recent of several incarnations at each
+// address was heard. Just after an election all of them may have been heard at the same moment;
 // then none counts as replaced.
 func newestContactByAddr(node *raft.Node, now time.Duration) map[string]time.Duration {
 	newest := map[string]time.Duration{}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -29,13 +29,9 @@
 	configs     *configurationStore
 	groups      *groupWatchers
 	audit       *auditSink
-
-	// What follows belongs to the event loop.
-	snapshots *snapshotter
-	leases    *leaseTimers
-	quotas    *quotaAllocator
-	reports   *reportAggregator
-	history   *historyCompactor
+	quotas      *quotaAllocator
+	reports     *reportAggregator
+	history     *historyCompactor
 }
 
 // run begins the node's goroutines.
@@ -107,9 +103,9 @@
 			n.applyEntry(state, entry)
 		}
 		for _, read := range ready.ReadStates {
-			n.proposer.pending.resolveRead(read)
+			state.requests.resolveRead(read)
 		}
-		if snapshot := n.snapshots.compactIfNeeded(state.raft, n.state.onLoop(state).store); snapshot != nil {
+		if snapshot := state.snapshots.compactIfNeeded(state.raft, n.state.onLoop(state).store); snapshot != nil {
 			n.writer.submit(writeRequest{compactedSnapshot: snapshot})
 		}
 	}
@@ -142,8 +138,8 @@
 	})
 }
 
-// changeLeader follows a change of role or leader. It wakes the callers that wait for a
-// response of the old leader, as it may never come.
+// changeLeader follows a change of role or leader, and notifies the callers that wait
+// for a response of the old leader.
 func (n *Node) changeLeader(state *loopState, role raft.Role, leaderID uint64) {
 	close(state.leaderChanged)
 	state.leaderChanged = make(chan struct{})
@@ -164,18 +160,17 @@
 func (n *Node) becomeLeader(state *loopState) {
 	now := n.now()
 	state.leaderSince = now
-	n.health.becomeLeader()
-	n.reports.becomeLeader()
-	n.directory.becomeLeader()
-	n.evacuations.becomeLeader()
-	n.rollouts.becomeLeader()
-	n.quotas.becomeLeader(now)
+	n.health.becomeLeader(state)
+	n.reports.becomeLeader(state)
+	n.directory.becomeLeader(state)
+	n.evacuations.becomeLeader(state)
+	n.rollouts.becomeLeader(state)
+	n.quotas.becomeLeader(state, now)
 	n.metrics.elections.Inc()
 	n.logger.Info("leading", "term", state.raft.Term())
 }
 
-// applyEntry applies a committed entry and passes the result to its proposer, if that
-// waits at this node.
+// applyEntry carries out a committed entry and notifies its proposer, if it is here.
 func (n *Node) applyEntry(state *loopState, entry raft.Entry) {
 	var result registry.Result
 	switch {
@@ -184,10 +179,10 @@
 	case entry.Type == raft.EntryConfChange:
 		n.membership.recordChange(state, entry.Index)
 	}
-	n.snapshots.countEntry(entry)
+	state.snapshots.countEntry(entry)
 	n.metrics.appliedIndex.Set(int64(entry.Index))
 	n.state.advance(entry.Index)
-	n.proposer.pending.resolveEntry(entry, result)
+	state.requests.resolveEntry(entry, result)
 }
 
 func (n *Node) applyCommand(state *loopState, entry raft.Entry) registry.Result {
@@ -201,7 +196,7 @@
 	result, events := n.state.applyCommand(now, cmd)
 	n.rollouts.forgetEnded(state, events)
 	if c := cmd.Coordination; c != nil {
-		n.leases.update(now, c, result.Latch, n.state.onLoop(state).store.Coordination().Locks)
+		state.leases.update(now, c, result.Latch, n.state.onLoop(state).store.Coordination().Locks)
 		if c.Operation == coordination.PutCell {
 			n.groups.wake(coordination.GroupOf(c.Name))
 		}
@@ -211,10 +206,10 @@
 
 // installSnapshot replaces the replicated state by the one that the leader sent.
 func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
-	n.state.replace(n.snapshots.takeReceived(), snapshot.Index)
-	n.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
+	n.state.replace(state.snapshots.takeReceived(), snapshot.Index)
+	state.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
 	n.rollouts.forgetAllEnded(state)
 	n.groups.wakeAll()
-	n.proposer.pending.abandonThrough(snapshot.Index)
+	state.requests.abandonThrough(snapshot.Index)
 	n.logger.Info("snapshot installed", "index", snapshot.Index)
 }
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -14,19 +14,15 @@
 // that does not lead. It is of kind Unavailable: nothing was done.
 var ErrNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
 
-// proposer puts commands and linearizable reads through the leader, whichever node that
-// is, and returns the outcome to callers. Its exported operations may be called from
-// any goroutine but the event loop.
+// proposer puts commands and linearizable reads through the leader, whichever node
+// that is, and returns the outcome to callers. Operations that wait may be
+// called from any goroutine but the event loop.
 type proposer struct {
 	*environment
 	loop      *eventLoop
 	peers     *peerPool
 	state     *sharedState
 	consensus *consensusView
-
-	// What follows belongs to the event loop.
-	leases  *leaseTimers
-	pending pendingRequests
 }
 
 // outcome is what became of a proposal or a read that the event loop started.
@@ -58,8 +54,8 @@
 	request(remaining time.Duration) (*transport.Request, time.Duration)
 	// finishLocal records the outcome at this node and reports whether it is final.
 	finishLocal(o outcome) (isFinal bool)
-	// finishForwarded records the response of a leader elsewhere. With an error there
-	// is none, and mayHaveArrived is true if the leader may have got the request.
+	// finishForwarded takes the response of a leader elsewhere. With an error there is
+	// none, and mayHaveArrived reports whether the leader may have got the request.
 	finishForwarded(response *transport.Response, mayHaveArrived bool, err error) (isFinal bool)
 }
 
@@ -305,14 +301,14 @@
 	}
 	if c := cmd.Coordination; c != nil && c.Operation == coordination.AcquireLock {
 		locks := p.state.onLoop(state).store.Coordination().Locks
-		cmd.Coordination = p.leases.withExpiredGrant(p.now(), c, locks)
+		cmd.Coordination = state.leases.withExpiredGrant(p.now(), c, locks)
 	}
 	index, term, ok := state.raft.Propose(registry.EncodeCommand(cmd))
 	if !ok {
 		return ""
 	}
 	p.metrics.proposals.Inc()
-	p.pending.addProposal(index, term, done)
+	state.requests.addProposal(index, term, done)
 	return p.self.Addr
 }
 
@@ -321,13 +317,13 @@
 	if !state.isLeader() {
 		return p.peers.addrOf(state.raft.LeaderID())
 	}
-	state.raft.ReadIndex(p.pending.addRead(done))
+	state.raft.ReadIndex(state.requests.addRead(done))
 	return p.self.Addr
 }
 
 // pendingRequests are the proposals and reads that this node started as a leader
-// and whose outcome is not known yet. They belong to the event loop. A caller may
-// have given up meanwhile: each done channel takes one outcome without waiting.
+// and whose outcome is not known yet, see loopState. A caller may have given up
+// meanwhile: each done channel takes one outcome without waiting.
 type pendingRequests struct {
 	proposals  map[uint64]pendingProposal // by log index
 	reads      map[uint64]chan<- outcome  // by request ID
@@ -356,8 +352,7 @@
 	return p.lastReadID
 }
 
-// resolveEntry passes the result of an applied entry to its proposer, if that waits
-// here.
+// resolveEntry returns the result of an entry to its proposer, if it is here.
 func (p *pendingRequests) resolveEntry(entry raft.Entry, result registry.Result) {
 	proposal, isPending := p.proposals[entry.Index]
 	if !isPending {
@@ -372,7 +367,7 @@
 	proposal.done <- outcome{result: result}
 }
 
-// resolveRead passes a reader its read index, or ErrNotLeader if this node lost its
+// resolveRead returns its read index to a reader, or ErrNotLeader if this node lost its
 // leadership.
 func (p *pendingRequests) resolveRead(read raft.ReadState) {
 	done, isPending := p.reads[read.RequestID]
--- a/internal/controlplane/proposer_test.go
+++ b/internal/controlplane/proposer_test.go
@@ -18,7 +18,6 @@
 		environment: env,
 		loop:        startTestLoop(env),
 		consensus:   &consensusView{env: env},
-		pending:     newPendingRequests(),
 	}
 }
 
@@ -80,7 +79,6 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newTestProposer(t)
-			p.timing.TickInterval = time.Millisecond
 			call := &scriptedCall{self: p.self.Addr, attempts: c.attempts}
 			isFinal, err := p.callLeader(call, time.Now().Add(c.timeout))
 			if err != nil || isFinal != c.isFinal || len(call.finished) != c.wantFinished {
--- a/internal/controlplane/shared_encodings.go
+++ b/internal/controlplane/shared_encodings.go
@@ -46,7 +46,7 @@
 	data []byte
 }
 
-// eventRange identifies a frame among those of one watch cache.
+// eventRange identifies a frame of the watch cache.
 type eventRange struct {
 	first, last uint64 // revisions
 	count       int
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -12,14 +12,15 @@
 	"lichentray/internal/metrics"
 	"lichentray/internal/settings"
 	"lichentray/internal/storage"
+	"lichentray/loadbalance"
 	"lichentray/raft"
 )
 
-// Start opens the disk and the internal port and begins to run a node. The caller ends
-// it with Close. A disk that fails is tried openAttempts times; a store whose state
-// cannot be read is quarantined, and the node joins the group as a new member.
-func Start(set *settings.Settings, logger *slog.Logger, registry *metrics.Registry) (*Node, error) {
-	env := newEnvironment(set, logger, newNodeMetrics(registry))
+// Start opens the disk and the internal port and begins to run a node. The caller
+// ends it with Close. A disk that refuses is tried for some seconds; one whose state
+// cannot be read is set aside, and the node joins the group as a new member.
+func Start(set *settings.Settings, logger *slog.Logger, metricsRegistry *metrics.Registry) (*Node, error) {
+	env := newEnvironment(set, logger, newNodeMetrics(metricsRegistry))
 	node, err := start(env)
 	if err != nil {
 		env.close()
@@ -164,8 +165,6 @@
 		consensus:   &consensusView{env: env},
 		peers:       newPeerPool(env),
 		writer:      newLogWriter(env, store),
-		leases:      &leaseTimers{},
-		snapshots:   &snapshotter{env: env},
 		history:     &historyCompactor{environment: env, state: state},
 		quotas:      &quotaAllocator{environment: env, state: state},
 	}
@@ -175,8 +174,6 @@
 		peers:       n.peers,
 		state:       state,
 		consensus:   n.consensus,
-		leases:      n.leases,
-		pending:     newPendingRequests(),
 	}
 	n.membership = &membershipManager{
 		environment: env,
@@ -185,7 +182,6 @@
 		consensus:   n.consensus,
 		seeds:       env.settings.SeedNodes,
 	}
-	n.membership.planner = newMembershipPlanner(env.settings, env.timing, n.membership.failureDomainOf)
 	n.joinServices()
 	n.joinServers()
 	n.joinCallbacks()
@@ -194,27 +190,28 @@
 
 // joinServices creates the parts that carry out calls.
 func (n *Node) joinServices() {
-	n.health = newHealthMonitor(n.environment)
-	n.health.loop = n.loop
-	n.health.state = n.state
-	n.health.peers = n.peers
-	n.health.proposer = n.proposer
-	n.health.consensus = n.consensus
-	n.rollouts = newRolloutController(n.environment)
-	n.rollouts.state = n.state
-	n.rollouts.proposer = n.proposer
+	n.rollouts = newRolloutController(n.environment, n.state, n.proposer)
+	n.health = &healthMonitor{
+		environment:  n.environment,
+		loop:         n.loop,
+		state:        n.state,
+		peers:        n.peers,
+		proposer:     n.proposer,
+		consensus:    n.consensus,
+		rollouts:     n.rollouts,
+		heartbeats:   map[string]time.Duration{},
+		observations: map[string]loadbalance.Observation{},
+	}
 	n.directory = &proxyDirectory{
 		environment: n.environment,
 		state:       n.state,
 		consensus:   n.consensus,
 		proposer:    n.proposer,
-		lastSeen:    map[string]time.Duration{},
 	}
 	n.evacuations = &zoneEvacuator{
 		environment: n.environment,
 		state:       n.state,
 		proposer:    n.proposer,
-		returning:   map[string]zoneReturn{},
 	}
 	n.configs = &configurationStore{
 		environment:    n.environment,
@@ -253,8 +250,6 @@
 		health:      n.health,
 		rollouts:    n.rollouts,
 		quotas:      n.quotas,
-		directory:   n.directory,
-		byNode:      map[uint64]nodeReport{},
 	}
 	n.server = &connectionServer{
 		environment: n.environment,
@@ -298,21 +293,20 @@
 	replicated.watchCache.Reset(replicated.store.Revision())
 	replicated.rebuild()
 	replicated.appliedIndex = saved.Snapshot.Index
-	n.leases.restart(0, replicated.store.Coordination().Locks)
+	snapshots := &snapshotter{env: n.environment}
 	for _, entry := range saved.Entries {
-		n.snapshots.countEntry(entry)
+		snapshots.countEntry(entry)
 	}
 	node := raft.New(raft.Config{
 		ID:                n.self.ID,
 		HeartbeatInterval: n.timing.HeartbeatInterval,
 		ElectionTimeout:   n.timing.ElectionTimeout,
 		RandInt63n:        rand.Int63n,
-		ValidateSnapshot:  n.snapshots.restoreReceived,
+		ValidateSnapshot:  snapshots.restoreReceived,
 	}, 0, saved)
 	n.peers.setMembership(node.Membership())
-	return &loopState{
-		raft:            node,
-		leaderChanged:   make(chan struct{}),
-		membershipIndex: node.MembershipIndex(),
-	}
+	planner := newMembershipPlanner(n.settings, n.timing, n.membership.failureDomainOf)
+	state := newLoopState(node, snapshots, planner)
+	state.leases.restart(0, replicated.store.Coordination().Locks)
+	return state
 }
--- a/internal/controlplane/watch_server.go
+++ b/internal/controlplane/watch_server.go
@@ -36,8 +36,8 @@
 	summary  proxySummary
 }
 
-// proxySummary is what the leader sums up over all proxies and sends to every node,
-// which passes it on to its proxies. A summary is never changed, only replaced.
+// proxySummary is what the leader sums up over all proxies and sends to each of them.
+// It is replaced as a whole and never changed.
 type proxySummary struct {
 	proxies  int
 	loads    map[string]loadbalance.Load      // by service
@@ -338,7 +338,7 @@
 }
 
 // serveRelay sends bookmarks to a relay for as long as this node is up to date. While
-// they come, the relay may forward callers here.
+// they come, the relay forwards its callers here.
 func (w *watchServer) serveRelay(conn *transport.Conn) {
 	ticker := time.NewTicker(w.timing.BookmarkInterval)
 	defer ticker.Stop()
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -33,7 +33,7 @@
 func (p *Proxy) setRollout(s *service, r rollout.Rollout) {
 	previous := s.setRollout(r)
 	if r.State != previous && r.State != "" {
-		p.log.Info("roll-out", "service", s.name, "target", r.Target, "state", string(r.State))
+		p.log.Info("roll-out state changed", "service", s.name, "target", r.Target, "state", string(r.State))
 	}
 }
 
@@ -52,7 +52,7 @@
 		Target:      r.Target,
 		TargetShare: r.TrafficShare(),
 	})
-	s.wakeNext()
+	s.queue.wakeFirst()
 	return previous.State
 }
 
@@ -80,7 +80,7 @@
 func (p *Proxy) takeRolloutReport(s *service) (report transport.RolloutReport, isInProgress bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.metrics.Counter("endpoints_barred", "service", s.name).Set(int64(s.pool.ExcludedCount()))
+	p.metrics.Counter("endpoints_excluded", "service", s.name).Set(int64(s.pool.ExcludedCount()))
 	if s.rollout.State != rollout.InProgress {
 		return transport.RolloutReport{}, false
 	}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"sync"
 	"time"
 
@@ -31,7 +32,7 @@
 	if c < classCount {
 		return responseClassLabels[c]
 	}
-	return "unknown"
+	return fmt.Sprintf("responseClass(%d)", uint8(c))
 }
 
 const (
@@ -68,7 +69,7 @@
 func newRouteStats(name string, registry *metrics.Registry) *routeStats {
 	s := &routeStats{name: name}
 	for class := range classCount {
-		s.responses[class] = registry.Counter("answers_total", "route", name, "answer", class.String())
+		s.responses[class] = registry.Counter("responses_total", "route", name, "outcome", class.String())
 	}
 	return s
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -84,10 +84,10 @@
 		locator:        discovery.NewLocator(set),
 		board:          board,
 		coreDiskless:   make(chan struct{}),
-		forwarded:      board.Counter("relayed_total"),
-		redirected:     board.Counter("relayed_by_redirect_total"),
-		unavailable:    board.Counter("relayed_without_target_total"),
-		outcomeUnknown: board.Counter("relayed_unclear_total"),
+		forwarded:      board.Counter("relay_forwarded_total"),
+		redirected:     board.Counter("relay_redirected_total"),
+		unavailable:    board.Counter("relay_unavailable_total"),
+		outcomeUnknown: board.Counter("relay_outcome_unknown_total"),
 	}
 }
 
@@ -144,7 +144,8 @@
 	}
 }
 
-// announceCore tells a process that takes this relay for a core node where the core is.
+// announceCore sends the addresses of the core to a process that takes this relay for a
+// core node.
 func (r *relay) announceCore(raw net.Conn) {
 	defer raw.Close()
 	conn, _, err := transport.Accept(raw, r.timeouts.silence)
