--- a/audit/record.go
+++ b/audit/record.go
@@ -67,9 +67,9 @@
 	return r.Kind == Executed || r.Kind == MaybeExecuted || r.Kind == NotExecuted
 }
 
-// Batch is what a proxy sends at a time. Batches stand in the replicated log as JSON
-// and are sent by gob, so the names of the fields and of their JSON keys are part of
-// those formats.
+// Batch is what a proxy sends at a time. Batches are stored in the replicated log as
+// JSON and are sent by gob, so the names of the fields and of their JSON keys are part
+// of those formats.
 type Batch struct {
 	Life    string   `json:"life"`  // id of the incarnation
 	Node    string   `json:"node"`  // name of the node
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -29,7 +29,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	// isStopping is set once the process has been asked to end: streams are closed
-	// then, so that proxies and relays go on to another node.
+	// then, so that proxies and relays connect to another node.
 	isStopping atomic.Bool
 
 	startMu    sync.Mutex // held to start a goroutine and to end the context
--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -16,7 +16,7 @@
 	deadMemberTimeout time.Duration
 	// catchUpWindow is the age from which on entries must be held to be caught up.
 	catchUpWindow time.Duration
-	// leaveRequestTTL is how long a request to leave stands without being repeated.
+	// leaveRequestTTL is how long a request to leave is valid without being repeated.
 	leaveRequestTTL time.Duration
 	// learnerExpiry is how long a learner may go unheard before it is removed.
 	learnerExpiry   time.Duration
--- a/internal/controlplane/membership_rules.go
+++ b/internal/controlplane/membership_rules.go
@@ -269,7 +269,7 @@
 
 // promoteLearner: a learner that has caught up votes if a voter does not serve, if
 // voters are lacking, or if a failure domain holds too many votes. In the first and
-// last case the voter that it stands in for goes with the next step.
+// last case the voter that it replaces loses its vote with the next step.
 func promoteLearner(a *membershipAssessment) (membershipChange, bool) {
 	if a.candidate == nil {
 		return membershipChange{}, false
--- a/internal/controlplane/peer_connection.go
+++ b/internal/controlplane/peer_connection.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// isUp reports whether the connection stands.
+// isUp reports whether the connection is up.
 func (c *peerConnection) isUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/proxy_directory.go
+++ b/internal/controlplane/proxy_directory.go
@@ -45,7 +45,7 @@
 		if isKnown && now-lastSeen <= d.timing.ProxyLease {
 			continue
 		}
-		state.proxyLeases[name] = now // the removal is proposed again if it does not come through
+		state.proxyLeases[name] = now // if the proposal takes no effect, it is repeated after another lease
 		if !isKnown {
 			continue
 		}
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -105,7 +105,8 @@
 	return result, events
 }
 
-// advance records that the log is applied up to an index and wakes who waits for it.
+// advance records that the log is applied up to an index and wakes the goroutines that
+// wait for it.
 func (s *sharedState) advance(index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -115,7 +115,7 @@
 		}
 		if now-since.at > wait {
 			state.proposeWithoutWaiting(registry.Command{Txn: deleteIfUnchanged(object)})
-			// It is proposed again if it does not come through.
+			// If the proposal takes no effect, it is repeated after another wait.
 			state.zoneReturns[object.Key] = zoneReturn{at: now, revision: object.ModRevision}
 		}
 	}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -10,10 +10,9 @@
 // write-ahead log, so that no shared memory is needed and each Save costs one sync. Every row
 // carries a checksum, as SQLite does not notice a flipped bit in a value.
 //
-// A store that cannot be read, or that its reader rejects, is quarantined as a whole and
-// replaced by an empty one under a new identity. The node then joins the group as a new
-// member: under its old identity it could break a vote or an acknowledgement that it gave and
-// has lost.
+// A store that cannot be read, or that its reader rejects, is quarantined completely and replaced
+// by an empty one under a new identity. The node then joins the group as a new member: under its
+// old identity it could break a vote or an acknowledgement that it gave and has lost.
 package storage
 
 import (
--- a/raft/confchange.go
+++ b/raft/confchange.go
@@ -14,7 +14,7 @@
 	ErrConfChangePending = errors.New("raft: another membership change is pending")
 	// ErrTooManyVoterChanges means that more than one voter would be added or removed.
 	ErrTooManyVoterChanges = errors.New("raft: more than one voter changed")
-	// ErrLeaderRemoval means that the leader would not be a voter any more. It has to
+	// ErrLeaderRemoval means that the leader would not be a voter any more. It must
 	// transfer its leadership first.
 	ErrLeaderRemoval = errors.New("raft: the leader cannot remove itself")
 )
--- a/registry/store.go
+++ b/registry/store.go
@@ -1,13 +1,13 @@
 // Package registry is the replicated object store of the control plane: a
 // deterministic state machine over a multi-version key-value map.
 //
-// An object stands under a key of the form "kind/name" and carries the global
-// revision of its last write (etcd's ModRevision, Kubernetes' resource version).
-// A transaction compares revisions and then writes, all or nothing. Beside the
-// objects, and under the same revision, the store holds the locks, sequences and
-// cells of package coordination and the log of package audit. The package also
-// holds the forms of what it stores: the command codec of the replicated log, the
-// delta between two values, the snapshot, and the values of the object kinds.
+// An object is stored under a key of the form "kind/name" and carries the global
+// revision of its last write (etcd's ModRevision, Kubernetes' resource version). A
+// transaction compares revisions and then writes, all or nothing. Beside the objects,
+// and under the same revision, the store holds the locks, sequences and cells of
+// package coordination and the log of package audit. The package also holds the forms
+// of what it stores: the command codec of the replicated log, the delta between two
+// values, the snapshot, and the values of the object kinds.
 //
 // The package does no input or output, reads no clock and starts no goroutine.
 // It does not replicate: package raft orders the commands, and internal/controlplane
--- a/watchcache/cache.go
+++ b/watchcache/cache.go
@@ -62,10 +62,10 @@
 	c.revision = revision
 }
 
-// Append adds the events of one write and drops those that left the window. revision
-// is the store's after the write, and now the time since any fixed moment; both must
-// not decrease. The complete value of an event with a delta is not kept: whoever
-// reads it holds the base value or lists.
+// Append adds the events of one write and drops those that left the window. revision is
+// the store's after the write, and now the time since any fixed moment; both must not
+// decrease. The complete value of an event with a delta is not kept: a reader of it
+// holds the base value, or lists again.
 func (c *Cache) Append(now time.Duration, revision uint64, events []registry.Event) {
 	c.revision = revision
 	for _, e := range events {
