--- a/internal/controlplane/consensus_view.go
+++ b/internal/controlplane/consensus_view.go
@@ -42,7 +42,7 @@
 // not been in contact since its start is not up to date, however recent the start.
 func (v *consensusView) isUpToDate() bool {
 	lastContact := v.get().lastContact
-	return lastContact != 0 && v.env.now()-lastContact <= 2*v.env.timing.ElectionTimeout
+	return lastContact != 0 && v.env.now()-lastContact <= v.env.timing.upToDateWindow()
 }
 
 // sinceLastContact is for how long this node has not been in contact with a majority
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -46,4 +46,24 @@
 // and one for each stream on it, two for each peer connection, and short-lived ones
 // for health checks, requests of peers and writes that proxies ask for. All of them
 // end when Close cancels the node's context, and Close waits for them.
+//
+// # Out of contact
+//
+// A node that loses contact with the majority goes on as follows; the limits are those
+// of Timing, and docs/notes/worst-days.md has the cases and their reasons.
+//
+//   - A leader that no majority answers for ElectionTimeout steps down (tickLeader of
+//     raft).
+//   - Bookmarks to proxies pause, and streams to relays and watches of cells end, once
+//     the contact is older than upToDateWindow (consensusView.isUpToDate). A proxy then
+//     looks for another node.
+//   - A heartbeat that writes nothing is rejected after ConnectionTimeout
+//     (updateEndpoint), so that the endpoint reports to a node that the leader hears.
+//     A drain or departure that is known here is still acknowledged.
+//   - Calls that need the leader wait for one while they have time. After
+//     callRejectionDelay they are rejected at once (proposer.waitToRetry).
+//   - The directory answers on from what it holds, but does not deny that a host exists
+//     (checkHost).
+//
+// Proxies serve on with the configuration and the endpoints they have.
 package controlplane
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -126,7 +126,7 @@
 	if time.Until(deadline) < p.timing.RequestTimeout/2 {
 		return false
 	}
-	if p.consensus.sinceLastContact() > 2*p.timing.RequestTimeout {
+	if p.consensus.sinceLastContact() > p.timing.callRejectionDelay() {
 		return false
 	}
 	p.sleep(p.timing.TickInterval)
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -56,3 +56,11 @@
 		RolloutStagePause: s.PropagationBound() / 2,
 	}
 }
+
+// upToDateWindow is how long after its last contact a node still vouches for what it
+// holds: two election time-outs.
+func (t Timing) upToDateWindow() time.Duration { return 2 * t.ElectionTimeout }
+
+// callRejectionDelay is how long a node must have been out of contact to reject calls that
+// need the leader without waiting for one: twice RequestTimeout.
+func (t Timing) callRejectionDelay() time.Duration { return 2 * t.RequestTimeout }
