--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -122,7 +122,8 @@
 	return server, nil
 }
 
-// serveDirectory begins to serve the directory.
+// serveDirectory begins to serve the directory. Its server ends with the process: it
+// answers until then, from what the node holds.
 func serveDirectory(set *settings.Settings, node *controlplane.Node, board *metrics.Registry, failed chan<- error) error {
 	listener, err := api.Listen(set.Listen.Directory, board)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,7 +34,9 @@
 
 // Signals is what the platform tells a running program.
 type Signals struct {
-	// Stop is closed when the program has to end in order (SIGTERM, SIGINT).
+	// Stop is closed when the program has to end in order (SIGTERM, SIGINT). A proxy then
+	// calls proxy.Frontend.Shutdown; a core node controlplane.Node.PrepareShutdown,
+	// api.Shutdown and Node.Close; a relay api.Shutdown.
 	Stop chan struct{}
 	// SettingsChanged yields new settings, always valid ones. Settings that are not received
 	// before newer ones are dropped.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,10 @@
 // Package relay is a control-plane node on a machine without a disk, beside core nodes
 // that have disks. It stores nothing, and forwards calls to a core node that is in
 // touch, the nearest if possible.
+//
+// It forwards instead of redirecting, as a redirect costs the caller a round trip more to
+// a node that may be far away (measured in docs/notes/placement.md). Only what is too
+// large for that is redirected, see mustRedirect.
 package relay
 
 import (
