--- a/examples/endpoint/main.go
+++ b/examples/endpoint/main.go
@@ -27,6 +27,7 @@
 	id       string
 	service  string
 	version  string
+	zone     string
 	address  string   // where it listens
 	nodes    []string // control-plane addresses
 	sequence int      // of the last heartbeat
@@ -36,6 +37,7 @@
 	id := flag.String("id", fmt.Sprint("i-", os.Getpid()), "instance id")
 	service := flag.String("service", "hello", "service to serve")
 	version := flag.String("version", "v1", "version of its software")
+	zone := flag.String("zone", "here", "zone that it runs in, one of [zones] in the settings")
 	listen := flag.String("listen", "127.0.0.1:0", "address")
 	control := flag.String("control", "127.0.0.1:8166", "control_plane addresses, comma separated")
 	drain := flag.Duration("drain", 3*time.Second, "time to serve on after the drain was acknowledged")
@@ -48,6 +50,7 @@
 		id:      *id,
 		service: *service,
 		version: *version,
+		zone:    *zone,
 		address: listener.Addr().String(),
 		nodes:   strings.Split(*control, ","),
 	}
@@ -93,7 +96,7 @@
 	e.sequence++
 	return e.call("heartbeat", map[string]any{
 		"address": e.address,
-		"info":    map[string]any{"backend_service": e.service, "config_version": e.version, "zone": "local", "capacity": 4},
+		"info":    map[string]any{"backend_service": e.service, "config_version": e.version, "zone": e.zone, "capacity": 4},
 		"status":  map[string]any{"state": state, "sequence": e.sequence, "cold_remaining_s": 0},
 	})
 }
