--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -148,7 +148,11 @@
 	case isElected:
 		n.becomeLeader(state)
 	case isDeposed || followsAnother:
-		n.logger.Info("following", "term", state.raft.Term(), "leader", formatMemberID(leaderID))
+		leader := "none"
+		if leaderID != 0 {
+			leader = formatMemberID(leaderID)
+		}
+		n.logger.Info("following", "term", state.raft.Term(), "leader", leader)
 	}
 	state.role = role
 	state.leaderID = leaderID
