--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -11,8 +11,8 @@
 	"lichentray/raft"
 )
 
-// environment is what every part of a node needs and no part changes after Start,
-// but for isStopping. It also owns the node's goroutines.
+// environment is what every part of a node needs. After Start only isStopping changes.
+// It also owns the node's goroutines.
 type environment struct {
 	settings *settings.Settings
 	timing   Timing
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -111,6 +111,8 @@
 	}
 }
 
+// isEmpty reports whether there is nothing to do. A SnapshotToInstall comes with a
+// Write.
 func isEmpty(ready *raft.Ready) bool {
 	return len(ready.Messages) == 0 && ready.Write == nil &&
 		len(ready.CommittedEntries) == 0 && len(ready.ReadStates) == 0
@@ -158,7 +160,7 @@
 	state.leaderID = leaderID
 }
 
-// becomeLeader has every part forget what an earlier leadership knew.
+// becomeLeader resets what every part knows of an earlier leadership of this node.
 func (n *Node) becomeLeader(state *loopState) {
 	now := n.now()
 	state.leaderSince = now
@@ -190,7 +192,7 @@
 func (n *Node) applyCommand(state *loopState, entry raft.Entry) registry.Result {
 	cmd, err := registry.DecodeCommand(entry.Data)
 	if err != nil {
-		// Every replica skips it alike.
+		// Every replica skips the entry, so their states stay equal.
 		n.logger.Error("log entry cannot be decoded", "index", entry.Index, "error", err)
 		return registry.Result{}
 	}
@@ -206,7 +208,7 @@
 	return result
 }
 
-// installSnapshot puts the state that the leader sent in place of the present one.
+// installSnapshot replaces the replicated state by the one that the leader sent.
 func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
 	n.state.replace(state.snapshots.takeReceived(), snapshot.Index)
 	state.leases.restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -52,7 +52,7 @@
 	// request is what is forwarded to a leader elsewhere, and for how long its
 	// response is awaited at most.
 	request(remaining time.Duration) (*transport.Request, time.Duration)
-	// finishLocal takes the outcome at this node and reports whether it is final.
+	// finishLocal records the outcome at this node and reports whether it is final.
 	finishLocal(o outcome) (isFinal bool)
 	// finishForwarded takes the response of a leader elsewhere. With an error there is
 	// none, and mayHaveArrived reports whether the leader may have got the request.
@@ -271,7 +271,8 @@
 
 // transact derives a conditional transaction from what this node holds and puts it
 // through; on a conflict it reads again and derives anew. derive runs with the state
-// locked for writing and returns nil when there is nothing to write.
+// locked for writing, as it may compile the configuration, and returns nil when there
+// is nothing to write.
 func (p *proposer) transact(derive func(*replicatedState) (*registry.Txn, error)) (wrote bool, err error) {
 	for range maxTransactionAttempts {
 		var txn *registry.Txn
@@ -359,7 +360,7 @@
 	}
 	delete(p.proposals, entry.Index)
 	if proposal.term != entry.Term {
-		// Another entry stands in its place: it never takes effect.
+		// Another entry was committed at this index: the command never takes effect.
 		proposal.done <- outcome{err: apierror.New(apierror.Unavailable, "leadership changed")}
 		return
 	}
--- a/internal/controlplane/proxy_directory.go
+++ b/internal/controlplane/proxy_directory.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		d.metrics.proxiesRemoved().Inc()
-		state.proposeOnce(registry.Command{Txn: deleteIfUnchanged(object)})
+		state.proposeWithoutWaiting(registry.Command{Txn: deleteIfUnchanged(object)})
 	}
 }
 
@@ -92,8 +92,9 @@
 	return addresses, d.timing.DirectoryTTL, nil
 }
 
-// checkHost returns an error if no configuration has a host. A node that is not up to
-// date does not know that for sure.
+// checkHost returns an error if the configuration does not have a host: of kind
+// NoRoute, or Unavailable at a node that is not up to date and may lack the newest
+// configuration.
 func checkHost(r *replicatedState, host string, isUpToDate bool) error {
 	table := r.routeTable()
 	switch {
