--- /dev/null
+++ b/tests/rolling/status.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// pollInterval stands between two looks at something that is waited for.
+const pollInterval = 50 * time.Millisecond
+
+// waitFor waits until a look is without error, for upBound at the most; then it
+// returns the last error.
+func waitFor(ctx context.Context, look func() error) error {
+	end := time.Now().Add(upBound)
+	for {
+		err := look()
+		if err == nil {
+			return nil
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("not within %v: %w", upBound, err)
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("%w, at last: %w", ctx.Err(), err)
+		case <-time.After(pollInterval):
+		}
+	}
+}
+
+// nodeStatus is what a control-plane node says of itself.
+type nodeStatus struct {
+	ID            string `json:"id"`
+	Role          string `json:"role"`
+	Term          uint64 `json:"term"`
+	Leader        string `json:"leader"`
+	Revision      uint64 `json:"revision"`
+	ConfigVersion uint64 `json:"config_version"`
+	Endpoints     int    `json:"endpoints"`
+	IsUpToDate    bool   `json:"in_touch"`
+	Members       []struct {
+		ID      string `json:"id"`
+		API     string `json:"control_plane"`
+		IsVoter bool   `json:"voter"`
+	} `json:"members"`
+}
+
+// nodeStatus asks one node.
+func (s *session) nodeStatus(ctx context.Context, ip string) (*nodeStatus, error) {
+	status, text, err := s.client.attempt(ctx, http.MethodGet, "http://"+controlAddress(ip)+"/api/status", nil)
+	if err != nil {
+		return nil, err
+	}
+	if status != http.StatusOK {
+		return nil, fmt.Errorf("status of %s: status %d", ip, status)
+	}
+	n := &nodeStatus{}
+	return n, json.Unmarshal(text, n)
+}
+
+// describeLeader says which node leads, and on which version it runs.
+func (s *session) describeLeader(n *nodeStatus) string {
+	for _, m := range n.Members {
+		if m.ID != n.Leader {
+			continue
+		}
+		for _, ip := range coreIPs {
+			if m.API == controlAddress(ip) {
+				return fmt.Sprintf("leader %s on the %s version", ip, s.versions[ip])
+			}
+		}
+	}
+	return "no leader"
+}
+
+// waitForNode waits until a control-plane node is a full member again and has
+// reached a revision.
+func (s *session) waitForNode(ctx context.Context, ip string, revision uint64) (n *nodeStatus, err error) {
+	began := time.Now()
+	err = waitFor(ctx, func() error {
+		if n, err = s.nodeStatus(ctx, ip); err != nil {
+			return err
+		}
+		return s.checkMember(n, revision)
+	})
+	if err != nil {
+		return nil, fmt.Errorf("%s is not up: %w", ip, err)
+	}
+	if took := time.Since(began); took > pollInterval {
+		fmt.Printf("  %s is up after %.2f s at revision %d\n", ip, took.Seconds(), n.Revision)
+	}
+	return n, nil
+}
+
+// checkMember checks that a node is in touch and that the members are the same three
+// as at the start, all voting: a node that could not read its store would come back
+// under another identity.
+func (s *session) checkMember(n *nodeStatus, revision uint64) error {
+	var ids []string
+	for _, m := range n.Members {
+		if m.IsVoter {
+			ids = append(ids, m.ID)
+		}
+	}
+	slices.Sort(ids)
+	switch {
+	case !n.IsUpToDate:
+		return fmt.Errorf("not in touch: %+v", *n)
+	case len(ids) != len(coreIPs) || len(n.Members) != len(coreIPs):
+		return fmt.Errorf("members: %+v", n.Members)
+	case n.Revision < revision:
+		return fmt.Errorf("revision %d, was at %d", n.Revision, revision)
+	case s.memberIDs == nil:
+		s.memberIDs = ids
+	case !slices.Equal(ids, s.memberIDs):
+		return fmt.Errorf("members %v, were %v", ids, s.memberIDs)
+	}
+	return nil
+}
+
+// waitForEndpoints waits until every control-plane node knows as many endpoints as run.
+func (s *session) waitForEndpoints(ctx context.Context) error {
+	return waitFor(ctx, func() error {
+		for _, ip := range coreIPs {
+			n, err := s.nodeStatus(ctx, ip)
+			if err != nil {
+				return err
+			}
+			if n.Endpoints != len(s.endpoints) {
+				return fmt.Errorf("%s knows %d endpoints, want %d", ip, n.Endpoints, len(s.endpoints))
+			}
+		}
+		return nil
+	})
+}
