--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -11,9 +11,9 @@
 	"lichentray/routing"
 )
 
-// resync applies the whole copy of the registry, as after a list.
+// resync applies every object of the mirror, as after a list.
 func (p *Proxy) resync() {
-	objects := p.store.Objects()
+	objects := p.mirror.Objects()
 	for key, o := range objects {
 		if key != registry.ConfigKey {
 			p.applyObject(o, false)
@@ -33,7 +33,7 @@
 	}
 }
 
-// forgetZoneStates returns to ordinary use the zones that the copy says nothing of.
+// forgetZoneStates makes active the zones for which the registry holds no evacuation.
 func (p *Proxy) forgetZoneStates(objects map[string]registry.Object) {
 	for zone := range p.zoneStates {
 		if _, ok := objects[registry.EvacuationPrefix+zone]; !ok {
@@ -42,7 +42,7 @@
 	}
 }
 
-// forgetRollouts forgets the versions that the copy says nothing of.
+// forgetRollouts resets the services for which the registry holds no roll-out.
 func (p *Proxy) forgetRollouts(objects map[string]registry.Object) {
 	for name, s := range p.services {
 		if _, ok := objects[registry.RolloutPrefix+name]; !ok && s.rollout.Base != "" {
@@ -51,12 +51,12 @@
 	}
 }
 
-// applyEvents applies changes in order. If one does not fit the copy, the copy is
-// invalidated, so that the registry is listed anew.
+// applyEvents applies changes in order. If one does not continue the mirror's revision, the
+// mirror is invalidated, so that the registry is listed again.
 func (p *Proxy) applyEvents(events []registry.Event) error {
 	for _, e := range events {
 		if err := p.applyEvent(e); err != nil {
-			p.store.Invalidate()
+			p.mirror.Invalidate()
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 
 // applyEvent applies one change.
 func (p *Proxy) applyEvent(e registry.Event) error {
-	changed, err := p.store.ApplyEvent(e)
+	changed, err := p.mirror.ApplyEvent(e)
 	if err != nil || !changed {
 		return err
 	}
@@ -73,11 +73,12 @@
 		p.deleteObject(e.Object.Key)
 		return nil
 	}
-	p.applyObject(p.store.Objects()[e.Object.Key], true)
+	p.applyObject(p.mirror.Objects()[e.Object.Key], true)
 	return nil
 }
 
-// applyObject applies an object's new state. isLive says that it has just changed.
+// applyObject applies an object's new state. isLive is true if the change has just
+// happened, and false if the object comes from a list.
 func (p *Proxy) applyObject(o registry.Object, isLive bool) {
 	if o.Key == registry.ConfigKey {
 		p.applyConfig(o)
@@ -94,7 +95,7 @@
 	p.applyEndpoint(o, isLive)
 }
 
-// deleteObject applies that an object was deleted.
+// deleteObject applies the deletion of an object.
 func (p *Proxy) deleteObject(key string) {
 	if zone, ok := strings.CutPrefix(key, registry.EvacuationPrefix); ok {
 		p.setZoneState(zone, loadbalance.ZoneActive)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,11 +9,11 @@
 )
 
 // maxBufferedResponse is the longest body of a response in bytes that is buffered, so that
-// it can be fetched anew where it breaks off. Longer ones are relayed as they arrive: on a
-// narrow link the way in takes as long as the way out.
+// it can be requested again if it breaks off. Longer ones are relayed as they arrive: on a
+// slow link, receiving the body before sending it would double the latency.
 const maxBufferedResponse = 32 << 10
 
-// errDeadlineExceeded says that the deadline came before anything was sent.
+// errDeadlineExceeded means that the deadline expired before anything was sent.
 var errDeadlineExceeded = errors.New("proxy: deadline exceeded")
 
 // target is where an attempt goes.
@@ -34,7 +34,7 @@
 }
 
 // exchange sends the request on a connection to the endpoint and reads its response, and
-// settles what becomes of the connection.
+// then keeps the connection for another request or closes it.
 func (f *forwarding) exchange(t target, now time.Time) outcome {
 	deadline := f.request.deadline
 	if !now.Before(deadline) {
@@ -66,7 +66,8 @@
 }
 
 // connect takes an idle connection to an endpoint, or dials one. A request without an id
-// needs a new connection: on another nothing would tell its response from an excess one.
+// needs a new connection: on a reused one its response could not be told from an
+// excess response to an earlier request.
 func (f *forwarding) connect(t target, now time.Time) (*upstreamConn, error) {
 	p := f.proxy
 	if len(f.request.attemptID) > 0 {
@@ -137,29 +138,29 @@
 		}
 		return outcome{phase: sent, err: err}
 	}
-	a, err := readResponse(conn.reader, f.request.isHead, maxBufferedResponse)
+	resp, err := readResponse(conn.reader, f.request.isHead, maxBufferedResponse)
 	if err != nil {
-		return outcome{phase: incompletePhase(a, err), err: err}
+		return outcome{phase: incompletePhase(resp, err), err: err}
 	}
 	if sent == phasePartlySent {
-		a.isReusable = false
+		resp.isReusable = false
 	}
-	o := outcome{response: a}
-	o.phase, o.err = f.classify(a, conn.isReused())
+	o := outcome{response: resp}
+	o.phase, o.err = f.classify(resp, conn.isReused())
 	return o
 }
 
 // recycleConnection keeps a connection for the next request, if it can be used again
-// behind a response.
-func (p *Proxy) recycleConnection(conns *connPool, conn *upstreamConn, a *response) {
-	if !a.isReusable || conn.reader.Buffered() > 0 {
+// after a response.
+func (p *Proxy) recycleConnection(conns *connPool, conn *upstreamConn, resp *response) {
+	if !resp.isReusable || conn.reader.Buffered() > 0 {
 		conn.close()
 		return
 	}
 	keepAlive := p.timeouts.defaultKeepAlive
-	if a.keepAlive > 0 {
+	if resp.keepAlive > 0 {
 		// It must not be used at the moment at which the endpoint closes it.
-		keepAlive = a.keepAlive - min(a.keepAlive/2, time.Second)
+		keepAlive = resp.keepAlive - min(resp.keepAlive/2, time.Second)
 	}
 	conn.idleSince = time.Now()
 	conn.expiresAt = conn.idleSince.Add(keepAlive)
--- a/internal/proxy/attemptwatch.go
+++ b/internal/proxy/attemptwatch.go
@@ -17,7 +17,8 @@
 	order    uint64
 	route    string
 	endpoint string
-	// typicalLatency is of the route; 0 if the attempt's duration says nothing.
+	// typicalLatency is of the route; 0 if the attempt's duration is not
+	// evidence about the version, as the endpoint is warming up.
 	typicalLatency time.Duration
 	// slowRecorded is set once the attempt was recorded as slow before its end.
 	slowRecorded atomic.Bool
@@ -49,7 +50,7 @@
 	return w
 }
 
-// stop ends the watch: the attempt says nothing about the version.
+// stop ends the watch without a record: the attempt is no evidence about the version.
 func (w *attemptWatch) stop() {
 	if w != nil && w.timer != nil {
 		w.timer.Stop()
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// maxAuditBatch bounds how many records are handed over at a time.
+	// maxAuditBatch bounds how many records are sent in one batch.
 	maxAuditBatch = 200
-	// auditIdleInterval is how often a batch is handed over when there are no records.
+	// auditIdleInterval is how often a batch is sent when there are no records.
 	auditIdleInterval = 5 * time.Second
 	// maxAuditText bounds in bytes what a record holds of a client's header.
 	maxAuditText = 128
@@ -45,10 +45,11 @@
 	requestsSinceSent int64
 	requestsPerSecond float64
 	inFlight          int
-	// isClosed: everything was handed over, and that the incarnation has ended.
+	// isClosed: the control plane has acknowledged every record and the end of this
+	// incarnation.
 	isClosed bool
 
-	recordsNoted, recordsHeld, recordsDropped *metrics.Counter
+	recordsTotal, recordsPending, recordsDropped *metrics.Counter
 }
 
 // newAuditRecorder returns a recorder; nil if the settings ask for no audit log.
@@ -63,8 +64,8 @@
 		settings:       set.Audit,
 		incarnation:    incarnation,
 		buffer:         audit.NewRecorder(incarnation, set.NodeName, set.Audit.MaxPendingRecords),
-		recordsNoted:   registry.Counter("audit_records_total"),
-		recordsHeld:    registry.Counter("audit_records_pending"),
+		recordsTotal:   registry.Counter("audit_records_total"),
+		recordsPending: registry.Counter("audit_records_pending"),
 		recordsDropped: registry.Counter("audit_records_dropped"),
 	}
 }
@@ -112,7 +113,7 @@
 		Status:  status,
 		TookMS:  now.Sub(startedAt).Milliseconds(),
 	})
-	a.recordsNoted.Inc()
+	a.recordsTotal.Inc()
 }
 
 // requestOf is the id of the request that an attempt belongs to: from the header that the
@@ -128,7 +129,7 @@
 }
 
 // tenantOf is whose a request is: by its host, as the settings name it, else by the header
-// that they name, else the one that stands for all others.
+// that they name, else settings.Audit.UnknownTenant.
 func (a *auditRecorder) tenantOf(h *fasthttp.RequestHeader) string {
 	if t, ok := a.settings.TenantByHost[strings.ToLower(string(h.Host()))]; ok {
 		return t
@@ -144,7 +145,7 @@
 // truncate bounds what a client wrote.
 func truncate(s string) string { return s[:min(len(s), maxAuditText)] }
 
-// isBatchDue reports whether a batch is to be handed over after a time since the last.
+// isBatchDue reports whether a batch is to be sent when span has passed since the last.
 // Records wait for a quarter of the interval, their absence for all of it. The caller has
 // the lock.
 func (a *auditRecorder) isBatchDue(span, interval time.Duration) bool {
@@ -154,7 +155,7 @@
 	return a.buffer.Pending() > 0 && span >= interval/4
 }
 
-// nextBatch returns the batch to hand over now. isClosing says that no request will come
+// nextBatch returns the batch to send now. isClosing is true once no request can come
 // any more. The caller has the lock.
 func (a *auditRecorder) nextBatch(now time.Time, isClosing bool) *audit.Batch {
 	if span := now.Sub(a.lastSentAt); span > time.Millisecond {
@@ -167,7 +168,7 @@
 	b.PerS = a.requestsPerSecond
 	b.Out = a.inFlight
 	b.Closed = isClosing && a.buffer.Pending() == len(b.Records)
-	a.recordsHeld.Set(int64(a.buffer.Pending()))
+	a.recordsPending.Set(int64(a.buffer.Pending()))
 	a.recordsDropped.Set(int64(a.buffer.Dropped()))
 	return &b
 }
@@ -186,7 +187,7 @@
 	return a.nextBatch(now, false)
 }
 
-// closingBatch returns the batch to hand over at the end of the node; nil once everything
+// closingBatch returns the batch to send at the end of the node; nil once everything
 // was acknowledged.
 func (a *auditRecorder) closingBatch() *audit.Batch {
 	a.mu.Lock()
@@ -207,11 +208,11 @@
 	defer a.mu.Unlock()
 	a.buffer.Acknowledge(ack.Life, ack.Seq)
 	a.isClosed = a.isClosed || ack.Closed
-	a.recordsHeld.Set(int64(a.buffer.Pending()))
+	a.recordsPending.Set(int64(a.buffer.Pending()))
 }
 
-// closeAudit hands over the records that are left, and that this incarnation has ended,
-// until that is acknowledged or the time is over.
+// closeAudit sends the records that are left and the end of this incarnation, again and
+// again until both are acknowledged or the time until is reached.
 func (p *Proxy) closeAudit(until time.Time) {
 	if p.audit == nil {
 		return
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -62,8 +62,8 @@
 // isReused reports whether the connection has served another request.
 func (c *upstreamConn) isReused() bool { return c.idleFor > 0 }
 
-// isQuiet reports whether an idle connection is sound: neither bytes nor its end have
-// been received.
+// isQuiet reports whether an idle connection can be used: the endpoint has neither sent
+// bytes on it nor closed it.
 func (c *upstreamConn) isQuiet() bool {
 	return c.reader.Buffered() == 0 && transport.IsIdle(c.rawConn)
 }
@@ -80,7 +80,7 @@
 // writerOnly hides all methods but Write, so that io.Copy writes piece by piece.
 type writerOnly struct{ io.Writer }
 
-// errClientAborted says that the client, not the endpoint, ended a request early.
+// errClientAborted means that the client, not the endpoint, ended a request early.
 var errClientAborted = errors.New("proxy: client aborted its request")
 
 // clientBody reads the client's side of a body and marks its errors.
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -13,7 +13,7 @@
 	isClosed bool
 }
 
-// get takes the idle connection used last that is sound and has been idle for no longer
+// get takes the most recently used idle connection that is quiet and has been idle for no longer
 // than maxIdle. It returns nil if there is none. It closes those that it passes over.
 func (p *connPool) get(now time.Time, maxIdle time.Duration) *upstreamConn {
 	for {
--- a/internal/proxy/finder.go
+++ b/internal/proxy/finder.go
@@ -13,9 +13,9 @@
 const (
 	// maxConcurrentOpens is how many control-plane nodes are asked at a time.
 	maxConcurrentOpens = 4
-	// listPauseDivisor shortens the longest pause between rounds while there is no copy:
-	// without one every moment counts.
-	listPauseDivisor = 8
+	// listBackoffDivisor shortens the longest backoff between rounds while the mirror has
+	// not synced: until then the node cannot serve.
+	listBackoffDivisor = 8
 )
 
 // streamFinder asks control-plane nodes until one opens a stream. A next one is asked when
@@ -27,14 +27,14 @@
 	connectTimeout time.Duration
 	// hedgeDelay is how long one node is waited for before the next is asked.
 	hedgeDelay time.Duration
-	// maxPause bounds the pause between two rounds over all candidates.
-	maxPause time.Duration
+	// maxBackoff bounds the backoff between two rounds over all candidates.
+	maxBackoff time.Duration
 
 	results chan openResult
 	// pending is how many nodes have been asked and not answered.
 	pending int
-	// relays are those that referred to the core. They are as near as any node, this one's
-	// own machine among them, and would be asked first for ever.
+	// relays are those that referred to the core. They may be nearer than any core
+	// node, even on this machine, and would otherwise be asked first in every round.
 	relays map[string]bool
 	// openers are the goroutines that ask.
 	openers sync.WaitGroup
@@ -54,7 +54,7 @@
 	f := newStreamFinder(p, request)
 	defer f.openers.Wait()
 	defer cancel()
-	pause := p.timeouts.dial / 4
+	backoff := p.timeouts.dial / 4
 	for ctx.Err() == nil {
 		s, hasLearned := f.askCandidates(ctx, avoid)
 		if s != nil {
@@ -64,39 +64,39 @@
 			continue
 		}
 		avoid = ""
-		clear(f.relays) // what they know may be newer by now
-		if s := f.backOff(ctx, pause); s != nil {
+		clear(f.relays) // a relay may know of a working core node by now
+		if s := f.backOff(ctx, backoff); s != nil {
 			return s
 		}
-		pause = min(pause*2, f.maxPause)
+		backoff = min(backoff*2, f.maxBackoff)
 	}
 	return nil
 }
 
-// newStreamFinder returns a finder for a request. Without a copy of the registry all that
-// counts is to find a node that is up: after a loss of power most are not yet, and an
-// attempt to connect to one hangs. With a copy the way may be a full link.
+// newStreamFinder returns a finder for a request. For a list, the attempts to connect
+// are short: after a power failure most nodes are still down, and an attempt to connect to
+// one hangs. For a watch they are long, as the link to the nodes may be saturated.
 func newStreamFinder(p *Proxy, request transport.Request) *streamFinder {
 	f := &streamFinder{
 		proxy:          p,
 		request:        request,
 		connectTimeout: p.timeouts.openStream,
 		hedgeDelay:     p.timeouts.openHedgeDelay / 2,
-		maxPause:       p.timeouts.openHedgeDelay,
+		maxBackoff:     p.timeouts.openHedgeDelay,
 		results:        make(chan openResult),
 		relays:         map[string]bool{},
 	}
 	if request.List {
 		f.connectTimeout = p.timeouts.openHedgeDelay / 2
-		// A list takes work to answer, and after a loss of power all proxies ask for one.
+		// A list takes work to answer, and after a power failure all proxies ask for one.
 		f.hedgeDelay = p.timeouts.openHedgeDelay
-		f.maxPause = p.timeouts.openHedgeDelay / listPauseDivisor
+		f.maxBackoff = p.timeouts.openHedgeDelay / listBackoffDivisor
 	}
 	return f
 }
 
-// askCandidates asks the candidates in order until a stream is open. hasLearned says that
-// more candidates are known now.
+// askCandidates asks the candidates in order until a stream is open. hasLearned is true
+// if more candidates are known now.
 func (f *streamFinder) askCandidates(ctx context.Context, avoid string) (s *watchStream, hasLearned bool) {
 	for _, addr := range f.proxy.controlNodes.Candidates(avoid) {
 		if f.relays[addr] {
@@ -125,7 +125,7 @@
 	return nil, false
 }
 
-// open opens a stream and hands it over, or closes it if nobody waits for it.
+// open opens a stream and sends it to results, or closes it if the search has ended.
 func (f *streamFinder) open(ctx context.Context, addr string, request transport.Request) {
 	defer f.openers.Done()
 	s, err := f.proxy.openStream(ctx, addr, request, f.connectTimeout)
@@ -156,9 +156,9 @@
 	return nil, nil
 }
 
-// backOff waits for a time around pause, or until a node that was asked opens a stream.
-func (f *streamFinder) backOff(ctx context.Context, pause time.Duration) *watchStream {
-	remaining := pause/2 + time.Duration(rand.Int63n(int64(pause)))
+// backOff waits for a time around backoff, or until a node that was asked opens a stream.
+func (f *streamFinder) backOff(ctx context.Context, backoff time.Duration) *watchStream {
+	remaining := backoff/2 + time.Duration(rand.Int63n(int64(backoff)))
 	for at := time.Now(); remaining > 0 && ctx.Err() == nil; {
 		if s, _ := f.await(ctx, remaining); s != nil {
 			return s
--- a/internal/proxy/forwarding.go
+++ b/internal/proxy/forwarding.go
@@ -20,7 +20,7 @@
 	targetWaitDivisor = 6
 )
 
-// forwarding is the way of one request through its attempts. Only the goroutine that
+// forwarding is the state of one request over all its attempts. Only the goroutine that
 // handles the request uses it.
 type forwarding struct {
 	proxy   *Proxy
@@ -30,7 +30,7 @@
 	// group is the versions that the next attempt goes to.
 	group loadbalance.VersionGroup
 
-	// triedEndpoints have had the request.
+	// triedEndpoints are those of the attempts so far; no endpoint is attempted twice.
 	triedEndpoints []*loadbalance.Endpoint
 	// sentAttempts and unsentAttempts count the attempts in which some of the request was
 	// sent, and nothing.
@@ -39,7 +39,7 @@
 	mayHaveArrived bool
 	// decision is what followed from the last attempt.
 	decision decision
-	// reason says why the last attempt failed.
+	// reason is why the last attempt failed, for the error to the client.
 	reason string
 }
 
@@ -120,7 +120,7 @@
 	})
 }
 
-// decide decides what follows from an outcome, and records what it says of the endpoint.
+// decide decides what follows from an outcome, and records it for the endpoint.
 // The endpoint is released, unless its response is to be relayed.
 func (f *forwarding) decide(o *outcome, t target) action {
 	f.setDecision(o.phase)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -135,7 +135,7 @@
 	f.mu.Lock()
 	f.connections[conn] = false
 	f.mu.Unlock()
-	_ = s.ServeConn(conn) // a broken client connection is no event
+	_ = s.ServeConn(conn) // that a client disconnects is not a fault of the proxy
 	f.mu.Lock()
 	delete(f.connections, conn)
 	f.mu.Unlock()
--- a/internal/proxy/handle.go
+++ b/internal/proxy/handle.go
@@ -19,7 +19,7 @@
 	configWaitDivisorAtStart = 4
 )
 
-// HandleRequest handles one request of a client. This is the way of a request: read it
+// HandleRequest handles one request of a client. It takes these steps: read the request
 // (with it the route is matched), forward it, which picks endpoints and attempts it there,
 // and relay the response.
 func (p *Proxy) HandleRequest(ctx *fasthttp.RequestCtx) {
@@ -84,7 +84,7 @@
 // one waits for it; awaitConfig returns nil if it does not come in time.
 //
 // The first configuration comes soon after a start, so a request that came right after
-// the start waits for a fair share of its deadline: a client that was rejected may not
+// the start waits for a larger part of its deadline: a client that was rejected may not
 // come back. Later there is none to come soon, and the request is rejected at once.
 func (p *Proxy) awaitConfig(ctx *fasthttp.RequestCtx) *routingSnapshot {
 	if s := p.snapshot.Load(); s != nil {
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -15,8 +15,8 @@
 	response *response
 	// conn is the connection, if the response streams on it.
 	conn *upstreamConn
-	// isStale: the connection had been idle and ended without a byte of a response. The
-	// endpoint had forgotten it.
+	// isStale: the connection had been idle and ended without a byte of a response,
+	// as the endpoint had already closed it or dropped its state.
 	isStale bool
 	// idleFor is how long the connection had been idle; 0 if it was new.
 	idleFor time.Duration
@@ -28,30 +28,30 @@
 
 // incompletePhase is the phase in which reading a response failed. The response is nil
 // if its head is incomplete.
-func incompletePhase(a *response, err error) phase {
+func incompletePhase(resp *response, err error) phase {
 	switch {
 	case errors.Is(err, errInvalidResponse):
 		return phaseInvalid
-	case a == nil:
+	case resp == nil:
 		return phasePartialHead
 	default:
 		return phasePartialBody
 	}
 }
 
-// classify returns the phase that a response means; an error if it is not valid as one to
-// the request.
-func (f *forwarding) classify(a *response, isConnReused bool) (phase, error) {
+// classify returns the phase in which an attempt with this response ends; an error if the
+// response is not valid as one to the request.
+func (f *forwarding) classify(resp *response, isConnReused bool) (phase, error) {
 	switch {
-	case !a.belongsTo(f.request.attemptID, isConnReused):
+	case !resp.belongsTo(f.request.attemptID, isConnReused):
 		return phaseInvalid, fmt.Errorf("%w: of another request", errInvalidResponse)
-	case a.isUnsignedSuccess():
+	case resp.isUnsignedSuccess():
 		return phaseInvalid, fmt.Errorf("%w: success without a signature", errInvalidResponse)
-	case a.statesUnprocessed():
+	case resp.statesUnprocessed():
 		return phaseUnprocessed, nil
-	case a.stream != nil:
+	case resp.stream != nil:
 		return phaseStreaming, nil
-	case a.status >= 500:
+	case resp.status >= 500:
 		return phaseFailed, nil
 	default:
 		return phaseAnswered, nil
--- a/internal/proxy/pacer.go
+++ b/internal/proxy/pacer.go
@@ -21,7 +21,7 @@
 )
 
 // pacer spreads long messages over a narrow link (token bucket), so that short ones do
-// not queue behind the whole of a long one. Every byte sent counts; only long messages
+// not queue behind all of a long one. Every byte sent counts; only long messages
 // wait. It is safe for concurrent use.
 type pacer struct {
 	mu sync.Mutex
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,7 +15,8 @@
 	"lichentray/watchcache"
 )
 
-// proxiesPerZoneToYield is from how many proxies per zone on one is not missed.
+// proxiesPerZoneToYield is the number of proxies per zone from which the others can carry
+// the traffic of one.
 const proxiesPerZoneToYield = 10
 
 // Proxy is a running proxy node.
@@ -31,14 +32,15 @@
 	// audit is nil if the settings ask for no audit log.
 	audit *auditRecorder
 
-	// snapshot is what requests are handled by; nil until there is a configuration.
+	// snapshot has the routes in force; nil until there is a configuration.
 	snapshot atomic.Pointer[routingSnapshot]
 	// firstConfig is closed once there is a first configuration.
 	firstConfig chan struct{}
 	isDraining  atomic.Bool
 	// proxyCount is how many proxy nodes there are; 0 while that is not known.
 	proxyCount atomic.Int64
-	// lastBookmarkAt is when a control-plane node in touch was last heard, as now.
+	// lastBookmarkAt is when the last bookmark came from a control-plane node that is up
+	// to date, as a time.Duration of the clock of Proxy.now.
 	lastBookmarkAt atomic.Int64
 	// sharesLinkWithRelay: a relay of the control plane runs on this machine.
 	sharesLinkWithRelay atomic.Bool
@@ -52,9 +54,10 @@
 
 	// The goroutine of ListAndWatch owns the following.
 
-	store    *watchcache.Mirror
+	// mirror is this node's copy of the watched objects of the registry.
+	mirror   *watchcache.Mirror
 	services map[string]*service
-	// zoneStates has the zones that are not in ordinary use.
+	// zoneStates has the zones that are not active.
 	zoneStates map[string]loadbalance.ZoneState
 	// reportSentAt has when the latest reports were sent, by their sequence numbers.
 	reportSentAt map[uint64]time.Duration
@@ -63,7 +66,7 @@
 	hasMovedNearer bool
 }
 
-// New returns a proxy node that knows nothing yet. It starts no goroutine: the caller runs
+// New returns a proxy node without a configuration. It starts no goroutine: the caller runs
 // ListAndWatch and DetectRelay, and a Frontend.
 func New(set *settings.Settings, log *slog.Logger, registry *metrics.Registry) *Proxy {
 	p := &Proxy{
@@ -78,7 +81,7 @@
 		audit:        newAuditRecorder(set, registry),
 		firstConfig:  make(chan struct{}),
 		regionIndex:  indexRegions(set.RegionByZone),
-		store:        watchcache.NewMirror(),
+		mirror:       watchcache.NewMirror(),
 		services:     map[string]*service{},
 		zoneStates:   map[string]loadbalance.ZoneState{},
 		reportSentAt: map[uint64]time.Duration{},
@@ -128,7 +131,8 @@
 
 // yieldsToPeers reports whether this node leaves the clients to other proxies: it shares
 // its machine's link with a relay of the control plane, whose calls are small and urgent,
-// and the zones have so many proxies that one is not missed.
+// and the zones have so many proxies that the
+// others can carry its traffic.
 func (p *Proxy) yieldsToPeers() bool {
 	enough := proxiesPerZoneToYield * max(1, len(p.settings.RegionByZone))
 	return p.sharesLinkWithRelay.Load() && int(p.proxyCount.Load()) >= enough
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// maxTrackedClients bounds how many clients are told apart between two reports.
+	// maxTrackedClients bounds for how many clients requests are counted between two
+	// reports; all others rank as if they had sent none.
 	maxTrackedClients = 4096
 	// requestsPerRank is how many requests between two reports are one step in rank, so
 	// that clients that ask about as often rank alike.
 	requestsPerRank = 4
-	// minQueueLimit is the limit of requests in flight from which a queue grows; half of
-	// the limit may stand in front of a request that begins to wait.
+	// minQueueLimit is the least limit of requests in flight that the queue is bounded by: a
+	// request waits only if no more than half of the limit would be ahead of it.
 	minQueueLimit = 8
 )
 
--- a/internal/proxy/reflector.go
+++ b/internal/proxy/reflector.go
@@ -9,7 +9,7 @@
 	"lichentray/internal/transport"
 )
 
-// reflector keeps the copy of the registry up to date. One goroutine uses it.
+// reflector keeps the mirror of the registry up to date. One goroutine uses it.
 type reflector struct {
 	proxy *Proxy
 	// current is the stream that is followed; nil if there is none.
@@ -28,16 +28,16 @@
 	// found receives the stream; nil if there is none.
 	found  chan *watchStream
 	cancel context.CancelFunc
-	// isForNearer: the current stream is sound, and a nearer node is sought.
+	// isForNearer: the current stream works, and a nearer node is sought.
 	isForNearer bool
 }
 
-// ListAndWatch keeps the copy of the registry up to date until the context ends: one list,
-// then the watch, from whichever control-plane node is in touch.
+// ListAndWatch keeps the mirror of the registry up to date until the context ends: one list,
+// then the watch, from whichever control-plane node is up to date.
 //
-// A stream that is silent is kept while another is sought, and whichever speaks first is
-// followed: a node whose own link is full hears late of everything, and to end what is on
-// its way there makes it later still.
+// A stream that is silent is kept while another is sought, and whichever delivers
+// first is followed: on a proxy whose link is saturated every frame arrives late, and to
+// discard those in flight would delay it further.
 func (p *Proxy) ListAndWatch(ctx context.Context) {
 	r := &reflector{
 		proxy:      p,
@@ -150,15 +150,15 @@
 	}()
 }
 
-// nextRequest is the request that brings the copy up to date: a list, or a watch from the
-// copy's revision on.
+// nextRequest is the request that brings the mirror up to date: a list, or a watch from
+// the mirror's revision on.
 func (r *reflector) nextRequest() transport.Request {
-	store := r.proxy.store
+	mirror := r.proxy.mirror
 	request := transport.Request{
 		ID:    1,
-		Least: store.Revision(),
-		Watch: store.HasSynced(),
-		List:  !store.HasSynced(),
+		Least: mirror.Revision(),
+		Watch: mirror.HasSynced(),
+		List:  !mirror.HasSynced(),
 		Packs: true,
 	}
 	if !r.proxy.hasMovedNearer {
@@ -206,11 +206,11 @@
 		r.current.openedAt = time.Now() // if no nearer node answers, they are asked again later
 		r.seekNearer(ctx)
 	case err != nil:
-		// A search under way may count on a copy that is not valid any more.
+		// A search under way may resume from a mirror that is no longer valid.
 		r.cancelSearch()
 		r.replace(ctx, err)
 	case r.search != nil && !r.search.isForNearer:
-		r.cancelSearch() // the stream speaks again
+		r.cancelSearch() // the current stream delivers again
 	}
 }
 
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -100,7 +100,7 @@
 		return
 	}
 	report := &transport.ProxyReport{Self: self}
-	_ = conn.Send(&transport.Frame{Report: report}) // the next report says it again
+	_ = conn.Send(&transport.Frame{Report: report}) // the next report repeats it
 }
 
 // applyGrants applies this node's quota shares of endpoints that are warming up. They are
@@ -120,7 +120,7 @@
 	}
 }
 
-// applyVerdicts applies what the reports of all proxies together say of endpoints.
+// applyVerdicts applies the verdicts on endpoints that come from the reports of all proxies.
 func (p *Proxy) applyVerdicts(verdicts []loadbalance.Verdict) {
 	byEndpoint := make(map[string]loadbalance.Verdict, len(verdicts))
 	for _, v := range verdicts {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -59,7 +59,8 @@
 // read reads and checks a request and finds its route. It appends the head to forward to
 // the buffer head.
 //
-// An error is one of apierror. After any but NoRoute the connection is out of step.
+// An error is one of apierror. After any but NoRoute the
+// connection must be closed, as where the next request begins is not known.
 func (q *request) read(snapshot *routingSnapshot, head []byte) error {
 	limits := &snapshot.table.Limits
 	framing, err := q.readHead(limits, head)
@@ -267,7 +268,7 @@
 	}
 }
 
-// errBodyTooLarge says that a body is longer than the configuration permits.
+// errBodyTooLarge means that a body is longer than the configuration permits.
 var errBodyTooLarge = errors.New("proxy: body is too large")
 
 // limitedBody reads a body and fails where it is longer than it may be.
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -8,27 +8,28 @@
 	"lichentray/audit"
 )
 
-// relayResponse gives an endpoint's response to the client and releases the endpoint.
+// relayResponse relays an endpoint's response to the client and releases the endpoint.
 func (p *Proxy) relayResponse(q *request, t target, o outcome) {
-	a := o.response
-	status := relayedStatus(a.status, q.route.Idempotent)
+	resp := o.response
+	status := relayedStatus(resp.status, q.route.Idempotent)
 	q.stats.countResponse(status)
 	out := &q.ctx.Response
 	out.SetStatusCode(status)
-	a.copyHeaders(&out.Header)
-	if q.isHead && a.contentLength >= 0 {
+	resp.copyHeaders(&out.Header)
+	if q.isHead && resp.contentLength >= 0 {
 		out.SkipBody = true
-		out.Header.SetContentLength(int(a.contentLength))
+		out.Header.SetContentLength(int(resp.contentLength))
 	}
-	if a.stream != nil {
-		// The endpoint's work is done, the rest is the links'.
+	if resp.stream != nil {
+		// The endpoint has computed the response; what remains is transfer, which does not
+		// count as its load.
 		q.service.releaseEndpoint(p, t.endpoint, true, o.latencyRatio)
-		out.SetBodyStream(newResponseStream(p, q, t, o), int(a.contentLength))
+		out.SetBodyStream(newResponseStream(p, q, t, o), int(resp.contentLength))
 		return
 	}
 	p.recordResponse(q, status)
 	q.service.releaseEndpoint(p, t.endpoint, true, o.latencyRatio)
-	p.setBody(out, a.body, q.deadline)
+	p.setBody(out, resp.body, q.deadline)
 }
 
 // copyHeaders adds the headers that are relayed to the client's response.
@@ -55,7 +56,8 @@
 	p.audit.record(&q.ctx.Request.Header, q.route.Name, kind, status, q.startedAt)
 }
 
-// recordResponse records a complete response in the audit log, as far as that holds it.
+// recordResponse records a complete response in the audit log, if it is of a kind that is
+// kept there.
 func (p *Proxy) recordResponse(q *request, status int) {
 	if p.audit == nil {
 		return
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -13,7 +13,7 @@
 const (
 	// maxResponseHeader bounds the head of a response in bytes, and its trailers.
 	maxResponseHeader = 64 << 10
-	// maxChunkedBody bounds a chunked body in bytes, which is buffered as a whole.
+	// maxChunkedBody bounds a chunked body in bytes, which is buffered completely.
 	maxChunkedBody = 1 << 20
 	// maxChunkLine bounds the lines around one chunk in bytes.
 	maxChunkLine = 1024
@@ -21,7 +21,7 @@
 	statusLineLength = len("HTTP/1.1 200")
 )
 
-// errInvalidResponse says that an endpoint sent what is no complete HTTP/1 response.
+// errInvalidResponse means that what an endpoint sent is not a complete HTTP/1 response.
 var errInvalidResponse = errors.New("proxy: not a complete HTTP response")
 
 // header is one header line of a response.
@@ -73,7 +73,7 @@
 // statesUnprocessed reports whether the endpoint states that it has not processed the
 // request.
 func (r *response) statesUnprocessed() bool {
-	return r.headerValue("X-Not-Executed") != nil || r.status == 421
+	return r.headerValue("X-Not-Executed") != nil || r.status == statusMisdirected
 }
 
 // isUnsignedSuccess reports whether a success lacks the signature that proves that it
@@ -268,24 +268,24 @@
 
 // chooseFraming decides how the body is read (RFC 9112, section 6.3).
 func (r *responseReader) chooseFraming() error {
-	a := r.response
+	resp := r.response
 	switch {
-	case a.status == 101:
+	case resp.status == 101:
 		return fmt.Errorf("%w: switched protocols", errInvalidResponse)
-	case a.status < 200:
-		a.contentLength = -1
+	case resp.status < 200:
+		resp.contentLength = -1
 		r.state = readingStatusLine
-	case r.isChunked && a.contentLength >= 0:
+	case r.isChunked && resp.contentLength >= 0:
 		return fmt.Errorf("%w: two framings", errInvalidResponse)
-	case r.isHead || a.status == 204 || a.status == 304:
+	case r.isHead || resp.status == 204 || resp.status == 304:
 		r.state = responseComplete
 	case r.isChunked:
 		r.state = readingChunkedBody
-	case a.contentLength < 0:
+	case resp.contentLength < 0:
 		// The end of the connection cannot tell a complete body from a part of one.
 		return fmt.Errorf("%w: no length", errInvalidResponse)
-	case a.contentLength > int64(r.maxBuffered):
-		a.stream = io.LimitReader(r.in, a.contentLength)
+	case resp.contentLength > int64(r.maxBuffered):
+		resp.stream = io.LimitReader(r.in, resp.contentLength)
 		r.state = responseComplete
 	default:
 		r.state = readingFixedBody
@@ -333,8 +333,8 @@
 }
 
 // readChunkedBody reads the chunks of a body and its trailers, which are dropped. The
-// body may have up to most bytes.
-func readChunkedBody(in *bufio.Reader, most int) ([]byte, error) {
+// body may have up to maxBytes bytes.
+func readChunkedBody(in *bufio.Reader, maxBytes int) ([]byte, error) {
 	var body []byte
 	for {
 		left := maxChunkLine
@@ -345,8 +345,8 @@
 		if size == 0 {
 			break
 		}
-		if len(body)+size > most {
-			return nil, fmt.Errorf("%w: chunked body of over %d bytes", errInvalidResponse, most)
+		if len(body)+size > maxBytes {
+			return nil, fmt.Errorf("%w: chunked body of over %d bytes", errInvalidResponse, maxBytes)
 		}
 		at := len(body)
 		body = append(body, make([]byte, size)...)
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -39,7 +39,7 @@
 	n, err := s.response.stream.Read(b[:min(len(b), pacedChunk)])
 	s.received += int64(n)
 	if errors.Is(err, io.EOF) && !s.isComplete() {
-		err = io.ErrUnexpectedEOF // the client must not take a part for the whole
+		err = io.ErrUnexpectedEOF // the client must not take a truncated body as complete
 	}
 	s.endpointFailed = err != nil && !errors.Is(err, io.EOF) && time.Until(s.request.deadline) > 0
 	s.proxy.pacer.wait(n, s.response.contentLength-s.received, s.request.deadline)
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("phase(%d)", uint8(p))
 }
 
-// retryClass says which requests may be sent to another endpoint after an attempt, in
+// retryClass is the class of requests that may be sent to another endpoint after an attempt, in
 // the words of RFC 9110, section 9.2.2.
 type retryClass uint8
 
@@ -92,11 +92,11 @@
 	return c == retrySafe || c == retryIdempotent && isIdempotent
 }
 
-// retryRule is what a phase says by itself about an attempt that ended in it.
+// retryRule is what follows from the phase alone for an attempt that ended in it.
 type retryRule struct {
 	// mayHaveExecuted: the endpoint may have executed the request.
 	mayHaveExecuted bool
-	// retry says which requests may be sent to another endpoint.
+	// retry is the class of requests that may be sent to another endpoint.
 	retry retryClass
 	// reusesConnection: the connection may carry another request, if the framing of the
 	// response permits it too.
@@ -140,7 +140,7 @@
 	budgetLeft bool
 }
 
-// permitsRetry reports whether nothing but the phase stands against another attempt.
+// permitsRetry reports whether everything but the phase permits another attempt.
 func (s retryState) permitsRetry() bool {
 	return s.beforeDeadline && s.attemptsLeft && !s.bodyConsumed
 }
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -15,7 +15,7 @@
 type rolloutState struct {
 	rollout.Rollout
 	evidence rollout.Evidence
-	// strata splits the requests of late among the versions by route.
+	// strata splits the recent requests among the versions by route.
 	strata rollout.StratifiedSplit
 }
 
@@ -106,8 +106,8 @@
 	c.Add(int64(counts.Answers + counts.Broken))
 }
 
-// drawVersionGroup draws which versions a request goes to. A node that has not heard for
-// rolloutLease how the roll-out stands sends to the base version.
+// drawVersionGroup draws which versions a request goes to. A node that has received
+// no bookmark for rolloutLease sends to the base version, as the roll-out may have ended.
 func (s *service) drawVersionGroup(p *Proxy, route int) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,9 +127,10 @@
 }
 
 // retryVersionGroup returns the versions that a request goes to after a failed attempt:
-// from the target version to the base version. mayHaveArrived says that the endpoint may
+// from the target version to the base version. mayHaveArrived is true if the endpoint may
 // have received the request. Where a base endpoint was not even reached although all
-// traffic should have moved, the base version was stopped and this node has not heard.
+// traffic should have moved, the base version was stopped and its endpoints' removal has not
+// reached this node yet.
 func (s *service) retryVersionGroup(group loadbalance.VersionGroup, mayHaveArrived bool) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +163,7 @@
 	return target{endpoint: e, conns: conns, group: group}
 }
 
-// rolloutStage reports how the roll-out stands.
+// rolloutStage reports whether the roll-out is in progress and in its final stage.
 func (s *service) rolloutStage() (isFinal, isInProgress bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// zoneBias and regionBias say by how much endpoints of the node's own zone and region
+	// zoneBias and regionBias are by how much endpoints of the node's own zone and region
 	// are preferred; see loadbalance.PoolConfig.
 	zoneBias   = 0.6
 	regionBias = 1.5
@@ -19,15 +19,16 @@
 	// retrySlackShare is the part of the slack in the bounds that the proxies share. The
 	// rest is kept for nodes that are not counted yet.
 	retrySlackShare = 0.75
-	// statusMisdirected is the status with which an endpoint says that it does not serve
-	// the service.
+	// statusMisdirected is the status with which an endpoint states that it does not serve
+	// the service (421 Misdirected Request, RFC 9110, section 15.5.20).
 	statusMisdirected = 421
-	// unlimitedIdle is how long a connection may be idle where nothing is known against it.
+	// unlimitedIdle is how long a connection may be idle unless the endpoint has closed
+	// one that was idle for less.
 	unlimitedIdle = time.Hour
 )
 
-// service is the endpoints of one service and what this node keeps beside them. Its lock
-// is held for short computations only.
+// service has the endpoints of one service and this node's limits, queue and statistics.
+// Its lock is held for short computations only.
 type service struct {
 	name string
 
@@ -43,7 +44,7 @@
 	arrivals         int
 	arrivalsByClient map[string]int
 	// maxIdle is how long a connection may have been idle to be used again, until
-	// maxIdleUntil (time since the start of the node): endpoints forgot older ones.
+	// maxIdleUntil (time since the start of the node): endpoints had closed older ones.
 	maxIdle      time.Duration
 	maxIdleUntil time.Duration
 }
@@ -76,7 +77,7 @@
 	return s
 }
 
-// configure sets what the configuration says of the service.
+// configure sets the limits of the service from the configuration.
 func (s *service) configure(maxConnections int, warmupRatePerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,8 +173,9 @@
 	return unlimitedIdle
 }
 
-// noteStaleConnection notes that an endpoint had forgotten a connection that had been
-// idle. For the time validity, connections are then used for half as long.
+// noteStaleConnection notes that an endpoint had closed a connection that had been idle
+// for idleFor. For the time validity, only connections idle for at most half of that are
+// used again.
 func (s *service) noteStaleConnection(now, idleFor, validity time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +199,7 @@
 }
 
 // releaseEndpoint ends a request at an endpoint and wakes the first in the queue.
-// latencyRatio is the request's latency over what is typical; 0 if it says nothing.
+// latencyRatio is the request's latency over what is typical; 0 if it is not known.
 func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, isSuccess bool, latencyRatio float64) {
 	s.mu.Lock()
 	if conns := s.connPools[e]; conns != nil {
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -10,7 +10,7 @@
 	"lichentray/routing"
 )
 
-// responseClass is how the answers to clients are counted by route.
+// responseClass is the class by which the responses to clients are counted by route.
 type responseClass uint8
 
 const (
@@ -44,8 +44,8 @@
 	minTypicalSeconds = 1e-4
 )
 
-// routingSnapshot is what a request is handled by. It is immutable, except for what the
-// statistics and services hold, and replaced as a whole.
+// routingSnapshot has the routes of one configuration with their services. It is immutable
+// and replaced atomically; the statistics and services that it points to are not.
 type routingSnapshot struct {
 	table *routing.Table
 	// services are in the order of the table's services.
@@ -75,7 +75,7 @@
 }
 
 // observe takes the latency of a response in seconds and returns it over what is typical.
-// The latency of a version under trial is not typical.
+// The latency of a roll-out's target version does not change what is typical.
 func (s *routeStats) observe(seconds float64, isTypical bool) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/timeouts.go
+++ b/internal/proxy/timeouts.go
@@ -32,11 +32,11 @@
 	// feedbackValidity is how long sums and verdicts over all proxies stay valid.
 	feedbackValidity time.Duration
 
-	// ejectionBase and ejectionMax bound how long an unhealthy endpoint is ejected.
+	// ejectionBase and ejectionMax bound how long an endpoint is ejected.
 	ejectionBase time.Duration
 	ejectionMax  time.Duration
-	// rolloutLease is how long this node sends to a target version without news of the
-	// roll-out.
+	// rolloutLease is how long this node sends to a target version without a bookmark
+	// that confirms the roll-out.
 	rolloutLease time.Duration
 	// slowStartGrant is how long a quota share of a warming-up endpoint is valid, from the
 	// report that it answers.
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -9,15 +9,15 @@
 )
 
 var (
-	// errNearerNode says that a control-plane node nearer to this one is known.
+	// errNearerNode means that a control-plane node nearer to this one is known.
 	errNearerNode = errors.New("proxy: a nearer control-plane node is known")
-	// errReferred says that a relay named the nodes of the core instead of answering.
+	// errReferred means that a relay named the nodes of the core instead of answering.
 	errReferred = errors.New("proxy: referred to the core by a relay")
-	// errStreamTimeout says that a stream was silent while another node answered.
+	// errStreamTimeout means that a stream was silent while another node answered.
 	errStreamTimeout = errors.New("proxy: stream is silent and another control-plane node answered")
-	// errRejected says that a control-plane node rejected a request.
+	// errRejected means that a control-plane node rejected a request.
 	errRejected = errors.New("proxy: rejected by the control-plane node")
-	// errTooSlow says that this node read its stream too slowly and events were dropped.
+	// errTooSlow means that this node read its stream too slowly and events were dropped.
 	errTooSlow = errors.New("proxy: stream was cut off, as it was read too slowly")
 )
 
@@ -27,9 +27,9 @@
 	addr string
 	conn *transport.Conn
 	// isList: the first answer is a list; else the watch goes on.
-	isList      bool
-	firstAnswer *transport.Response
-	openedAt    time.Time
+	isList        bool
+	firstResponse *transport.Response
+	openedAt      time.Time
 	// hasReported: a report was sent on it.
 	hasReported bool
 
@@ -44,15 +44,15 @@
 // newWatchStream starts to read a connection. The caller closes the stream.
 func newWatchStream(addr string, conn *transport.Conn, isList bool, answer *transport.Response) *watchStream {
 	s := &watchStream{
-		addr:        addr,
-		conn:        conn,
-		isList:      isList,
-		firstAnswer: answer,
-		openedAt:    time.Now(),
-		frames:      make(chan *transport.Frame),
-		failure:     make(chan error, 1),
-		closed:      make(chan struct{}),
-		done:        make(chan struct{}),
+		addr:          addr,
+		conn:          conn,
+		isList:        isList,
+		firstResponse: answer,
+		openedAt:      time.Now(),
+		frames:        make(chan *transport.Frame),
+		failure:       make(chan error, 1),
+		closed:        make(chan struct{}),
+		done:          make(chan struct{}),
 	}
 	go s.readFrames()
 	return s
@@ -65,7 +65,7 @@
 	<-s.done
 }
 
-// readFrames hands frames on until the stream fails or is closed.
+// readFrames sends what it reads to frames until the stream fails or is closed.
 func (s *watchStream) readFrames() {
 	defer close(s.done)
 	for {
@@ -91,9 +91,9 @@
 		return nil, err
 	}
 	conn.WriteTimeout = p.timeouts.streamSilence
-	isOurs := context.AfterFunc(ctx, conn.Close)
+	stopClosing := context.AfterFunc(ctx, conn.Close)
 	answer, err := p.requestStream(conn, &request)
-	if err != nil || !isOurs() {
+	if err != nil || !stopClosing() {
 		conn.Close()
 		return nil, errors.Join(err, ctx.Err())
 	}
@@ -132,19 +132,19 @@
 func (p *Proxy) startStream(s *watchStream) error {
 	if s.isList {
 		p.counters.lists.Inc()
-		objects, err := s.firstAnswer.UnpackObjects()
+		objects, err := s.firstResponse.UnpackObjects()
 		if err != nil {
 			return err
 		}
-		if err := p.store.Replace(s.firstAnswer.Revision, objects); err != nil {
+		if err := p.mirror.Replace(s.firstResponse.Revision, objects); err != nil {
 			return err
 		}
 		p.resync()
 	} else {
 		p.counters.watches.Inc()
 	}
-	s.firstAnswer = nil // which may be large
-	p.log.Info("following", "from", s.addr, "revision", p.store.Revision())
+	s.firstResponse = nil // which may be large
+	p.log.Info("following", "from", s.addr, "revision", p.mirror.Revision())
 	p.controlConn.Store(s.conn)
 	return nil
 }
@@ -170,17 +170,17 @@
 			return errNearerNode
 		}
 	}
-	p.counters.registryRevision.Set(int64(p.store.Revision()))
+	p.counters.registryRevision.Set(int64(p.mirror.Revision()))
 	if f.Gone {
 		return errTooSlow
 	}
 	return p.reportIfDue(s, f.Bookmark != nil, lastReport)
 }
 
-// applyBookmark applies how far the stream is, and what the control plane makes of the
-// reports of all proxies.
+// applyBookmark applies the revision that the stream has reached, and the totals, verdicts
+// and quota grants that the control plane computes from the reports of all proxies.
 func (p *Proxy) applyBookmark(b *transport.Bookmark) {
-	p.store.ApplyBookmark(b.Revision)
+	p.mirror.ApplyBookmark(b.Revision)
 	p.lastBookmarkAt.Store(int64(p.now()))
 	p.controlNodes.UpdateNodes(b.Control)
 	if b.Control != nil {
@@ -222,5 +222,5 @@
 			svc.closeExpiredConnections(now)
 		}
 	}
-	return s.conn.Send(&transport.Frame{Ack: p.store.Revision(), Report: p.buildReport(span)})
+	return s.conn.Send(&transport.Frame{Ack: p.mirror.Revision(), Report: p.buildReport(span)})
 }
