--- a/loadbalance/admission.go
+++ b/loadbalance/admission.go
@@ -35,8 +35,9 @@
 	// on at once, and ends at leaveUtilization.
 	enterUtilization = 1.3
 	leaveUtilization = 0.9
-	// oversubscription scales the slots that are shared out. The short queue at the
-	// endpoints evens out what the nodes do not know of one another.
+	// oversubscription scales the slots that are divided among the nodes. The short queue
+	// at the endpoints absorbs the excess, and keeps them busy while the loads that the
+	// nodes have reported are out of date.
 	oversubscription = 1.15
 	// loadGain is the weight of a new observation in the smoothed load.
 	loadGain = 0.4
--- a/loadbalance/locality.go
+++ b/loadbalance/locality.go
@@ -52,16 +52,16 @@
 	return c.RegionBias
 }
 
-// ZoneState is how a zone is used. The zero value is ordinary use.
+// ZoneState is whether requests may be sent to a zone. The zero value is ZoneActive.
 type ZoneState uint8
 
 const (
-	// ZoneActive is ordinary use.
+	// ZoneActive means that requests are sent to the zone.
 	ZoneActive ZoneState = iota
 	// ZoneEvacuated means that nothing may be sent to the zone.
 	ZoneEvacuated
-	// ZoneReturning means that the zone has just been taken back into use, so that
-	// its endpoints may be cold.
+	// ZoneReturning means that the evacuation of the zone is being ended, so that its
+	// endpoints count as warming up.
 	ZoneReturning
 )
 
@@ -78,7 +78,7 @@
 	return "unknown"
 }
 
-// SetZoneState sets how a zone is used, by its present and future endpoints.
+// SetZoneState sets the state of a zone for its present and future endpoints.
 func (p *Pool) SetZoneState(zone string, state ZoneState) {
 	p.zoneStates[zone] = state
 	for _, e := range p.endpoints {
@@ -137,7 +137,7 @@
 		total += n.effectiveWeight()
 		strongest = max(strongest, n.effectiveWeight())
 	}
-	// The small addition keeps rounding from losing a node.
+	// The small addition keeps a quotient that is an integer from being rounded down.
 	wanted := int(total/max(strongest, minProxyWeight) + 1e-6)
 	count := min(len(eligible), limit, max(minProxiesPerClient, wanted))
 
--- a/loadbalance/outlier.go
+++ b/loadbalance/outlier.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// RecordServerError counts an answer that reports a failure of the endpoint. It ejects
-// nothing, but is part of what all nodes together judge by.
+// RecordServerError counts a 5xx response. It does not eject the endpoint, but is reported
+// in its Observation, from which OutlierDetector derives the verdict.
 func (p *Pool) RecordServerError(e *Endpoint) { e.unreported.Bad++ }
 
-// RecordRejection pauses an endpoint that rejected a request because it is full.
+// RecordRejection excludes an endpoint that rejected a request from the candidates of Pick
+// for a short time, as it is overloaded.
 func (p *Pool) RecordRejection(now time.Duration, e *Endpoint) {
 	e.overloadedUntil = now + p.cfg.BaseEjectionTime/overloadPauseDivisor
 	e.unreported = e.unreported.Add(Observation{Answers: 1, Times: rejectionLatencyRatio})
@@ -25,11 +26,11 @@
 	overloadPauseDivisor = 8
 )
 
-// Observation is what nodes observed of one endpoint over a while. The names of its
+// Observation is what nodes observed of one endpoint since their last reports. The names of its
 // fields are those of the wire format.
 type Observation struct {
-	Answers int
-	// Times sums the latency of the answers, each divided by the usual one of its
+	Answers int // responses whose latency is in Times
+	// Times sums the latencies of the responses, each divided by the usual one of its
 	// route.
 	Times float64
 	// Bad is the number of failed attempts, Nodes how many nodes saw any of them.
@@ -62,7 +63,7 @@
 	}
 }
 
-// Verdict is the judgement of all nodes together on an endpoint. The names of its
+// Verdict is the state of an endpoint according to the observations of all nodes. The names of its
 // fields are those of the wire format.
 type Verdict struct {
 	// Endpoint is the ID of the endpoint.
@@ -96,9 +97,9 @@
 	}
 }
 
-// SetUtilization sets which part of the service's slots is in use. While there is
-// room, faster endpoints are preferred beyond what their throughput says; when there
-// is none, each gets what it can work off.
+// SetUtilization sets which part of the service's slots is in use. While slots are free,
+// faster endpoints are preferred more than in proportion to their throughput; when none
+// are, each gets its proportion.
 func (p *Pool) SetUtilization(used float64) {
 	p.fastBias = min(1, max(0, (fastBiasEnd-used)/fastBiasRange))
 }
@@ -147,8 +148,9 @@
 	unhealthyFailureRatio = 0.25
 	// maxUnhealthyFraction is the part of a service's endpoints that may be unhealthy.
 	maxUnhealthyFraction = 0.2
-	// An endpoint is judged by minJudgedAttempts at the least. minFailureReporters is
-	// what two nodes that have just reported failures decay to.
+	// An endpoint needs minJudgedAttempts attempts before it can be unhealthy, and
+	// minFailureReporters nodes that saw failures. The latter is below 2, as the count of
+	// two nodes that reported shortly before has already decayed.
 	minJudgedAttempts   = 3
 	minFailureReporters = 1.5
 )
@@ -220,8 +222,8 @@
 }
 
 // unhealthyOf returns which endpoints of one service are unhealthy. If too many are,
-// only those with the highest failure ratios count, as a fault of the nodes or of what
-// is behind all endpoints is likelier then.
+// only those with the highest failure ratios count: a fault of the proxies, or of something
+// that all endpoints depend on, is then more likely than one of each endpoint.
 func (d *OutlierDetector) unhealthyOf(ids []string) map[string]bool {
 	var failing []string
 	for _, id := range ids {
--- a/loadbalance/picker.go
+++ b/loadbalance/picker.go
@@ -6,8 +6,8 @@
 )
 
 // choicesPerDistance is how many endpoints at one distance are compared (the power
-// of d choices). Of equally full ones that with an idle connection is taken, so that
-// each node keeps to a subset of the endpoints without a connection to each of them.
+// of d choices). Of equally loaded ones, that with an idle connection is taken, so that
+// each node uses a subset of the endpoints and needs no connection to each of them.
 const choicesPerDistance = 3
 
 // probeProbability is the chance of a pick to probe an endpoint whose ejection time
@@ -44,8 +44,8 @@
 	return c.endpoints[min(sort.SearchFloat64s(c.cumulativeWeights, x), len(c.endpoints)-1)]
 }
 
-// leastLoaded draws choicesPerDistance endpoints and returns the one that is least
-// full. The set must not be empty.
+// leastLoaded draws choicesPerDistance endpoints and returns the one with the
+// lowest load relative to its capacity. The set must not be empty.
 func (c *candidateSet) leastLoaded(random func() float64) *Endpoint {
 	best := c.sample(random)
 	for range choicesPerDistance - 1 {
@@ -66,8 +66,8 @@
 // excludes endpoints that have been attempted. The result is nil if no endpoint can
 // take a request.
 //
-// With many nodes, what one of them has in flight at an endpoint says little about
-// how full that is, and all of them would overload the fastest endpoints. So each
+// With many nodes, what one of them has in flight at an endpoint is a poor estimate
+// of its load, and all of them would overload the fastest endpoints. So each
 // distance offers the least loaded of a few endpoints, drawn by latency and capacity,
 // and Pick takes the cheapest of these offers.
 func (p *Pool) Pick(now time.Duration, random func() float64, skip func(*Endpoint) bool) *Endpoint {
@@ -115,7 +115,7 @@
 }
 
 // weight returns the weight of an endpoint among those at its distance: its
-// throughput, with more for the faster ones while there is room.
+// throughput, with more for the faster ones while slots are free; see SetUtilization.
 func (p *Pool) weight(now time.Duration, e *Endpoint) float64 {
 	latency := e.latencyFactor(now)
 	weight := float64(e.Capacity) / latency * (1 + p.fastBias*(1/(latency*latency)-1))
--- a/loadbalance/pool.go
+++ b/loadbalance/pool.go
@@ -26,13 +26,13 @@
 	// IdleConnections is how many idle connections this node has to the endpoint.
 	// The owner of the connections sets it.
 	IdleConnections int
-	// VersionGroup says whether the endpoint's version may receive requests.
+	// VersionGroup is the group of the endpoint's version; see Versions.
 	VersionGroup VersionGroup
 	// InRolloutSubset reports whether the endpoint is one of those that serve the
 	// share of a target version under roll-out.
 	InRolloutSubset bool
 
-	// What every Pick reads of every endpoint stands together.
+	// The fields that Pick reads of every endpoint are adjacent, for locality in the cache.
 	distance        distance
 	zoneState       ZoneState
 	unhealthy       bool    // by the verdict of all nodes together
@@ -54,7 +54,7 @@
 // Inflight returns how many requests of this node are in flight at the endpoint.
 func (e *Endpoint) Inflight() int { return e.inflight }
 
-// IsWithdrawn reports whether the endpoint drains or has left the registry.
+// IsWithdrawn reports whether the endpoint is draining or was deleted from the registry.
 func (e *Endpoint) IsWithdrawn() bool { return e.removed || e.Draining }
 
 // isExcluded reports whether no request at all may be sent to the endpoint.
@@ -85,7 +85,7 @@
 	byID           map[string]*Endpoint
 	peerCount      int // nodes that share the endpoints, at least 1
 	maxConnections int // that an endpoint takes from all nodes; 0: unlimited
-	// warmupRate is how many requests per second an endpoint bears that warms up;
+	// warmupRate is how many requests per second an endpoint can serve while it warms up;
 	// 0: unlimited.
 	warmupRate float64
 	zoneStates map[string]ZoneState
@@ -119,7 +119,7 @@
 
 // SlotsAndInflight returns how many requests the endpoints that may be picked work
 // on at once, and how many of this node are in flight there. Requests that hang at
-// an ejected endpoint say nothing about how full the others are. While two versions
+// an ejected endpoint are not counted, as they take no slot of the others. While two versions
 // receive requests, the slots are those of the version with the larger share.
 func (p *Pool) SlotsAndInflight(now time.Duration) (slots, inflight int) {
 	counted := BaseVersion
@@ -194,7 +194,7 @@
 
 // Finish records the outcome of a request that Pick sent to an endpoint. If ok is
 // false, the endpoint is ejected. latencyRatio is the time to the answer divided by
-// the usual one of its route, or 0 if the time says nothing about the endpoint.
+// the usual one of its route, or 0 if the time is no measure of the endpoint's latency.
 func (p *Pool) Finish(now time.Duration, e *Endpoint, ok bool, latencyRatio float64) {
 	e.inflight--
 	e.ejection.endProbe()
@@ -212,7 +212,7 @@
 	}
 }
 
-// Bounds on one latency sample, so that a single answer does not decide.
+// Bounds on one latency sample, so that a single response does not dominate the mean.
 const (
 	maxReportedLatencyRatio = 8
 	maxLearnedLatencyRatio  = 4
--- a/loadbalance/quota.go
+++ b/loadbalance/quota.go
@@ -54,11 +54,11 @@
 	return b.tokens >= 1
 }
 
-// QuotaAllocator divides what endpoints bear while they warm up among the nodes that
+// QuotaAllocator divides the rate that endpoints can serve while they warm up among the nodes that
 // send to them (distributed rate limiting by leases).
 //
-// A grant counts until it has surely expired at its holder, even if the holder is not
-// heard of again, and what counts for an endpoint never exceeds its bound. An allocator
+// A grant counts until it has certainly expired at its holder, even if the holder never
+// reports again, and what counts for an endpoint never exceeds its bound. An allocator
 // that has just taken over does not know the grants of its predecessor, so it grants
 // nothing before those have expired. It is not safe for concurrent use.
 type QuotaAllocator struct {
@@ -80,7 +80,7 @@
 // WarmingEndpoint is an endpoint that warms up, as the allocator sees it.
 type WarmingEndpoint struct {
 	ID   string
-	Rate float64 // requests per second that it bears
+	Rate float64 // requests per second that it can serve
 	// MaxPerSecond is the number of requests that it may get in any second.
 	MaxPerSecond float64
 	// Proxies are the nodes that may send to it.
--- a/loadbalance/versions.go
+++ b/loadbalance/versions.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// VersionGroup says whether the version of an endpoint may receive requests.
+// VersionGroup is whether the version of an endpoint may receive requests, and which.
 type VersionGroup uint8
 
 const (
@@ -31,7 +31,7 @@
 	return "unknown"
 }
 
-// Versions says which versions of a service may receive requests. In the zero value
+// Versions are the versions of a service that may receive requests. In the zero value
 // all may.
 type Versions struct {
 	Known  bool // false: all versions are in use
@@ -56,7 +56,8 @@
 // has to carry what it will when all requests have moved: a fault that shows only under
 // load shows there.
 const (
-	// subsetOverload is how much more than its part an endpoint of the subset gets.
+	// subsetOverload is the load of an endpoint of the subset, relative to the one that it
+	// will have after the roll-out.
 	subsetOverload = 1.25
 	// minSubsetSize is the least size of the subset, as one endpoint may be unhealthy
 	// by itself.
