--- a/config/configuration.go
+++ b/config/configuration.go
@@ -2,7 +2,7 @@
 // in Go, and its validation. Package routing compiles it into a route table.
 package config
 
-// Configuration is what the operator sends. A configuration replaces the one in force
+// Configuration is a configuration as the operator sends it. It replaces the one in force
 // if its version is higher.
 type Configuration struct {
 	Version   uint64     `json:"config_version"`
@@ -35,7 +35,7 @@
 	Action               RouteAction `json:"action"`
 }
 
-// RouteType says which requests of a route are idempotent.
+// RouteType is what the requests of a route have in common: whether they are idempotent.
 type RouteType string
 
 // The route types. Requests of idempotent and download routes may be sent more than
@@ -47,13 +47,14 @@
 	RouteUpload        RouteType = "upload"
 )
 
-// RouteMatch says which requests a route takes.
+// RouteMatch is the condition under which a route matches a request: the prefix of its path,
+// byte by byte. Of several matching routes of one host the longest prefix wins.
 type RouteMatch struct {
 	Prefix string `json:"path_prefix"`
 }
 
-// RouteAction says where the requests of a route go: to Service, or if it is not empty
-// to those of Split by their weights.
+// RouteAction is how the requests of a route are forwarded: to Service or, if Split is not
+// empty, to the services of Split by their weights.
 type RouteAction struct {
 	Service        string       `json:"backend_service"`
 	Split          []BackendRef `json:"traffic_split"`
@@ -75,8 +76,9 @@
 	Name           string  `json:"name"`
 	HealthPath     string  `json:"health_check_path"`
 	MaxConnections float64 `json:"max_connections"`
-	// WarmupSeconds is how long an endpoint is slow after its start, and
-	// WarmupRatePerSecond how many requests it bears until then. 0 means no limit.
+	// WarmupSeconds is how long an endpoint warms up after its start, and
+	// WarmupRatePerSecond how many requests per second it can serve meanwhile; 0 means
+	// no limit.
 	WarmupSeconds       float64 `json:"cold_start_s"`
 	WarmupRatePerSecond float64 `json:"cold_rate_s"`
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is what the long-running programs share: the command line, the settings file,
+// Package daemon has what the long-running programs share: the command line, the settings file,
 // signals and exit codes.
 //
 // Main runs a program's body, a RunFunc, on the goroutine of its caller, and two goroutines beside
@@ -32,9 +32,9 @@
 // Version is the version of all programs.
 const Version = "0.1.0"
 
-// Signals is what the platform tells a running program.
+// Signals carries the signals of the platform to a running program.
 type Signals struct {
-	// Stop is closed when the program has to end in order (SIGTERM, SIGINT). A proxy then
+	// Stop is closed when the program has to shut down gracefully (SIGTERM, SIGINT). A proxy then
 	// calls proxy.Frontend.Shutdown; a core node controlplane.Node.PrepareShutdown,
 	// api.Shutdown and Node.Close; a relay api.Shutdown.
 	Stop chan struct{}
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -55,15 +55,16 @@
 }
 
 // reload reads the file and publishes its settings if they are new and valid. A file that cannot be
-// read is reported only if the reload was asked for, as it may be in the middle of a change.
-func (w *settingsWatcher) reload(wasAskedFor bool) {
+// read is reported only if the reload was requested by SIGHUP, as it may otherwise be in the middle of
+// a change.
+func (w *settingsWatcher) reload(isRequested bool) {
 	info, statErr := os.Stat(w.path)
-	if statErr == nil && !wasAskedFor && info.ModTime().Equal(w.modTime) {
+	if statErr == nil && !isRequested && info.ModTime().Equal(w.modTime) {
 		return
 	}
 	text, err := os.ReadFile(w.path)
 	if err != nil {
-		if wasAskedFor {
+		if isRequested {
 			w.log.Error("settings cannot be read, the old ones stay", "error", err)
 		}
 		return
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -2,8 +2,8 @@
 //
 // A process that follows the control plane knows the seed nodes of its settings and, once it has
 // followed a node, the members of the core with their zones. A Locator holds both and ranks them
-// by locality. It does not connect to any: the proxy and the relay do, and hand back what they are
-// told in bookmarks.
+// by locality. It does not connect to any: the proxy and the relay do, and pass the members that
+// bookmarks list to UpdateNodes.
 package discovery
 
 import (
@@ -24,7 +24,7 @@
 
 	mu    sync.Mutex
 	seeds []string                // API addresses
-	nodes []transport.ControlNode // replaced as a whole
+	nodes []transport.ControlNode // members of the core; never modified, only replaced
 }
 
 // NewLocator returns a locator that knows the seed nodes of the settings only. Its own location is
@@ -73,7 +73,7 @@
 	return ""
 }
 
-// Candidates returns the internal addresses of all known nodes in the order in which to try them:
+// Candidates returns the internal addresses of all known nodes in the order in which to connect:
 // the nearest first, those at the same distance in random order, seed nodes of unknown location
 // after all members. The address avoid comes last if it is known.
 func (l *Locator) Candidates(avoid string) []string {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,12 +40,11 @@
 	DiskMB float64 `toml:"disk_mb"`
 }
 
-// Bounds are the figures of the guarantees that a deployment is held to. Time-outs are derived
-// from them. Some are not used by any program; they are read so that the settings are validated
-// as a whole.
+// Bounds are the figures of the guarantees that a deployment must meet. Time-outs are derived from
+// them. Some are not used by any program; they are read so that all settings are validated.
 type Bounds struct {
 	// SeedReload is how old the list of seed nodes in the file may be. The file is read again
-	// as often.
+	// at this interval.
 	SeedReload Seconds `toml:"seed_lag_s"`
 	// AddressReuse is how long the address of an endpoint that ended is not given to another.
 	AddressReuse Seconds `toml:"address_reuse_s"`
@@ -77,29 +76,31 @@
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
 	// RetryBudgetWindow is the window in which retries are counted.
 	RetryBudgetWindow Seconds `toml:"budget_window_s"`
-	// RetryBudgetSlack is how many retries a service may get in a window besides.
+	// RetryBudgetSlack is how many retries a service may get in a window in addition to
+	// RetryBudgetRatio.
 	RetryBudgetSlack float64 `toml:"retry_budget_slack"`
-	// Recovery is the time until requests are served again after a loss of all machines.
+	// Recovery is how long after the return of lost machines requests may stay unserved.
 	Recovery Seconds `toml:"recovery_s"`
-	// HistoryRetention is how long the events of a watch are held.
+	// HistoryRetention is how long the events of a watch are kept.
 	HistoryRetention Seconds `toml:"history_retention_s"`
-	// LockRelease is how long after its lease a lock may stay refused.
+	// LockRelease is how long after the end of its lease a lock may still not be granted to another.
 	LockRelease Seconds `toml:"release_s"`
 	// SlowStartOvershoot is how many times the rate that it can carry an endpoint in slow start
 	// may get. 0 means that slow start is not coordinated between proxies.
 	SlowStartOvershoot float64 `toml:"cold_overshoot"`
-	// SlowStartSlack is how many requests a second such an endpoint may get besides.
+	// SlowStartSlack is how many requests a second such an endpoint may get in addition.
 	SlowStartSlack float64 `toml:"cold_slack"`
 	// ZoneEvacuation is how long the evacuation of a zone may take.
 	ZoneEvacuation Seconds `toml:"evacuation_s"`
 	// MaxTTL is how long clients use an answer of the directory at most.
 	MaxTTL Seconds `toml:"ttl_max_s"`
-	// ExposureRatio is the share of requests that a version on trial may get.
+	// ExposureRatio is the share of requests that a bad target version may get until the deadline
+	// of its roll-out.
 	ExposureRatio float64 `toml:"exposure_ratio"`
-	// ExposureSlack is how many requests such a version may get besides.
+	// ExposureSlack is how many requests such a version may get in addition.
 	ExposureSlack float64 `toml:"exposure_slack"`
-	// RolloutRollback is the time within which a roll-out has to be taken back that shows a
-	// fault.
+	// RolloutRollback is the time within which a roll-out that shows a fault has to be rolled
+	// back.
 	RolloutRollback Seconds `toml:"rollback_s"`
 }
 
@@ -109,7 +110,7 @@
 	TenantByHost map[string]string `toml:"hosts"`
 	// TenantHeader is the request header that names the tenant where TenantByHost does not.
 	TenantHeader string `toml:"tenant_header"`
-	// UnknownTenant stands for all other requests, by default DefaultUnknownTenant.
+	// UnknownTenant is the tenant recorded for all other requests, by default DefaultUnknownTenant.
 	UnknownTenant string `toml:"unknown_tenant"`
 	// RequestHeader is the header by which the attempts of a client at one request are known.
 	// If it is empty, each attempt is a request of its own.
@@ -130,7 +131,7 @@
 	Readiness string `toml:"readiness"`
 	// Control is where a control-plane node serves its HTTP API.
 	Control string `toml:"control_plane"`
-	// Directory is where a control-plane node tells clients which proxies to connect to.
+	// Directory is where a control-plane node answers clients which proxies to connect to.
 	Directory string `toml:"directory"`
 }
 
@@ -146,7 +147,7 @@
 // proxy to connect to.
 const EntryTypeDirectory = "directory"
 
-// guaranteeRollout is the guarantee under which versions of a service are told apart.
+// guaranteeRollout is the guarantee under which requests are routed by the version of an endpoint.
 const guaranteeRollout = "rollout"
 
 // Settings are the settings of one process.
@@ -169,7 +170,7 @@
 	SeedNodes []string `toml:"seed_nodes"`
 	// Bootstrap is set at the first start of a deployment, when all disks are empty.
 	Bootstrap bool `toml:"bootstrap"`
-	// QuorumMember says that the machine counts in FaultTolerance.
+	// QuorumMember is true if the machine counts in FaultTolerance.
 	QuorumMember bool `toml:"quorum_member"`
 	// DataDirectory is the directory for durable state. It is empty on a machine without a
 	// disk.
@@ -188,8 +189,8 @@
 	Guarantees []string `toml:"guarantees"`
 }
 
-// HasRollouts reports whether versions of a service are told apart: requests go to the version in
-// use, and to another one only by order of a roll-out.
+// HasRollouts reports whether requests are routed by the version of an endpoint: to the base
+// version, and to another one only during a roll-out to it.
 func (s *Settings) HasRollouts() bool { return slices.Contains(s.Guarantees, guaranteeRollout) }
 
 // InternalAddr returns the internal address (IP:port) of a control-plane node, given any address of
--- a/internal/settings/timeouts.go
+++ b/internal/settings/timeouts.go
@@ -6,13 +6,13 @@
 //
 //	min(drain_s, config_apply_s)
 //
-// How often a stream to a proxy shows that it is alive, and how long its silence is borne, are
-// fractions of it.
+// The interval of the bookmarks on a stream to a proxy, and the time without a frame after which
+// the stream counts as lost, are fractions of it.
 func (s *Settings) PropagationBound() time.Duration {
 	return min(s.Bounds.DrainApply.Duration(), s.Bounds.ConfigApply.Duration())
 }
 
-// RolloutLease is how long a proxy goes on sending requests to a version on trial without hearing
+// RolloutLease is how long a proxy goes on sending requests to the target version without a bookmark
 // from a control-plane node that is up to date:
 //
 //	max(PropagationBound / 2, rollback_s / 5)
--- a/routing/route.go
+++ b/routing/route.go
@@ -11,7 +11,7 @@
 	// Index is the index of the route in Table.Routes.
 	Index  int
 	Name   string
-	Prefix string // of the path
+	Prefix string // of the path, matched byte by byte and not by segments
 	Type   config.RouteType
 	// Idempotent reports whether a request may be sent more than once, by the type of
 	// the route.
