--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// followNode receives the bookmarks of a core node, which prove that it is in touch,
-// and makes it the target of calls. It returns when the node is silent, is no member,
-// or a nearer one is known. lost reports whether the node was the target and is to be
+// followNode receives the bookmarks of a core node, which prove that it is up to
+// date, and makes it the target of calls. It returns when the node is silent, is no
+// member, or a nearer one is known. lost reports whether the node was the target and is to be
 // avoided.
 func (r *relay) followNode(ctx context.Context, addr string) (lost bool) {
 	silence := r.timeouts.silence
@@ -62,11 +62,11 @@
 		r.locator.UpdateNodes(bookmark.Control)
 		apiAddress := r.locator.APIAddress(addr)
 		if apiAddress == "" {
-			return isTarget // it is no member, or not yet
+			return isTarget // the node is not a member, or not yet
 		}
 		if !isTarget {
 			isTarget = true
-			r.log.Info("passing calls on", "to", apiAddress)
+			r.log.Info("forwarding calls", "to", apiAddress)
 			client := r.newCoreClient(apiAddress)
 			defer client.CloseIdleConnections()
 			r.target.Store(client)
@@ -81,10 +81,11 @@
 // maxCoreConnections bounds the connections to a core node, and so the calls in flight.
 const maxCoreConnections = 1000
 
-// maxStaleConnections bounds how many idle connections that have ended a call may meet.
+// maxStaleConnections bounds how many idle connections that the core node has closed one call may
+// be attempted on.
 const maxStaleConnections = 8
 
-// newCoreClient returns a client of a core node that passes calls on as they are.
+// newCoreClient returns a client of a core node that forwards calls unchanged.
 func (r *relay) newCoreClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                          address,
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -11,9 +11,9 @@
 )
 
 // maxForwardedBytes bounds the body of a call that is forwarded. A configuration of
-// 400 KB blocks a link of 4 Mbit/s for a second on its way out again, and every small
-// call behind it. So its caller is redirected to the core, with the call and to fetch
-// it.
+// 400 KB occupies a link of 4 Mbit/s for about a second when it is forwarded, and delays
+// every small call behind it. So a caller with a larger body, or one that reads the
+// configuration, is redirected to the core.
 const maxForwardedBytes = 16 << 10
 
 // handle serves one call.
@@ -21,7 +21,7 @@
 	switch string(ctx.Path()) {
 	case "/metrics":
 		ctx.SetContentType("text/plain; version=0.0.4")
-		ctx.SetBody(api.RenderMetrics(r.board))
+		ctx.SetBody(api.RenderMetrics(r.metrics))
 		return
 	case "/api/readiness":
 		return
@@ -55,7 +55,7 @@
 	// The client uses the buffers of the caller, and only until it returns.
 	err := target.DoTimeout(&ctx.Request, &ctx.Response, timeout)
 	if err != nil {
-		ctx.Response.Reset() // it may hold a part of an answer
+		ctx.Response.Reset() // it may contain a part of a response
 	}
 	ctx.Response.Header.Del("Connection")
 	switch {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
 // Package relay is a control-plane node on a machine without a disk, beside core nodes
-// that have disks. It stores nothing, and forwards calls to a core node that is in
-// touch, the nearest if possible.
+// that have disks. It stores nothing, and forwards calls to a core node that is up
+// to date, the nearest if possible.
 //
 // It forwards instead of redirecting, as a redirect costs the caller a round trip more to
 // a node that may be far away (measured in docs/notes/placement.md). Only what is too
@@ -39,10 +39,12 @@
 	timeouts timeouts
 	log      *slog.Logger
 	locator  *discovery.Locator
-	board    *metrics.Registry
+	metrics  *metrics.Registry
 
-	target       atomic.Pointer[fasthttp.HostClient] // nil: no core node is in touch
-	coreDiskless chan struct{}                       // closed when a core node says so
+	// target is the client of the core node that is followed; nil if none is up to date.
+	target atomic.Pointer[fasthttp.HostClient]
+	// coreDiskless is closed when a core node reports that no core machine has a disk.
+	coreDiskless chan struct{}
 
 	forwarded      *metrics.Counter
 	redirected     *metrics.Counter // callers sent to the core, see mustRedirect
@@ -57,10 +59,10 @@
 	// contact is how long a core node is followed at the least before a nearer one
 	// is preferred.
 	contact time.Duration
-	// silence is how long a core node may be silent and still be in touch: 3/10 of
+	// silence is how long a core node may be silent and still count as up to date: 3/10 of
 	// the time in which a change has to reach every node.
 	silence time.Duration
-	// retry is the pause before the core nodes are tried again.
+	// retry is the pause before the core nodes are attempted again.
 	retry time.Duration
 	// shutdown is how long calls in flight may take to end.
 	shutdown time.Duration
@@ -80,18 +82,18 @@
 }
 
 func newRelay(set *settings.Settings, log *slog.Logger) *relay {
-	board := metrics.NewRegistry()
+	registry := metrics.NewRegistry()
 	return &relay{
 		nodeName:       set.NodeName,
 		timeouts:       newTimeouts(set),
 		log:            log,
 		locator:        discovery.NewLocator(set),
-		board:          board,
+		metrics:        registry,
 		coreDiskless:   make(chan struct{}),
-		forwarded:      board.Counter("relay_forwarded_total"),
-		redirected:     board.Counter("relay_redirected_total"),
-		unavailable:    board.Counter("relay_unavailable_total"),
-		outcomeUnknown: board.Counter("relay_outcome_unknown_total"),
+		forwarded:      registry.Counter("relay_forwarded_total"),
+		redirected:     registry.Counter("relay_redirected_total"),
+		unavailable:    registry.Counter("relay_unavailable_total"),
+		outcomeUnknown: registry.Counter("relay_outcome_unknown_total"),
 	}
 }
 
@@ -101,7 +103,7 @@
 	r := newRelay(set, log)
 	var running sync.WaitGroup
 	defer running.Wait()
-	calls, err := api.Listen(set.Listen.Control, r.board)
+	calls, err := api.Listen(set.Listen.Control, r.metrics)
 	if err != nil {
 		return err
 	}
@@ -148,8 +150,8 @@
 	}
 }
 
-// announceCore sends the addresses of the core to a process that takes this relay for a
-// core node.
+// announceCore sends the addresses of the core to a process that has this relay among its
+// seeds.
 func (r *relay) announceCore(raw net.Conn) {
 	defer raw.Close()
 	conn, _, err := transport.Accept(raw, r.timeouts.silence)
