--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -41,16 +41,17 @@
 	return runCore(set, log, sig)
 }
 
-// startsAsRelay reports whether the node stores nothing. Beside a core that has disks, a
-// node without one does not. Whether the core has disks, a node learns from the core
-// node that it follows; at the very first start the seeds are the core.
+// startsAsRelay reports whether the node stores nothing. A node without a disk
+// begins as a relay, and joins the core if the core node that it follows reports that no core
+// machine has a disk. At the first start of a deployment the seeds are the core.
 func startsAsRelay(set *settings.Settings) bool {
 	isFirstCore := set.Bootstrap && slices.Contains(set.SeedNodes, set.Listen.Control)
 	return set.DataDirectory == "" && !set.QuorumMember && !isFirstCore
 }
 
-// Memory is limited to a part of what the machine grants, as the Go runtime is not the
-// only user of it. A collection begins when the heap has grown by the given percentage.
+// The memory limit of the Go runtime is memoryShare of the limit in the settings, as the
+// runtime is not the only user of the process's memory. A collection begins when the heap
+// has grown by the given percentage.
 const (
 	memoryShare    = 0.7
 	coreGCPercent  = 75
@@ -71,19 +72,19 @@
 	if err := config.CompileSchema(); err != nil {
 		return err
 	}
-	board := metrics.NewRegistry()
-	node, err := controlplane.Start(set, log, board)
+	metricsRegistry := metrics.NewRegistry()
+	node, err := controlplane.Start(set, log, metricsRegistry)
 	if err != nil {
 		return err
 	}
 	defer node.Close()
 	failed := make(chan error, 2)
-	calls, err := serveCalls(set, node, board, failed)
+	calls, err := serveCalls(set, node, metricsRegistry, failed)
 	if err != nil {
 		return err
 	}
 	if set.Listen.Directory != "" {
-		if err := serveDirectory(set, node, board, failed); err != nil {
+		if err := serveDirectory(set, node, metricsRegistry, failed); err != nil {
 			return err
 		}
 	}
@@ -95,7 +96,8 @@
 			node.SetSeeds(changed.SeedNodes)
 		case <-sig.Stop:
 			log.Info("stopping")
-			// Two thirds at the most; the rest is for a slow machine.
+			// The two steps take two thirds of the grace period at most; the rest is reserve on a
+			// slow machine.
 			step := set.Bounds.GracePeriod.Duration() / 3
 			node.PrepareShutdown(step)
 			api.Shutdown(calls, step)
@@ -111,9 +113,9 @@
 func (n statusNode) Status() any { return n.Node.Status() }
 
 // serveCalls begins to serve the API of the control plane.
-func serveCalls(set *settings.Settings, node *controlplane.Node, board *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
-	handler := api.NewHandler(statusNode{node}, board, set.Bounds.HistoryRetention.Duration())
-	listener, err := api.Listen(set.Listen.Control, board)
+func serveCalls(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
+	handler := api.NewHandler(statusNode{node}, metricsRegistry, set.Bounds.HistoryRetention.Duration())
+	listener, err := api.Listen(set.Listen.Control, metricsRegistry)
 	if err != nil {
 		return nil, fmt.Errorf("control_plane: %w", err)
 	}
@@ -122,14 +124,14 @@
 	return server, nil
 }
 
-// serveDirectory begins to serve the directory. Its server ends with the process: it
-// answers until then, from what the node holds.
-func serveDirectory(set *settings.Settings, node *controlplane.Node, board *metrics.Registry, failed chan<- error) error {
-	listener, err := api.Listen(set.Listen.Directory, board)
+// serveDirectory begins to serve the directory. Its server ends with the process: until
+// then it answers from the node's replica of the registry.
+func serveDirectory(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry, failed chan<- error) error {
+	listener, err := api.Listen(set.Listen.Directory, metricsRegistry)
 	if err != nil {
 		return fmt.Errorf("directory: %w", err)
 	}
-	serve(api.NewServer(api.NewDirectory(node, board).Serve, maxDirectoryBody), listener, failed)
+	serve(api.NewServer(api.NewDirectory(node, metricsRegistry).Serve, maxDirectoryBody), listener, failed)
 	return nil
 }
 
--- a/cmd/lichentray-proxy/main.go
+++ b/cmd/lichentray-proxy/main.go
@@ -1,5 +1,5 @@
-// Command lichentray-proxy is the proxy node: it takes requests from clients and sends
-// them to the endpoints that the registry knows.
+// Command lichentray-proxy is the proxy node: it takes requests from clients and
+// forwards them to the endpoints in the registry.
 package main
 
 import (
@@ -38,13 +38,13 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
-	board := metrics.NewRegistry()
-	p := proxy.New(set, log, board)
-	readiness, err := api.Listen(set.Listen.Readiness, board)
+	metricsRegistry := metrics.NewRegistry()
+	p := proxy.New(set, log, metricsRegistry)
+	readiness, err := api.Listen(set.Listen.Readiness, metricsRegistry)
 	if err != nil {
 		return fmt.Errorf("readiness: %w", err)
 	}
-	clients, err := api.Listen(set.Listen.Frontend, board)
+	clients, err := api.Listen(set.Listen.Frontend, metricsRegistry)
 	if err != nil {
 		return fmt.Errorf("frontend: %w", err)
 	}
--- a/cmd/lichentrayctl/account.go
+++ b/cmd/lichentrayctl/account.go
@@ -26,7 +26,7 @@
 	fs.IntVar(&f.filter.Limit, "most", defaultAccountLimit, "")
 }
 
-// resolve returns the filter that the flags stand for.
+// resolve validates the flags and returns the filter that they describe.
 func (f *accountFlags) resolve() (audit.Filter, error) {
 	filter := f.filter
 	var err error
@@ -113,7 +113,7 @@
 	}
 }
 
-// printMissingRecords says which failures the audit log may lack.
+// printMissingRecords prints which failures may be missing from the audit log.
 func printMissingRecords(w io.Writer, r *audit.QueryResult) {
 	for _, id := range slices.Sorted(maps.Keys(r.Gaps)) {
 		g := r.Gaps[id]
--- a/cmd/lichentrayctl/client.go
+++ b/cmd/lichentrayctl/client.go
@@ -47,8 +47,8 @@
 // Unwrap returns the cause.
 func (e *callError) Unwrap() error { return e.err }
 
-// query asks one node after the other until one answers. Only calls that change
-// nothing may be sent so.
+// query asks one node after the other until one answers. Only calls that
+// change nothing may be sent with it, as several nodes may process them.
 func (c *client) query(call string, body []byte) ([]byte, error) {
 	var last error
 	for time.Now().Before(c.deadline) {
@@ -74,8 +74,8 @@
 }
 
 // submit sends a command to one node after the other until one acknowledges it, and
-// returns that node. Commands are idempotent. If no node does, the error says whether
-// the command may be in force.
+// returns that node. Commands are idempotent. If no node does, the exit code of the
+// error is exitOutcomeUnknown if the command may be in force.
 func (c *client) submit(call string, body []byte) (node string, err error) {
 	var last error
 	mayBeInForce := false
@@ -92,7 +92,7 @@
 			case isRejection(r.status):
 				return "", exitErrorf(exitInvalid, "%s refused it with %d: %s", node, r.status, r.body)
 			default:
-				mayBeInForce = mayBeInForce || !isUndone(r.status)
+				mayBeInForce = mayBeInForce || !isUnprocessed(r.status)
 				last = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
 			}
 		}
@@ -104,14 +104,14 @@
 	return "", exitErrorf(exitFailed, "no node took the order: %v", last)
 }
 
-// isRejection reports whether a status says that the command is wrong, so that no
-// other node would take it.
+// isRejection reports whether a status means that the command itself is invalid, so that no
+// other node would accept it.
 func isRejection(status int) bool {
 	return status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// isUndone reports whether a status says that the command was not processed.
-func isUndone(status int) bool {
+// isUnprocessed reports whether a status promises that the command was not processed.
+func isUnprocessed(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
--- a/examples/endpoint/main.go
+++ b/examples/endpoint/main.go
@@ -90,7 +90,7 @@
 	fmt.Fprintf(w, "%s answers %s %s\n", e.id, r.Method, r.RequestURI)
 }
 
-// heartbeat tells the control plane the state of the endpoint, and reports whether it
+// heartbeat reports to the control plane the state of the endpoint, and reports whether it
 // was acknowledged.
 func (e *endpoint) heartbeat(state string) bool {
 	e.sequence++
--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -1,4 +1,4 @@
-// Command scale measures the control plane at a size that one machine bears (scale
+// Command scale measures the control plane at the size that one machine can run (scale
 // test with hollow nodes): real control-plane nodes and proxy nodes as processes, and
 // beside them hollow proxies and endpoints that share this process. A hollow proxy
 // lists, watches and reports as a real one does, but keeps no objects; a hollow
@@ -64,7 +64,7 @@
 	flag.IntVar(&o.hollowEndpoints, "endpoints", 1000, "hollow endpoints")
 	flag.IntVar(&o.services, "services", 50, "services, with as many endpoints each")
 	flag.IntVar(&o.routes, "routes", 500, "routes")
-	flag.DurationVar(&o.heartbeatInterval, "beat", 5*time.Second, "interval of the endpoints' beats")
+	flag.DurationVar(&o.heartbeatInterval, "beat", 5*time.Second, "interval of the endpoints' heartbeats")
 	flag.DurationVar(&o.measuredTime, "span", 10*time.Second, "time measured over")
 	flag.IntVar(&o.configurationChanges, "changes", 10, "changes of the configuration")
 	flag.StringVar(&o.programDirectory, "bin", "target", "folder of the programs")
