--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -29,8 +29,8 @@
 	idleFor time.Duration
 }
 
-// dialUpstream connects to an endpoint. The connection ends when bytes sent on it are not
-// acknowledged for the time userTimeout.
+// dialUpstream connects to an endpoint. The connection fails when bytes sent on it are not
+// acknowledged within userTimeout (TCP_USER_TIMEOUT).
 func dialUpstream(addr string, timeout, userTimeout time.Duration) (*upstreamConn, error) {
 	dialer := net.Dialer{
 		Timeout: timeout,
@@ -71,8 +71,8 @@
 // close closes the connection.
 func (c *upstreamConn) close() { c.tcp.Close() }
 
-// isConnectionClosed reports whether an error is the end of a connection, and not, for
-// one, a time-out.
+// isConnectionClosed reports whether an error means that the peer closed or reset the
+// connection, in contrast to a time-out.
 func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// pop takes the idle connection used last, in whatever state; nil if there is none.
+// pop takes the idle connection used last, without a check of its state; nil if there is none.
 func (p *connPool) pop() *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +75,7 @@
 	p.idle = nil
 }
 
-// closeExpired closes the idle connections whose time is over.
+// closeExpired closes the idle connections that have expired.
 func (p *connPool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -135,7 +135,7 @@
 	beforeDeadline bool
 	// attemptsLeft: the route permits another attempt.
 	attemptsLeft bool
-	// budgetLeft: the retry budget bears a retry now. A retry withdraws from the budget
+	// budgetLeft: the retry budget has a token for a retry now. A retry withdraws from the budget
 	// only when it begins.
 	budgetLeft bool
 }
@@ -190,7 +190,7 @@
 		mayHaveExecuted: s.mayHaveExecuted || rule.mayHaveExecuted,
 	}
 	d.errorKind = failureKind(rule.errorKind, s.beforeDeadline, d.mayHaveExecuted)
-	// Where there is a response, a retry is a choice, and only one that the budget bears.
+	// Where there is a response, a retry is optional, and made only if the budget has a token for it.
 	isWorthwhile := s.budgetLeft || !rule.hasResponse
 	switch {
 	case rule.retry.permits(s.isIdempotent) && s.permitsRetry() && isWorthwhile:
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -153,7 +153,7 @@
 	s.pool.SetZoneState(zone, state)
 }
 
-// closeExpiredConnections closes the idle connections whose time is over.
+// closeExpiredConnections closes the idle connections that have expired.
 func (s *service) closeExpiredConnections(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,7 +247,7 @@
 	return s.retryBudget.TryWithdraw()
 }
 
-// hasRetryBudget reports whether the retry budget would bear a retry now.
+// hasRetryBudget reports whether the retry budget has a token for a retry now.
 func (s *service) hasRetryBudget() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -33,8 +33,8 @@
 
 // followNode receives the bookmarks of a core node, which prove that it is up to
 // date, and makes it the target of calls. It returns when the node is silent, is no
-// member, or a nearer one is known. lost reports whether the node was the target and is to be
-// avoided.
+// member, or a nearer one is known. lost reports whether the node was the target and is
+// to be avoided.
 func (r *relay) followNode(ctx context.Context, addr string) (lost bool) {
 	silence := r.timeouts.silence
 	conn, err := transport.Dial(ctx, addr, silence/2, transport.Hello{Role: transport.RoleRelay, Node: r.nodeName})
--- a/loadbalance/picker.go
+++ b/loadbalance/picker.go
@@ -92,7 +92,7 @@
 }
 
 // collectCandidates fills the candidate sets and returns the first endpoint whose
-// ejection time has passed and which may be probed, or nil.
+// ejection time has passed and which may be probed; nil if there is none.
 func (p *Pool) collectCandidates(now time.Duration, skip func(*Endpoint) bool) (probe *Endpoint) {
 	for i := range p.candidates {
 		p.candidates[i].reset()
--- a/loadbalance/pool.go
+++ b/loadbalance/pool.go
@@ -94,7 +94,7 @@
 	verdictsUntil      time.Duration
 	fastBias           float64 // preference for faster endpoints, from 0 to 1
 	versions           Versions
-	rolloutSubsetStale bool // InRolloutSubset of the endpoints has to be computed anew
+	rolloutSubsetStale bool // InRolloutSubset of the endpoints has to be recomputed
 }
 
 // NewPool returns a pool without endpoints.
