--- a/internal/proxy/finder.go
+++ b/internal/proxy/finder.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"math/rand"
-	"sync"
 	"time"
 
 	"lichentray/internal/transport"
@@ -36,8 +35,6 @@
 	// relays are those that referred to the core. They may be nearer than any core
 	// node, even on this machine, and would otherwise be asked first in every round.
 	relays map[string]bool
-	// openers are the goroutines that ask.
-	openers sync.WaitGroup
 }
 
 // openResult is the end of one attempt to open a stream.
@@ -49,11 +46,14 @@
 
 // findStream opens a stream of whichever control-plane node answers first. The node of the
 // address avoid is asked last. It returns nil when the context ends.
+//
+// It does not wait for the attempts at other nodes that it cancels: after a power failure
+// an attempt to connect may hang for a while, and the stream is needed at once. The
+// reflector waits for them when it stops.
 func (p *Proxy) findStream(ctx context.Context, avoid string, request transport.Request) *watchStream {
 	ctx, cancel := context.WithCancel(ctx)
-	f := newStreamFinder(p, request)
-	defer f.openers.Wait()
 	defer cancel()
+	f := newStreamFinder(p, request)
 	backoff := p.timeouts.dial / 4
 	for ctx.Err() == nil {
 		s, hasLearned := f.askCandidates(ctx, avoid)
@@ -104,8 +104,8 @@
 		}
 		if f.pending < maxConcurrentOpens {
 			f.pending++
-			f.openers.Add(1)
-			go f.open(ctx, addr, f.request)
+			request := f.request
+			f.proxy.openers.Go(func() { f.open(ctx, addr, request) })
 		}
 		s, err := f.await(ctx, f.hedgeDelay)
 		if s != nil {
@@ -127,7 +127,6 @@
 
 // open opens a stream and sends it to results, or closes it if the search has ended.
 func (f *streamFinder) open(ctx context.Context, addr string, request transport.Request) {
-	defer f.openers.Done()
 	s, err := f.proxy.openStream(ctx, addr, request, f.connectTimeout)
 	select {
 	case f.results <- openResult{addr: addr, stream: s, err: err}:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -47,6 +48,9 @@
 	// controlConn is the connection to the control-plane node that is followed; nil if
 	// there is none.
 	controlConn atomic.Pointer[transport.Conn]
+	// openers are the goroutines that open streams of control-plane nodes, also those of
+	// cancelled searches.
+	openers sync.WaitGroup
 
 	// regionIndex gives each region a dense index; ownRegion is this node's.
 	regionIndex map[string]int
--- a/internal/proxy/reflector.go
+++ b/internal/proxy/reflector.go
@@ -76,6 +76,7 @@
 		r.current.close()
 	}
 	r.searchers.Wait()
+	r.proxy.openers.Wait()
 }
 
 // currentFrames receives the frames of the current stream.
