--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -131,7 +131,7 @@
 			return fmt.Errorf("listener ended: %w", err)
 		case changed := <-sig.SettingsChanged:
 			node.SetSeeds(changed.SeedNodes)
-		case <-node.NotNeeded():
+		case <-node.JoinRejected():
 			servers.shutdown(step)
 			return errCoreHasDisks
 		case <-sig.Stop:
--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -22,7 +22,7 @@
 	if membership.IsMember(member.ID) {
 		return membership.WithDescription(member), nil
 	}
-	onDisk := countStorage(membership.AllMembers(), raft.StorageDisk)
+	onDisk := countByStorage(membership.AllMembers(), raft.StorageDisk)
 	if member.Storage != raft.StorageMemory || onDisk == 0 {
 		return membership.WithLearner(member), nil
 	}
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -19,10 +19,10 @@
 	"lichentray/watchcache"
 )
 
-// configurationFormat is a configuration by its version.
+// configurationFormat is a configuration whose version is the format's argument.
 const configurationFormat = `{"config_version":%d,"listeners":[],"clusters":[{"name":"s","health_check_path":"/health"}]}`
 
-// testCluster is a group of nodes on the loopback.
+// testCluster is a group of nodes on the loopback interface.
 type testCluster struct {
 	t                         *testing.T
 	dir                       string
@@ -32,8 +32,8 @@
 	configure                 func(*settings.Settings)
 }
 
-// newTestCluster starts n nodes, the first three of which are seeds. configure, if not
-// nil, changes the settings of each.
+// newTestCluster starts n nodes, the first three of which are seeds. configure, if not nil,
+// changes the settings of each node.
 func newTestCluster(t *testing.T, n int, configure func(*settings.Settings)) *testCluster {
 	c := &testCluster{t: t, dir: t.TempDir(), configure: configure}
 	for i := range n {
@@ -54,7 +54,7 @@
 
 func (c *testCluster) dataDirectory(i int) string { return filepath.Join(c.dir, fmt.Sprint(i)) }
 
-// start starts node i, or starts it anew on the disk that it had.
+// start starts node i, or restarts it on its existing store.
 func (c *testCluster) start(i int, bootstrap bool) {
 	c.t.Helper()
 	if err := os.MkdirAll(c.dataDirectory(i), 0o700); err != nil {
@@ -65,7 +65,7 @@
 		c.configure(set)
 	}
 	var err error
-	for range 100 { // the port may still be taken by the node that was closed
+	for range 100 { // the node that was closed may still hold the port
 		if c.nodes[i], err = Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry()); err == nil {
 			return
 		}
@@ -74,10 +74,10 @@
 	c.t.Fatal(err)
 }
 
-// stays is the check of a caller that does not leave.
-func stays() bool { return true }
+// isStillWaiting is the callerIsWaiting argument of a caller that waits until the time-out.
+func isStillWaiting() bool { return true }
 
-// eventually waits until ok reports true, far longer than that takes.
+// eventually waits until ok returns true. The limit is far longer than any condition needs.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -85,16 +85,16 @@
 			return
 		}
 	}
-	t.Fatal("never came: " + what)
+	t.Fatal("condition not met: " + what)
 }
 
-// storedObject returns an object as a node holds it, empty if it holds none.
+// storedObject returns an object from a node's store, or an empty object if there is none.
 func storedObject(n *Node, key string) (object registry.Object) {
 	n.state.view(func(r *replicatedState) { object, _ = r.store.Get(key) })
 	return object
 }
 
-// leader returns a node that leads, nil if there is none.
+// leader returns a node that leads, or nil if there is none.
 func (c *testCluster) leader() *Node {
 	for _, node := range c.nodes {
 		if node.Status().Role == raft.Leader.String() {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// watchAsProxy lists at a node as a proxy does, or resumes a watch there, up to the
+// watchAsProxy connects to a node as a proxy does, and lists or resumes a watch up to the
 // newest revision.
 func watchAsProxy(t *testing.T, addr string, m *watchcache.Mirror) (*transport.Conn, *watchcache.Mirror) {
 	t.Helper()
@@ -121,17 +121,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a := f.Answer; a != nil {
-			if a.Failed || a.Gone {
-				t.Fatalf("list or watch failed: %+v", a)
+		if answer := f.Answer; answer != nil {
+			if answer.Failed || answer.Gone {
+				t.Fatalf("list or watch failed: %+v", answer)
 			}
-			target = a.Revision
+			target = answer.Revision
 			if !m.HasSynced() {
-				objects, err := a.UnpackObjects()
+				objects, err := answer.UnpackObjects()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := m.Replace(a.Revision, objects); err != nil {
+				if err := m.Replace(answer.Revision, objects); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/controlplane/connection_server.go
+++ b/internal/controlplane/connection_server.go
@@ -149,7 +149,7 @@
 	case request.Command != nil:
 		return s.answerCommand(request)
 	case request.Read:
-		return s.proposer.answerAsLeader(request.ID, s.proposer.startReadIndex)
+		return s.proposer.handleAsLeader(request.ID, s.proposer.startReadIndex)
 	case request.Leave != 0:
 		return responseOf(request.ID, s.membership.approveLeave(request.Leave))
 	case request.Join != nil:
@@ -163,7 +163,7 @@
 	if err != nil {
 		return errorResponse(request.ID, apierror.New(apierror.BadRequest, "%v", err))
 	}
-	return s.proposer.answerAsLeader(request.ID, func(state *loopState, done chan<- outcome) string {
+	return s.proposer.handleAsLeader(request.ID, func(state *loopState, done chan<- outcome) string {
 		return s.proposer.startProposal(state, cmd, done)
 	})
 }
--- a/internal/controlplane/consensus_view.go
+++ b/internal/controlplane/consensus_view.go
@@ -7,17 +7,17 @@
 	"lichentray/raft"
 )
 
-// consensusStatus is what other goroutines need to know of the consensus state.
+// consensusStatus is the part of the consensus state that other goroutines need.
 type consensusStatus struct {
 	role       raft.Role
 	leaderAddr string // internal address, empty if no leader is known
-	// lastContact is raft.Node.LastQuorumContact: all that had been acknowledged
-	// anywhere by then is applied here.
+	// lastContact is raft.Node.LastQuorumContact: everything acknowledged by any node before
+	// then is applied on this node.
 	lastContact time.Duration
 	membership  raft.Membership
 }
 
-// consensusView holds the consensus state as the event loop last published it. Its
+// consensusView holds the consensus state most recently published by the event loop. Its
 // methods may be called from any goroutine.
 type consensusView struct {
 	env    *environment
@@ -37,16 +37,16 @@
 	return v.status
 }
 
-// isUpToDate reports whether this node holds all that was acknowledged anywhere up
-// to two election time-outs ago, so that others may count on it. A node that has
-// not been in contact since its start is not up to date, however recent the start.
+// isUpToDate reports whether this node holds everything that any node had acknowledged two
+// election time-outs ago, so that clients may rely on its state. A node that has had no quorum
+// contact since its start is not up to date, however recent the start is.
 func (v *consensusView) isUpToDate() bool {
 	lastContact := v.get().lastContact
 	return lastContact != 0 && v.env.now()-lastContact <= v.env.timing.upToDateWindow()
 }
 
-// sinceLastContact is for how long this node has not been in contact with a majority
-// or has not applied what the majority holds; at most the time since its start.
+// sinceLastContact returns how long this node has had no quorum contact or has not applied
+// everything that the majority holds. It is at most the time since the node's start.
 func (v *consensusView) sinceLastContact() time.Duration {
 	return v.env.now() - v.get().lastContact
 }
--- a/internal/controlplane/discovery_test.go
+++ b/internal/controlplane/discovery_test.go
@@ -12,7 +12,8 @@
 	"lichentray/internal/settings"
 )
 
-// isMember reports whether a node counts itself as a member of its group, which has others.
+// isMember reports whether a node is a member of a group with other members, according to its
+// own state.
 func isMember(n *Node) bool {
 	members := n.Status().Members
 	for _, m := range members {
@@ -23,25 +24,26 @@
 	return false
 }
 
-// TestJoinThroughAnnouncement: a new node whose seeds do not run joins all the same where the
-// members name it as a seed: they tell it where the core is.
+// TestJoinThroughAnnouncement guards against a new node that cannot join because none of its
+// seeds runs. Here the members have the node as a seed and announce the group to it.
 func TestJoinThroughAnnouncement(t *testing.T) {
 	cluster := newTestCluster(t, 3, nil)
-	const deadSeed, joins = "127.0.0.28", "127.0.0.29"
-	set := controlplanetest.Settings(t, joins, t.TempDir(), cluster.controlPort, cluster.internalPort, []string{deadSeed}, false)
+	const deadSeedIP, joinerIP = "127.0.0.28", "127.0.0.29"
+	set := controlplanetest.Settings(t, joinerIP, t.TempDir(), cluster.controlPort, cluster.internalPort, []string{deadSeedIP}, false)
 	node, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
 	for _, n := range cluster.nodes {
-		n.SetSeeds([]string{fmt.Sprintf("%s:%d", joins, cluster.controlPort)})
+		n.SetSeeds([]string{fmt.Sprintf("%s:%d", joinerIP, cluster.controlPort)})
 	}
 	eventually(t, "the node is a member", func() bool { return isMember(node) })
 }
 
-// TestNodeWithEmptiedDiskJoinsThroughPeers: a member that lost its disk and has no seed that runs
-// joins anew, as the other members still connect to it.
+// TestNodeWithEmptiedDiskJoinsThroughPeers guards against a member that lost its disk and
+// cannot rejoin because none of its seeds runs. It learns the addresses of the other members
+// from their connections to it.
 func TestNodeWithEmptiedDiskJoinsThroughPeers(t *testing.T) {
 	cluster := newTestCluster(t, 3, nil)
 	eventually(t, "a leader", func() bool { return cluster.leader() != nil })
--- a/internal/controlplane/diskless_seeds_test.go
+++ b/internal/controlplane/diskless_seeds_test.go
@@ -7,8 +7,8 @@
 	"lichentray/internal/settings"
 )
 
-// newClusterWithDisklessSeeds starts three seeds, of which the first ones have no disk, and three further
-// nodes that have one.
+// newClusterWithDisklessSeeds starts three seeds, the first disklessSeeds of which have no
+// disk, and three further nodes with disks.
 func newClusterWithDisklessSeeds(t *testing.T, disklessSeeds int) *testCluster {
 	return newTestCluster(t, 6, func(s *settings.Settings) {
 		for i := range disklessSeeds {
@@ -20,9 +20,10 @@
 	})
 }
 
-// TestConfigurationOutlastsSeedsWithoutDisk guards against an acknowledged configuration that is gone,
-// with the group, after a kill of all processes, as seeds without a disk kept their votes. It runs
-// whole nodes; the simulation of the same name has the many orders of events.
+// TestConfigurationOutlastsSeedsWithoutDisk guards against the loss of an acknowledged
+// configuration, and of the group, when all processes are killed and seeds without a disk had
+// kept their votes. It runs complete nodes; TestAcknowledgedChangeOutlastsSeedsWithoutDisk
+// covers many orders of events in simulation.
 func TestConfigurationOutlastsSeedsWithoutDisk(t *testing.T) {
 	for disklessSeeds := 1; disklessSeeds <= 3; disklessSeeds++ {
 		t.Run(fmt.Sprint(disklessSeeds, " seeds without a disk"), func(t *testing.T) {
@@ -44,14 +45,15 @@
 	}
 }
 
-// TestSeedsWithoutDiskAreNotNeeded guards against seeds without a disk that stay beside nodes with disks:
-// what they acknowledge, and what others are told of the core by them, ends with their processes.
-func TestSeedsWithoutDiskAreNotNeeded(t *testing.T) {
+// TestSeedsWithoutDiskAreRejected guards against seeds without a disk that remain members
+// beside nodes with disks. What they have acknowledged, and what they have announced of the
+// group, would be lost with their processes.
+func TestSeedsWithoutDiskAreRejected(t *testing.T) {
 	cluster := newClusterWithDisklessSeeds(t, 3)
 	for i := range 3 {
-		eventually(t, "a seed without a disk is not needed", func() bool { return isClosed(cluster.nodes[i].NotNeeded()) })
+		eventually(t, "a seed without a disk is rejected", func() bool { return isClosed(cluster.nodes[i].JoinRejected()) })
 	}
-	eventually(t, "the nodes with disks alone are members", func() bool {
+	eventually(t, "only the nodes with disks are members", func() bool {
 		leader := cluster.leader()
 		return leader != nil && len(leader.Status().Members) == 3
 	})
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -11,8 +11,8 @@
 	"lichentray/raft"
 )
 
-// environment is what every part of a node needs. After Start only isStopping changes.
-// It also owns the node's goroutines.
+// environment is what all components of a node share. After Start only isStopping changes. It
+// also manages the node's goroutines.
 type environment struct {
 	settings *settings.Settings
 	timing   Timing
@@ -20,26 +20,26 @@
 	metrics  *nodeMetrics
 	// startedAt is the origin of the node's clock.
 	startedAt time.Time
-	// incarnation is drawn at each start. It distinguishes the reports of a node before
-	// and after a restart.
+	// incarnation is a random number generated at each start. It distinguishes the reports of a
+	// node before and after a restart.
 	incarnation uint64
 	// self is this node as a member of the group.
 	self raft.Member
-	// ctx ends when the node is closed.
+	// ctx is cancelled when the node is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// isStopping is set once the process has been asked to end: streams are closed
-	// then, so that proxies and relays connect to another node.
+	// isStopping is set once the process has been asked to stop. Streams are then closed, so
+	// that proxies and relays connect to another node.
 	isStopping atomic.Bool
 
-	startMu    sync.Mutex // held to start a goroutine and to end the context
+	startMu    sync.Mutex // held to start a goroutine and to cancel the context
 	goroutines sync.WaitGroup
 }
 
-// now is the time since the node's start by the monotonic clock.
+// now returns the time since the node's start on the monotonic clock.
 func (e *environment) now() time.Duration { return time.Since(e.startedAt) }
 
-// sleep waits for a while, or until the node closes.
+// sleep waits for d or until the node closes.
 func (e *environment) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -49,8 +49,8 @@
 	}
 }
 
-// start runs f in a goroutine that close waits for; f must return soon after ctx
-// ends. Once the node is closing it starts nothing and returns false.
+// start runs f in a goroutine that close waits for; f must return soon after ctx is cancelled.
+// Once the node is closing, start does nothing and returns false.
 func (e *environment) start(f func()) bool {
 	e.startMu.Lock()
 	defer e.startMu.Unlock()
@@ -61,7 +61,7 @@
 	return true
 }
 
-// close ends the context and waits for every goroutine that start began.
+// close cancels the context and waits for every goroutine that start has started.
 func (e *environment) close() {
 	e.startMu.Lock()
 	e.cancel()
--- a/internal/controlplane/formation.go
+++ b/internal/controlplane/formation.go
@@ -7,24 +7,25 @@
 	"lichentray/raft"
 )
 
-// formation tells a leader whether its group has formed, which is the condition for taking
-// changes. At the first start of a deployment the seed nodes are the group, whether or not they
-// have disks and however many voters the tolerance asks for. A change that they acknowledged among
-// themselves would be lost with their processes, or with as many disks as may be lost.
+// formation determines when a group has formed, which is the condition for its leader to accept
+// proposals. At the first start of a deployment the seed nodes are the group, whether or not
+// they have disks and however many voters the fault tolerance requires. A change acknowledged
+// by the seeds alone would be lost with their processes if they have no disks, or with the
+// number of disks that the deployment must be able to lose.
 //
-// Until the group has formed, changes are neither written to the log nor rejected for good: their
-// callers try again.
+// Until the group has formed, proposals are neither written to the log nor rejected
+// permanently: callers retry them.
 type formation struct {
-	// isFirstStart reports whether the deployment starts for the first time.
+	// isFirstStart is set if the deployment starts for the first time.
 	isFirstStart bool
-	// window is for how long after the start of this process further members are expected.
+	// window is how long after the start of this process further members are expected.
 	window time.Duration
-	// minVoters is how many voters end the wait for further members.
+	// minVoters is the number of voters with disks at which the wait for further members ends.
 	minVoters int
 }
 
-// maxSeeds is how many control-plane nodes the settings name as seeds at the most. With fewer
-// names there are no other nodes.
+// maxSeeds is the maximum number of control-plane nodes that the settings name as seeds. If
+// they name fewer, there are no other control-plane nodes.
 const maxSeeds = 3
 
 func newFormation(set *settings.Settings) formation {
@@ -39,33 +40,33 @@
 	}
 }
 
-// isComplete reports whether a leader takes changes. healthOf is asked only about a group that has
-// voters without a disk and members with one.
+// isComplete reports whether the leader may accept proposals. healthOf is called only if some
+// voter keeps its log in memory and some member has a disk.
 func (f formation) isComplete(membership raft.Membership, now time.Duration, healthOf func() func(raft.Member) memberHealth) bool {
 	if f.expectsMembers(membership, now) {
 		return false
 	}
-	if countStorage(membership.Voters, raft.StorageMemory) == 0 {
+	if countByStorage(membership.Voters, raft.StorageMemory) == 0 {
 		return true
 	}
-	return !hasServingDisk(membership, healthOf)
+	return !hasServingDiskMember(membership, healthOf)
 }
 
-// expectsMembers reports whether members may still appear that vote in place of, or beside, those
-// of now.
+// expectsMembers reports whether further members may still join and vote in place of, or in
+// addition to, the present voters.
 func (f formation) expectsMembers(membership raft.Membership, now time.Duration) bool {
 	if !f.isFirstStart || now >= f.window {
 		return false
 	}
-	onDisk := countStorage(membership.Voters, raft.StorageDisk)
+	onDisk := countByStorage(membership.Voters, raft.StorageDisk)
 	return onDisk < len(membership.Voters) || onDisk < f.minVoters
 }
 
-// hasServingDisk reports whether a member that keeps its log on a disk serves: the votes are on
-// their way to it.
-func hasServingDisk(membership raft.Membership, healthOf func() func(raft.Member) memberHealth) bool {
+// hasServingDiskMember reports whether a member that keeps its log on disk is serving: the
+// votes are about to move to it.
+func hasServingDiskMember(membership raft.Membership, healthOf func() func(raft.Member) memberHealth) bool {
 	members := membership.AllMembers()
-	if countStorage(members, raft.StorageDisk) == 0 {
+	if countByStorage(members, raft.StorageDisk) == 0 {
 		return false
 	}
 	health := healthOf()
@@ -77,8 +78,8 @@
 	return false
 }
 
-// countStorage returns how many of the members keep their log in a storage.
-func countStorage(members []raft.Member, storage raft.Storage) int {
+// countByStorage returns the number of members that keep their log in the given storage.
+func countByStorage(members []raft.Member, storage raft.Storage) int {
 	count := 0
 	for _, m := range members {
 		if m.Storage == storage {
@@ -89,8 +90,8 @@
 }
 
 // isDiskless reports whether all members keep their log in memory, so that nodes without a disk
-// have to take part in the group.
+// must be members of the group.
 func (f formation) isDiskless(membership raft.Membership, now time.Duration) bool {
 	members := membership.AllMembers()
-	return countStorage(members, raft.StorageMemory) == len(members) && !f.expectsMembers(membership, now)
+	return countByStorage(members, raft.StorageMemory) == len(members) && !f.expectsMembers(membership, now)
 }
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -183,7 +183,7 @@
 	if isHealthy {
 		return
 	}
-	response := h.proposer.answerAsLeader(0, func(state *loopState, done chan<- outcome) string {
+	response := h.proposer.handleAsLeader(0, func(state *loopState, done chan<- outcome) string {
 		if h.now()-state.liveness.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
 			return "" // a heartbeat came in the meantime
 		}
--- a/internal/controlplane/log_writer.go
+++ b/internal/controlplane/log_writer.go
@@ -7,44 +7,44 @@
 	"lichentray/raft"
 )
 
-// writeQueueLength bounds the writes that wait for the disk. The event loop waits
-// when it is full.
+// writeQueueLength is the maximum number of queued writes. The event loop blocks while the
+// queue is full.
 const writeQueueLength = 4096
 
-// durableStore is the disk of a log writer. It is implemented by storage.Store.
+// durableStore is the store that a log writer writes to. storage.Store implements it.
 type durableStore interface {
-	// Save returns once its arguments are durable, or changes nothing. replaceLog drops
-	// all stored entries, as the snapshot includes them.
+	// Save returns once its arguments are durable, or fails without changing anything.
+	// replaceLog deletes all stored entries, as the snapshot includes them.
 	Save(hardState *raft.HardState, snapshot *raft.Snapshot, replaceLog bool, entries []raft.Entry) error
 	Close()
 }
 
-// logWriter makes entries, votes and snapshots durable, in the order in which they
-// were submitted. It is a goroutine of its own, so that a slow disk delays only
-// what depends on it. All writes that wait go into one sync.
+// logWriter makes entries, votes and snapshots durable in the order of their submission. It
+// runs in its own goroutine, so that a slow disk delays only what depends on it. All queued
+// writes share one sync.
 type logWriter struct {
 	*environment
 	store durableStore
 	queue chan writeRequest
-	// send sends what must not leave before the write is durable.
+	// send sends the messages that must not be sent before the write is durable.
 	send func([]raft.Message)
 	// reportPersisted informs consensus that the log is durable up to an entry.
 	reportPersisted func(index, term uint64)
 }
 
-// writeRequest is a batch for the disk. At most one of the snapshots is set.
+// writeRequest is a batch of writes. At most one of the snapshots is set.
 type writeRequest struct {
 	hardState *raft.HardState
-	// installedSnapshot came from the leader and replaces the complete log.
+	// installedSnapshot was received from the leader and replaces the complete log.
 	installedSnapshot *raft.Snapshot
-	// compactedSnapshot was made here and stands for the log up to its index.
+	// compactedSnapshot was created by this node and replaces the log up to its index.
 	compactedSnapshot *raft.Snapshot
-	// entries replace the log from the index of the first one on.
+	// entries replace the log from the index of the first one.
 	entries       []raft.Entry
 	sendAfterSync []raft.Message
 }
 
-// isEmpty reports whether nothing is to be written; there may be messages to send.
+// isEmpty reports whether there is nothing to write. There may still be messages to send.
 func (w *writeRequest) isEmpty() bool {
 	return w.hardState == nil && w.installedSnapshot == nil && w.compactedSnapshot == nil && len(w.entries) == 0
 }
@@ -53,8 +53,8 @@
 	return &logWriter{environment: env, store: store, queue: make(chan writeRequest, writeQueueLength)}
 }
 
-// submit queues a write. It waits while the queue is full and drops the write when
-// the node is closing.
+// submit queues a write. It blocks while the queue is full and drops the write if the node is
+// closing.
 func (w *logWriter) submit(request writeRequest) {
 	select {
 	case w.queue <- request:
@@ -62,7 +62,7 @@
 	}
 }
 
-// run writes until the node closes, and closes the store then.
+// run processes writes until the node closes, and then closes the store.
 func (w *logWriter) run() {
 	defer w.store.Close()
 	for {
@@ -70,7 +70,7 @@
 		case <-w.ctx.Done():
 			return
 		case request := <-w.queue:
-			batch, next := w.collect(request)
+			batch, next := w.collectBatch(request)
 			w.persist(batch)
 			if next != nil {
 				w.persist(*next)
@@ -79,9 +79,9 @@
 	}
 }
 
-// collect merges whatever waits into the first request. An installed snapshot is
-// never merged: if one is met, it is returned as next.
-func (w *logWriter) collect(first writeRequest) (batch writeRequest, next *writeRequest) {
+// collectBatch merges all queued requests into the first one. It never merges an installed
+// snapshot: if it finds one, it returns that as next.
+func (w *logWriter) collectBatch(first writeRequest) (batch writeRequest, next *writeRequest) {
 	batch = first
 	for batch.installedSnapshot == nil {
 		select {
@@ -97,8 +97,8 @@
 	return batch, nil
 }
 
-// mergeWrites returns one write with the effect of two in order, neither of which
-// installs a snapshot.
+// mergeWrites returns one write with the effect of both in order. Neither of them may install a
+// snapshot.
 func mergeWrites(first, second writeRequest) writeRequest {
 	merged := first
 	if second.hardState != nil {
@@ -114,7 +114,7 @@
 	return merged
 }
 
-// replaceTail returns entries with those from the first index of tail on replaced.
+// replaceTail returns entries with those from the first index of tail on replaced by tail.
 func replaceTail(entries, tail []raft.Entry) []raft.Entry {
 	kept := len(entries)
 	for kept > 0 && entries[kept-1].Index >= tail[0].Index {
@@ -126,8 +126,8 @@
 	return append(slices.Clip(entries[:kept]), tail...)
 }
 
-// persist writes a batch, then sends and reports what depended on it. When the
-// node closes before the disk takes the write, nothing is sent or reported.
+// persist saves a batch, then sends the messages and reports the index that depended on it. If
+// the node closes before the batch is saved, nothing is sent or reported.
 func (w *logWriter) persist(batch writeRequest) {
 	if !batch.isEmpty() && !w.save(batch) {
 		return
@@ -139,8 +139,7 @@
 	}
 }
 
-// save retries until the disk takes the write. It returns false when the node
-// closes first.
+// save retries until the batch is saved. It returns false if the node closes first.
 func (w *logWriter) save(batch writeRequest) bool {
 	for failures := 0; ; failures++ {
 		err := w.saveOnce(batch)
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -9,17 +9,16 @@
 	"lichentray/raft"
 )
 
-// membershipCheckHeartbeats is how many heartbeat intervals pass between two checks of
-// the membership.
+// membershipCheckHeartbeats is the number of heartbeat intervals between two checks of the
+// membership.
 const membershipCheckHeartbeats = 4
 
-// transferRetryTimeouts is how many election time-outs pass between two attempts to transfer
-// the leadership.
-const transferRetryTimeouts = 2
+// transferRetryElectionTimeouts is the number of election time-outs between two attempts to
+// transfer leadership.
+const transferRetryElectionTimeouts = 2
 
-// membershipManager keeps the group's membership in order while this node leads, admits
-// nodes and approves their departure, and makes this node itself join and leave the
-// group.
+// membershipManager maintains the group's membership while this node leads, handles requests of
+// nodes to join and to leave, and makes this node join and leave the group.
 type membershipManager struct {
 	*environment
 	loop      *eventLoop
@@ -28,29 +27,32 @@
 	formation formation
 
 	mu sync.Mutex
-	// seeds are the API addresses of the settings as they were last read.
+	// seeds are the API addresses of the seeds in the settings that were last loaded.
 	seeds []string
-	// announcedNodes are the members of the group as a relay or an announcer named them last.
+	// announcedNodes are the group members most recently reported by a relay or an announcer.
 	announcedNodes []transport.ControlNode
 
-	// notNeeded is closed once the group has rejected this node, see Node.NotNeeded.
-	notNeeded     chan struct{}
-	notNeededOnce sync.Once
+	// joinRejected is closed once the group has permanently rejected this node, see
+	// Node.JoinRejected.
+	joinRejected     chan struct{}
+	joinRejectedOnce sync.Once
 }
 
-// membershipSchedule is the planner and when it is next asked, see loopState.
+// membershipSchedule holds the planner and the times of its last checks, see loopState.
 type membershipSchedule struct {
 	planner   *membershipPlanner
 	checkedAt time.Duration
-	// isCheckDue has the membership checked at the next tick, as after a change of
-	// it: a replacement takes two.
+	// isCheckDue makes the next tick check the membership, for instance after a membership
+	// change, since a replacement takes two changes.
 	isCheckDue bool
-	// handedOverAt is when this node last tried to transfer its leadership to a voter with a disk.
-	handedOverAt time.Duration
+	// lastTransferAt is when this node last tried to transfer its leadership to a voter with a
+	// disk.
+	lastTransferAt time.Duration
 }
 
-// failureDomainOf returns what of a member may be lost at once besides machines: its
-// region, else its zone, as the tolerance asks.
+// failureDomainOf returns the failure domain of a member: its region if the fault tolerance
+// includes the loss of regions, otherwise its zone if it includes the loss of zones, otherwise
+// none.
 func (m *membershipManager) failureDomainOf(member raft.Member) string {
 	zone := m.peers.zoneOf(member.Addr)
 	switch tolerance := m.settings.FaultTolerance; {
@@ -62,8 +64,7 @@
 	return ""
 }
 
-// adjust takes one step, if this node leads, towards a full set of voters that can
-// be counted on.
+// adjust makes one change, if this node leads, towards a complete set of serving voters.
 func (m *membershipManager) adjust(state *loopState, now time.Duration) {
 	if !state.isLeader() {
 		return
@@ -74,7 +75,7 @@
 	}
 	schedule.checkedAt = now
 	schedule.isCheckDue = false
-	if m.handOver(state, now) {
+	if m.transferLeadership(state, now) {
 		return
 	}
 	next, reason := schedule.planner.nextChange(state.raft, now)
@@ -86,29 +87,31 @@
 	}
 }
 
-// handOver transfers the leadership to a voter with a disk if this node has none. In between the
-// attempts the group goes on under this leader for a while.
-func (m *membershipManager) handOver(state *loopState, now time.Duration) bool {
+// transferLeadership transfers the leadership to a voter with a disk if this node has none.
+// Between attempts this node continues to lead for a while.
+func (m *membershipManager) transferLeadership(state *loopState, now time.Duration) bool {
 	schedule := &state.membership
-	isWaiting := schedule.handedOverAt != 0 && now-schedule.handedOverAt < transferRetryTimeouts*m.timing.ElectionTimeout
-	if isWaiting || !schedule.planner.mustHandOver(state.raft, now) {
+	isWaiting := schedule.lastTransferAt != 0 && now-schedule.lastTransferAt < transferRetryElectionTimeouts*m.timing.ElectionTimeout
+	if isWaiting || !schedule.planner.mustTransferLeadership(state.raft, now) {
 		return false
 	}
-	schedule.handedOverAt = now
+	schedule.lastTransferAt = now
 	return state.raft.TransferLeadership()
 }
 
-// recordChange follows an applied change of the membership.
+// recordChange handles an applied membership change.
 func (m *membershipManager) recordChange(state *loopState, index uint64) {
 	state.membership.isCheckDue = true
 	membership := state.raft.Membership()
 	m.logger.Info("membership changed", "index", index, "voters", len(membership.Voters), "learners", len(membership.Learners))
 }
 
-// joinIfNeeded asks to be admitted if this node is no member or may have been
-// replaced, as a voter that has been without a leader for long, or retired, as one without
-// a leader that has no disk. A member that the membership does not describe, as it is a seed or
-// began under an older version, describes itself to the leader by the same request.
+// joinIfNeeded asks to be admitted if this node is not a member or may no longer be one. A
+// voter that has been without a leader for long may have been replaced, and a member without a
+// disk that knows no leader may have been retired.
+//
+// A member whose description is missing from the membership, because it is a seed or started
+// with an older version, sends its description to the leader in the same request.
 func (m *membershipManager) joinIfNeeded(state *loopState, now time.Duration) {
 	membership := state.raft.Membership()
 	if !membership.IsMember(m.self.ID) {
@@ -138,18 +141,19 @@
 		}
 		hasAsked[addr] = true
 		m.start(func() {
-			// Without a response it is asked again with the next periodic tasks.
+			// Without a response the next round of periodic tasks asks again.
 			response, _, err := m.peers.call(callTarget{addr: addr}, &transport.Request{Join: &self}, m.timing.ElectionTimeout)
 			if err == nil && response.Failed && response.Kind == errCoreHasDisks.Kind {
-				m.notNeededOnce.Do(func() { close(m.notNeeded) })
+				m.joinRejectedOnce.Do(func() { close(m.joinRejected) })
 			}
 		})
 	}
 }
 
-// knownAddrs lists the internal addresses of members, seeds, the nodes that a relay or an
-// announcer named, and the peers that have connected here: those that count on a member whose
-// disk was lost know where the group is, whatever its seeds are.
+// knownAddrs returns the internal addresses of members, of seeds, of the nodes reported by a
+// relay or an announcer, and of the peers that have connected to this node. The other members
+// still connect to a member that lost its disk, so it can find the group whichever seeds it
+// has.
 func (m *membershipManager) knownAddrs(membership raft.Membership) []string {
 	var addrs []string
 	for _, member := range membership.AllMembers() {
@@ -162,7 +166,7 @@
 	return append(addrs, m.peers.knownAddrs()...)
 }
 
-// seedAddrs lists the internal addresses of the seeds.
+// seedAddrs returns the internal addresses of the seeds.
 func (m *membershipManager) seedAddrs() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,22 +177,22 @@
 	return addrs
 }
 
-// announcedCore returns the members of the group as a relay or an announcer named them last.
+// announcedCore returns the group members most recently reported by a relay or an announcer.
 func (m *membershipManager) announcedCore() []transport.ControlNode {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.announcedNodes
 }
 
-// setAnnouncedNodes takes the members of the group as a relay or an announcer names them. The
-// list must not be modified afterwards.
+// setAnnouncedNodes stores the group members reported by a relay or an announcer. The caller
+// must not modify the slice afterwards.
 func (m *membershipManager) setAnnouncedNodes(nodes []transport.ControlNode) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announcedNodes = nodes
 }
 
-// isCoreDiskless reports whether nodes without a disk have to take part in the group.
+// isCoreDiskless reports whether nodes without a disk must be members of the group.
 func (m *membershipManager) isCoreDiskless() bool {
 	return m.formation.isDiskless(m.consensus.get().membership, m.now())
 }
@@ -200,8 +204,8 @@
 	m.logger.Info("settings reloaded", "seeds", seeds)
 }
 
-// admitLearner makes a node a learner, or records what a member says of itself. Only the
-// leader can; it returns once the change is proposed.
+// admitLearner adds a node as a learner, or updates the description of a member. It succeeds
+// only on the leader, and returns once the change is proposed.
 func (m *membershipManager) admitLearner(member raft.Member) error {
 	return m.callLeaderLoop(func(state *loopState) error {
 		membership := state.raft.Membership()
@@ -221,11 +225,11 @@
 	})
 }
 
-// approveLeave returns nil once the process of a member may end. Only the leader
-// can; the member asks again until it may.
+// approveLeave returns nil once the process of a member may stop. It succeeds only on the
+// leader; the member repeats its request until it is approved.
 func (m *membershipManager) approveLeave(id uint64) error {
 	return m.callLeaderLoop(func(state *loopState) error {
-		state.membership.isCheckDue = true // the member's vote may be taken over
+		state.membership.isCheckDue = true // another member may have to replace this voter
 		if state.membership.planner.requestLeave(state.raft, m.now(), id) {
 			return nil
 		}
@@ -233,7 +237,8 @@
 	})
 }
 
-// callLeaderLoop runs f on the event loop if this node leads.
+// callLeaderLoop runs f on the event loop if this node leads, and returns ErrNotLeader
+// otherwise.
 func (m *membershipManager) callLeaderLoop(f func(*loopState) error) error {
 	result, err := callLoop(m.loop, func(state *loopState) error {
 		if !state.isLeader() {
@@ -247,17 +252,17 @@
 	return result
 }
 
-// prepareShutdown transfers leadership and asks the leader to approve the departure,
-// see Node.PrepareShutdown.
+// prepareShutdown transfers leadership and waits until the leader approves the departure of
+// this node, see Node.PrepareShutdown.
 func (m *membershipManager) prepareShutdown(timeout time.Duration) {
 	var transferredAt time.Time
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(m.timing.HeartbeatInterval) {
 		status := m.consensus.get()
 		switch {
 		case status.role == raft.Leader && len(status.membership.Voters) == 1:
-			return // nobody could take over
+			return // no other voter could lead
 		case status.role == raft.Leader:
-			if time.Since(transferredAt) > transferRetryTimeouts*m.timing.ElectionTimeout {
+			if time.Since(transferredAt) > transferRetryElectionTimeouts*m.timing.ElectionTimeout {
 				transferredAt = time.Now()
 				m.loop.post(func(state *loopState) { state.raft.TransferLeadership() })
 			}
@@ -269,7 +274,7 @@
 	}
 }
 
-// mayLeave asks the leader whether this node's process may end.
+// mayLeave asks the leader whether this node's process may stop.
 func (m *membershipManager) mayLeave(leaderAddr string) bool {
 	request := &transport.Request{Leave: m.self.ID}
 	response, _, err := m.peers.call(callTarget{addr: leaderAddr}, request, m.timing.ElectionTimeout)
--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -7,38 +7,39 @@
 	"lichentray/raft"
 )
 
-// membershipPlanner is a leader's view of the group's members over time, from which
-// it plans changes of membership. It does no input or output, so that it runs
-// under the simulator as well. It is part of loopState.
+// membershipPlanner tracks what a leader observes of the group's members over time, and plans
+// membership changes from it. It does no input or output, so that it also runs in the
+// simulator. It is part of loopState.
 type membershipPlanner struct {
-	// self is the member whose planner this is.
+	// self is the member that this planner belongs to.
 	self      raft.Member
 	tolerance faultTolerance
-	// formation tells when the group has formed.
+	// formation determines when the group has formed.
 	formation formation
-	// deadMemberTimeout is how long a voter may go unheard before it is replaced.
+	// deadMemberTimeout is how long no message may arrive from a voter before it is replaced.
 	deadMemberTimeout time.Duration
-	// catchUpWindow is the age from which on entries must be held to be caught up.
+	// catchUpWindow is how far a member may lag behind: it has caught up if it holds all
+	// entries that are older than this.
 	catchUpWindow time.Duration
-	// leaveRequestTTL is how long a request to leave is valid without being repeated.
+	// leaveRequestTTL is how long a request to leave remains valid without being repeated.
 	leaveRequestTTL time.Duration
-	// learnerExpiry is how long a learner may go unheard before it is removed.
+	// learnerExpiry is how long no message may arrive from a learner before it is removed.
 	learnerExpiry   time.Duration
 	failureDomainOf func(raft.Member) string
 
-	// What follows is of one term.
+	// The following fields belong to one term.
 	term          uint64
 	logLengths    []logLength
 	leaveRequests map[uint64]leaveRequest
 }
 
-// logLength is how far the leader's log reached at some time.
+// logLength is the last index of the leader's log at some time.
 type logLength struct {
 	at        time.Duration
 	lastIndex uint64
 }
 
-// leaveRequest is a member's request that its process may end.
+// leaveRequest is a member's request that its process may stop.
 type leaveRequest struct {
 	lastRequestedAt time.Duration
 	commitIndex     uint64 // at the first request
@@ -57,8 +58,7 @@
 	}
 }
 
-// observe records how far the log of node, which leads, reaches now, and forgets
-// what is too old to matter.
+// observe records the last index of the log of node, the leader, and discards old observations.
 func (p *membershipPlanner) observe(node *raft.Node, now time.Duration) {
 	if p.term != node.Term() {
 		p.term = node.Term()
@@ -76,7 +76,7 @@
 	}
 }
 
-// assessMembers returns what node, which leads, knows of each member.
+// assessMembers returns a function that reports what node, the leader, knows of each member.
 func (p *membershipPlanner) assessMembers(node *raft.Node, now time.Duration) func(raft.Member) memberHealth {
 	membership := node.Membership()
 	newest := newestContactByAddr(node, now)
@@ -100,9 +100,9 @@
 	}
 }
 
-// newestContactByAddr returns when the most recent of several incarnations at each
-// address was heard. Just after an election all of them may have been heard at the same moment;
-// then none counts as replaced.
+// newestContactByAddr returns, for each address, when the most recent contact with any of the
+// members at that address was. Just after an election several incarnations at an address may
+// have the same time of last contact; none of them then counts as replaced.
 func newestContactByAddr(node *raft.Node, now time.Duration) map[string]time.Duration {
 	newest := map[string]time.Duration{}
 	for _, m := range node.Membership().AllMembers() {
@@ -114,8 +114,8 @@
 	return newest
 }
 
-// nextChange returns the membership that node, which leads, should propose now. The
-// reason is empty when there is nothing to change or a change is under way.
+// nextChange returns the membership that node, the leader, should propose now. The reason is
+// empty if there is nothing to change or a change is in progress.
 func (p *membershipPlanner) nextChange(node *raft.Node, now time.Duration) (next raft.Membership, reason string) {
 	p.observe(node, now)
 	if node.HasPendingConfChange() {
@@ -127,8 +127,8 @@
 	return nextMembership(node.Membership(), node.ID(), p.tolerance, p.assessMembers(node, now))
 }
 
-// requestLeave records that member id wants to leave and reports whether its
-// process may end. Requests are repeated until it may.
+// requestLeave records that member id wants to leave and reports whether its process may stop.
+// Members repeat the request until it is approved.
 func (p *membershipPlanner) requestLeave(node *raft.Node, now time.Duration, id uint64) bool {
 	p.observe(node, now)
 	request, isKnown := p.leaveRequests[id]
@@ -143,17 +143,17 @@
 	return canLeave(node.Membership(), node.ID(), id, p.tolerance, request.commitIndex, p.assessMembers(node, now))
 }
 
-// takesChanges reports whether node, which leads, may write changes to the log now: those that it
-// acknowledges have to outlast what the group must be able to lose.
-func (p *membershipPlanner) takesChanges(node *raft.Node, now time.Duration) bool {
+// acceptsProposals reports whether node, the leader, may write changes to the log now: an
+// acknowledged change must survive the losses that the fault tolerance names.
+func (p *membershipPlanner) acceptsProposals(node *raft.Node, now time.Duration) bool {
 	return p.formation.isComplete(node.Membership(), now, func() func(raft.Member) memberHealth {
 		return p.assessMembers(node, now)
 	})
 }
 
-// mustHandOver reports whether node, which leads and keeps its log in memory, has to transfer its
-// leadership to a voter with a disk.
-func (p *membershipPlanner) mustHandOver(node *raft.Node, now time.Duration) bool {
+// mustTransferLeadership reports whether node, the leader, keeps its log in memory and must
+// transfer its leadership to a voter with a disk.
+func (p *membershipPlanner) mustTransferLeadership(node *raft.Node, now time.Duration) bool {
 	membership := node.Membership()
 	self, _ := membership.Find(node.ID())
 	if self.Storage != raft.StorageMemory {
--- a/internal/controlplane/membership_rules.go
+++ b/internal/controlplane/membership_rules.go
@@ -5,10 +5,10 @@
 	"lichentray/raft"
 )
 
-// faultTolerance is what the group must be able to lose at once.
+// faultTolerance is the number of simultaneous losses that the group must survive.
 type faultTolerance struct {
 	machines int
-	// failureDomains is how many zones or regions may be lost; 0 if none.
+	// failureDomains is how many zones or regions may be lost, 0 if none.
 	failureDomains int
 }
 
@@ -19,16 +19,17 @@
 	}
 }
 
-// preferredVoters bounds the voters where the tolerance asks for fewer: each
-// further voter costs latency at every commit and bears no loss that the
-// deployment asks for.
+// preferredVoters is the maximum number of voters if the fault tolerance requires fewer. Each
+// further voter would add latency to every commit, to tolerate losses that the deployment does
+// not ask for.
 const preferredVoters = 5
 
-// minVoters is how many voters the tolerance asks for: 2f+1 bear f losses.
+// minVoters returns the number of voters that the fault tolerance requires: 2f+1 voters survive
+// f losses.
 func (t faultTolerance) minVoters() int { return 2*t.machines + 1 }
 
-// maxVotersPerDomain is how many of so many votes one failure domain may hold: as
-// many domains as may be lost must not hold a majority together.
+// maxVotersPerDomain returns how many of the given number of votes one failure domain may hold:
+// the domains that may be lost together must not hold a majority.
 func (t faultTolerance) maxVotersPerDomain(votes int) int {
 	if t.failureDomains == 0 {
 		return votes
@@ -36,8 +37,8 @@
 	return max(1, (votes-1)/2/t.failureDomains)
 }
 
-// targetVoters is how many members should vote, given how many could in each
-// failure domain: an odd number, as large as they and the domain limits allow.
+// targetVoters returns how many members should vote, given the number of eligible members in
+// each failure domain: an odd number, as large as they and the limit for each domain allow.
 func (t faultTolerance) targetVoters(eligible map[string]int) int {
 	target := max(t.minVoters(), preferredVoters)
 	for ; target > t.minVoters(); target -= 2 {
@@ -54,24 +55,25 @@
 
 // memberHealth is what the leader knows of a member.
 type memberHealth struct {
-	isAlive    bool // heard recently and, if it votes, acknowledging what it is sent
-	isLeaving  bool // its process is about to end
-	isReplaced bool // a newer incarnation is heard at its address
-	isCaughtUp bool // holds all but the newest entries
-	isExpired  bool // unheard for so long that it need not stay a member
+	isAlive    bool // in contact recently and, if it votes, acknowledging entries
+	isLeaving  bool // its process is about to stop
+	isReplaced bool // there has been later contact with another incarnation at its address
+	isCaughtUp bool // holds all but the most recent entries
+	isExpired  bool // out of contact for so long that it is removed if it is a learner
 
 	matchIndex    uint64
 	failureDomain string
 }
 
-// isServing reports whether the group may count on the member.
+// isServing reports whether the group can rely on the member.
 func (h memberHealth) isServing() bool { return h.isAlive && !h.isLeaving && !h.isReplaced }
 
-// isAcknowledging reports whether the member counts towards a majority now. One
-// that is leaving still does.
+// isAcknowledging reports whether the member counts towards a majority now. A member that is
+// leaving still does.
 func (h memberHealth) isAcknowledging() bool { return h.isAlive && !h.isReplaced }
 
-// removalUrgency orders voters that do not serve by which loses its vote first.
+// removalUrgency orders the voters that are not serving: the one with the highest value loses
+// its vote first.
 func (h memberHealth) removalUrgency() int {
 	switch {
 	case h.isReplaced:
@@ -82,38 +84,40 @@
 	return 0 // leaving: it still acknowledges
 }
 
-// membershipAssessment is what the rules of a membership change decide by.
+// membershipAssessment is the input of the membership rules.
 type membershipAssessment struct {
 	current   raft.Membership
-	self      uint64 // leads
+	self      uint64 // the leader
 	tolerance faultTolerance
 	healthOf  func(raft.Member) memberHealth
 
 	voters        int
-	serving       int // voters that serve
+	serving       int // voters that are serving
 	acknowledging int // voters that count towards a majority now
 
-	// departing is the voter that loses its vote first, as it is replaced, dead, leaving or
-	// retiring; nil if all voters but the leader serve. notServing is how many do not.
-	departing  *raft.Member
-	notServing int
+	// removalCandidate is the next voter to lose its vote because it is replaced, dead, leaving
+	// or must retire; nil if all voters but the leader are serving. notServing is the number of
+	// voters that are not serving.
+	removalCandidate *raft.Member
+	notServing       int
 
-	// votesByDomain counts the serving voters of each failure domain.
+	// votesByDomain is the number of serving voters in each failure domain.
 	votesByDomain map[string]int
-	// targetVoters is what those who could vote now allow, eventualTarget what they
-	// allow once the learners have caught up. Voters are added for the former and
-	// given up for the latter, so that a learner that lags for a moment moves nothing.
+	// targetVoters is the number of voters that the members eligible now allow, eventualTarget
+	// the number allowed once the learners have caught up. Voters are added up to the former
+	// and removed down to the latter, so that a learner that lags for a moment causes no
+	// change.
 	targetVoters   int
 	eventualTarget int
-	// hasDiskMember reports whether some member keeps its log on a disk: then none that keeps
-	// it in memory gains a vote. retiresMemory reports whether one of those serves and holds
-	// the log: then those that keep it in memory lose their votes.
-	hasDiskMember bool
-	retiresMemory bool
-	// domainLimit is how many votes one failure domain may hold.
+	// hasDiskMember is set if some member keeps its log on disk: members that keep theirs in
+	// memory then gain no vote. retiresMemoryMembers is set if such a member is serving and is
+	// a voter or has caught up: members that keep their log in memory then lose their votes.
+	hasDiskMember        bool
+	retiresMemoryMembers bool
+	// domainLimit is the maximum number of votes in one failure domain.
 	domainLimit int
-	// candidate is the learner that votes next, nil if none can.
-	candidate *raft.Member
+	// promotionCandidate is the next learner to become a voter, nil if none can.
+	promotionCandidate *raft.Member
 }
 
 func assessMembership(current raft.Membership, self uint64, tolerance faultTolerance, healthOf func(raft.Member) memberHealth) *membershipAssessment {
@@ -129,7 +133,7 @@
 	a.assessVoters()
 	a.assessTargets()
 	a.domainLimit = tolerance.maxVotersPerDomain(max(a.targetVoters, a.voters-1+a.voters%2))
-	a.chooseCandidate()
+	a.choosePromotionCandidate()
 	return a
 }
 
@@ -141,26 +145,27 @@
 		a.hasDiskMember = true
 		health := a.healthOf(m)
 		if health.isServing() && (a.current.IsVoter(m.ID) || health.isCaughtUp) {
-			a.retiresMemory = true
+			a.retiresMemoryMembers = true
 		}
 	}
 }
 
-// mustRetire reports whether a member leaves the group because it keeps its log in memory
-// beside others that have disks: a restart of its process would take back what it has
-// acknowledged. A leader hands its leadership on first, see membershipPlanner.mustHandOver.
+// mustRetire reports whether a member must leave the group because it keeps its log in memory
+// while others have disks: a restart of its process would lose what it has acknowledged. A
+// leader first transfers its leadership, see membershipPlanner.mustTransferLeadership.
 func (a *membershipAssessment) mustRetire(m raft.Member) bool {
-	return a.retiresMemory && m.Storage == raft.StorageMemory
+	return a.retiresMemoryMembers && m.Storage == raft.StorageMemory
 }
 
-// isServing reports whether the group may count on a voter from now on.
+// isServing reports whether the group can rely on a voter from now on.
 func (a *membershipAssessment) isServing(m raft.Member) bool {
 	return a.healthOf(m).isServing() && !a.mustRetire(m)
 }
 
-// mayEverVote reports whether a learner could be given a vote once it has caught up. One that
-// does not count for the tolerance votes only while voters are lacking.
-func (a *membershipAssessment) mayEverVote(m raft.Member) bool {
+// isEligibleVoter reports whether a learner could become a voter once it has caught up. A
+// member that does not count for the fault tolerance becomes one only while there are too few
+// voters.
+func (a *membershipAssessment) isEligibleVoter(m raft.Member) bool {
 	if m.Storage == raft.StorageMemory && a.hasDiskMember {
 		return false
 	}
@@ -182,8 +187,8 @@
 		if m.ID == a.self {
 			continue
 		}
-		if a.departing == nil || health.removalUrgency() > a.healthOf(*a.departing).removalUrgency() {
-			a.departing = &a.current.Voters[i]
+		if a.removalCandidate == nil || health.removalUrgency() > a.healthOf(*a.removalCandidate).removalUrgency() {
+			a.removalCandidate = &a.current.Voters[i]
 		}
 	}
 }
@@ -197,7 +202,7 @@
 	}
 	for _, m := range a.current.Learners {
 		health := a.healthOf(m)
-		if m.Uncounted || !a.mayEverVote(m) || !health.isServing() {
+		if m.Uncounted || !a.isEligibleVoter(m) || !health.isServing() {
 			continue
 		}
 		eligibleSoon[health.failureDomain]++
@@ -209,26 +214,26 @@
 	a.eventualTarget = a.tolerance.targetVoters(eligibleSoon)
 }
 
-func (a *membershipAssessment) chooseCandidate() {
+func (a *membershipAssessment) choosePromotionCandidate() {
 	for i, m := range a.current.Learners {
-		if !a.canVote(m) {
+		if !a.canPromote(m) {
 			continue
 		}
-		if a.candidate == nil || a.isBetterCandidate(m, *a.candidate) {
-			a.candidate = &a.current.Learners[i]
+		if a.promotionCandidate == nil || a.isBetterCandidate(m, *a.promotionCandidate) {
+			a.promotionCandidate = &a.current.Learners[i]
 		}
 	}
 }
 
-// canVote reports whether a learner may be given a vote now.
-func (a *membershipAssessment) canVote(m raft.Member) bool {
+// canPromote reports whether a learner may become a voter now.
+func (a *membershipAssessment) canPromote(m raft.Member) bool {
 	return a.isReadyToVote(m) && a.votesByDomain[a.healthOf(m).failureDomain] < a.domainLimit
 }
 
-// isReadyToVote is canVote but for the limit of the learner's failure domain.
+// isReadyToVote is canPromote without the limit on the votes of a failure domain.
 func (a *membershipAssessment) isReadyToVote(m raft.Member) bool {
 	health := a.healthOf(m)
-	return a.mayEverVote(m) && health.isServing() && health.isCaughtUp
+	return a.isEligibleVoter(m) && health.isServing() && health.isCaughtUp
 }
 
 // canReplace reports whether a learner may vote in place of a voter.
@@ -241,8 +246,8 @@
 	return a.isReadyToVote(learner) && votes < a.domainLimit
 }
 
-// isBetterCandidate prefers members whose copy of the log outlasts more, then those of the
-// failure domain with fewer votes, then those that hold more of the log.
+// isBetterCandidate prefers members with higher durability, then those in the failure domain
+// with fewer votes, then those that hold more of the log.
 func (a *membershipAssessment) isBetterCandidate(m, than raft.Member) bool {
 	if durability, other := durabilityOf(m), durabilityOf(than); durability != other {
 		return durability > other
@@ -257,8 +262,8 @@
 	return health.matchIndex > other.matchIndex
 }
 
-// isVoterCountEven reports whether the voters are even in number: one of them could
-// then go without loss of tolerance.
+// isVoterCountEven reports whether the number of voters is even. One of them could then be
+// removed without loss of fault tolerance.
 func (a *membershipAssessment) isVoterCountEven() bool { return a.voters%2 == 0 }
 
 // exceedsDomainLimit reports whether some failure domain holds too many votes.
@@ -271,17 +276,19 @@
 	return false
 }
 
-// canRemoveDeparting reports whether the departing voter may lose its vote: the
-// others must be a majority that acknowledges, of as many voters as the tolerance
-// asks for, unless the majority serves anyway or the departing one keeps its log in memory.
-func (a *membershipAssessment) canRemoveDeparting() bool {
-	if a.departing == nil || !a.hasMajorityWithout(*a.departing) {
+// canRemoveCandidate reports whether removalCandidate may lose its vote. The others must
+// contain a majority that acknowledges. In addition, there must be more voters than the fault
+// tolerance requires, or a majority of the voters must be serving, or the candidate must be due
+// to retire.
+func (a *membershipAssessment) canRemoveCandidate() bool {
+	if a.removalCandidate == nil || !a.hasMajorityWithout(*a.removalCandidate) {
 		return false
 	}
-	return a.voters > a.tolerance.minVoters() || a.serving > a.voters/2 || a.mustRetire(*a.departing)
+	return a.voters > a.tolerance.minVoters() || a.serving > a.voters/2 || a.mustRetire(*a.removalCandidate)
 }
 
-// hasMajorityWithout reports whether a majority acknowledges once a voter has lost its vote.
+// hasMajorityWithout reports whether a majority still acknowledges once a voter has lost its
+// vote.
 func (a *membershipAssessment) hasMajorityWithout(voter raft.Member) bool {
 	remaining := a.acknowledging
 	if a.healthOf(voter).isAcknowledging() {
@@ -290,30 +297,29 @@
 	return remaining > (a.voters-1)/2
 }
 
-// membershipChange is one step of one voter at most, as single-server changes are
+// membershipChange is a change of at most one voter, as required for single-server changes
 // (Ongaro, Consensus: Bridging Theory and Practice, section 4.1).
 type membershipChange struct {
 	next   raft.Membership
 	reason string
 }
 
-// membershipRule is one reason to change the membership. It returns false when it
-// does not apply.
+// membershipRule is one reason to change the membership. It returns false if it does not apply.
 type membershipRule func(*membershipAssessment) (membershipChange, bool)
 
-// membershipRules are tried in this order; the first that applies decides.
+// membershipRules are tried in this order; the first one that applies determines the change.
 var membershipRules = []membershipRule{
-	removeDepartingOfEvenVoters,
+	removeFromEvenVoters,
 	promoteLearner,
 	retireMemoryVoter,
-	shrinkByTwoDeparting,
-	demoteSpareVoter,
-	replaceWeakVoter,
+	shrinkByTwoVoters,
+	demoteExcessVoter,
+	replaceLessDurableVoter,
 	removeLostLearner,
 }
 
-// nextMembership takes one step towards a full set of voters that can be counted
-// on. self is the leader. The reason is empty when there is nothing to do.
+// nextMembership returns the next change towards a complete set of serving voters. self is the
+// leader. The reason is empty if there is nothing to change.
 func nextMembership(current raft.Membership, self uint64, tolerance faultTolerance, healthOf func(raft.Member) memberHealth) (next raft.Membership, reason string) {
 	assessment := assessMembership(current, self, tolerance, healthOf)
 	for _, rule := range membershipRules {
@@ -324,20 +330,20 @@
 	return current, ""
 }
 
-// removeDepartingOfEvenVoters: of an even number of voters one that does not serve
-// loses its vote, which makes the majority smaller by one.
-func removeDepartingOfEvenVoters(a *membershipAssessment) (membershipChange, bool) {
-	if !a.isVoterCountEven() || !a.canRemoveDeparting() {
+// removeFromEvenVoters removes the vote of a voter that is not serving if the number of voters
+// is even. The majority then needs one vote fewer.
+func removeFromEvenVoters(a *membershipAssessment) (membershipChange, bool) {
+	if !a.isVoterCountEven() || !a.canRemoveCandidate() {
 		return membershipChange{}, false
 	}
-	return a.remove(*a.departing), true
+	return a.remove(*a.removalCandidate), true
 }
 
-// promoteLearner: a learner that has caught up votes if a voter does not serve, if
-// voters are lacking, or if a failure domain holds too many votes. In the first and
-// last case the voter that it replaces loses its vote with the next step.
+// promoteLearner makes a learner that has caught up a voter if a voter is not serving, if there
+// are too few voters, or if a failure domain holds too many votes. In the first and last case
+// the voter that it replaces loses its vote in the next change.
 func promoteLearner(a *membershipAssessment) (membershipChange, bool) {
-	if a.candidate == nil {
+	if a.promotionCandidate == nil {
 		return membershipChange{}, false
 	}
 	isNeeded := a.notServing > 0 ||
@@ -346,11 +352,11 @@
 	if !isNeeded {
 		return membershipChange{}, false
 	}
-	return membershipChange{a.current.WithVoter(*a.candidate), "learner promoted to voter"}, true
+	return membershipChange{a.current.WithVoter(*a.promotionCandidate), "learner promoted to voter"}, true
 }
 
-// retireMemoryVoter: a voter that keeps its log in memory leaves the group beside members with a
-// disk, also where nobody takes its place.
+// retireMemoryVoter removes a voter that keeps its log in memory from a group that has members
+// with disks, even if no learner takes its place.
 func retireMemoryVoter(a *membershipAssessment) (membershipChange, bool) {
 	for _, m := range a.current.Voters {
 		if m.ID != a.self && a.mustRetire(m) && a.hasMajorityWithout(m) {
@@ -360,43 +366,44 @@
 	return membershipChange{}, false
 }
 
-// shrinkByTwoDeparting: when two voters do not serve and nobody takes their place,
-// both go, one after the other: three voters of which all serve bear a loss, five of
-// which three serve bear none.
-func shrinkByTwoDeparting(a *membershipAssessment) (membershipChange, bool) {
-	if a.notServing < 2 || a.voters < a.tolerance.minVoters()+2 || !a.canRemoveDeparting() {
+// shrinkByTwoVoters removes two voters, one after the other, if both are not serving and no
+// learner replaces them: three voters that all serve tolerate one loss, five of which three
+// serve tolerate none.
+func shrinkByTwoVoters(a *membershipAssessment) (membershipChange, bool) {
+	if a.notServing < 2 || a.voters < a.tolerance.minVoters()+2 || !a.canRemoveCandidate() {
 		return membershipChange{}, false
 	}
-	return a.remove(*a.departing), true
+	return a.remove(*a.removalCandidate), true
 }
 
-// demoteSpareVoter: of an even number of voters that all serve one becomes a
-// learner, unless a learner is about to make the number odd.
-func demoteSpareVoter(a *membershipAssessment) (membershipChange, bool) {
+// demoteExcessVoter makes one of an even number of serving voters a learner, unless a learner
+// is about to make the number odd.
+func demoteExcessVoter(a *membershipAssessment) (membershipChange, bool) {
 	if a.notServing > 0 || !a.isVoterCountEven() || a.voters <= a.eventualTarget {
 		return membershipChange{}, false
 	}
-	return membershipChange{a.current.WithLearner(a.chooseSpare()), "spare voter demoted to learner"}, true
+	return membershipChange{a.current.WithLearner(a.chooseExcessVoter()), "spare voter demoted to learner"}, true
 }
 
-// replaceWeakVoter: a learner that outlasts more than a voter does votes in its place. The voter
-// becomes a learner with the next step, by demoteSpareVoter. Such a voter is one that does not count
-// for the tolerance, or a seed without a disk whose program is too old to say so.
-func replaceWeakVoter(a *membershipAssessment) (membershipChange, bool) {
+// replaceLessDurableVoter promotes a learner with higher durability than some voter.
+// demoteExcessVoter makes that voter a learner in the next change. Such a voter does not count
+// for the fault tolerance, or is a seed without a disk whose version is too old to report its
+// storage.
+func replaceLessDurableVoter(a *membershipAssessment) (membershipChange, bool) {
 	if a.notServing > 0 || a.isVoterCountEven() || a.voters == 1 {
 		return membershipChange{}, false
 	}
-	weakest := a.chooseSpare()
+	leastDurable := a.chooseExcessVoter()
 	for _, m := range a.current.Learners {
-		if durabilityOf(m) > durabilityOf(weakest) && a.canReplace(weakest, m) {
+		if durabilityOf(m) > durabilityOf(leastDurable) && a.canReplace(leastDurable, m) {
 			return membershipChange{a.current.WithVoter(m), "learner promoted in place of a weaker voter"}, true
 		}
 	}
 	return membershipChange{}, false
 }
 
-// durabilityOf orders members by what their copy of the log outlasts. To count for the tolerance
-// weighs more than a disk.
+// durabilityOf ranks members by which losses their copy of the log survives. Counting for the
+// fault tolerance weighs more than having a disk.
 func durabilityOf(m raft.Member) int {
 	durability := 0
 	if !m.Uncounted {
@@ -408,9 +415,9 @@
 	return durability
 }
 
-// removeLostLearner: a learner leaves the group when a newer incarnation of it is
-// heard, when it has not been heard for long, or when it keeps its log in memory and is
-// not needed.
+// removeLostLearner removes a learner if there has been later contact with another incarnation
+// of it, if it has been out of contact for long, or if it keeps its log in memory and the group
+// has members with disks.
 func removeLostLearner(a *membershipAssessment) (membershipChange, bool) {
 	for _, m := range a.current.Learners {
 		health := a.healthOf(m)
@@ -424,9 +431,8 @@
 	return membershipChange{}, false
 }
 
-// remove takes the vote of a voter that does not serve. A replaced one leaves the
-// group, and so does one that keeps its log in memory beside members with a disk. Any other
-// stays as a learner, as it may come back.
+// remove removes the vote of a voter that is not serving. A replaced voter leaves the group,
+// and so does one that must retire. Any other stays as a learner because it may return.
 func (a *membershipAssessment) remove(m raft.Member) membershipChange {
 	health := a.healthOf(m)
 	switch {
@@ -440,23 +446,23 @@
 	return membershipChange{a.current.WithLearner(m), "leaving voter demoted to learner"}
 }
 
-// chooseSpare returns the voter that the group misses least: one whose copy of the log outlasts
-// least, of those of the failure domain with the most votes, of those the one that holds the
-// least of the log, and never the leader. There must be another voter than the leader.
-func (a *membershipAssessment) chooseSpare() raft.Member {
-	var spare *raft.Member
+// chooseExcessVoter returns the most expendable voter: one with the lowest durability, among
+// those one in the failure domain with the most votes, among those the one that holds the least
+// of the log. It is never the leader. There must be a voter besides the leader.
+func (a *membershipAssessment) chooseExcessVoter() raft.Member {
+	var excess *raft.Member
 	for i, m := range a.current.Voters {
 		if m.ID == a.self {
 			continue
 		}
-		if spare == nil || a.isMoreSpare(m, *spare) {
-			spare = &a.current.Voters[i]
+		if excess == nil || a.isMoreExpendable(m, *excess) {
+			excess = &a.current.Voters[i]
 		}
 	}
-	return *spare
+	return *excess
 }
 
-func (a *membershipAssessment) isMoreSpare(m, than raft.Member) bool {
+func (a *membershipAssessment) isMoreExpendable(m, than raft.Member) bool {
 	if durability, other := durabilityOf(m), durabilityOf(than); durability != other {
 		return durability < other
 	}
@@ -470,10 +476,10 @@
 	return health.matchIndex < other.matchIndex
 }
 
-// canLeave reports whether the process of member id may end. What was committed when
-// it first asked, up to commitIndex, must be held by every other voter that serves,
-// these must be a majority, and without the member the group must bear what it is to
-// bear, unless nobody is there to take over its vote.
+// canLeave reports whether the process of member id may stop. Every other serving voter must
+// hold what was committed when the member first asked, up to commitIndex, and these voters must
+// be a majority. Without the member the group must still tolerate the required losses, unless
+// no member can take its place as a voter.
 func canLeave(current raft.Membership, self, id uint64, tolerance faultTolerance, commitIndex uint64, healthOf func(raft.Member) memberHealth) bool {
 	assessment := assessMembership(current, self, tolerance, healthOf)
 	serving := 0
@@ -490,16 +496,16 @@
 	if serving <= voters/2 {
 		return false
 	}
-	spareLosses := serving - (voters/2 + 1)
-	if !current.IsVoter(id) || spareLosses >= tolerance.machines {
+	toleratedLosses := serving - (voters/2 + 1)
+	if !current.IsVoter(id) || toleratedLosses >= tolerance.machines {
 		return true
 	}
 	if _, reason := nextMembership(current, self, tolerance, healthOf); reason != "" {
 		return false
 	}
 	for _, m := range current.Learners {
-		if healthOf(m).isServing() && assessment.mayEverVote(m) {
-			return false // it will vote instead
+		if healthOf(m).isServing() && assessment.isEligibleVoter(m) {
+			return false // it will become a voter
 		}
 	}
 	return true
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -10,46 +10,47 @@
 	"lichentray/raft"
 )
 
-// TestNextMembershipAgainstModel compares the changes, made until there is nothing left to
-// change, with a slow plain model that tries every set of voters. In the later half of the seeds some
-// members keep their logs in memory, and none of them but the leader may vote beside a disk.
+// TestNextMembershipAgainstModel applies changes to random groups until there is nothing left
+// to change, and compares the result with a slow, simple model that tries every set of voters.
+// In the second half of the seeds some members keep their logs in memory, and none of them
+// except the leader may vote in a group that has disks.
 func TestNextMembershipAgainstModel(t *testing.T) {
 	const seeds = 40000
 	for seed := range int64(seeds) {
 		r := rand.New(rand.NewSource(seed))
-		tol := faultTolerance{machines: 1 + r.Intn(2), failureDomains: r.Intn(2)}
-		of := map[uint64]memberHealth{}
-		var ms raft.Membership
+		tolerance := faultTolerance{machines: 1 + r.Intn(2), failureDomains: r.Intn(2)}
+		healthByID := map[uint64]memberHealth{}
+		var membership raft.Membership
 		for id := uint64(1); id <= uint64(1+r.Intn(9)); id++ {
-			s := memberHealth{isAlive: true, isCaughtUp: true, matchIndex: uint64(r.Intn(9)), failureDomain: fmt.Sprint(r.Intn(3))}
+			health := memberHealth{isAlive: true, isCaughtUp: true, matchIndex: uint64(r.Intn(9)), failureDomain: fmt.Sprint(r.Intn(3))}
 			switch r.Intn(6) {
 			case 0:
-				s.isAlive, s.isExpired = false, r.Intn(2) == 0
+				health.isAlive, health.isExpired = false, r.Intn(2) == 0
 			case 1:
-				s.isLeaving = true
+				health.isLeaving = true
 			case 2:
-				s.isCaughtUp = false
+				health.isCaughtUp = false
 			case 3:
-				s.isReplaced = r.Intn(3) == 0
+				health.isReplaced = r.Intn(3) == 0
 			}
 			m := raft.Member{ID: id, Uncounted: r.Intn(6) == 0}
 			if seed >= seeds/2 {
 				m.Storage = []raft.Storage{raft.StorageDisk, raft.StorageMemory}[r.Intn(2)]
 			}
 			if id == 1 {
-				s = memberHealth{isAlive: true, isCaughtUp: true, failureDomain: "0"}
+				health = memberHealth{isAlive: true, isCaughtUp: true, failureDomain: "0"}
 			}
 			if id == 1 || r.Intn(2) == 0 {
-				ms.Voters = append(ms.Voters, m)
+				membership.Voters = append(membership.Voters, m)
 			} else {
-				ms.Learners = append(ms.Learners, m)
+				membership.Learners = append(membership.Learners, m)
 			}
-			of[id] = s
+			healthByID[id] = health
 		}
-		get := func(m raft.Member) memberHealth { return of[m.ID] }
-		acks := func(ms raft.Membership) (serving, alive int) {
+		healthOf := func(m raft.Member) memberHealth { return healthByID[m.ID] }
+		countVoters := func(ms raft.Membership) (serving, alive int) {
 			for _, m := range ms.Voters {
-				if s := of[m.ID]; s.isServing() {
+				if s := healthByID[m.ID]; s.isServing() {
 					serving++
 					alive++
 				} else if s.isAlive && !s.isReplaced {
@@ -58,78 +59,78 @@
 			}
 			return serving, alive
 		}
-		if _, alive := acks(ms); alive <= len(ms.Voters)/2 {
-			continue // nobody leads such a group
+		if _, alive := countVoters(membership); alive <= len(membership.Voters)/2 {
+			continue // such a group has no leader
 		}
-		start := ms
+		start := membership
 		hasDisk, knowsDisk := false, false
-		for _, m := range ms.AllMembers() {
-			s := of[m.ID]
+		for _, m := range membership.AllMembers() {
+			s := healthByID[m.ID]
 			knowsDisk = knowsDisk || m.Storage == raft.StorageDisk
-			hasDisk = hasDisk || (m.Storage == raft.StorageDisk && s.isServing() && (ms.IsVoter(m.ID) || s.isCaughtUp))
+			hasDisk = hasDisk || (m.Storage == raft.StorageDisk && s.isServing() && (membership.IsVoter(m.ID) || s.isCaughtUp))
 		}
 		mayVote := func(m raft.Member) bool { return m.ID == 1 || !hasDisk || m.Storage != raft.StorageMemory }
 		for step := 0; ; step++ {
-			next, why := nextMembership(ms, 1, tol, get)
-			if why == "" {
+			next, reason := nextMembership(membership, 1, tolerance, healthOf)
+			if reason == "" {
 				break
 			}
 			moved := 0
-			for _, m := range append(ms.AllMembers(), next.AllMembers()...) {
-				if ms.IsVoter(m.ID) != next.IsVoter(m.ID) {
+			for _, m := range append(membership.AllMembers(), next.AllMembers()...) {
+				if membership.IsVoter(m.ID) != next.IsVoter(m.ID) {
 					moved++
-					if next.IsVoter(m.ID) && m.Storage == raft.StorageMemory && countStorage(ms.AllMembers(), raft.StorageDisk) > 0 {
-						t.Fatalf("seed %d: a node without a disk gains a vote: from %+v to %+v", seed, ms, next)
+					if next.IsVoter(m.ID) && m.Storage == raft.StorageMemory && countByStorage(membership.AllMembers(), raft.StorageDisk) > 0 {
+						t.Fatalf("seed %d: a member without a disk gains a vote: from %+v to %+v", seed, membership, next)
 					}
-					if m.Uncounted && next.IsVoter(m.ID) && len(ms.Voters) >= tol.minVoters() {
-						t.Fatalf("seed %d: an uncounted node votes without need", seed)
+					if m.Uncounted && next.IsVoter(m.ID) && len(membership.Voters) >= tolerance.minVoters() {
+						t.Fatalf("seed %d: an uncounted member gains a vote although there are enough voters", seed)
 					}
 				}
 			}
-			if _, alive := acks(next); alive <= len(next.Voters)/2 || !next.IsVoter(1) || moved > 2 || step > 30 {
-				t.Fatalf("seed %d: %s: from %+v to %+v", seed, why, ms, next)
+			if _, alive := countVoters(next); alive <= len(next.Voters)/2 || !next.IsVoter(1) || moved > 2 || step > 30 {
+				t.Fatalf("seed %d: invalid change %q: from %+v to %+v", seed, reason, membership, next)
 			}
-			ms = next
+			membership = next
 		}
-		for _, m := range ms.Voters {
-			rest := ms.Without(m.ID)
-			if _, alive := acks(rest); !mayVote(m) && alive > len(rest.Voters)/2 {
-				t.Fatalf("seed %d: a node without a disk keeps its vote: from %+v to %+v", seed, start, ms)
+		for _, m := range membership.Voters {
+			rest := membership.Without(m.ID)
+			if _, alive := countVoters(rest); !mayVote(m) && alive > len(rest.Voters)/2 {
+				t.Fatalf("seed %d: a member without a disk keeps its vote: from %+v to %+v", seed, start, membership)
 			}
 		}
-		// The model: any odd set that a leader could choose from those that serve.
+		// The model: every set of odd size that a leader could choose from the serving members.
 		best := -1
 		var ids []uint64
 		for _, m := range start.AllMembers() {
-			if s := of[m.ID]; s.isServing() && mayVote(m) && (start.IsVoter(m.ID) || (s.isCaughtUp && !m.Uncounted && !(knowsDisk && m.Storage == raft.StorageMemory))) {
+			if s := healthByID[m.ID]; s.isServing() && mayVote(m) && (start.IsVoter(m.ID) || (s.isCaughtUp && !m.Uncounted && !(knowsDisk && m.Storage == raft.StorageMemory))) {
 				ids = append(ids, m.ID)
 			}
 		}
 		for set := 1; set < 1<<len(ids); set++ {
-			in, n := map[string]int{}, 0
+			votesByDomain, n := map[string]int{}, 0
 			for i, id := range ids {
 				if set>>i&1 == 1 {
-					in[of[id].failureDomain]++
+					votesByDomain[healthByID[id].failureDomain]++
 					n++
 				}
 			}
-			ok := n%2 == 1 && n >= tol.minVoters()
-			for _, k := range in {
-				ok = ok && k <= tol.maxVotersPerDomain(n)
+			ok := n%2 == 1 && n >= tolerance.minVoters()
+			for _, k := range votesByDomain {
+				ok = ok && k <= tolerance.maxVotersPerDomain(n)
 			}
 			if ok {
 				best = max(best, n/2)
 			}
 		}
-		serving, _ := acks(ms)
-		if margin := serving - (len(ms.Voters)/2 + 1); best >= 0 && margin < min(best, tol.machines) {
-			t.Fatalf("seed %d: the voters bear %d further losses, %d could be borne\nfrom %+v\nto %+v\n%+v", seed, margin, best, start, ms, of)
+		serving, _ := countVoters(membership)
+		if margin := serving - (len(membership.Voters)/2 + 1); best >= 0 && margin < min(best, tolerance.machines) {
+			t.Fatalf("seed %d: the voters tolerate %d further losses, %d are possible\nfrom %+v\nto %+v\n%+v", seed, margin, best, start, membership, healthByID)
 		}
 	}
 }
 
-// TestCanLeave: a member may leave once every voter that serves holds what was committed,
-// and a spare member that can still catch up has its vote.
+// TestCanLeave guards against a member that stops before every serving voter holds what was
+// committed, or while a learner that could take over its vote has not become a voter yet.
 func TestCanLeave(t *testing.T) {
 	m := func(id uint64) raft.Member { return raft.Member{ID: id} }
 	three := raft.Membership{Voters: []raft.Member{m(1), m(2), m(3)}}
@@ -137,48 +138,52 @@
 	for _, c := range []struct {
 		name string
 		ms   raft.Membership
-		edit func(of map[uint64]memberHealth)
+		edit func(healthByID map[uint64]memberHealth)
 		want bool
 	}{
-		{"three, nobody to spare", three, nil, true},
-		{"a voter lacks the last entry", three, func(of map[uint64]memberHealth) { of[2] = memberHealth{isAlive: true, isCaughtUp: true, matchIndex: 9} }, false},
-		{"a voter is dead", three, func(of map[uint64]memberHealth) { of[2] = memberHealth{} }, false},
-		{"two leave at once", three, func(of map[uint64]memberHealth) { of[2] = memberHealth{isAlive: true, isLeaving: true, matchIndex: 10} }, false},
-		{"a spare that will vote", three.WithLearner(m(4)), nil, false},
-		{"a spare that still catches up", three.WithLearner(m(4)), func(of map[uint64]memberHealth) { of[4] = memberHealth{isAlive: true} }, false},
-		{"a spare that is dead", three.WithLearner(m(4)), func(of map[uint64]memberHealth) { of[4] = memberHealth{} }, true},
-		{"five", five, nil, true},
-		{"five, one dead", five, func(of map[uint64]memberHealth) { of[2] = memberHealth{} }, false},
-		{"it follows only", five.WithLearner(m(3)), nil, true},
+		{"three voters, no learner", three, nil, true},
+		{"a voter lacks the last entry", three, func(healthByID map[uint64]memberHealth) {
+			healthByID[2] = memberHealth{isAlive: true, isCaughtUp: true, matchIndex: 9}
+		}, false},
+		{"a voter is dead", three, func(healthByID map[uint64]memberHealth) { healthByID[2] = memberHealth{} }, false},
+		{"two voters leave at once", three, func(healthByID map[uint64]memberHealth) {
+			healthByID[2] = memberHealth{isAlive: true, isLeaving: true, matchIndex: 10}
+		}, false},
+		{"a learner that has caught up", three.WithLearner(m(4)), nil, false},
+		{"a learner that is catching up", three.WithLearner(m(4)), func(healthByID map[uint64]memberHealth) { healthByID[4] = memberHealth{isAlive: true} }, false},
+		{"a dead learner", three.WithLearner(m(4)), func(healthByID map[uint64]memberHealth) { healthByID[4] = memberHealth{} }, true},
+		{"five voters", five, nil, true},
+		{"five voters, one dead", five, func(healthByID map[uint64]memberHealth) { healthByID[2] = memberHealth{} }, false},
+		{"the leaving member is a learner", five.WithLearner(m(3)), nil, true},
 	} {
-		of := map[uint64]memberHealth{}
+		healthByID := map[uint64]memberHealth{}
 		for id := uint64(1); id <= 5; id++ {
-			of[id] = memberHealth{isAlive: true, isCaughtUp: true, matchIndex: 10, isLeaving: id == 3}
+			healthByID[id] = memberHealth{isAlive: true, isCaughtUp: true, matchIndex: 10, isLeaving: id == 3}
 		}
 		if c.edit != nil {
-			c.edit(of)
+			c.edit(healthByID)
 		}
-		if got := canLeave(c.ms, 1, 3, faultTolerance{machines: 1}, 10, func(m raft.Member) memberHealth { return of[m.ID] }); got != c.want {
-			t.Errorf("%s: may leave %v", c.name, got)
+		if got := canLeave(c.ms, 1, 3, faultTolerance{machines: 1}, 10, func(m raft.Member) memberHealth { return healthByID[m.ID] }); got != c.want {
+			t.Errorf("%s: canLeave = %v", c.name, got)
 		}
 	}
 }
 
-// TestSecondLossAfterRepair: over many seeds a machine of a group is lost, comes back as
-// it was, with an empty disk or as another machine, and the next one is lost as soon as
-// the tolerance allows; each time commands are soon acknowledged again, and none that was
-// acknowledged is lost.
+// TestSecondLossAfterRepair guards against a group that does not survive the next loss after it
+// was repaired. Over many seeds a machine is lost and returns as it was, with an empty disk or
+// as another machine, and the next one is lost as soon as the fault tolerance allows. After
+// each loss commands must soon be acknowledged again, and no acknowledged command may be lost.
 func TestSecondLossAfterRepair(t *testing.T) {
 	for seed := range int64(16) {
 		c := newSimulatedCore(t, seed, 3+int(seed%4))
 		for range 5 {
 			id := c.anyRunning(0)
 			kind := c.Rand.Intn(6)
-			what := fmt.Sprintf("loss of kind %d of %d", kind, id)
+			what := fmt.Sprintf("loss of kind %d of member %d", kind, id)
 			down := time.Duration(c.Rand.Int63n(int64(3 * simDeadMemberTimeout)))
 			hanging := false
 			switch kind {
-			case 0, 1, 2: // crash; the disk stays, or is lost, or another machine comes
+			case 0, 1, 2: // crash; the disk is kept or lost, or another machine replaces it
 				c.Crash(id)
 			case 3:
 				c.SetFrozen(id, true)
@@ -188,7 +193,7 @@
 			case 5:
 				c.shutDown(id)
 			}
-			if !hanging { // a leader whose disk hangs has to find that out
+			if !hanging { // a leader with a hanging disk has to detect that first
 				c.requireProgress(10*simElectionTimeout, what)
 			}
 			c.runFor(down)
@@ -213,9 +218,10 @@
 	}
 }
 
-// TestLossRightAfterLeave: of a group with a machine to spare one shuts down and, as soon
-// as its process has ended, another one is lost. Once they return with their disks the
-// group is complete; without a spare machine the one may leave all the same.
+// TestLossRightAfterLeave guards against a member that leaves before the group can tolerate the
+// loss of another one. One member of a group shuts down and, if there is a spare machine,
+// another one is lost as soon as the process has stopped. Once all return with their disks the
+// group must be complete. Without a spare machine the member may leave all the same.
 func TestLossRightAfterLeave(t *testing.T) {
 	for seed := range int64(24) {
 		n := 3 + int(seed%4)
@@ -223,15 +229,15 @@
 		id := c.anyRunning(0)
 		commit, changed := c.Leader().Raft.CommitIndex(), c.Leader().Raft.MembershipIndex()
 		if !c.shutDown(id) {
-			t.Fatalf("seed %d: one of %d may not leave", seed, n)
+			t.Fatalf("seed %d: leave of one of %d members is not approved", seed, n)
 		}
 		for _, m := range c.Leader().Raft.Membership().Voters {
 			if m.ID != id && c.Nodes[m.ID].Raft.StableIndex() < commit {
-				t.Fatalf("seed %d: %d has left, and %d lacks what was committed", seed, id, m.ID)
+				t.Fatalf("seed %d: member %d has left, but member %d lacks committed entries", seed, id, m.ID)
 			}
 		}
 		if now := c.Leader().Raft.MembershipIndex(); n%2 == 1 && now != changed {
-			t.Fatalf("seed %d: a leave of one of %d changes the membership", seed, n)
+			t.Fatalf("seed %d: the leave of one of %d members changes the membership", seed, n)
 		}
 		if n > 3 {
 			c.Crash(c.anyRunning(id))
@@ -242,14 +248,14 @@
 		}
 		c.runFor(2 * simCatchUpTime)
 		if ms := c.Leader().Raft.Membership(); len(ms.Voters) != n-1+n%2 || len(ms.Learners) != 1-n%2 {
-			t.Fatalf("seed %d: %d voters and %d learners of %d", seed, len(ms.Voters), len(ms.Learners), n)
+			t.Fatalf("seed %d: %d voters and %d learners of %d members", seed, len(ms.Voters), len(ms.Learners), n)
 		}
 	}
 }
 
-// TestVoterWithHangingDiskIsReplaced: a voter whose disk hangs is heard but of no use, so
-// the learner votes in its place before a further voter is lost; and a learner with
-// a hanging disk, a few entries behind, gets no vote.
+// TestVoterWithHangingDiskIsReplaced guards against counting on a member whose disk hangs while
+// it still answers heartbeats. A learner must replace such a voter before another voter is
+// lost, and a learner with a hanging disk, a few entries behind, must not become a voter.
 func TestVoterWithHangingDiskIsReplaced(t *testing.T) {
 	for seed := range int64(16) {
 		c := newSimulatedCore(t, seed, 4)
@@ -272,8 +278,9 @@
 	}
 }
 
-// TestReplacementIsKeptAfterElection: a leader that has just been elected has heard of
-// both incarnations at an address alike, and does not take the new one for the old.
+// TestReplacementIsKeptAfterElection guards against a new leader that removes the new
+// incarnation at an address instead of the old one, since its last contact with both is the
+// same just after the election.
 func TestReplacementIsKeptAfterElection(t *testing.T) {
 	c := newSimulatedCore(t, 1, 3)
 	c.Crash(1)
@@ -293,20 +300,21 @@
 	}
 	c.runFor(3 * simElectionTimeout)
 	if !c.Leader().Raft.Membership().IsMember(replacement) {
-		t.Error("the new incarnation was removed in place of the old one")
+		t.Error("the new incarnation was removed instead of the old one")
 	}
 	c.Heal()
 	c.runFor(simDeadMemberTimeout)
 	if ms := c.Leader().Raft.Membership(); ms.IsMember(1) || !ms.IsVoter(replacement) {
-		t.Errorf("the new incarnation does not replace the old one: %+v", ms)
+		t.Errorf("the new incarnation has not replaced the old one: %+v", ms)
 	}
 }
 
-// TestPeriodicTasksOfNewLeader: the only voter of a group wins its election within a tick,
-// and its periodic tasks may be due in the same one, as after a slow start.
+// TestPeriodicTasksOfNewLeader guards against periodic tasks that use leader state before it is
+// set up. The only voter of a group wins its election within a tick, and after a slow start its
+// periodic tasks may be due in the same tick.
 func TestPeriodicTasksOfNewLeader(t *testing.T) {
 	node := newTestCluster(t, 1, nil).nodes[0]
-	eventually(t, "it leads", func() bool { return node.Status().Role == raft.Leader.String() })
+	eventually(t, "the node leads", func() bool { return node.Status().Role == raft.Leader.String() })
 	done := make(chan bool)
 	node.loop.post(func(state *loopState) {
 		state.role, state.periodicTasksAt = raft.Follower, -time.Hour
@@ -317,19 +325,19 @@
 	<-done
 }
 
-// TestLeaveAndRejoin drives real nodes: one of four shuts down, a second one is lost at
-// once, the first returns and votes; the lost one stays away until it is no member any
-// more, and rejoins with its disk, on which it is a voter.
+// TestLeaveAndRejoin runs four complete nodes. One shuts down, a second one is lost
+// immediately, and the first returns and becomes a voter. The lost node returns only after it
+// has been removed from the group, and must rejoin although its disk says that it is a voter.
 func TestLeaveAndRejoin(t *testing.T) {
 	cluster := newTestCluster(t, 4, func(s *settings.Settings) {
 		s.Bounds.Recovery, s.Bounds.CatchUp = 1, 1
 	})
 	voters := func(without string) (n, members int) {
-		x := cluster.leader()
-		if x == nil {
+		leader := cluster.leader()
+		if leader == nil {
 			return 0, 0
 		}
-		for _, m := range x.Status().Members {
+		for _, m := range leader.Status().Members {
 			if m.IsVoter && m.ID != without {
 				n++
 			}
@@ -339,32 +347,32 @@
 		}
 		return n, members
 	}
-	eventually(t, "three vote and one is a learner", func() bool { n, all := voters(""); return n == 3 && all == 4 })
+	eventually(t, "three members are voters and one is a learner", func() bool { n, all := voters(""); return n == 3 && all == 4 })
 	first := 0
-	for i, l := range cluster.nodes {
-		if s := l.Status(); s.Role != raft.Leader.String() && l.loop != nil && i < 3 {
+	for i, node := range cluster.nodes {
+		if s := node.Status(); s.Role != raft.Leader.String() && node.loop != nil && i < 3 {
 			first = i
 		}
 	}
 	id := formatMemberID(cluster.nodes[first].self.ID)
 	cluster.nodes[first].PrepareShutdown(30 * time.Second)
 	if n, _ := voters(id); n != 3 {
-		t.Errorf("%d voters beside the one that leaves", n)
+		t.Errorf("%d voters besides the leaving member, want 3", n)
 	}
 	cluster.nodes[first].Close()
 	lost := (first + 1) % 3
 	cluster.nodes[lost].Close()
-	eventually(t, "a change is taken", func() bool {
+	eventually(t, "a change is accepted", func() bool {
 		return cluster.nodes[3].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil
 	})
 	cluster.start(first, false)
-	away := formatMemberID(cluster.nodes[lost].self.ID)
-	eventually(t, "it votes in place of the lost one, which is no member any more", func() bool {
+	lostID := formatMemberID(cluster.nodes[lost].self.ID)
+	eventually(t, "the restarted node is a voter and the lost one is removed", func() bool {
 		n, all := voters("")
-		others, _ := voters(away)
+		others, _ := voters(lostID)
 		return n == 3 && all == 3 && others == 3
 	})
 	cluster.start(lost, false)
-	eventually(t, "the lost one is a member again", func() bool { _, all := voters(""); return all == 4 })
-	eventually(t, "and follows", func() bool { return cluster.nodes[lost].ReadIndex() == nil })
+	eventually(t, "the lost node is a member again", func() bool { _, all := voters(""); return all == 4 })
+	eventually(t, "the lost node follows the leader", func() bool { return cluster.nodes[lost].ReadIndex() == nil })
 }
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -9,8 +9,8 @@
 	"lichentray/registry"
 )
 
-// Node is a running control-plane node. It joins its parts, see the package comment,
-// and drives them from the event loop.
+// Node is a running control-plane node. It connects the components listed in the package
+// comment and drives them from the event loop.
 type Node struct {
 	*environment
 	loop      *eventLoop
@@ -36,7 +36,7 @@
 	history     *historyCompactor
 }
 
-// run begins the node's goroutines.
+// run starts the node's goroutines.
 func (n *Node) run(listener net.Listener, state *loopState) {
 	n.start(func() { n.server.acceptConnections(listener) })
 	n.start(n.writer.run)
@@ -44,26 +44,26 @@
 	n.start(func() { n.loop.run(state, n.tick, n.processReady) })
 }
 
-// Close stops the node at once and gives its disk and port back. It waits for all of
-// the node's goroutines. Calls in flight end with an error.
+// Close stops the node immediately and releases its store and port. It waits for all of the
+// node's goroutines to end. Calls in flight return an error.
 func (n *Node) Close() { n.close() }
 
-// NotNeeded is closed when the group has rejected this node, as the node keeps its log in memory
-// and the group keeps its log on disks. The node should be closed then.
-func (n *Node) NotNeeded() <-chan struct{} { return n.membership.notNeeded }
+// JoinRejected is closed when the group has permanently rejected this node because the node
+// keeps its log in memory while other members have disks. The caller should then close the
+// node.
+func (n *Node) JoinRejected() <-chan struct{} { return n.membership.joinRejected }
 
-// tick lets time pass for consensus and carries out what is due by the clock.
+// tick advances the clock of consensus and runs the periodic tasks that are due.
 func (n *Node) tick(state *loopState) {
 	state.raft.Tick(n.now())
 	n.runPeriodicTasks(state)
 }
 
-// periodicTaskHeartbeats is how many heartbeat intervals pass between two rounds of
-// periodic tasks.
+// periodicTaskHeartbeats is the number of heartbeat intervals between two rounds of periodic
+// tasks.
 const periodicTaskHeartbeats = 4
 
-// runPeriodicTasks carries out the tasks that are due by the clock. Some are of the
-// leader alone.
+// runPeriodicTasks runs the periodic tasks that are due. Some run only on the leader.
 func (n *Node) runPeriodicTasks(state *loopState) {
 	now := n.now()
 	n.membership.adjust(state, now)
@@ -71,7 +71,7 @@
 		return
 	}
 	state.periodicTasksAt = now
-	n.publishConsensus(state) // this very tick may have made the node the leader
+	n.publishConsensus(state) // the node may have become leader in this tick
 	n.history.record(state, now)
 	n.health.reportHeartbeats(state, now)
 	n.reports.exchange(state, now)
@@ -86,12 +86,12 @@
 	n.history.compact(state, now)
 }
 
-// processReady carries out what consensus wants done, until nothing is left.
+// processReady processes the output of consensus until there is none left.
 func (n *Node) processReady(state *loopState) {
 	for {
 		ready := state.raft.Ready()
 		n.publishConsensus(state)
-		if isEmpty(&ready) {
+		if isReadyEmpty(&ready) {
 			return
 		}
 		n.peers.sendMessages(ready.Messages)
@@ -118,15 +118,15 @@
 	}
 }
 
-// isEmpty reports whether there is nothing to do. A SnapshotToInstall comes with a
-// Write.
-func isEmpty(ready *raft.Ready) bool {
+// isReadyEmpty reports whether there is nothing to process. SnapshotToInstall needs no check
+// because it always comes with a Write.
+func isReadyEmpty(ready *raft.Ready) bool {
 	return len(ready.Messages) == 0 && ready.Write == nil &&
 		len(ready.CommittedEntries) == 0 && len(ready.ReadStates) == 0
 }
 
-// publishConsensus follows a change of role, leader or membership and lets the other
-// goroutines see the consensus state.
+// publishConsensus handles a change of role, leader or membership and publishes the consensus
+// state to the other goroutines.
 func (n *Node) publishConsensus(state *loopState) {
 	role := state.raft.Role()
 	leaderID := state.raft.LeaderID()
@@ -145,8 +145,8 @@
 	})
 }
 
-// changeLeader follows a change of role or leader, and notifies the callers that wait
-// for a response of the old leader.
+// changeLeader handles a change of role or leader, and notifies the callers that wait for a
+// response from the previous leader.
 func (n *Node) changeLeader(state *loopState, role raft.Role, leaderID uint64) {
 	close(state.leaderChanged)
 	state.leaderChanged = make(chan struct{})
@@ -167,7 +167,8 @@
 	state.leaderID = leaderID
 }
 
-// becomeLeader resets what every part knows of an earlier leadership of this node.
+// becomeLeader resets the leader state that each component kept from an earlier term of this
+// node as leader.
 func (n *Node) becomeLeader(state *loopState) {
 	now := n.now()
 	state.leaderSince = now
@@ -181,7 +182,8 @@
 	n.logger.Info("leading", "term", state.raft.Term())
 }
 
-// applyEntry carries out a committed entry and notifies its proposer, if it is here.
+// applyEntry applies a committed entry and returns its result to the proposer if that is on
+// this node.
 func (n *Node) applyEntry(state *loopState, entry raft.Entry) {
 	var result registry.Result
 	switch {
@@ -192,16 +194,16 @@
 	}
 	state.snapshots.countEntry(entry)
 	n.metrics.appliedIndex.Set(int64(entry.Index))
-	n.state.advance(entry.Index)
-	// A member with a disk may have joined since the entry was proposed.
-	isKept := state.membership.planner.takesChanges(state.raft, n.now())
-	state.requests.resolveEntry(entry, result, isKept)
+	n.state.setAppliedIndex(entry.Index)
+	// A member with a disk may have joined after the entry was proposed.
+	isDurable := state.membership.planner.acceptsProposals(state.raft, n.now())
+	state.requests.resolveEntry(entry, result, isDurable)
 }
 
 func (n *Node) applyCommand(state *loopState, entry raft.Entry) registry.Result {
 	cmd, err := registry.DecodeCommand(entry.Data)
 	if err != nil {
-		// Every replica skips the entry, so their states stay equal.
+		// Every replica skips the entry, so the replicas stay identical.
 		n.logger.Error("log entry cannot be decoded", "index", entry.Index, "error", err)
 		return registry.Result{}
 	}
@@ -224,12 +226,12 @@
 	return result
 }
 
-// installSnapshot replaces the replicated state by the one that the leader sent.
+// installSnapshot replaces the replicated state with the one received from the leader.
 func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
-	n.state.replace(state.snapshots.takeReceived(), snapshot.Index)
+	n.state.replaceStore(state.snapshots.takeReceived(), snapshot.Index)
 	state.leases.Restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
 	n.rollouts.forgetAllEnded(state)
 	n.groups.wakeAll()
-	state.requests.abandonThrough(snapshot.Index)
+	state.requests.failThrough(snapshot.Index)
 	n.logger.Info("snapshot installed", "index", snapshot.Index)
 }
--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -23,29 +23,30 @@
 	"lichentray/watchcache"
 )
 
-// TestClusterServesCallsAndRecovers drives three nodes on the loopback through the calls,
-// a watch that resumes at another node, the loss of a disk, and the failure of all
+// TestClusterServesCallsAndRecovers runs three nodes on the loopback interface through all
+// calls, a watch that resumes at another node, the loss of a disk, and a restart of all
 // processes.
 func TestClusterServesCallsAndRecovers(t *testing.T) {
 	cluster := newTestCluster(t, 3, nil)
 	nodes := cluster.nodes
-	eventually(t, "a configuration is taken", func() bool { return nodes[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
+	eventually(t, "a configuration is accepted", func() bool { return nodes[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
 
-	// An older version is acknowledged and changes nothing; an invalid one is not.
+	// An older version is acknowledged without effect; an invalid configuration is rejected.
 	if err := nodes[1].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 4))); err != nil {
-		t.Errorf("older version: %v", err)
+		t.Errorf("ReplaceConfiguration(older version) = %v", err)
 	}
 	if err := nodes[2].ReplaceConfiguration([]byte(`{"config_version":9`)); apierror.KindOf(err) != apierror.InvalidConfiguration {
-		t.Errorf("a truncated configuration: %v", err)
+		t.Errorf("ReplaceConfiguration(truncated) = %v, want kind InvalidConfiguration", err)
 	}
 	for i := range nodes {
 		if got, err := nodes[i].Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 5) {
-			t.Errorf("node %d reads %q, %v", i, got, err)
+			t.Errorf("node %d: Configuration() = %q, %v", i, got, err)
 		}
 	}
 
-	// A heartbeat registers an endpoint, an ordinary one writes nothing, one that drains
-	// updates, a deregistration deletes, and a late heartbeat does not register it again.
+	// The first heartbeat registers an endpoint, an unchanged one writes nothing, and one that
+	// drains updates it. A deregistration deletes it, and a late heartbeat does not register it
+	// again.
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
 	if err := nodes[0].Heartbeat(e); err != nil {
 		t.Fatal(err)
@@ -58,9 +59,9 @@
 	before := nodes[0].Status().Revision
 	e.Sequence = 2
 	if err := nodes[0].Heartbeat(e); err != nil || nodes[0].Status().Revision != before {
-		t.Errorf("an ordinary heartbeat: %v, revision %d then %d", err, before, nodes[0].Status().Revision)
+		t.Errorf("unchanged heartbeat: error %v, revision %d before and %d after", err, before, nodes[0].Status().Revision)
 	}
-	stream.Close() // the proxy is disconnected while the endpoint drains and leaves
+	stream.Close() // the proxy is disconnected while the endpoint drains and deregisters
 	e.Sequence, e.Draining = 4, true
 	if err := nodes[1].Heartbeat(e); err != nil {
 		t.Fatal(err)
@@ -81,24 +82,24 @@
 		t.Error(err)
 	}
 	if n := nodes[2].Status().Endpoints; n != 0 {
-		t.Errorf("a late heartbeat registered a departed endpoint again")
+		t.Errorf("a late heartbeat registered a deregistered endpoint again")
 	}
-	// The watch resumes at another node and brings every event that was missed.
+	// The watch resumes at another node and delivers every missed event.
 	stream, mirror = watchAsProxy(t, nodes[2].self.Addr, mirror)
 	if _, there := mirror.Objects()[e.Key()]; there {
-		t.Error("the resumed mirror still has the departed endpoint")
+		t.Error("the resumed mirror still has the deregistered endpoint")
 	}
 	if o := mirror.Objects()[registry.ConfigKey]; len(o.Value) < 8 || string(o.Value[8:]) != fmt.Sprintf(configurationFormat, 6) {
-		t.Error("the resumed mirror lacks the configuration replaced meanwhile")
+		t.Error("the resumed mirror lacks the configuration replaced while it was disconnected")
 	}
 	stream.Close()
 
-	// Locks, numbers, cells and a watch over all nodes.
+	// Numbers, cells and a watch, each through several nodes.
 	var last uint64
 	for i := range 9 {
 		r, err := nodes[i%3].Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
 		if err != nil || r.Latch.Value <= last {
-			t.Fatalf("number %d after %d, %v", r.Latch.Value, last, err)
+			t.Fatalf("NextNumber = %d after %d, error %v", r.Latch.Value, last, err)
 		}
 		last = r.Latch.Value
 	}
@@ -107,9 +108,9 @@
 		t.Fatal(err)
 	}
 	go func() {
-		events, rev, err := nodes[1].Watch("g.", 1, 20*time.Second, stays)
+		events, rev, err := nodes[1].Watch("g.", 1, 20*time.Second, isStillWaiting)
 		if err == nil && (len(events) != 1 || events[0].Value != "2" || rev != 2) {
-			err = fmt.Errorf("watch gave %v at %d", events, rev)
+			err = fmt.Errorf("Watch() = %v, revision %d", events, rev)
 		}
 		got <- err
 	}()
@@ -120,7 +121,7 @@
 		t.Error(err)
 	}
 
-	// A disk is lost: its node joins as a new member and the group is complete again.
+	// A node that lost its disk joins as a new member and replaces its old identity.
 	lost := 0
 	if cluster.leader() == nodes[0] {
 		lost = 1
@@ -132,11 +133,11 @@
 	}
 	cluster.start(lost, false)
 	eventually(t, "the new member votes and the old one is removed", func() bool {
-		x := cluster.leader()
-		if x == nil {
+		leader := cluster.leader()
+		if leader == nil {
 			return false
 		}
-		s := x.Status()
+		s := leader.Status()
 		votes := false
 		for _, m := range s.Members {
 			if m.ID == formatMemberID(oldID) {
@@ -147,7 +148,7 @@
 		return votes && len(s.Members) == 3
 	})
 
-	// All processes end; their disks stay.
+	// All processes stop and restart on their disks.
 	for i := range nodes {
 		nodes[i].Close()
 	}
@@ -159,13 +160,14 @@
 		return err == nil && string(got) == fmt.Sprintf(configurationFormat, 6)
 	})
 	if c, err := nodes[1].Cell("g.a"); err != nil || c.Value != "2" || c.Revision != 2 {
-		t.Errorf("cell after the restart: %+v, %v", c, err)
+		t.Errorf("Cell(\"g.a\") after the restart = %+v, %v", c, err)
 	}
 }
 
-// TestListIsEncodedOnceForManyProxies has 300 proxies list a thousand endpoints at the
-// same moment, as after a loss of power: the list is encoded once for all of them, and
-// one change reaches each as one event. The figures do not depend on the machine.
+// TestListIsEncodedOnceForManyProxies guards against encoding the same data for each proxy. As
+// after a power failure, 300 proxies list a thousand endpoints at the same time: the list must
+// be encoded once for all of them, and one change must reach each proxy as one event. The
+// counts do not depend on the machine.
 func TestListIsEncodedOnceForManyProxies(t *testing.T) {
 	const proxies, endpoints = 300, 1000
 	cluster := newTestCluster(t, 1, nil)
@@ -182,12 +184,12 @@
 		mirror *watchcache.Mirror
 	}
 	connected := make(chan mirroringProxy, proxies)
-	gate := make(chan struct{}, 25) // a slow machine does not get to all of them in time
+	slots := make(chan struct{}, 25) // a slow machine cannot serve all of them in time
 	for range proxies {
 		go func() {
 			var got mirroringProxy
-			gate <- struct{}{}
-			defer func() { <-gate; connected <- got }()
+			slots <- struct{}{}
+			defer func() { <-slots; connected <- got }()
 			got.conn, got.mirror = watchAsProxy(t, node.self.Addr, watchcache.NewMirror())
 		}()
 	}
@@ -201,10 +203,10 @@
 		got = append(got, c)
 	}
 	if n := node.metrics.listsEncoded.Value(); n != 1 {
-		t.Errorf("one list was encoded %d times for %d proxies", n, proxies)
+		t.Errorf("lists encoded = %d for %d proxies, want 1", n, proxies)
 	}
 	if node.metrics.lists.Value() != proxies {
-		t.Errorf("%d lists for %d proxies", node.metrics.lists.Value(), proxies)
+		t.Errorf("lists sent = %d for %d proxies", node.metrics.lists.Value(), proxies)
 	}
 
 	drained := registry.Endpoint{ID: "i-0007", Service: "s", Address: "10.0.0.7:80", Zone: "z", Capacity: 3, Draining: true, Sequence: 1}
@@ -226,10 +228,10 @@
 			}
 		}
 		if events != 1 || len(c.mirror.Objects()) != endpoints {
-			t.Fatalf("proxy %d: %d events for one change, %d endpoints", i, events, len(c.mirror.Objects()))
+			t.Fatalf("proxy %d: %d events for one change, want 1; %d endpoints", i, events, len(c.mirror.Objects()))
 		}
 	}
-	// A large configuration is encoded once for all of them, too.
+	// A large configuration is also encoded once for all proxies.
 	var routes strings.Builder
 	for i := range 2000 {
 		fmt.Fprintf(&routes, `{"name":"r%d","route_type":"idempotent","match":{"path_prefix":"/p%d/"},"action":{"backend_service":"s","timeout_s":1,"max_attempts":2}},`, i, i*7919)
@@ -255,46 +257,46 @@
 			}
 		}
 		if _, held, _ := registry.DecodeConfig(c.mirror.Objects()[registry.ConfigKey]); string(held) != large {
-			t.Fatalf("proxy %d holds %d bytes of a configuration of %d", i, len(held), len(large))
+			t.Fatalf("proxy %d: configuration differs, %d bytes, want %d", i, len(held), len(large))
 		}
 	}
 	if n := node.metrics.eventsEncoded.Value(); n != 1 {
-		t.Errorf("one configuration was encoded %d times for %d proxies", n, proxies)
+		t.Errorf("events encoded = %d for one configuration and %d proxies, want 1", n, proxies)
 	}
-	// A proxy that does not know the packed form, of an earlier version, gets the same
-	// list, and a list after a change is encoded anew.
+	// A proxy of an earlier version, which does not support the packed form, gets the same
+	// list. A list after a change is encoded again.
 	_, m := watchAsProxy(t, node.self.Addr, watchcache.NewMirror())
 	plain, _ := node.watches.listObjects(&transport.Request{ID: 1, List: true})
 	if len(plain.Objects) != endpoints+1 || node.metrics.listsEncoded.Value() != 2 {
-		t.Errorf("%d endpoints unpacked, encoded %d times", len(plain.Objects), node.metrics.listsEncoded.Value())
+		t.Errorf("plain list has %d objects, lists encoded = %d", len(plain.Objects), node.metrics.listsEncoded.Value())
 	}
 	for _, o := range plain.Objects {
 		if held := m.Objects()[o.Key]; !reflect.DeepEqual(held, o) {
-			t.Fatalf("packed %+v, plain %+v", held, o)
+			t.Fatalf("packed object %+v, plain object %+v", held, o)
 		}
 	}
 }
 
-// TestConfigurationsAreValidatedOneAtATime: of many configurations at once one is
-// validated at a time; one that waits for too long is rejected as unavailable, and
-// nothing is stored.
+// TestConfigurationsAreValidatedOneAtATime checks that concurrent configurations are validated
+// one at a time, and that one that waits too long is rejected as unavailable without being
+// stored.
 func TestConfigurationsAreValidatedOneAtATime(t *testing.T) {
 	cluster := newTestCluster(t, 1, nil)
 	node := cluster.nodes[0]
-	eventually(t, "a configuration is taken", func() bool { return node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
-	node.configs.validationSlot <- struct{}{} // another validation takes long
+	eventually(t, "a configuration is accepted", func() bool { return node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
+	node.configs.validationSlot <- struct{}{} // simulates a long validation
 	if err := node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))); apierror.KindOf(err) != apierror.Unavailable {
-		t.Errorf("while another is validated: %v", err)
+		t.Errorf("ReplaceConfiguration during another validation = %v, want kind Unavailable", err)
 	}
 	if got, err := node.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 5) {
-		t.Errorf("stored is %q, %v", got, err)
+		t.Errorf("Configuration() = %q, %v", got, err)
 	}
 	<-node.configs.validationSlot
 	done := make(chan error, 8)
 	for v := range 8 {
 		go func() {
 			err := node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 7+v)))
-			for apierror.KindOf(err) == apierror.Unavailable { // a slow machine defers it
+			for apierror.KindOf(err) == apierror.Unavailable { // deferred on a slow machine
 				err = node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 7+v)))
 			}
 			done <- err
@@ -306,25 +308,25 @@
 		}
 	}
 	if got, err := node.Configuration(); err != nil || string(got) != fmt.Sprintf(configurationFormat, 14) || node.metrics.configsDeferred.Value() < 1 {
-		t.Errorf("stored is %q, %v; %d deferred", got, err, node.metrics.configsDeferred.Value())
+		t.Errorf("Configuration() = %q, %v; %d deferred", got, err, node.metrics.configsDeferred.Value())
 	}
 }
 
-// TestListIsRedirectedToNodeOfOwnZone: a proxy that would list at a node of another zone
-// is redirected to the one of its own while that is up, and lists here otherwise.
+// TestListIsRedirectedToNodeOfOwnZone checks that a proxy that lists at a node of another zone
+// is redirected to the node of its own zone while that node is up, and is served otherwise.
 func TestListIsRedirectedToNodeOfOwnZone(t *testing.T) {
 	zones := map[string]string{"z1": "r", "z2": "r", "z3": "r"}
 	cluster := newTestCluster(t, 3, func(s *settings.Settings) {
 		s.RegionByZone, s.Zone = zones, fmt.Sprint("z", s.IPAddress[len(s.IPAddress)-1:])
 	})
 	nodes := cluster.nodes
-	eventually(t, "a configuration is taken", func() bool { return nodes[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 1))) == nil })
-	ask := func(zone string) *transport.Response {
+	eventually(t, "a configuration is accepted", func() bool { return nodes[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 1))) == nil })
+	list := func(zone string) *transport.Response {
 		a, _ := nodes[0].watches.listOrWatch(&transport.Request{ID: 1, List: true, Packs: true, Zone: zone})
 		return a
 	}
 	eventually(t, "a proxy of another zone is redirected", func() bool {
-		for _, n := range ask("z3").Nearer {
+		for _, n := range list("z3").Nearer {
 			if n.Addr == nodes[2].self.Addr && n.Zone == "z3" {
 				return true
 			}
@@ -332,22 +334,23 @@
 		return false
 	})
 	for _, zone := range []string{"", "z1", "z9"} {
-		if a := ask(zone); a.Failed || a.Nearer != nil || a.Packed == nil {
-			t.Errorf("asked from zone %q: failed %v, redirected to %v", zone, a.Failed, a.Nearer)
+		if a := list(zone); a.Failed || a.Nearer != nil || a.Packed == nil {
+			t.Errorf("list from zone %q: failed %v, redirected to %v", zone, a.Failed, a.Nearer)
 		}
 	}
 	nodes[2].Close()
-	eventually(t, "with its node gone the proxy lists here", func() bool { a := ask("z3"); return !a.Failed && a.Packed != nil })
+	eventually(t, "the proxy is served here once the node of its zone is closed", func() bool { a := list("z3"); return !a.Failed && a.Packed != nil })
 	cluster.start(2, false)
 }
 
-// TestIncomingPeerConnectionTriggersRedial: a connection that waits before its next
-// attempt dials at once when the peer connects here, as after a loss of power.
+// TestIncomingPeerConnectionTriggersRedial guards against slow recovery after a power failure:
+// a peer connection that is waiting before its next attempt must dial at once when the peer
+// connects to this node.
 func TestIncomingPeerConnectionTriggersRedial(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(s *settings.Settings) { s.Bounds.ContactWindow = 1200 }) // an attempt every 12 s and more
+	cluster := newTestCluster(t, 1, func(s *settings.Settings) { s.Bounds.ContactWindow = 1200 }) // 12 s or more between attempts
 	node := cluster.nodes[0]
 	addr := fmt.Sprintf("127.0.0.50:%d", controlplanetest.FreePort(t, "127.0.0.50"))
-	k := node.peers.connection(addr) // refused
+	connection := node.peers.connection(addr) // refused
 	time.Sleep(200 * time.Millisecond)
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -364,14 +367,14 @@
 	t.Cleanup(peer.Close)
 	c, err := ln.Accept()
 	if err != nil {
-		t.Fatalf("not dialled when the peer connected: %v", err)
+		t.Fatalf("no redial after the peer connected: %v", err)
 	}
 	t.Cleanup(func() { c.Close() })
-	eventually(t, "the connection is up", k.isUp)
+	eventually(t, "the connection is up", connection.isUp)
 }
 
-// TestDirectoryWarmUpAndEvacuation drives three nodes of a global tier: directory, leases
-// of proxies, endpoints that warm up, evacuations that outlive the failure of all
+// TestDirectoryWarmUpAndEvacuation runs three nodes of a global tier through directory queries,
+// proxy leases, the warm-up of endpoints, and evacuations that survive a restart of all
 // processes.
 func TestDirectoryWarmUpAndEvacuation(t *testing.T) {
 	cluster := newTestCluster(t, 3, func(s *settings.Settings) {
@@ -382,21 +385,21 @@
 	})
 	nodes := cluster.nodes
 	config := `{"config_version":1,"listeners":[{"hostname":"h","rules":[]}],"clusters":[{"name":"s","health_check_path":"/health","cold_rate_s":6}]}`
-	eventually(t, "a configuration is taken", func() bool { return nodes[0].ReplaceConfiguration([]byte(config)) == nil })
+	eventually(t, "a configuration is accepted", func() bool { return nodes[0].ReplaceConfiguration([]byte(config)) == nil })
 
-	// A proxy registers by its reports, begins to drain, and is removed once its lease
-	// has run out.
+	// A proxy registers through its reports, starts to drain, and is removed once its lease
+	// has expired.
 	stream, _ := watchAsProxy(t, nodes[1].self.Addr, watchcache.NewMirror())
 	self := &registry.Proxy{Name: "p", Address: "10.0.0.1:80", Zone: "a", Weight: 5}
-	places := func(n *Node) string {
+	resolve := func(n *Node) string {
 		got, ttl, err := n.Resolve("10.9.9.9", "h", "r1", "a")
 		return fmt.Sprint(got, ttl, err != nil)
 	}
-	if got := places(nodes[0]); got != "[] 0s true" {
-		t.Errorf("without proxies: %s", got)
+	if got := resolve(nodes[0]); got != "[] 0s true" {
+		t.Errorf("Resolve without proxies = %s", got)
 	}
-	// A node that a loaded machine has kept from its leader answers that it does not know.
-	eventually(t, "a host that no configuration has is rejected as such", func() bool {
+	// On a loaded machine a node may lose contact with its leader; it then answers Unavailable.
+	eventually(t, "an unconfigured host is rejected with kind NoRoute", func() bool {
 		_, _, err := nodes[0].Resolve("10.9.9.9", "other", "r1", "a")
 		return apierror.KindOf(err) == apierror.NoRoute
 	})
@@ -407,18 +410,18 @@
 	}
 	report()
 	for i := range nodes {
-		eventually(t, "the directory knows the proxy", func() bool { return places(nodes[i]) == "[10.0.0.1:80] 1.25s false" })
+		eventually(t, "the directory returns the proxy", func() bool { return resolve(nodes[i]) == "[10.0.0.1:80] 1.25s false" })
 	}
 	self.Leaving = true
 	report()
-	eventually(t, "its draining is known", func() (isDraining bool) {
+	eventually(t, "the proxy is marked as draining", func() (isDraining bool) {
 		nodes[2].state.view(func(r *replicatedState) { isDraining = r.proxies[registry.ProxyPrefix+"p"].Draining })
 		return isDraining
 	})
 	stream.Close()
-	eventually(t, "its lease runs out", func() bool { return places(nodes[2]) == "[] 0s true" })
+	eventually(t, "the lease of the proxy expires", func() bool { return resolve(nodes[2]) == "[] 0s true" })
 
-	// A heartbeat marks the endpoint as warming up, a later one ends that.
+	// A heartbeat marks the endpoint as warming up, and a later one ends the warm-up.
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "b", Capacity: 2, Sequence: 1, WarmUpSeconds: 3}
 	marked := func() bool {
 		x, err := registry.DecodeEndpoint(storedObject(nodes[0], e.Key()))
@@ -427,26 +430,26 @@
 	if err := nodes[0].Heartbeat(e); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the warm-up is known", marked)
+	eventually(t, "the endpoint is warming up", marked)
 	e.Sequence, e.WarmUpSeconds = 2, 0
 	if err := nodes[0].Heartbeat(e); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the end of the warm-up is known", func() bool { return !marked() })
+	eventually(t, "the warm-up has ended", func() bool { return !marked() })
 
-	// Evacuations: orders without effect are harmless, what is acknowledged stays.
-	waits := func() bool { return true }
+	// Evacuations: rejected orders have no effect, acknowledged ones persist.
+	callerIsWaiting := func() bool { return true }
 	if err := nodes[1].Evacuate("b", true, func() bool { return false }); apierror.KindOf(err) != apierror.Unavailable {
-		t.Errorf("an order whose caller has gone: %v", err)
+		t.Errorf("Evacuate after the caller disconnected = %v, want kind Unavailable", err)
 	}
 	if zones, err := nodes[1].Evacuations(); err != nil || len(zones) != 0 {
-		t.Errorf("after an order whose caller has gone: %v, %v", zones, err)
+		t.Errorf("Evacuations() after a rejected order = %v, %v", zones, err)
 	}
-	if err := nodes[0].Evacuate("nowhere", true, waits); apierror.KindOf(err) != apierror.BadRequest {
-		t.Errorf("an unknown zone: %v", err)
+	if err := nodes[0].Evacuate("nowhere", true, callerIsWaiting); apierror.KindOf(err) != apierror.BadRequest {
+		t.Errorf("Evacuate(unknown zone) = %v, want kind BadRequest", err)
 	}
 	for _, begin := range []bool{false, true, true} {
-		eventually(t, "the order is acknowledged", func() bool { return nodes[1].Evacuate("b", begin, waits) == nil })
+		eventually(t, "the order is acknowledged", func() bool { return nodes[1].Evacuate("b", begin, callerIsWaiting) == nil })
 	}
 	for i := range nodes {
 		nodes[i].Close()
@@ -458,63 +461,63 @@
 		got, err := nodes[2].Evacuations()
 		return err == nil && got["b"] == registry.Evacuated
 	})
-	// A second operator's order counts once it can be no repeat, and the zone is
-	// back only when both are taken back.
+	// A second operator's order is counted once it can no longer be a repeat of the first, and
+	// the zone returns to use only when both orders are finished.
 	order := func(begin bool) (now registry.Evacuation) {
-		// Without a clear outcome it is sent again, as an operator does.
-		eventually(t, "an order is acknowledged", func() bool { return nodes[0].Evacuate("b", begin, waits) == nil })
-		eventually(t, "a read point", func() bool { return nodes[0].ReadIndex() == nil })
+		// An order with an unknown outcome is sent again, as an operator would do.
+		eventually(t, "an order is acknowledged", func() bool { return nodes[0].Evacuate("b", begin, callerIsWaiting) == nil })
+		eventually(t, "the read index is confirmed", func() bool { return nodes[0].ReadIndex() == nil })
 		return registry.DecodeEvacuation(storedObject(nodes[0], registry.EvacuationPrefix+"b"))
 	}
 	if now := order(true); now.BeginCount != 1 {
-		t.Errorf("a repeat after the loss of all: %+v", now)
+		t.Errorf("repeated order after the restart: %+v, want BeginCount 1", now)
 	}
-	eventually(t, "a second order counts", func() bool { return order(true).BeginCount == 2 })
+	eventually(t, "the second order is counted", func() bool { return order(true).BeginCount == 2 })
 	if now := order(false); now.FinishCount != 1 || now.State() != registry.Evacuated {
-		t.Errorf("one finish of two: %+v", now)
+		t.Errorf("after one of two finishes: %+v", now)
 	}
-	eventually(t, "the second finish counts", func() bool { return order(false).FinishCount == 2 })
+	eventually(t, "the second finish is counted", func() bool { return order(false).FinishCount == 2 })
 	if got, err := nodes[1].Evacuations(); err != nil || got["b"] != registry.Returning {
-		t.Errorf("after the finish: %v, %v", got, err)
+		t.Errorf("Evacuations() after both finishes = %v, %v", got, err)
 	}
-	eventually(t, "the zone is in ordinary use", func() bool {
+	eventually(t, "the zone is in normal use", func() bool {
 		got, err := nodes[1].Evacuations()
 		return err == nil && len(got) == 0
 	})
 }
 
-// TestVotersAreSpreadOverRegions: with five voters over three regions, no region may hold a
-// majority of them, and no zone more than one.
+// TestVotersAreSpreadOverRegions guards against the loss of the majority with one region: of
+// five voters over three regions, no region may hold more than two.
 func TestVotersAreSpreadOverRegions(t *testing.T) {
 	zones := map[string]string{"0": "r0", "1": "r0", "2": "r0", "3": "r1", "4": "r1", "5": "r2", "6": "r2"}
 	cluster := newTestCluster(t, 7, func(s *settings.Settings) {
 		s.RegionByZone, s.Zone = zones, fmt.Sprint(s.IPAddress[len(s.IPAddress)-1]-'1')
 		s.FaultTolerance.Machines, s.FaultTolerance.Regions = 2, 1
 	})
-	eventually(t, "five voters, two in a region at the most", func() bool {
-		x := cluster.leader()
-		if x == nil {
+	eventually(t, "five voters, at most two in each region", func() bool {
+		leader := cluster.leader()
+		if leader == nil {
 			return false
 		}
-		in, n := map[string]int{}, 0
-		for _, m := range x.Status().Members {
+		votersByRegion, n := map[string]int{}, 0
+		for _, m := range leader.Status().Members {
 			if m.IsVoter {
 				n++
-				in[zones[x.peers.zoneOf(m.Addr)]]++
+				votersByRegion[zones[leader.peers.zoneOf(m.Addr)]]++
 			}
 		}
-		return n == 5 && in["r0"] == 2 && in["r1"]+in["r2"] == 3 && in["r1"] > 0 && in["r2"] > 0
+		return n == 5 && votersByRegion["r0"] == 2 && votersByRegion["r1"]+votersByRegion["r2"] == 3 && votersByRegion["r1"] > 0 && votersByRegion["r2"] > 0
 	})
 }
 
-// TestIsolatedNodeRejectsCalls: a node that has lost contact with the others returns
-// nothing, acknowledges nothing that it does not know to be committed, rejects nothing
-// for good, and answers so at once.
+// TestIsolatedNodeRejectsCalls checks that a node without quorum contact returns no reads,
+// acknowledges nothing that it does not know to be committed, rejects nothing permanently, and
+// answers without delay.
 func TestIsolatedNodeRejectsCalls(t *testing.T) {
 	cluster := newTestCluster(t, 3, nil)
 	node := cluster.nodes[0]
 	stored := []byte(fmt.Sprintf(configurationFormat, 5))
-	eventually(t, "a configuration is taken", func() bool { return node.ReplaceConfiguration(stored) == nil })
+	eventually(t, "a configuration is accepted", func() bool { return node.ReplaceConfiguration(stored) == nil })
 	e := registry.Endpoint{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 1}
 	for _, id := range []string{"i-1", "i-2"} {
 		e.ID = id
@@ -528,62 +531,62 @@
 	}
 	cluster.nodes[1].Close()
 	cluster.nodes[2].Close()
-	eventually(t, "the node knows that it has lost contact", func() bool { return !node.proposer.waitToRetry(time.Now().Add(time.Hour)) })
+	eventually(t, "the node has detected the loss of quorum contact", func() bool { return !node.proposer.waitToRetry(time.Now().Add(time.Hour)) })
 
 	heartbeat := func(id string, draining bool) error {
 		return node.Heartbeat(registry.Endpoint{ID: id, Service: "s", Address: "127.0.0.1:1", Capacity: 2, Sequence: 9, Draining: draining})
 	}
 	_, readErr := node.Configuration()
 	_, cellErr := node.Cell("c")
-	_, _, watchErr := node.Watch("g.", 0, time.Second, stays)
+	_, _, watchErr := node.Watch("g.", 0, time.Second, isStillWaiting)
 	_, numberErr := node.Propose(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "n"}})
 	for what, err := range map[string]error{
-		"a configuration is read":     readErr,
-		"a cell is read":              cellErr,
-		"a watch is opened":           watchErr,
-		"a number is drawn":           numberErr,
-		"an ordinary heartbeat":       heartbeat("i-1", false),
-		"a drain that is new":         heartbeat("i-1", true),
-		"an endpoint that is new":     heartbeat("i-3", false),
-		"a deregistration":            node.Deregister("i-1"),
-		"a higher configuration":      node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))),
-		"a lower one that is unknown": node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 4))),
+		"Configuration":                readErr,
+		"Cell":                         cellErr,
+		"Watch":                        watchErr,
+		"Propose(NextNumber)":          numberErr,
+		"unchanged heartbeat":          heartbeat("i-1", false),
+		"new drain":                    heartbeat("i-1", true),
+		"new endpoint":                 heartbeat("i-3", false),
+		"Deregister":                   node.Deregister("i-1"),
+		"higher configuration":         node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 6))),
+		"lower, unknown configuration": node.ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 4))),
 	} {
 		if apierror.KindOf(err) != apierror.Unavailable {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: error %v, want kind Unavailable", what, err)
 		}
 	}
 	if a, _ := node.watches.listOrWatch(&transport.Request{ID: 1, List: true}); !a.Failed || node.consensus.isUpToDate() {
-		t.Errorf("a list: %+v; up to date: %v", a, node.consensus.isUpToDate())
+		t.Errorf("list = %+v, want a failure; isUpToDate = %v, want false", a, node.consensus.isUpToDate())
 	}
-	// What is committed stays true.
-	for what, err := range map[string]error{"the stored configuration, again": node.ReplaceConfiguration(stored), "a drain that was acknowledged": heartbeat("i-2", true)} {
+	// Requests for what is known to be committed succeed.
+	for what, err := range map[string]error{"stored configuration again": node.ReplaceConfiguration(stored), "acknowledged drain again": heartbeat("i-2", true)} {
 		if err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	if err := node.ReplaceConfiguration(append(stored, ' ')); apierror.KindOf(err) != apierror.Conflict {
-		t.Errorf("another content under the stored version: %v", err)
+		t.Errorf("other content under the stored version: error %v, want kind Conflict", err)
 	}
-	// After a restart it is not up to date from its first moment on.
+	// After a restart without quorum contact the node must not be up to date.
 	node.Close()
 	cluster.start(0, false)
 	if node = cluster.nodes[0]; node.consensus.isUpToDate() {
-		t.Error("a node that has just started and heard nobody is up to date")
+		t.Error("a restarted node without quorum contact is up to date")
 	}
-	// What is committed stays true, but it knows no commit yet.
-	eventually(t, "the node knows that it has lost contact", func() bool { return !node.proposer.waitToRetry(time.Now().Add(time.Hour)) })
+	// The restarted node does not know yet that the stored configuration is committed.
+	eventually(t, "the node has detected the loss of quorum contact", func() bool { return !node.proposer.waitToRetry(time.Now().Add(time.Hour)) })
 	if err := node.ReplaceConfiguration(stored); apierror.KindOf(err) != apierror.Unavailable {
-		t.Errorf("the stored configuration, again, before anything is known to be committed: %v", err)
+		t.Errorf("stored configuration again, before any entry is known to be committed: error %v, want kind Unavailable", err)
 	}
 }
 
-// TestJoinThroughRelay: a node whose only seed is a relay learns of a member that does
-// not lead, and joins all the same.
+// TestJoinThroughRelay guards against a node that cannot join because its only seed is a relay
+// that reports a single member, which is not the leader.
 func TestJoinThroughRelay(t *testing.T) {
 	cluster := newTestCluster(t, 3, nil)
 	var follower *Node
-	eventually(t, "a leader and one that follows it", func() bool {
+	eventually(t, "a leader and a follower", func() bool {
 		lead := cluster.leader()
 		for _, n := range cluster.nodes {
 			if s := n.Status(); lead != nil && n != lead && s.Leader == lead.Status().ID {
@@ -592,17 +595,17 @@
 		}
 		return follower != nil
 	})
-	const relay, joins = "127.0.0.28", "127.0.0.29"
-	controlplanetest.StartFakeRelay(t, fmt.Sprintf("%s:%d", relay, cluster.internalPort), transport.ControlNode{Addr: follower.self.Addr})
-	set := controlplanetest.Settings(t, joins, t.TempDir(), cluster.controlPort, cluster.internalPort, []string{relay}, false)
-	l, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
+	const relayIP, joinerIP = "127.0.0.28", "127.0.0.29"
+	controlplanetest.StartFakeRelay(t, fmt.Sprintf("%s:%d", relayIP, cluster.internalPort), transport.ControlNode{Addr: follower.self.Addr})
+	set := controlplanetest.Settings(t, joinerIP, t.TempDir(), cluster.controlPort, cluster.internalPort, []string{relayIP}, false)
+	node, err := Start(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer node.Close()
 	eventually(t, "the node is a member", func() bool {
-		for _, m := range l.Status().Members {
-			if m.ID == formatMemberID(l.self.ID) {
+		for _, m := range node.Status().Members {
+			if m.ID == formatMemberID(node.self.ID) {
 				return true
 			}
 		}
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -10,13 +10,13 @@
 	"lichentray/registry"
 )
 
-// ErrNotLeader is the outcome of a call that only the leader carries out, at a node
-// that does not lead. It is of kind Unavailable: nothing was done.
+// ErrNotLeader is returned by a call that only the leader executes if this node is not the
+// leader. It is of kind Unavailable: nothing was executed.
 var ErrNotLeader = apierror.New(apierror.Unavailable, "this node does not lead")
 
-// proposer puts commands and linearizable reads through the leader, whichever node
-// that is, and returns the outcome to callers. Operations that wait may be
-// called from any goroutine but the event loop.
+// proposer executes commands and linearizable reads through the leader, whichever node that is,
+// and returns the outcome to callers. Operations that wait may be called from any goroutine
+// except the event loop.
 type proposer struct {
 	*environment
 	loop      *eventLoop
@@ -25,44 +25,44 @@
 	consensus *consensusView
 }
 
-// outcome is what became of a proposal or a read that the event loop started.
+// outcome is the outcome of a proposal or a read that the event loop started.
 type outcome struct {
 	result registry.Result
-	// readIndex is the index up to which a read needs the log applied.
+	// readIndex is the log index that must be applied before a read.
 	readIndex uint64
 	err       error
 }
 
-// startFunc starts a request on the event loop. It returns the address of the
-// leader, which is this node's own if the request was started and its outcome will
-// go to done, and empty if no leader takes it now.
+// startFunc starts a request on the event loop. It returns the address of the leader: this
+// node's own address if the request was started and its outcome will be sent to done, or an
+// empty string if no leader accepts it now.
 type startFunc func(state *loopState, done chan<- outcome) (leaderAddr string)
 
-// callTarget is the leader that a request goes to.
+// callTarget is the leader to which a request is sent.
 type callTarget struct {
 	addr string
-	// leaderChanged is closed when another node leads, or none.
+	// leaderChanged is closed when another node becomes leader, or none.
 	leaderChanged <-chan struct{}
 }
 
-// leaderCall is a request that only the leader carries out, here or forwarded. Its
-// methods but start run in the goroutine of the caller.
+// leaderCall is a request that only the leader executes, either this node or the node to which
+// the request is forwarded. All methods except start run in the goroutine of the caller.
 type leaderCall interface {
 	start(state *loopState, done chan<- outcome) (leaderAddr string)
-	// request is what is forwarded to a leader elsewhere, and for how long its
-	// response is awaited at most.
+	// request returns the request to forward to a leader on another node, and the
+	// maximum time to wait for its response.
 	request(remaining time.Duration) (*transport.Request, time.Duration)
-	// finishLocal records the outcome at this node and reports whether it is final.
+	// finishLocal records the outcome on this node and reports whether it is final.
 	finishLocal(o outcome) (isFinal bool)
-	// finishForwarded takes the response of a leader elsewhere. With an error there is
-	// none, and mayHaveArrived reports whether the leader may have got the request.
+	// finishForwarded records the response of a leader on another node and reports whether it
+	// is final. If err is not nil there is no response, and mayHaveArrived reports whether the
+	// leader may have received the request.
 	finishForwarded(response *transport.Response, mayHaveArrived bool, err error) (isFinal bool)
 }
 
-// callLeader carries a call out at the leader, at the next leader if the first one
-// does not answer, until its outcome is final. It returns false when there is no
-// time for a further attempt, and errStopping, with nothing started in the last
-// attempt, when the node closes.
+// callLeader executes a call at the leader, or at the next leader if the first one does not
+// answer, until its outcome is final. It returns false if there is no time for another attempt.
+// It returns errStopping, without having started the last attempt, if the node closes.
 func (p *proposer) callLeader(call leaderCall, deadline time.Time) (isFinal bool, err error) {
 	for {
 		target, local, err := p.attemptLocal(call.start, deadline)
@@ -84,8 +84,8 @@
 	}
 }
 
-// attemptLocal starts a request on the event loop and, if this node leads, waits for
-// its outcome. The outcome counts only if the target is this node.
+// attemptLocal starts a request on the event loop and, if this node leads, waits for its
+// outcome. The outcome is valid only if the target is this node.
 func (p *proposer) attemptLocal(start startFunc, deadline time.Time) (callTarget, outcome, error) {
 	done := make(chan outcome, 1)
 	target, err := callLoop(p.loop, func(state *loopState) callTarget {
@@ -98,8 +98,8 @@
 	return target, p.awaitOutcome(done, target.leaderChanged, deadline), nil
 }
 
-// awaitOutcome waits for what becomes of a request that this node started as the
-// leader. When it stops leading, the next leader's log mostly decides within an
+// awaitOutcome waits for the outcome of a request that this node started as the leader. If it
+// loses the leadership, the log of the next leader usually determines the outcome within an
 // election time-out.
 func (p *proposer) awaitOutcome(done <-chan outcome, leaderChanged <-chan struct{}, deadline time.Time) outcome {
 	timer := time.NewTimer(time.Until(deadline))
@@ -119,9 +119,9 @@
 	}
 }
 
-// waitToRetry waits a moment before the next attempt of a call that met no leader.
-// It returns false at once if too little time is left, or if this node has been out
-// of contact for so long that its caller had better ask another node.
+// waitToRetry waits for a tick before the next attempt of a call. It returns false immediately
+// if too little time is left, or if this node has been without quorum contact for so long that
+// the caller should ask another node.
 func (p *proposer) waitToRetry(deadline time.Time) bool {
 	if time.Until(deadline) < p.timing.RequestTimeout/2 {
 		return false
@@ -133,9 +133,8 @@
 	return true
 }
 
-// answerAsLeader carries out a request for a peer or for this node itself, without
-// forwarding it.
-func (p *proposer) answerAsLeader(id uint64, start startFunc) *transport.Response {
+// handleAsLeader executes a request of a peer or of this node itself without forwarding it.
+func (p *proposer) handleAsLeader(id uint64, start startFunc) *transport.Response {
 	target, o, err := p.attemptLocal(start, time.Now().Add(p.timing.RequestTimeout))
 	if err != nil || target.addr != p.self.Addr {
 		return errorResponse(id, ErrNotLeader)
@@ -149,28 +148,29 @@
 	return &transport.Response{ID: id, Result: o.result, Index: o.readIndex}
 }
 
-// propose puts a command through the log within RequestTimeout, see Node.Propose.
+// propose executes a command through the log within RequestTimeout, see Node.Propose.
 func (p *proposer) propose(cmd registry.Command) (registry.Result, error) {
 	call := &proposalCall{proposer: p, cmd: cmd}
-	return call.conclude(p.callLeader(call, time.Now().Add(p.timing.RequestTimeout)))
+	return call.finalResult(p.callLeader(call, time.Now().Add(p.timing.RequestTimeout)))
 }
 
-// proposalCall is a command on its way through the log.
+// proposalCall is a leaderCall that executes a command through the log.
 type proposalCall struct {
 	proposer *proposer
 	cmd      registry.Command
-	encoded  []byte // once it is to be forwarded
+	encoded  []byte // nil until the command is first forwarded
 
 	result registry.Result
 	err    error
-	// mayBeApplied is set once an attempt ended without a clear outcome.
+	// mayBeApplied is set once an attempt has ended with an unknown outcome.
 	mayBeApplied bool
 }
 
-// conclude returns what the caller is told when callLeader has ended. Unavailable promises that the
-// command is not applied and never will be, so it is given only if no attempt may have brought that
-// about, also where the node closes before a further attempt.
-func (c *proposalCall) conclude(isFinal bool, err error) (registry.Result, error) {
+// finalResult returns the result to the caller after callLeader has ended. Unavailable
+// guarantees that the command is not applied and never will be, so it is returned only if no
+// attempt can have applied the command. This also holds if the node closes before another
+// attempt.
+func (c *proposalCall) finalResult(isFinal bool, err error) (registry.Result, error) {
 	switch {
 	case isFinal:
 		return c.result, c.err
@@ -225,8 +225,8 @@
 	return true
 }
 
-// readIndex returns once this node's state holds all that was acknowledged before
-// the call, see Node.ReadIndex.
+// readIndex waits until this node's state holds everything that was acknowledged before the
+// call, see Node.ReadIndex.
 func (p *proposer) readIndex(timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	call := &readIndexCall{proposer: p}
@@ -240,7 +240,7 @@
 	return p.state.waitApplied(call.index, time.Until(deadline))
 }
 
-// readIndexCall asks for a confirmed read index (Ongaro, section 6.4).
+// readIndexCall is a leaderCall that requests a confirmed read index (Ongaro, section 6.4).
 type readIndexCall struct {
 	proposer *proposer
 	index    uint64
@@ -271,18 +271,18 @@
 	return true
 }
 
-// maxTransactionAttempts bounds how often a transaction is derived anew because
-// an object that it depends on has changed.
+// maxTransactionAttempts is the maximum number of times that transact builds a transaction,
+// which it does again if an object that the transaction depends on has changed.
 const maxTransactionAttempts = 6
 
-// transact derives a conditional transaction from what this node holds and puts it
-// through; on a conflict it reads again and derives anew. derive runs with the state
-// locked for writing, as it may compile the configuration, and returns nil when there
-// is nothing to write.
-func (p *proposer) transact(derive func(*replicatedState) (*registry.Txn, error)) (wrote bool, err error) {
+// transact builds a conditional transaction from this node's state and executes it; after a
+// conflict it reads the state again and builds a new one. buildTxn runs with the state locked
+// for writing, as it may compile the configuration, and returns nil if there is nothing to
+// write.
+func (p *proposer) transact(buildTxn func(*replicatedState) (*registry.Txn, error)) (wrote bool, err error) {
 	for range maxTransactionAttempts {
 		var txn *registry.Txn
-		p.state.update(func(r *replicatedState) { txn, err = derive(r) })
+		p.state.update(func(r *replicatedState) { txn, err = buildTxn(r) })
 		if txn == nil || err != nil {
 			return false, err
 		}
@@ -305,7 +305,7 @@
 	if !state.isLeader() {
 		return p.peers.addrOf(state.raft.LeaderID())
 	}
-	if !state.membership.planner.takesChanges(state.raft, p.now()) {
+	if !state.membership.planner.acceptsProposals(state.raft, p.now()) {
 		p.metrics.proposalsDeferred.Inc()
 		return ""
 	}
@@ -333,7 +333,7 @@
 	return p.self.Addr
 }
 
-// prepareCoordination decides what becomes of a coordination command at the leader.
+// prepareCoordination decides how the leader handles a coordination command.
 func (p *proposer) prepareCoordination(state *loopState, cmd *coordination.Command) (*coordination.Command, coordination.Decision) {
 	if cmd.Operation == coordination.ReleaseLock && !state.raft.HasAppliedInTerm() {
 		return cmd, coordination.Defer
@@ -343,7 +343,7 @@
 	return state.leases.Prepare(p.now(), cmd, locks)
 }
 
-// startReadIndex asks consensus for a confirmed read index if this node leads.
+// startReadIndex requests a confirmed read index from consensus if this node leads.
 func (p *proposer) startReadIndex(state *loopState, done chan<- outcome) string {
 	if !state.isLeader() {
 		return p.peers.addrOf(state.raft.LeaderID())
@@ -352,9 +352,9 @@
 	return p.self.Addr
 }
 
-// pendingRequests are the proposals and reads that this node started as a leader
-// and whose outcome is not known yet, see loopState. A caller may have given up
-// meanwhile: each done channel takes one outcome without waiting.
+// pendingRequests are the proposals and reads that this node started as the leader and whose
+// outcome is not known yet, see loopState. The caller may have stopped waiting, so each done
+// channel must accept one outcome without blocking.
 type pendingRequests struct {
 	proposals  map[uint64]pendingProposal // by log index
 	reads      map[uint64]chan<- outcome  // by request ID
@@ -383,27 +383,27 @@
 	return p.lastReadID
 }
 
-// resolveEntry returns the result of an entry to its proposer, if it is here. isKept reports whether
-// those that hold the entry outlast what the group must be able to lose.
-func (p *pendingRequests) resolveEntry(entry raft.Entry, result registry.Result, isKept bool) {
+// resolveEntry returns the result of an entry to its proposer if that is on this node.
+// isDurable reports whether the entry survives the losses that the fault tolerance names.
+func (p *pendingRequests) resolveEntry(entry raft.Entry, result registry.Result, isDurable bool) {
 	proposal, isPending := p.proposals[entry.Index]
 	if !isPending {
 		return
 	}
 	delete(p.proposals, entry.Index)
 	if proposal.term != entry.Term {
-		// Another entry was committed at this index: the command never takes effect.
+		// Another entry was committed at this index, so the command is never applied.
 		proposal.done <- outcome{err: apierror.New(apierror.Unavailable, "leadership changed")}
 		return
 	}
-	if !isKept {
+	if !isDurable {
 		proposal.done <- outcome{err: apierror.New(apierror.UnknownOutcome, "votes are moving to members with a disk")}
 		return
 	}
 	proposal.done <- outcome{result: result}
 }
 
-// resolveRead returns its read index to a reader, or ErrNotLeader if this node lost its
+// resolveRead returns the read index to a reader, or ErrNotLeader if this node lost the
 // leadership.
 func (p *pendingRequests) resolveRead(read raft.ReadState) {
 	done, isPending := p.reads[read.RequestID]
@@ -418,9 +418,9 @@
 	done <- o
 }
 
-// abandonThrough gives up the proposals that an installed snapshot has overtaken:
-// whether it contains them is not known.
-func (p *pendingRequests) abandonThrough(index uint64) {
+// failThrough fails the proposals up to the index of an installed snapshot with an unknown
+// outcome: the snapshot may or may not include them.
+func (p *pendingRequests) failThrough(index uint64) {
 	for i, proposal := range p.proposals {
 		if i <= index {
 			delete(p.proposals, i)
--- a/internal/controlplane/proposer_test.go
+++ b/internal/controlplane/proposer_test.go
@@ -10,7 +10,7 @@
 	"lichentray/registry"
 )
 
-// newTestProposer returns a proposer on a running loop without consensus or peers.
+// newTestProposer returns a proposer with a running event loop but without consensus or peers.
 func newTestProposer(t *testing.T) *proposer {
 	t.Helper()
 	env := newTestEnvironment(t)
@@ -21,23 +21,22 @@
 	}
 }
 
-// scriptedCall is a leaderCall whose attempts are played from a script: each entry
-// is what the attempt finds.
+// scriptedCall is a leaderCall whose attempts have scripted results.
 type scriptedCall struct {
 	self     string
 	attempts []scriptedAttempt
-	begun    int
+	started  int
 	finished []outcome
 }
 
 type scriptedAttempt struct {
 	isLocal bool
-	outcome *outcome // nil: none comes
+	outcome *outcome // nil if there is none
 }
 
 func (c *scriptedCall) start(_ *loopState, done chan<- outcome) string {
-	attempt := c.attempts[min(c.begun, len(c.attempts)-1)]
-	c.begun++
+	attempt := c.attempts[min(c.started, len(c.attempts)-1)]
+	c.started++
 	if !attempt.isLocal {
 		return ""
 	}
@@ -48,7 +47,7 @@
 }
 
 func (c *scriptedCall) request(time.Duration) (*transport.Request, time.Duration) {
-	panic("nothing is forwarded")
+	panic("unexpected forwarded request")
 }
 
 func (c *scriptedCall) finishLocal(o outcome) bool {
@@ -57,7 +56,7 @@
 }
 
 func (c *scriptedCall) finishForwarded(*transport.Response, bool, error) bool {
-	panic("nothing is forwarded")
+	panic("unexpected forwarded request")
 }
 
 func TestCallLeader(t *testing.T) {
@@ -72,8 +71,8 @@
 		wantLastKind apierror.Kind
 	}{
 		{"first attempt succeeds", []scriptedAttempt{{true, success}}, time.Second, true, 1, 0},
-		{"a leader is found on the way", []scriptedAttempt{{}, {}, {true, success}}, time.Second, true, 1, 0},
-		{"leadership is lost and regained", []scriptedAttempt{{true, rejected}, {true, success}}, time.Second, true, 2, 0},
+		{"leader found at third attempt", []scriptedAttempt{{}, {}, {true, success}}, time.Second, true, 1, 0},
+		{"leadership lost and regained", []scriptedAttempt{{true, rejected}, {true, success}}, time.Second, true, 2, 0},
 		{"no time for a second attempt", []scriptedAttempt{{}}, 100 * time.Millisecond, false, 0, 0},
 		{"no outcome in time", []scriptedAttempt{{true, nil}}, 50 * time.Millisecond, false, 1, apierror.UnknownOutcome},
 	} {
@@ -82,31 +81,31 @@
 			call := &scriptedCall{self: p.self.Addr, attempts: c.attempts}
 			isFinal, err := p.callLeader(call, time.Now().Add(c.timeout))
 			if err != nil || isFinal != c.isFinal || len(call.finished) != c.wantFinished {
-				t.Fatalf("final %v, %v, outcomes %+v", isFinal, err, call.finished)
+				t.Fatalf("callLeader() = %v, %v; outcomes %+v", isFinal, err, call.finished)
 			}
 			if c.wantLastKind != 0 {
 				if last := call.finished[len(call.finished)-1]; apierror.KindOf(last.err) != c.wantLastKind {
-					t.Errorf("last outcome %v", last.err)
+					t.Errorf("last outcome: error %v", last.err)
 				}
 			}
 		})
 	}
 }
 
-// TestAwaitOutcomeOfADeposedLeader: a leader that is deposed waits an election time-out
-// longer for the next leader's log, not until the deadline.
-func TestAwaitOutcomeOfADeposedLeader(t *testing.T) {
+// TestAwaitOutcomeOfDeposedLeader guards against a deposed leader that waits until the
+// deadline: it must wait only one election time-out longer for the next leader's log.
+func TestAwaitOutcomeOfDeposedLeader(t *testing.T) {
 	p := newTestProposer(t)
 	leaderChanged := make(chan struct{})
 	close(leaderChanged)
 	o := p.awaitOutcome(make(chan outcome), leaderChanged, time.Now().Add(time.Hour))
 	if apierror.KindOf(o.err) != apierror.UnknownOutcome {
-		t.Errorf("outcome %v", o.err)
+		t.Errorf("awaitOutcome() error = %v, want kind UnknownOutcome", o.err)
 	}
 }
 
-// TestForwardedProposal: which responses of a leader elsewhere are final, and which
-// leave it open whether the command is carried out.
+// TestForwardedProposal checks which responses of a leader on another node are final, and which
+// leave it unknown whether the command is applied.
 func TestForwardedProposal(t *testing.T) {
 	failed := func(kind apierror.Kind) *transport.Response {
 		return &transport.Response{Failed: true, Kind: kind, Detail: "detail"}
@@ -121,22 +120,22 @@
 		kind           apierror.Kind
 	}{
 		{"applied", &transport.Response{Result: registry.Result{Revision: 3}}, true, nil, true, false, 0},
-		{"rejected for good", failed(apierror.BadRequest), true, nil, true, false, apierror.BadRequest},
-		{"the leader does not lead any more", failed(apierror.Unavailable), true, nil, false, false, 0},
-		{"the leader does not know", failed(apierror.UnknownOutcome), true, nil, false, true, 0},
-		{"never sent", nil, false, errPeerNotConnected, false, false, 0},
+		{"rejected permanently", failed(apierror.BadRequest), true, nil, true, false, apierror.BadRequest},
+		{"no longer the leader", failed(apierror.Unavailable), true, nil, false, false, 0},
+		{"outcome unknown to the leader", failed(apierror.UnknownOutcome), true, nil, false, true, 0},
+		{"not sent", nil, false, errPeerNotConnected, false, false, 0},
 		{"sent, no response", nil, true, errPeerTimeout, false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			call := &proposalCall{proposer: newTestProposer(t)}
 			if isFinal := call.finishForwarded(c.response, c.mayHaveArrived, c.err); isFinal != c.isFinal {
-				t.Errorf("final %v", isFinal)
+				t.Errorf("finishForwarded() = %v", isFinal)
 			}
 			if call.mayBeApplied != c.mayBeApplied {
-				t.Errorf("may be applied %v", call.mayBeApplied)
+				t.Errorf("mayBeApplied = %v", call.mayBeApplied)
 			}
 			if c.kind != 0 && apierror.KindOf(call.err) != c.kind {
-				t.Errorf("error %v", call.err)
+				t.Errorf("call error = %v", call.err)
 			}
 		})
 	}
@@ -155,23 +154,23 @@
 	result := registry.Result{Revision: 9}
 	pending.resolveEntry(raft.Entry{Index: 5, Term: 2}, result, true)
 	if o := <-own; o.err != nil || o.result.Revision != 9 {
-		t.Errorf("an entry that was applied: %+v", o)
+		t.Errorf("applied entry: outcome %+v", o)
 	}
 	pending.resolveEntry(raft.Entry{Index: 6, Term: 3}, result, true)
 	if o := <-overwritten; apierror.KindOf(o.err) != apierror.Unavailable {
-		t.Errorf("an entry that another one replaced: %+v", o)
+		t.Errorf("overwritten entry: outcome %+v, want kind Unavailable", o)
 	}
-	notKept := propose(8, 3)
+	notDurable := propose(8, 3)
 	pending.resolveEntry(raft.Entry{Index: 8, Term: 3}, result, false)
-	if o := <-notKept; apierror.KindOf(o.err) != apierror.UnknownOutcome {
-		t.Errorf("an entry that those who hold it may lose: %+v", o)
+	if o := <-notDurable; apierror.KindOf(o.err) != apierror.UnknownOutcome {
+		t.Errorf("entry that is not durable: outcome %+v, want kind UnknownOutcome", o)
 	}
-	pending.abandonThrough(7)
+	pending.failThrough(7)
 	if o := <-covered; apierror.KindOf(o.err) != apierror.UnknownOutcome {
-		t.Errorf("an entry that a snapshot covers: %+v", o)
+		t.Errorf("entry covered by a snapshot: outcome %+v, want kind UnknownOutcome", o)
 	}
 	if len(pending.proposals) != 0 {
-		t.Errorf("%d proposals are left", len(pending.proposals))
+		t.Errorf("%d proposals left, want 0", len(pending.proposals))
 	}
 
 	for _, isConfirmed := range []bool{true, false} {
@@ -180,14 +179,14 @@
 		pending.resolveRead(raft.ReadState{RequestID: id, Index: 4, Confirmed: isConfirmed})
 		o := <-done
 		if (o.err == nil) != isConfirmed || o.readIndex != 4 {
-			t.Errorf("a read, confirmed %v: %+v", isConfirmed, o)
+			t.Errorf("read with confirmed = %v: outcome %+v", isConfirmed, o)
 		}
 	}
 }
 
-// TestConclusionOfAProposal: a caller is told that nothing was done only if no attempt may have
-// brought the command about, whatever ended the attempts.
-func TestConclusionOfAProposal(t *testing.T) {
+// TestProposalFinalResult guards against a caller that is told that nothing was done although
+// an attempt may have applied the command, whatever ended the attempts.
+func TestProposalFinalResult(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		mayBeApplied bool
@@ -196,17 +195,17 @@
 		want         apierror.Kind
 	}{
 		{"no leader in time", false, false, nil, apierror.Unavailable},
-		{"no leader in time, an answer was lost", true, false, nil, apierror.UnknownOutcome},
-		{"the node closes", false, false, errStopping, apierror.Unavailable},
-		{"the node closes, an answer was lost", true, false, errStopping, apierror.UnknownOutcome},
+		{"no leader in time, a response was lost", true, false, nil, apierror.UnknownOutcome},
+		{"node closes", false, false, errStopping, apierror.Unavailable},
+		{"node closes, a response was lost", true, false, errStopping, apierror.UnknownOutcome},
 	} {
 		call := &proposalCall{proposer: &proposer{environment: newTestEnvironment(t)}, mayBeApplied: c.mayBeApplied}
-		if _, err := call.conclude(c.isFinal, c.err); apierror.KindOf(err) != c.want {
-			t.Errorf("%s: %v", c.name, err)
+		if _, err := call.finalResult(c.isFinal, c.err); apierror.KindOf(err) != c.want {
+			t.Errorf("%s: finalResult() error = %v", c.name, err)
 		}
 	}
 	call := &proposalCall{result: registry.Result{Revision: 7}, mayBeApplied: true}
-	if result, err := call.conclude(true, nil); err != nil || result.Revision != 7 {
-		t.Errorf("a final outcome: %+v, %v", result, err)
+	if result, err := call.finalResult(true, nil); err != nil || result.Revision != 7 {
+		t.Errorf("finalResult(final) = %+v, %v", result, err)
 	}
 }
--- a/internal/controlplane/simulated_core_test.go
+++ b/internal/controlplane/simulated_core_test.go
@@ -10,7 +10,7 @@
 	"lichentray/raft/rafttest"
 )
 
-// commandSet is a state machine that remembers which commands it has applied.
+// commandSet is a state machine that holds the set of commands it has applied.
 type commandSet map[uint64]bool
 
 func (s commandSet) Apply(_ uint64, data []byte) any {
@@ -31,30 +31,31 @@
 	}
 }
 
-// simulatedCore is a simulated group whose leaders adjust its membership as a node does.
+// simulatedCore is a simulated group whose leaders change its membership as a Node does.
 type simulatedCore struct {
 	*rafttest.Cluster
 	t                   *testing.T
 	seed                int64
 	planners            map[uint64]*membershipPlanner
-	addrs               map[uint64]string // addresses of the members that run
+	addrs               map[uint64]string // addresses of all members started
 	lastID              uint64
 	membershipCheckedAt time.Duration
 	lastCommand         uint64
 	acknowledged        []uint64
 
-	// storages are where the members keep their logs, unknown where nothing is said.
+	// storages is the type of storage in which each member keeps its log; unknown for members
+	// without an entry.
 	storages map[uint64]raft.Storage
-	// formation is that of every member.
+	// formation is the formation of every member.
 	formation formation
-	// notNeeded are the nodes that the group has rejected for good.
-	notNeeded map[uint64]bool
+	// joinRejected is the set of nodes that the group has permanently rejected.
+	joinRejected map[uint64]bool
 }
 
 const (
 	simElectionTimeout   = 150 * time.Millisecond
 	simDeadMemberTimeout = 5 * simElectionTimeout
-	simCatchUpTime       = 13 * simElectionTimeout // as catch_up_s is to contact_s
+	simCatchUpTime       = 13 * simElectionTimeout // the ratio of catch_up_s to contact_s
 )
 
 func newSimulatedCore(t *testing.T, seed int64, n int) *simulatedCore {
@@ -66,13 +67,13 @@
 // startSimulatedCore starts n nodes, the first three of which are the seeds.
 func startSimulatedCore(t *testing.T, seed int64, n int) *simulatedCore {
 	c := &simulatedCore{
-		Cluster:   rafttest.NewCluster(seed, 3, func() rafttest.StateMachine { return commandSet{} }),
-		t:         t,
-		seed:      seed,
-		planners:  map[uint64]*membershipPlanner{},
-		addrs:     map[uint64]string{},
-		storages:  map[uint64]raft.Storage{},
-		notNeeded: map[uint64]bool{},
+		Cluster:      rafttest.NewCluster(seed, 3, func() rafttest.StateMachine { return commandSet{} }),
+		t:            t,
+		seed:         seed,
+		planners:     map[uint64]*membershipPlanner{},
+		addrs:        map[uint64]string{},
+		storages:     map[uint64]raft.Storage{},
+		joinRejected: map[uint64]bool{},
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
 		if id > 3 {
@@ -92,7 +93,7 @@
 	return c.lastID
 }
 
-// runFor lets time pass under load; a node that is no member asks to be one.
+// runFor advances the simulation under load. Nodes that are not members ask to be admitted.
 func (c *simulatedCore) runFor(span time.Duration) {
 	for end := c.Now + span; c.Now < end; {
 		c.Run(c.StepInterval)
@@ -108,10 +109,10 @@
 		}
 		c.membershipCheckedAt = c.Now
 		n := lead.Raft
-		if c.plannerOf(n).mustHandOver(n, c.Now) && n.TransferLeadership() {
+		if c.plannerOf(n).mustTransferLeadership(n, c.Now) && n.TransferLeadership() {
 			continue
 		}
-		if next, why := c.plannerOf(n).nextChange(n, c.Now); why != "" {
+		if next, reason := c.plannerOf(n).nextChange(n, c.Now); reason != "" {
 			_ = n.ProposeConfChange(next)
 			continue
 		}
@@ -119,16 +120,16 @@
 	}
 }
 
-// admitOne lets one node ask the leader n to be admitted, or to be described.
+// admitOne lets one node ask the leader n to admit it, or to record its description.
 func (c *simulatedCore) admitOne(n *raft.Node) {
 	for _, id := range c.IDs() {
 		member := c.member(id)
-		if !c.IsUp(id) || c.IsFrozen(id) || c.notNeeded[id] || isDescribed(n.Membership(), member) {
+		if !c.IsUp(id) || c.IsFrozen(id) || c.joinRejected[id] || isDescribed(n.Membership(), member) {
 			continue
 		}
 		next, err := admit(n.Membership(), member, n.HasPendingConfChange())
 		if err == errCoreHasDisks {
-			c.notNeeded[id] = true
+			c.joinRejected[id] = true
 			continue
 		}
 		if err == nil {
@@ -138,7 +139,7 @@
 	}
 }
 
-// member is what a node says of itself.
+// member returns the description that a node gives of itself.
 func (c *simulatedCore) member(id uint64) raft.Member {
 	return raft.Member{ID: id, Addr: c.addrs[id], Storage: c.storages[id]}
 }
@@ -151,7 +152,7 @@
 }
 
 func (c *simulatedCore) proposeCommand(id uint64, done func()) {
-	if n := c.Nodes[id].Raft; n.Role() == raft.Leader && !c.plannerOf(n).takesChanges(n, c.Now) {
+	if n := c.Nodes[id].Raft; n.Role() == raft.Leader && !c.plannerOf(n).acceptsProposals(n, c.Now) {
 		return
 	}
 	c.lastCommand++
@@ -166,7 +167,7 @@
 	})
 }
 
-// requireProgress waits until a change is acknowledged again.
+// requireProgress runs the simulation until a new command is acknowledged.
 func (c *simulatedCore) requireProgress(within time.Duration, after string) {
 	c.t.Helper()
 	ok := false
@@ -178,47 +179,47 @@
 		if c.Now > end {
 			for _, id := range c.IDs() {
 				n := c.Nodes[id].Raft
-				c.t.Logf("%d up %v, %v of term %d for %d, last %d, %+v", id, c.IsUp(id), n.Role(), n.Term(), n.LeaderID(), n.LastIndex(), n.Membership())
+				c.t.Logf("member %d: up %v, role %v, term %d, leader %d, last index %d, membership %+v", id, c.IsUp(id), n.Role(), n.Term(), n.LeaderID(), n.LastIndex(), n.Membership())
 			}
-			c.t.Fatalf("seed %d: after %s nothing is acknowledged within %v", c.seed, after, within)
+			c.t.Fatalf("seed %d: after %s no command was acknowledged within %v", c.seed, after, within)
 		}
 	}
 }
 
-// shutDown ends a process gracefully: it asks to leave until it may, and ends then, or
-// after some time.
-func (c *simulatedCore) shutDown(id uint64) (letGo bool) {
-	for end := c.Now + 2*simCatchUpTime; c.Now < end && !letGo; {
+// shutDown stops a process gracefully: the process repeats its request to leave until it is
+// approved or the time for it has passed, and then stops.
+func (c *simulatedCore) shutDown(id uint64) (isApproved bool) {
+	for end := c.Now + 2*simCatchUpTime; c.Now < end && !isApproved; {
 		if lead := c.Leader(); lead != nil && lead.ID == id {
 			lead.Raft.TransferLeadership()
 		} else if lead != nil {
-			letGo = c.plannerOf(lead.Raft).requestLeave(lead.Raft, c.Now, id)
+			isApproved = c.plannerOf(lead.Raft).requestLeave(lead.Raft, c.Now, id)
 		}
 		c.runFor(20 * time.Millisecond)
 	}
 	c.Crash(id)
-	return letGo
+	return isApproved
 }
 
-func (c *simulatedCore) anyRunning(but uint64) uint64 {
-	if lead := c.Leader(); lead != nil && lead.ID != but && c.Rand.Intn(2) == 0 {
+func (c *simulatedCore) anyRunning(except uint64) uint64 {
+	if lead := c.Leader(); lead != nil && lead.ID != except && c.Rand.Intn(2) == 0 {
 		return lead.ID
 	}
 	for {
 		ids := c.IDs()
-		if id := ids[c.Rand.Intn(len(ids))]; id != but && c.IsUp(id) {
+		if id := ids[c.Rand.Intn(len(ids))]; id != except && c.IsUp(id) {
 			return id
 		}
 	}
 }
 
-// requireNothingLost checks that the leader has applied all that was acknowledged, and that no two
-// nodes have committed different entries.
+// requireNothingLost checks that the leader has applied every acknowledged command, and that no
+// two nodes have committed different entries.
 func (c *simulatedCore) requireNothingLost() {
 	c.t.Helper()
 	for _, x := range c.acknowledged {
 		if !c.Leader().StateMachine.(commandSet)[x] {
-			c.t.Fatalf("seed %d: %d was acknowledged and is lost", c.seed, x)
+			c.t.Fatalf("seed %d: acknowledged command %d is lost", c.seed, x)
 		}
 	}
 	if c.Violation != "" {
--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/snapshot_test.go
@@ -22,10 +22,10 @@
 	totalBytes     int
 }
 
-func (s *throttledLink) bytesSent() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.totalBytes
+func (l *throttledLink) bytesSent() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.totalBytes
 }
 
 type throttledConn struct {
@@ -43,14 +43,15 @@
 	c.link.freeAt = c.link.freeAt.Add(time.Second * time.Duration(n) / time.Duration(c.link.bytesPerSecond))
 	wait := time.Until(c.link.freeAt)
 	c.link.mu.Unlock()
-	time.Sleep(wait) // the pace of the link
+	time.Sleep(wait) // limits the rate to that of the link
 	return n, err
 }
 
-// TestSnapshotOverNarrowLink: a new member receives a state that takes longer than the
-// connections' time-out, over a link that carries nothing else, while commands go on,
-// the first of them of a megabyte, which follows the snapshot at once. The member is
-// consensus alone; the leader and the transport are complete.
+// TestSnapshotOverNarrowLink guards against a new member that never catches up over a slow
+// link, because the transfer of the snapshot takes longer than the time-out of the connections,
+// or because it is sent again. Nothing else uses the link. Commands continue during the
+// transfer; the first one has a size of 1 MiB and follows the snapshot immediately. The member
+// runs only consensus; the leader and the transport are complete.
 func TestSnapshotOverNarrowLink(t *testing.T) {
 	cluster := newTestCluster(t, 1, nil)
 	node := cluster.nodes[0]
@@ -62,10 +63,10 @@
 		return err
 	}
 	const state = 3 << 20
-	eventually(t, "the state", func() bool { return put("account/large", state) == nil })
-	eventually(t, "a snapshot of it", func() bool {
+	eventually(t, "the state is written", func() bool { return put("account/large", state) == nil })
+	eventually(t, "the state is in a snapshot", func() bool {
 		if put("account/small", 200<<10) != nil {
-			return false // a disk that others use as well may be late
+			return false // a disk shared with other processes may be slow
 		}
 		first := make(chan int, 1)
 		node.loop.post(func(state *loopState) { first <- state.raft.CompactableEntries() })
@@ -79,8 +80,8 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	addr = ln.Addr().String()
-	s := &throttledLink{bytesPerSecond: 1 << 20}
-	got := make(chan raft.Message, 64)
+	link := &throttledLink{bytesPerSecond: 1 << 20}
+	messages := make(chan raft.Message, 64)
 	go func() {
 		for {
 			raw, err := ln.Accept()
@@ -89,12 +90,12 @@
 			}
 			go func() {
 				defer raw.Close()
-				c, _, err := transport.Accept(throttledConn{raw, s}, 30*time.Second)
+				c, _, err := transport.Accept(throttledConn{raw, link}, 30*time.Second)
 				for err == nil {
 					var f *transport.Frame
 					if f, err = c.Receive(0); err == nil {
 						for _, m := range f.Raft {
-							got <- m
+							messages <- m
 						}
 					}
 				}
@@ -111,7 +112,7 @@
 		t.Fatal(err)
 	}
 
-	n := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: node.timing.HeartbeatInterval, ElectionTimeout: node.timing.ElectionTimeout, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
+	member := raft.New(raft.Config{ID: self.ID, HeartbeatInterval: node.timing.HeartbeatInterval, ElectionTimeout: node.timing.ElectionTimeout, RandInt63n: rand.Int63n}, 0, raft.PersistentState{})
 	start := time.Now()
 	installed := 0
 	tick := time.NewTicker(node.timing.TickInterval)
@@ -119,17 +120,17 @@
 	change := time.NewTicker(100 * time.Millisecond)
 	defer change.Stop()
 	var last uint64
-	var during time.Duration
+	var snapshotTook time.Duration
 	size := 1 << 20
-	for n.AppliedIndex() == 0 || n.AppliedIndex() < last {
+	for member.AppliedIndex() == 0 || member.AppliedIndex() < last {
 		if time.Since(start) > time.Minute {
-			t.Fatalf("at %d of %d after %v, %d bytes were sent", n.AppliedIndex(), last, time.Since(start), s.bytesSent())
+			t.Fatalf("applied %d of %d entries after %v, %d bytes sent", member.AppliedIndex(), last, time.Since(start), link.bytesSent())
 		}
 		select {
-		case m := <-got:
-			n.Step(time.Since(start), m)
+		case m := <-messages:
+			member.Step(time.Since(start), m)
 		case <-tick.C:
-			n.Tick(time.Since(start))
+			member.Tick(time.Since(start))
 		case <-change.C:
 			if installed == 0 {
 				value := make([]byte, size)
@@ -143,18 +144,18 @@
 				last = max(last, <-done)
 			}
 		}
-		e := n.Ready()
-		send := e.Messages
-		if e.Write != nil {
-			send = append(send, e.Write.MessagesAfterAppend...)
-			if k := len(e.Write.Entries); k > 0 {
-				n.ReportPersisted(e.Write.Entries[k-1].Index, e.Write.Entries[k-1].Term)
+		ready := member.Ready()
+		send := ready.Messages
+		if ready.Write != nil {
+			send = append(send, ready.Write.MessagesAfterAppend...)
+			if k := len(ready.Write.Entries); k > 0 {
+				member.ReportPersisted(ready.Write.Entries[k-1].Index, ready.Write.Entries[k-1].Term)
 			}
 		}
-		if e.SnapshotToInstall != nil {
+		if ready.SnapshotToInstall != nil {
 			installed++
-			during = time.Since(start)
-			if err := registry.NewStore().Restore(e.SnapshotToInstall.Data); err != nil {
+			snapshotTook = time.Since(start)
+			if err := registry.NewStore().Restore(ready.SnapshotToInstall.Data); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -164,40 +165,40 @@
 			}
 		}
 	}
-	total := s.bytesSent()
-	t.Logf("caught up after %v, %d bytes were sent", time.Since(start), total)
-	if after := time.Since(start) - during; after > during+5*time.Second {
-		t.Errorf("the snapshot took %v, the entries after it %v", during, after)
+	total := link.bytesSent()
+	t.Logf("caught up after %v, %d bytes sent", time.Since(start), total)
+	if after := time.Since(start) - snapshotTook; after > snapshotTook+5*time.Second {
+		t.Errorf("the snapshot took %v, the entries after it took %v", snapshotTook, after)
 	}
 	if installed != 1 {
-		t.Errorf("%d snapshots were installed", installed)
+		t.Errorf("%d snapshots installed, want 1", installed)
 	}
 	if total > state*2 {
-		t.Errorf("%d bytes were sent for a state of %d", total, state)
+		t.Errorf("%d bytes sent for a state of %d bytes", total, state)
 	}
 }
 
-// TestUnreadableSnapshotAtStart: a node whose snapshot cannot be restored does not end; it
-// joins as a new member and receives what the others have.
+// TestUnreadableSnapshotAtStart guards against a node that cannot start because its snapshot
+// cannot be restored: it must join as a new member and receive the state from the others.
 func TestUnreadableSnapshotAtStart(t *testing.T) {
 	cluster := newTestCluster(t, 3, nil)
-	eventually(t, "a configuration", func() bool {
+	eventually(t, "a configuration is accepted", func() bool {
 		return cluster.nodes[0].ReplaceConfiguration(fmt.Appendf(nil, configurationFormat, 5)) == nil
 	})
 	old := cluster.nodes[2].self.ID
 	cluster.nodes[2].Close()
-	c, _, saved, err := storage.Open(cluster.dataDirectory(2), 0, nil)
+	store, _, saved, err := storage.Open(cluster.dataDirectory(2), 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	last := saved.Snapshot.Index + uint64(len(saved.Entries))
-	if err := c.Save(nil, &raft.Snapshot{Index: last, Term: saved.HardState.Term, Members: saved.Snapshot.Members, Data: []byte("no state")}, false, nil); err != nil {
+	if err := store.Save(nil, &raft.Snapshot{Index: last, Term: saved.HardState.Term, Members: saved.Snapshot.Members, Data: []byte("no state")}, false, nil); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	store.Close()
 	cluster.start(2, false)
 	if cluster.nodes[2].self.ID == old {
-		t.Error("the identity is used again")
+		t.Error("the node has the same member ID as before")
 	}
 	eventually(t, "the node reads the configuration", func() bool {
 		got, err := cluster.nodes[2].Configuration()
--- a/internal/controlplane/snapshotter.go
+++ b/internal/controlplane/snapshotter.go
@@ -9,26 +9,26 @@
 const (
 	maxLogEntries = 6000
 	maxLogBytes   = 4 << 20
-	// logDiskDivisor is the part of the disk that the log may take. SQLite's
-	// write-ahead log holds as much again.
+	// logDiskDivisor is the divisor of the disk limit that gives the maximum size of the log.
+	// SQLite's write-ahead log takes the same amount again.
 	logDiskDivisor = 16
 )
 
-// snapshotter bounds the log, in memory and on disk, and restores what the leader
-// sends. It is part of loopState.
+// snapshotter limits the size of the log in memory and on disk, and restores snapshots received
+// from the leader. It is part of loopState.
 type snapshotter struct {
 	env *environment
-	// logBytes is the data of the entries since the last snapshot.
+	// logBytes is the size of the data of the entries since the last snapshot.
 	logBytes int
-	// received is a store restored from the leader's snapshot until that is installed.
+	// received is a store restored from the leader's snapshot, until the snapshot is installed.
 	received *registry.Store
 }
 
-// countEntry adds an applied entry to the size of the log.
+// countEntry adds the size of an entry to the size of the log.
 func (s *snapshotter) countEntry(entry raft.Entry) { s.logBytes += len(entry.Data) }
 
-// restoreReceived restores a leader's snapshot beside the present state. Consensus
-// calls it before it accepts the snapshot; one that cannot be restored is rejected.
+// restoreReceived restores a snapshot received from the leader into a separate store. Consensus
+// calls it before it accepts the snapshot, and rejects one that cannot be restored.
 func (s *snapshotter) restoreReceived(data []byte) error {
 	store := registry.NewStore()
 	if err := store.Restore(data); err != nil {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// takeReceived returns the store of the snapshot that consensus has accepted.
+// takeReceived returns the store restored from the snapshot that consensus has accepted.
 func (s *snapshotter) takeReceived() *registry.Store {
 	store := s.received
 	s.received = nil
@@ -47,13 +47,14 @@
 	return store
 }
 
-// compactIfNeeded makes a snapshot of the applied state once the log is too long and
-// returns it to be written, or nil.
+// compactIfNeeded creates a snapshot of the applied state once the log is too long, and returns
+// it to be written. Otherwise it returns nil.
 func (s *snapshotter) compactIfNeeded(node *raft.Node, store *registry.Store) *raft.Snapshot {
 	if node.CompactableEntries() < maxLogEntries && s.logBytes < s.maxBytes() {
 		return nil
 	}
-	// Also after a failure: the next attempt is due when the log has grown as much again.
+	// Reset even if the snapshot fails: the next attempt is due once the log has grown by the
+	// same amount.
 	s.logBytes = 0
 	data, err := store.Snapshot()
 	if err != nil {
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -17,12 +17,12 @@
 	"lichentray/raft"
 )
 
-// Start opens the disk and the internal port and begins to run a node. The caller
-// ends it with Close. A disk that refuses is tried for some seconds; one whose state
-// cannot be read is set aside, and the node joins the group as a new member.
+// Start opens the store and the internal port and runs a node. The caller must stop it with
+// Close. If the store cannot be opened, Start retries for some seconds; a store with unreadable
+// state is set aside, and the node joins the group as a new member.
 func Start(set *settings.Settings, logger *slog.Logger, metricsRegistry *metrics.Registry) (*Node, error) {
 	env := newEnvironment(set, logger, newNodeMetrics(metricsRegistry))
-	node, err := start(env)
+	node, err := startNode(env)
 	if err != nil {
 		env.close()
 		return nil, err
@@ -44,9 +44,9 @@
 	}
 }
 
-func start(env *environment) (_ *Node, err error) {
+func startNode(env *environment) (_ *Node, err error) {
 	state := newSharedState(env)
-	disk, err := openDisk(env, state)
+	disk, err := openStore(env, state)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 	return node, nil
 }
 
-// storageOf returns where a node keeps its log.
+// storageOf returns the type of storage in which a node keeps its log.
 func storageOf(set *settings.Settings) raft.Storage {
 	if set.DataDirectory == "" {
 		return raft.StorageMemory
@@ -81,27 +81,27 @@
 	return raft.StorageDisk
 }
 
-// disk is what a node finds on its disk at the start.
-type disk struct {
+// nodeStore is a node's opened store and the state read from it at start.
+type nodeStore struct {
 	store    *storage.Store
 	memberID uint64
-	isNew    bool // the member ID was drawn at this start
+	isNew    bool // the member ID was generated at this start
 	saved    raft.PersistentState
 	addr     string // this node's internal address
 }
 
-// openAttempts bounds how often a disk that fails is tried, half an election time-out
-// apart.
-const openAttempts = 21
+// maxOpenAttempts is the maximum number of attempts to open the store. They are half an
+// election time-out apart.
+const maxOpenAttempts = 21
 
-// openDisk opens the disk and restores its snapshot into state. At the very first
-// start of a group a seed node writes the group's first membership.
-func openDisk(env *environment, state *sharedState) (*disk, error) {
-	d := &disk{addr: env.settings.InternalAddr(env.settings.Listen.Control)}
+// openStore opens the store and restores its snapshot into state. At the first start of a
+// deployment a seed node also writes the initial membership.
+func openStore(env *environment, state *sharedState) (*nodeStore, error) {
+	d := &nodeStore{addr: env.settings.InternalAddr(env.settings.Listen.Control)}
 	seeds := seedMembership(env.settings)
 	var bootstrapID uint64
-	if env.settings.Bootstrap && seeds.IsMember(memberIDOf(d.addr)) {
-		bootstrapID = memberIDOf(d.addr)
+	if env.settings.Bootstrap && seeds.IsMember(seedMemberID(d.addr)) {
+		bootstrapID = seedMemberID(d.addr)
 	}
 	identity, err := d.open(env, state, bootstrapID)
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 	d.memberID = identity.ID
 	d.isNew = identity.IsNew
-	if bootstrapID != 0 && identity.ID == bootstrapID && isBlank(&d.saved) {
+	if bootstrapID != 0 && identity.ID == bootstrapID && isUninitialized(&d.saved) {
 		d.saved.Snapshot.Members = seeds
 		if err := d.store.Save(nil, &d.saved.Snapshot, false, nil); err != nil {
 			d.store.Close()
@@ -122,8 +122,8 @@
 	return d, nil
 }
 
-// open opens the store. A disk may fail for some seconds and recover, so it is retried.
-func (d *disk) open(env *environment, state *sharedState, bootstrapID uint64) (identity storage.Identity, err error) {
+// open opens the store, with retries because a disk may fail for some seconds and recover.
+func (d *nodeStore) open(env *environment, state *sharedState, bootstrapID uint64) (identity storage.Identity, err error) {
 	restore := func(saved raft.PersistentState) error {
 		if saved.Snapshot.Data == nil {
 			return nil
@@ -132,7 +132,7 @@
 	}
 	for attempt := 1; ; attempt++ {
 		d.store, identity, d.saved, err = storage.Open(env.settings.DataDirectory, bootstrapID, restore)
-		if err == nil || attempt == openAttempts {
+		if err == nil || attempt == maxOpenAttempts {
 			return identity, err
 		}
 		env.metrics.diskFailures.Inc()
@@ -140,18 +140,19 @@
 	}
 }
 
-// isBlank reports whether a disk holds nothing of a group yet.
-func isBlank(saved *raft.PersistentState) bool {
+// isUninitialized reports whether a store holds no group state yet.
+func isUninitialized(saved *raft.PersistentState) bool {
 	return saved.HardState.Term == 0 && len(saved.Entries) == 0 && len(saved.Snapshot.Members.AllMembers()) == 0
 }
 
-// seedMembership is the first membership of a group: its seed nodes. All seeds write the same
-// one, so it does not describe them; each does so itself, see membershipManager.joinIfNeeded.
+// seedMembership returns the initial membership of a group: its seed nodes. All seeds must
+// write the same one, so it does not contain the description of any member; each seed describes
+// itself later, see membershipManager.joinIfNeeded.
 func seedMembership(set *settings.Settings) raft.Membership {
 	var membership raft.Membership
 	for _, api := range set.SeedNodes {
 		addr := set.InternalAddr(api)
-		member := raft.Member{ID: memberIDOf(addr), Addr: addr, API: api}
+		member := raft.Member{ID: seedMemberID(addr), Addr: addr, API: api}
 		if !membership.IsMember(member.ID) {
 			membership.Voters = append(membership.Voters, member)
 		}
@@ -159,15 +160,15 @@
 	return membership
 }
 
-// memberIDOf derives a seed node's first member ID from its internal address, so that
-// all seeds write the same first membership. IDs drawn later have the highest bit set.
-func memberIDOf(addr string) uint64 {
+// seedMemberID derives a seed node's first member ID from its internal address, so that all
+// seeds write the same initial membership. IDs generated later have the highest bit set.
+func seedMemberID(addr string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(addr))
 	return h.Sum64()&^(1<<63) | 1
 }
 
-// newNode creates the parts of a node and connects them. env.self must be set.
+// newNode creates the components of a node and connects them. env.self must be set.
 func newNode(env *environment, state *sharedState, store durableStore) *Node {
 	n := &Node{
 		environment: env,
@@ -187,22 +188,22 @@
 		consensus:   n.consensus,
 	}
 	n.membership = &membershipManager{
-		environment: env,
-		loop:        n.loop,
-		peers:       n.peers,
-		consensus:   n.consensus,
-		seeds:       env.settings.SeedNodes,
-		formation:   newFormation(env.settings),
-		notNeeded:   make(chan struct{}),
+		environment:  env,
+		loop:         n.loop,
+		peers:        n.peers,
+		consensus:    n.consensus,
+		seeds:        env.settings.SeedNodes,
+		formation:    newFormation(env.settings),
+		joinRejected: make(chan struct{}),
 	}
-	n.joinServices()
-	n.joinServers()
-	n.joinCallbacks()
+	n.createServices()
+	n.createServers()
+	n.connectCallbacks()
 	return n
 }
 
-// joinServices creates the parts that carry out calls.
-func (n *Node) joinServices() {
+// createServices creates the components that execute calls.
+func (n *Node) createServices() {
 	n.rollouts = newRolloutController(n.environment, n.state, n.proposer)
 	n.health = &healthMonitor{
 		environment:  n.environment,
@@ -242,8 +243,8 @@
 	n.audit = &auditSink{environment: n.environment, state: n.state, proposer: n.proposer}
 }
 
-// joinServers creates the parts that serve other processes.
-func (n *Node) joinServers() {
+// createServers creates the components that serve other processes.
+func (n *Node) createServers() {
 	n.watches = &watchServer{
 		environment: n.environment,
 		state:       n.state,
@@ -287,8 +288,9 @@
 	})
 }
 
-// joinCallbacks connects the parts that report to consensus or to the membership.
-func (n *Node) joinCallbacks() {
+// connectCallbacks sets the callbacks through which components report to consensus or to the
+// membership manager.
+func (n *Node) connectCallbacks() {
 	n.writer.send = n.peers.sendMessages
 	n.writer.reportPersisted = func(index, term uint64) {
 		n.loop.post(func(state *loopState) { state.raft.ReportPersisted(index, term) })
@@ -299,8 +301,7 @@
 	}
 }
 
-// reportReconnected makes consensus send again what was in flight to the member at an
-// address.
+// reportReconnected makes consensus resend what was in flight to the member at an address.
 func reportReconnected(state *loopState, addr string) {
 	for _, m := range state.raft.Membership().AllMembers() {
 		if m.Addr == addr {
@@ -309,8 +310,8 @@
 	}
 }
 
-// restore derives the node's state from what its disk holds and returns the state of
-// the event loop.
+// restore derives the node's state from the contents of its store and returns the state of the
+// event loop.
 func (n *Node) restore(saved raft.PersistentState) *loopState {
 	replicated := &n.state.replicated
 	replicated.watchCache.Reset(replicated.store.Revision())
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -9,41 +9,40 @@
 	"lichentray/watchcache"
 )
 
-// replicatedState is the state machine of consensus and what this node derives from
-// it. It is changed by the event loop alone, entry by entry.
+// replicatedState is the replicated state machine and the state that this node derives from it.
+// Only the event loop changes it, one entry at a time.
 type replicatedState struct {
 	env *environment
 
 	store      *registry.Store
 	watchCache *watchcache.Cache
-	// appliedIndex is the log index of the newest entry in store.
+	// appliedIndex is the log index of the last entry applied to store.
 	appliedIndex uint64
 	decodedObjects
 	compiled compiledConfig
 }
 
-// sharedState guards the replicated state. Other goroutines reach it through view and
-// update, the event loop also through onLoop. The lock is held briefly, and never while
-// waiting for the disk, a peer or the loop.
+// sharedState guards the replicated state. Other goroutines access it through view and update,
+// the event loop also through onLoop. The lock is held briefly, and never while waiting for the
+// disk, a peer or the loop.
 type sharedState struct {
 	mu         sync.RWMutex
 	replicated replicatedState
-	// applyWaiters are waiting for an index to be applied.
+	// applyWaiters holds the log index that each waiting goroutine needs applied.
 	applyWaiters map[chan struct{}]uint64
 
-	// changed wakes the streams of proxies. It has its own lock.
+	// changed wakes the streams to proxies. It has its own lock.
 	changed wakeups
 }
 
 const (
-	// watchCacheEvents bounds the events in the watch cache.
+	// watchCacheEvents is the maximum number of events in the watch cache.
 	watchCacheEvents = 20000
-	// watchCacheMemoryDivisor is the part of the node's memory limit that the values of
-	// the events may take.
+	// watchCacheMemoryDivisor is the divisor of the node's memory limit that gives the maximum
+	// size of the event values in the watch cache.
 	watchCacheMemoryDivisor = 12
 )
 
-// newSharedState returns an empty state.
 func newSharedState(env *environment) *sharedState {
 	cacheBytes := int(env.settings.Limits.MemoryMB*(1<<20)) / watchCacheMemoryDivisor
 	return &sharedState{
@@ -57,39 +56,40 @@
 	}
 }
 
-// view calls f with the state, which f must not change or keep.
+// view calls f with the state locked for reading. f must not change the state or retain a
+// reference to it.
 func (s *sharedState) view(f func(*replicatedState)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	f(&s.replicated)
 }
 
-// update calls f with the state locked for writing. Only what is computed on demand
-// may change, see compiledConfig.
+// update calls f with the state locked for writing. f may change only values that are computed
+// on demand, see compiledConfig.
 func (s *sharedState) update(f func(*replicatedState)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.replicated)
 }
 
-// onLoop returns the state for reading without the lock, which is safe in the
-// event loop only: nobody else changes what it reads.
+// onLoop returns the state for reading without the lock. This is safe only on the event loop,
+// since no other goroutine changes what it reads.
 func (s *sharedState) onLoop(*loopState) *replicatedState { return &s.replicated }
 
-// revision is the registry's newest revision.
+// revision returns the registry's newest revision.
 func (s *sharedState) revision() (revision uint64) {
 	s.view(func(r *replicatedState) { revision = r.store.Revision() })
 	return revision
 }
 
-// eventsSince returns at most limit events of the watch cache above a revision. The
-// error is watchcache.ErrGone if the cache no longer reaches back so far.
+// eventsSince returns at most limit events of the watch cache with a revision above after. The
+// error is watchcache.ErrGone if the cache no longer holds all of them.
 func (s *sharedState) eventsSince(after uint64, limit int) (events []registry.Event, err error) {
 	s.view(func(r *replicatedState) { events, err = r.watchCache.EventsSince(after, limit) })
 	return events, err
 }
 
-// applyCommand carries out a committed command.
+// applyCommand applies a committed command.
 func (s *sharedState) applyCommand(now time.Duration, cmd registry.Command) (result registry.Result, events []registry.Event) {
 	s.mu.Lock()
 	r := &s.replicated
@@ -105,9 +105,9 @@
 	return result, events
 }
 
-// advance records that the log is applied up to an index and wakes the goroutines that
+// setAppliedIndex records that the log is applied up to an index and wakes the goroutines that
 // wait for it.
-func (s *sharedState) advance(index uint64) {
+func (s *sharedState) setAppliedIndex(index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replicated.appliedIndex = index
@@ -119,8 +119,8 @@
 	}
 }
 
-// replace replaces the store by one that was restored from a snapshot.
-func (s *sharedState) replace(store *registry.Store, index uint64) {
+// replaceStore replaces the store with one restored from a snapshot.
+func (s *sharedState) replaceStore(store *registry.Store, index uint64) {
 	s.mu.Lock()
 	r := &s.replicated
 	r.store = store
@@ -131,8 +131,8 @@
 	s.changed.wakeAll()
 }
 
-// waitApplied returns once the log is applied up to an index, or an error of kind
-// Unavailable after the time-out.
+// waitApplied waits until the log is applied up to an index. After the time-out it returns an
+// error of kind Unavailable.
 func (s *sharedState) waitApplied(index uint64, timeout time.Duration) error {
 	applied := make(chan struct{}, 1)
 	s.mu.Lock()
--- a/internal/controlplane/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -12,7 +12,7 @@
 	"lichentray/rollout"
 )
 
-// newTestState returns an empty state with a tenth of a gigabyte for its cache.
+// newTestState returns an empty state with a memory limit of 100 MB.
 func newTestState(t *testing.T) *sharedState {
 	t.Helper()
 	env := newTestEnvironment(t)
@@ -27,8 +27,8 @@
 	s.applyCommand(0, registry.Command{Txn: &registry.Txn{Then: []registry.Write{write}}})
 }
 
-// TestDecodedObjectsFollowTheStore: decoding event by event gives the same as decoding
-// the resulting store at once.
+// TestDecodedObjectsFollowTheStore guards against decoded objects that diverge from the store:
+// applying events one at a time must give the same result as decoding the final store at once.
 func TestDecodedObjectsFollowTheStore(t *testing.T) {
 	for seed := range int64(50) {
 		r := rand.New(rand.NewSource(seed))
@@ -54,7 +54,7 @@
 		atOnce := replicatedState{env: incremental.env, store: incremental.store, decodedObjects: newDecodedObjects()}
 		atOnce.rebuild()
 		if !reflect.DeepEqual(atOnce.endpoints, incremental.endpoints) || !reflect.DeepEqual(atOnce.proxies, incremental.proxies) {
-			t.Fatalf("seed %d: endpoints %+v or proxies %+v differ from %+v and %+v", seed,
+			t.Fatalf("seed %d: endpoints %+v, proxies %+v; want %+v and %+v", seed,
 				incremental.endpoints, incremental.proxies, atOnce.endpoints, atOnce.proxies)
 		}
 		if len(atOnce.rollouts) != len(incremental.rollouts) {
@@ -62,45 +62,45 @@
 		}
 		for key, record := range atOnce.rollouts {
 			if got := incremental.rollouts[key]; got == nil || got.Rollout != record.Rollout || got.revision != record.revision {
-				t.Fatalf("seed %d: roll-out %s is %+v, want %+v", seed, key, got, record)
+				t.Fatalf("seed %d: roll-out %s = %+v, want %+v", seed, key, got, record)
 			}
 		}
 	}
 }
 
-// TestWatchedRevision: only a change of an object that proxies hold makes the list
-// encoded for them a new one.
+// TestWatchedRevision guards against encoding the list for proxies again when nothing in it has
+// changed: only a change of an object that proxies watch may change watchedRevision.
 func TestWatchedRevision(t *testing.T) {
 	s := newTestState(t)
 	endpoint := registry.Endpoint{ID: "e", Service: "s"}
 	putObject(s, endpoint.Key(), endpoint.Encode())
 	watched := s.replicated.watchedRevision
 	if watched != s.revision() {
-		t.Errorf("after an endpoint: %d at revision %d", watched, s.revision())
+		t.Errorf("after an endpoint write: watchedRevision = %d at revision %d", watched, s.revision())
 	}
 	proxy := registry.Proxy{Name: "p"}
 	putObject(s, proxy.Key(), proxy.Encode())
 	if got := s.replicated.watchedRevision; got != watched || s.revision() == watched {
-		t.Errorf("after a proxy: %d at revision %d", got, s.revision())
+		t.Errorf("after a proxy write: watchedRevision = %d at revision %d", got, s.revision())
 	}
 }
 
 func TestWaitApplied(t *testing.T) {
 	s := newTestState(t)
 	if err := s.waitApplied(5, time.Millisecond); apierror.KindOf(err) != apierror.Unavailable {
-		t.Errorf("an index that is not reached: %v", err)
+		t.Errorf("waitApplied(index not reached) = %v, want kind Unavailable", err)
 	}
 	if len(s.applyWaiters) != 0 {
-		t.Errorf("%d waiters are left", len(s.applyWaiters))
+		t.Errorf("%d waiters left, want 0", len(s.applyWaiters))
 	}
 	applied := make(chan error, 1)
 	go func() { applied <- s.waitApplied(5, time.Minute) }()
-	s.advance(4)
-	s.advance(5)
+	s.setAppliedIndex(4)
+	s.setAppliedIndex(5)
 	if err := <-applied; err != nil {
-		t.Errorf("an index that is reached: %v", err)
+		t.Errorf("waitApplied(index reached later) = %v", err)
 	}
 	if err := s.waitApplied(5, 0); err != nil {
-		t.Errorf("an index reached before: %v", err)
+		t.Errorf("waitApplied(index reached before) = %v", err)
 	}
 }
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -6,8 +6,8 @@
 	"lichentray/internal/settings"
 )
 
-// Timing holds a node's time-outs and intervals. All of them derive from the
-// bounds in the settings, so that every node of a deployment uses the same.
+// Timing holds a node's time-outs and intervals. They derive from the settings alone, so that
+// every node of a deployment uses the same values.
 type Timing struct {
 	// TickInterval is the resolution of the event loop's clock.
 	TickInterval time.Duration
@@ -15,31 +15,32 @@
 	HeartbeatInterval time.Duration
 	// ElectionTimeout is the shortest election time-out (Raft, section 5.2).
 	ElectionTimeout time.Duration
-	// DeadMemberTimeout is how long a member may go unheard before it may be replaced.
+	// DeadMemberTimeout is how long no message may arrive from a member before it may be
+	// replaced.
 	DeadMemberTimeout time.Duration
-	// ConnectionTimeout is how long a connection between processes may go without
-	// progress before it is given up.
+	// ConnectionTimeout is how long a connection between processes may make no progress before
+	// it is closed.
 	ConnectionTimeout time.Duration
-	// BookmarkInterval is the time between the bookmarks of a watch.
+	// BookmarkInterval is the time between two bookmarks of a watch.
 	BookmarkInterval time.Duration
-	// RequestTimeout is the longest time that a caller waits for an outcome.
+	// RequestTimeout is the longest time that a caller waits for the outcome of a request.
 	RequestTimeout time.Duration
-	// WatchWindow is how far back the watch cache reaches.
+	// WatchWindow is the maximum age of the events in the watch cache.
 	WatchWindow time.Duration
-	// EndpointTimeout is how long an endpoint may go without a heartbeat before its
-	// health is checked.
+	// EndpointTimeout is how long an endpoint may send no heartbeat before its health is
+	// checked.
 	EndpointTimeout time.Duration
-	// ProxyLease is how long a proxy's registration outlives its last report.
+	// ProxyLease is how long a proxy's registration stays valid after its last report.
 	ProxyLease time.Duration
-	// DirectoryTTL is how long a client may keep an answer of the directory.
+	// DirectoryTTL is how long a client may cache an answer of the directory.
 	DirectoryTTL time.Duration
-	// RolloutStagePause is how long a stage of a roll-out lasts before its first
-	// answers are analysed.
+	// RolloutStagePause is how long a roll-out stage runs before its results are first
+	// analysed.
 	RolloutStagePause time.Duration
 }
 
-// maxRequestTimeout bounds Timing.RequestTimeout where the bound on acknowledgements is
-// long.
+// maxRequestTimeout is the upper limit of Timing.RequestTimeout for deployments with a long
+// acknowledgement time-out.
 const maxRequestTimeout = 900 * time.Millisecond
 
 // DeriveTiming computes a node's timing from its settings.
@@ -61,10 +62,10 @@
 	}
 }
 
-// upToDateWindow is how long after its last contact a node still vouches for what it
-// holds: two election time-outs.
+// upToDateWindow is how long after its last quorum contact a node still counts as up to date:
+// two election time-outs.
 func (t Timing) upToDateWindow() time.Duration { return 2 * t.ElectionTimeout }
 
-// callRejectionDelay is how long a node must have been out of contact to reject calls that
-// need the leader without waiting for one: twice RequestTimeout.
+// callRejectionDelay is how long a node must have been without quorum contact before it rejects
+// calls that need the leader without waiting for one: twice RequestTimeout.
 func (t Timing) callRejectionDelay() time.Duration { return 2 * t.RequestTimeout }
