--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/snapshot_test.go
@@ -124,7 +124,7 @@
 	size := 1 << 20
 	for member.AppliedIndex() == 0 || member.AppliedIndex() < last {
 		if time.Since(start) > time.Minute {
-			t.Fatalf("applied %d of %d entries after %v, %d bytes sent", member.AppliedIndex(), last, time.Since(start), link.bytesSent())
+			t.Fatalf("at index %d of %d after %v, %d bytes sent", member.AppliedIndex(), last, time.Since(start), link.bytesSent())
 		}
 		select {
 		case m := <-messages:
