--- a/raft/rafttest/network.go
+++ b/raft/rafttest/network.go
@@ -7,23 +7,23 @@
 	"lichentray/raft"
 )
 
-// inflightMessage is a message on its way.
+// inflightMessage is a message in transit.
 type inflightMessage struct {
 	deliverAt time.Duration
 	message   raft.Message
 }
 
-// About how many bytes a message takes on the wire, beside the data in it.
+// Approximate sizes of a message and of an entry on the wire, without their data.
 const (
-	messageOverhead = 100
-	entryOverhead   = 30
+	messageOverheadBytes = 100
+	entryOverheadBytes   = 30
 )
 
-// messageSize returns about how many bytes a message takes on the wire.
+// messageSize returns the approximate size of a message on the wire, in bytes.
 func messageSize(m raft.Message) int {
-	size := messageOverhead
+	size := messageOverheadBytes
 	for _, e := range m.Entries {
-		size += entryOverhead + len(e.Data)
+		size += entryOverheadBytes + len(e.Data)
 	}
 	if m.Snap != nil {
 		size += len(m.Snap.Data)
@@ -31,7 +31,7 @@
 	return size
 }
 
-// sendMessages puts messages on their way, unless they are dropped.
+// sendMessages sends messages over the simulated network, which may drop some of them.
 func (c *Cluster) sendMessages(messages []raft.Message) {
 	for _, m := range messages {
 		if c.Rand.Float64() < c.Faults.DropProbability {
@@ -43,7 +43,7 @@
 	}
 }
 
-// transmit returns when the link has sent the last byte of a message.
+// transmit queues a message on its link and returns when its last byte is sent.
 func (c *Cluster) transmit(m raft.Message) time.Duration {
 	l := link{m.From, m.To}
 	bytesPerSecond := c.Bandwidth[l]
@@ -53,11 +53,11 @@
 	size := messageSize(m)
 	sentAt := max(c.Now, c.linkFreeAt[l]) + time.Second*time.Duration(size)/time.Duration(bytesPerSecond)
 	c.linkFreeAt[l] = sentAt
-	c.CarriedBytes[l] += size
+	c.SentBytes[l] += size
 	return sentAt
 }
 
-// deliverDue delivers the messages that have arrived, in the order of their arrival.
+// deliverDue delivers the messages that are due, in order of arrival.
 func (c *Cluster) deliverDue() {
 	messages := c.inflight
 	c.inflight = nil
@@ -72,7 +72,7 @@
 			continue
 		}
 		if n.isFrozen {
-			c.inflight = append(c.inflight, m) // it waits in the socket
+			c.inflight = append(c.inflight, m) // buffered in the node's socket
 			continue
 		}
 		n.Raft.Step(c.Now, m.message)
--- a/raft/rafttest/node.go
+++ b/raft/rafttest/node.go
@@ -12,7 +12,7 @@
 	ID           uint64
 	Raft         *raft.Node
 	StateMachine StateMachine
-	// Disk is what the node would find after a crash.
+	// Disk is the durable state, from which the node restarts after a crash.
 	Disk raft.PersistentState
 
 	isUp           bool
@@ -20,10 +20,10 @@
 	diskHangsUntil time.Duration
 	pendingWrites  []pendingWrite                             // in order
 	proposals      map[uint64]proposal                        // by index
-	pendingReads   map[uint64]func(readIndex uint64, ok bool) // by request
+	pendingReads   map[uint64]func(readIndex uint64, ok bool) // by request ID
 }
 
-// pendingWrite is a write that the disk has not finished.
+// pendingWrite is a write that the disk has not completed.
 type pendingWrite struct {
 	durableAt time.Duration
 	write     *raft.StorageWrite
@@ -37,7 +37,7 @@
 
 func (n *Node) isRunning() bool { return n.isUp && !n.isFrozen }
 
-// startNode starts a node from its disk.
+// startNode starts a node from its durable state.
 func (c *Cluster) startNode(n *Node) {
 	n.StateMachine = c.newStateMachine()
 	if n.Disk.Snapshot.Data != nil {
@@ -59,7 +59,7 @@
 	n.diskHangsUntil = 0
 }
 
-// completeDueWrites finishes the writes that are due, unless the disk hangs.
+// completeDueWrites completes the writes that are due, unless the disk hangs.
 func (c *Cluster) completeDueWrites(n *Node) {
 	for len(n.pendingWrites) > 0 && n.pendingWrites[0].durableAt <= c.Now && n.diskHangsUntil <= c.Now {
 		c.completeWrite(n, n.pendingWrites[0].write)
@@ -90,7 +90,7 @@
 	}
 }
 
-// processReady carries out the work that a raft node hands out, until there is none.
+// processReady processes the output of a raft node until there is none left.
 func (c *Cluster) processReady(n *Node) {
 	for {
 		ready := n.Raft.Ready()
@@ -122,12 +122,12 @@
 	}
 }
 
-// applyCommitted checks a committed entry against what other nodes have committed at its
-// index, applies it and finishes its proposal.
+// applyCommitted checks a committed entry against the one that other nodes committed at
+// the same index, applies it and completes its proposal.
 func (c *Cluster) applyCommitted(n *Node, e raft.Entry) {
 	entry := fmt.Sprint(e.Term, e.Type, string(e.Data))
 	if known, ok := c.committed[e.Index]; ok && known != entry && c.Violation == "" {
-		c.Violation = fmt.Sprintf("index %d was committed as %q and, at node %d, as %q", e.Index, known, n.ID, entry)
+		c.Violation = fmt.Sprintf("index %d was committed as %q, but on node %d as %q", e.Index, known, n.ID, entry)
 	}
 	c.committed[e.Index] = entry
 	var result any
@@ -140,8 +140,8 @@
 	}
 }
 
-// maybeCompact compacts a node's log once it is long and the disk has nothing to write.
-// The snapshot is durable at once.
+// maybeCompact compacts a node's log if it exceeds compactAfter and no write is pending.
+// The snapshot is durable immediately.
 func (c *Cluster) maybeCompact(n *Node) {
 	if n.Raft.CompactableEntries() <= c.compactAfter || len(n.pendingWrites) > 0 {
 		return
--- a/raft/rafttest/rafttest.go
+++ b/raft/rafttest/rafttest.go
@@ -1,11 +1,11 @@
-// Package rafttest is a deterministic simulator of a group of raft nodes: a network that
-// delays, drops and partitions, disks that are slow, hang and lose what was not synced,
-// and nodes that crash, freeze or lose their disk. The same seed and the same calls give
-// the same history.
+// Package rafttest is a deterministic simulator of a cluster of raft nodes. Its network
+// delays and drops messages and can be partitioned, its disks are slow, can hang and lose
+// unsynced writes, and its nodes can crash, freeze or lose their disk. The same seed and
+// the same calls produce the same execution.
 //
-// It is meant for the tests of this project and of programs that embed package raft.
-// Time is simulated, everything runs on the calling goroutine, and a [Cluster] is not
-// safe for concurrent use.
+// It is intended for tests of package raft and of programs that embed it. Time is
+// simulated, everything runs on the calling goroutine, and a [Cluster] is not safe for
+// concurrent use.
 package rafttest
 
 import (
@@ -17,7 +17,7 @@
 	"lichentray/raft"
 )
 
-// The timing of the simulated nodes.
+// Timing parameters of the simulated nodes.
 const (
 	HeartbeatInterval = 20 * time.Millisecond
 	ElectionTimeout   = 150 * time.Millisecond
@@ -27,32 +27,32 @@
 	defaultStepInterval = 5 * time.Millisecond
 	defaultMaxDelay     = 4 * time.Millisecond
 	defaultMaxSyncDelay = 6 * time.Millisecond
-	// defaultCompactAfter is the number of applied entries after which a log is compacted.
+	// defaultCompactAfter is the number of applied entries that triggers a compaction.
 	defaultCompactAfter = 200
 )
 
-// StateMachine is the state machine that a node applies its committed entries to.
+// StateMachine is the state machine to which a node applies its committed entries.
 type StateMachine interface {
-	// Apply applies a committed command. Its result goes to the proposer.
+	// Apply applies a committed command. The result is passed to the proposer.
 	Apply(index uint64, data []byte) any
 	// Snapshot returns the complete state.
 	Snapshot() []byte
-	// Restore replaces the complete state by one that Snapshot has returned.
+	// Restore replaces the complete state with one returned by Snapshot.
 	Restore(data []byte)
 }
 
-// Faults are the faults that may happen to any message or write.
+// Faults are the faults that may affect any message or write.
 type Faults struct {
 	DropProbability float64       // of a message, from 0 to 1
-	MaxDelay        time.Duration // of a message; each one is drawn up to it
-	MaxSyncDelay    time.Duration // of a write; each one is drawn up to it
+	MaxDelay        time.Duration // of a message; delays are drawn from 0 to this value
+	MaxSyncDelay    time.Duration // of a write; delays are drawn from 0 to this value
 }
 
-// link is the way from one node to another, in that direction only.
+// link is the connection from one node to another, in that direction only.
 type link = [2]uint64
 
-// Cluster is the simulated group. Its exported fields may be read, and the settings
-// among them changed, between two calls.
+// Cluster is a simulated cluster. Between calls, its exported fields may be read, and
+// those that are settings may be changed.
 type Cluster struct {
 	Now    time.Duration // simulated time since the start
 	Rand   *rand.Rand    // all random draws; may be used by the test too
@@ -60,26 +60,27 @@
 	Nodes  map[uint64]*Node
 	// StepInterval is the resolution of the simulated time.
 	StepInterval time.Duration
-	// Bandwidth limits links, from one node to another, to so many bytes a second. What
-	// exceeds it waits in order. A link that is not named has no limit.
+	// Bandwidth limits links, each from one node to another, to a number of bytes per
+	// second. Excess messages are queued in order. Links not listed are unlimited.
 	Bandwidth map[[2]uint64]int
-	// CarriedBytes counts the bytes sent over each link that Bandwidth names.
-	CarriedBytes map[[2]uint64]int
-	// Violation describes the first index at which two nodes have committed different
-	// entries (State Machine Safety; the paper, section 5.4.3), or is empty.
+	// SentBytes counts the bytes sent over each link listed in Bandwidth.
+	SentBytes map[[2]uint64]int
+	// Violation describes the first case of two nodes that committed different entries at
+	// one index (State Machine Safety; the paper, section 5.4.3). It is empty if there is
+	// none.
 	Violation string
 
 	newStateMachine func() StateMachine
 	inflight        []inflightMessage
 	cutLinks        map[link]bool
-	linkFreeAt      map[link]time.Duration // when a limited link has sent all that waits
+	linkFreeAt      map[link]time.Duration // when a limited link has sent all queued messages
 	lastReadID      uint64
-	committed       map[uint64]string // entries by index, as first committed anywhere
+	committed       map[uint64]string // entries by index, as committed by any node
 	compactAfter    int               // applied entries
 }
 
-// NewCluster returns a group of n voters, with the IDs 1 to n, which has just started.
-// newStateMachine is called at each start of a node.
+// NewCluster starts a cluster of n voters with the IDs 1 to n. newStateMachine is called
+// each time a node starts.
 func NewCluster(seed int64, n int, newStateMachine func() StateMachine) *Cluster {
 	c := &Cluster{
 		Rand:            rand.New(rand.NewSource(seed)),
@@ -87,7 +88,7 @@
 		Nodes:           map[uint64]*Node{},
 		StepInterval:    defaultStepInterval,
 		Bandwidth:       map[link]int{},
-		CarriedBytes:    map[link]int{},
+		SentBytes:       map[link]int{},
 		newStateMachine: newStateMachine,
 		cutLinks:        map[link]bool{},
 		linkFreeAt:      map[link]time.Duration{},
@@ -114,14 +115,14 @@
 // Add starts a node with an empty disk that is not a member yet.
 func (c *Cluster) Add(id uint64) *Node { return c.addWithDisk(id, raft.PersistentState{}) }
 
-// Remove stops a node for good. Its disk is lost.
+// Remove stops a node permanently. Its disk is lost.
 func (c *Cluster) Remove(id uint64) {
 	c.Crash(id)
 	delete(c.Nodes, id)
 }
 
-// Crash stops a node. What its disk had not synced is lost, and the outcome of its
-// proposals and reads is reported as unknown.
+// Crash stops a node. Its unsynced writes are lost, and its pending proposals and reads
+// are completed with ok false, as their outcome is unknown.
 func (c *Cluster) Crash(id uint64) {
 	n := c.Nodes[id]
 	n.isUp = false
@@ -135,7 +136,7 @@
 	n.pendingReads = nil
 }
 
-// Restart starts a crashed node from its disk. It does nothing to one that runs.
+// Restart starts a crashed node from its durable state. It does nothing if the node is up.
 func (c *Cluster) Restart(id uint64) {
 	if n := c.Nodes[id]; !n.isUp {
 		c.startNode(n)
@@ -148,8 +149,8 @@
 	return n != nil && n.isUp
 }
 
-// SetFrozen stops a node without a crash, or lets it continue. What it is sent meanwhile
-// waits in its socket.
+// SetFrozen suspends a node without a crash, or resumes it. Messages that arrive in the
+// meantime are buffered in its socket.
 func (c *Cluster) SetFrozen(id uint64, isFrozen bool) { c.Nodes[id].isFrozen = isFrozen }
 
 // IsFrozen reports whether a node exists and is frozen.
@@ -158,9 +159,9 @@
 	return n != nil && n.isFrozen
 }
 
-// HangDisk makes a node's disk finish no write for span.
-func (c *Cluster) HangDisk(id uint64, span time.Duration) {
-	c.Nodes[id].diskHangsUntil = c.Now + span
+// HangDisk prevents a node's disk from completing writes for the given duration.
+func (c *Cluster) HangDisk(id uint64, duration time.Duration) {
+	c.Nodes[id].diskHangsUntil = c.Now + duration
 }
 
 // SetLinkCut cuts or restores the link from one node to another, in that direction only.
@@ -176,7 +177,7 @@
 // IsLinkCut reports whether the link from one node to another is cut.
 func (c *Cluster) IsLinkCut(from, to uint64) bool { return c.cutLinks[link{from, to}] }
 
-// Heal restores all links and lets all frozen nodes continue.
+// Heal restores all links and resumes all frozen nodes.
 func (c *Cluster) Heal() {
 	c.cutLinks = map[link]bool{}
 	for _, n := range c.Nodes {
@@ -194,8 +195,8 @@
 	return ids
 }
 
-// Leader returns the running node that believes it leads, in the highest term if there
-// are several, or nil.
+// Leader returns the running node that believes it is the leader, the one with the highest
+// term if there are several, or nil.
 func (c *Cluster) Leader() *Node {
 	var leader *Node
 	for _, id := range c.IDs() {
@@ -210,9 +211,9 @@
 	return leader
 }
 
-// Propose proposes a command at a node, and returns false if that node does not take it.
-// done is called with the result of Apply, or with ok false if the command was not
-// committed or its outcome is unknown.
+// Propose proposes a command on a node, and returns false if the node rejects it. done is
+// called with the result of Apply, or with ok false if the command was not committed or
+// its outcome is unknown.
 func (c *Cluster) Propose(id uint64, data []byte, done func(result any, ok bool)) bool {
 	n := c.Nodes[id]
 	if !n.isRunning() {
@@ -225,14 +226,14 @@
 	return ok
 }
 
-// Read asks a node for a linearizable read. done is called with ok true once the node's
-// state machine may answer it.
+// Read requests a linearizable read from a node. done is called with ok true once the
+// leadership of the node is confirmed, or with ok false if the read is rejected.
 func (c *Cluster) Read(id uint64, done func(ok bool)) {
 	c.ReadIndex(id, func(_ uint64, ok bool) { done(ok) })
 }
 
-// ReadIndex is Read, and passes the read index to done, so that another node may answer
-// the read once it has applied that index.
+// ReadIndex is like Read, but also passes the read index to done, so that another node can
+// serve the read once it has applied the log up to that index.
 func (c *Cluster) ReadIndex(id uint64, done func(index uint64, ok bool)) {
 	n := c.Nodes[id]
 	if !n.isRunning() {
@@ -244,9 +245,9 @@
 	n.Raft.ReadIndex(c.lastReadID)
 }
 
-// Run lets simulated time pass, in steps of StepInterval.
-func (c *Cluster) Run(span time.Duration) {
-	for end := c.Now + span; c.Now < end; {
+// Run advances the simulated time by duration, in steps of StepInterval.
+func (c *Cluster) Run(duration time.Duration) {
+	for end := c.Now + duration; c.Now < end; {
 		c.Now += c.StepInterval
 		c.deliverDue()
 		for _, id := range c.IDs() {
