--- a/raft/modelcheck/event.go
+++ b/raft/modelcheck/event.go
@@ -6,15 +6,15 @@
 	"lichentray/raft"
 )
 
-// confChangeKind is what a ConfChange event changes.
+// confChangeKind is the kind of change that a ConfChange event makes.
 type confChangeKind uint8
 
 const (
 	noConfChange   confChangeKind = iota
 	addLearner                    // the target becomes a learner
 	promoteLearner                // the target becomes a voter
-	swapVoter                     // the same in place of another voter; it must be rejected
-	removeVoter                   // the target leaves
+	swapVoter                     // the target replaces a voter in one step; must be rejected
+	removeVoter                   // the target is removed
 )
 
 var confChangeVerbs = [...]string{
@@ -24,16 +24,16 @@
 	removeVoter:    "out",
 }
 
-// String returns the verb that stands for the change in a trace.
+// String returns the verb of the change in a trace.
 func (k confChangeKind) String() string { return confChangeVerbs[k] }
 
-// event is a step from one cluster state to the next.
+// event leads from one cluster state to the next.
 type event struct {
 	kind    EventKind
 	change  confChangeKind // of a ConfChange
-	node    uint64         // 0 for Deliver and Duplicate, whose packet names it
-	target  uint64         // the member that a ConfChange is about
-	removed uint64         // the voter that leaves with a swapVoter
+	node    uint64         // 0 for Deliver and Duplicate; the packet contains the receiver
+	target  uint64         // the member that a ConfChange affects
+	removed uint64         // the voter that a swapVoter removes
 	packet  *packet        // of Deliver and Duplicate
 }
 
@@ -55,8 +55,7 @@
 	return line
 }
 
-// enabledEvents returns all events that can happen next. Some of them may turn out to
-// change nothing.
+// enabledEvents returns all events that may occur next. Some of them may have no effect.
 func (s *clusterState) enabledEvents() []event {
 	var events []event
 	for _, n := range s.nodes {
--- a/raft/modelcheck/invariants.go
+++ b/raft/modelcheck/invariants.go
@@ -15,14 +15,14 @@
 			continue
 		}
 		if known.candidate != v.candidate {
-			s.recordViolation("%d votes for %d and for %d in term %d", v.voter, known.candidate, v.candidate, v.term)
+			s.recordViolation("node %d voted for %d and for %d in term %d", v.voter, known.candidate, v.candidate, v.term)
 		}
 		return
 	}
 	s.votes = append(s.votes, v)
 }
 
-// checkObservations checks the outputs of a transition, in their order.
+// checkObservations checks the outputs of a transition, in order.
 func (s *clusterState) checkObservations(t *transition) {
 	for _, o := range t.observations {
 		switch {
@@ -36,34 +36,34 @@
 	}
 }
 
-// checkReadState checks that a confirmed read index covers all that was committed before
-// the read was asked (linearizability; thesis, section 6.4).
+// checkReadState checks that a confirmed read index covers all entries committed before
+// the read was requested (linearizability; thesis, section 6.4).
 func (s *clusterState) checkReadState(n *nodeState, r raft.ReadState) {
 	i := slices.IndexFunc(s.pendingReads, func(p pendingRead) bool { return p.requestID == r.RequestID })
 	if i < 0 {
 		return
 	}
 	if minIndex := s.pendingReads[i].minIndex; r.Confirmed && r.Index < minIndex {
-		s.recordViolation("%d confirms a read index of %d, %d was committed before the read was asked", n.id, r.Index, minIndex)
+		s.recordViolation("node %d confirmed a read index of %d, but index %d was committed before the read was requested", n.id, r.Index, minIndex)
 	}
 	s.pendingReads = slices.Delete(s.pendingReads, i, i+1)
 }
 
-// checkCommitted checks an entry that a node holds as committed against those that are
-// known to be (State Machine Safety, the paper, section 5.4.3). The first node to commit
-// an entry must be a leader.
+// checkCommitted checks an entry that a node considers committed against the known
+// committed entries (State Machine Safety; the paper, section 5.4.3). The first node to
+// commit an entry must be a leader.
 func (s *clusterState) checkCommitted(n *nodeState, e raft.Entry, digest uint64) {
 	position := int(e.Index) - 1
 	switch {
 	case position < len(s.committed):
 		known := s.committed[position]
 		if known.entry.Term != e.Term || known.digest != digest {
-			s.recordViolation("%d holds %d/%d as committed, %d/%d was committed there before, or another state before it", n.id, e.Index, e.Term, known.entry.Index, known.entry.Term)
+			s.recordViolation("node %d committed %d/%d, but %d/%d was committed there before, or different entries before it", n.id, e.Index, e.Term, known.entry.Index, known.entry.Term)
 		}
 	case position > len(s.committed):
-		s.recordViolation("%d commits %d, only %d are committed anywhere", n.id, e.Index, len(s.committed))
+		s.recordViolation("node %d committed index %d, but only %d entries are committed on any node", n.id, e.Index, len(s.committed))
 	case n.raft.Role() != raft.Leader:
-		s.recordViolation("%d holds %d/%d as committed, no leader has committed it", n.id, e.Index, e.Term)
+		s.recordViolation("node %d committed %d/%d, which no leader has committed", n.id, e.Index, e.Term)
 	default:
 		membership := s.committedMembership(e.Index)
 		if e.Type == raft.EntryConfChange {
@@ -79,8 +79,9 @@
 	}
 }
 
-// checkDurable checks that an entry that a leader commits is on the disks of a quorum.
-// A disk that was lost since it acknowledged the entry counts as having held it.
+// checkDurable checks that an entry that a leader commits is on the disks of a quorum. A
+// voter whose disk was lost counts as having had the entry, since it may have acknowledged
+// the entry before.
 func (s *clusterState) checkDurable(leader *nodeState, e raft.Entry) {
 	voters := leader.raft.Membership().Voters
 	durable := 0
@@ -92,11 +93,12 @@
 		}
 	}
 	if durable <= len(voters)/2 {
-		s.recordViolation("%d commits %d/%d, which is durable at %d of %d voters", leader.id, e.Index, e.Term, durable, len(voters))
+		s.recordViolation("node %d committed %d/%d, which is durable on only %d of %d voters", leader.id, e.Index, e.Term, durable, len(voters))
 	}
 }
 
-// logHoldsEntry reports whether a log, of a snapshot and the entries after it, holds e.
+// logHoldsEntry reports whether a log, given as a snapshot and the entries after it,
+// contains e.
 func logHoldsEntry(s raft.Snapshot, entries []raft.Entry, e raft.Entry) bool {
 	if e.Index <= s.Index {
 		return true
@@ -105,21 +107,22 @@
 	return position < uint64(len(entries)) && entries[position].Term == e.Term
 }
 
-// checkSnapshot checks that a snapshot has the state and the membership of its index.
+// checkSnapshot checks that a snapshot has the state and the membership that are committed
+// at its index.
 func (s *clusterState) checkSnapshot(n *nodeState, snapshot raft.Snapshot) {
 	if snapshot.Index > uint64(len(s.committed)) {
-		s.recordViolation("%d has a snapshot of %d, %d entries are committed", n.id, snapshot.Index, len(s.committed))
+		s.recordViolation("node %d has a snapshot at index %d, but only %d entries are committed", n.id, snapshot.Index, len(s.committed))
 		return
 	}
 	if want := encodeDigest(s.committed[snapshot.Index-1].digest); !bytes.Equal(want, snapshot.Data) {
-		s.recordViolation("%d has a snapshot of %d with another state", n.id, snapshot.Index)
+		s.recordViolation("node %d has a snapshot at index %d with a state that differs from the committed one", n.id, snapshot.Index)
 	}
 	if want := s.committedMembership(snapshot.Index); want != describeMembership(snapshot.Members) {
-		s.recordViolation("%d has a snapshot of %d with %s, not %s", n.id, snapshot.Index, describeMembership(snapshot.Members), want)
+		s.recordViolation("node %d has a snapshot at index %d with membership %q, want %q", n.id, snapshot.Index, describeMembership(snapshot.Members), want)
 	}
 }
 
-// committedMembership returns the membership that is committed up to index.
+// committedMembership returns the latest membership committed at or before index.
 func (s *clusterState) committedMembership(index uint64) string {
 	if count := min(index, uint64(len(s.committed))); count > 0 {
 		return s.committed[count-1].membership
@@ -127,7 +130,7 @@
 	return describeMembership(s.initialMembership)
 }
 
-// checkInvariants checks the state after n has changed.
+// checkInvariants checks the state after an event has changed n.
 func (s *clusterState) checkInvariants(n *nodeState) {
 	for _, other := range s.nodes {
 		if other.id != n.id {
@@ -142,25 +145,25 @@
 	s.checkQuorumOverlap()
 }
 
-// checkMembership checks the newest membership that n holds as committed. A node that is
-// joining knows none before the entry that names it.
+// checkMembership checks the latest membership that n considers committed. A joining node
+// has none before the entry that adds it.
 func (s *clusterState) checkMembership(n *nodeState) {
 	m := n.raft.ActiveMemberships()[0]
 	if len(m.AllMembers()) == 0 {
 		return
 	}
 	if want := s.committedMembership(n.raft.CommitIndex()); describeMembership(m) != want {
-		s.recordViolation("%d holds %s as committed up to %d, not %s", n.id, describeMembership(m), n.raft.CommitIndex(), want)
+		s.recordViolation("node %d has membership %q as committed at commit index %d, want %q", n.id, describeMembership(m), n.raft.CommitIndex(), want)
 	}
 }
 
-// checkElectionSafety checks that a term has one leader (the paper, section 5.2).
+// checkElectionSafety checks that a term has at most one leader (the paper, section 5.2).
 func (s *clusterState) checkElectionSafety(leader *nodeState) {
 	term := leader.raft.Term()
 	known, ok := s.leaderByTerm[term]
 	if ok {
 		if known != leader.id {
-			s.recordViolation("%d and %d lead in term %d", known, leader.id, term)
+			s.recordViolation("nodes %d and %d are both leaders of term %d", known, leader.id, term)
 		}
 		return
 	}
@@ -172,20 +175,20 @@
 	s.leaderByTerm = leaders
 }
 
-// checkLeaderCompleteness checks that a leader holds all entries committed in earlier
-// terms (the paper, section 5.4.3).
+// checkLeaderCompleteness checks that a leader has all entries committed in earlier terms
+// (the paper, section 5.4.3).
 func (s *clusterState) checkLeaderCompleteness(leader *nodeState) {
 	term := leader.raft.Term()
 	snapshot, entries := leader.raft.Log()
 	for _, e := range s.committed {
 		if e.committedInTerm < term && !logHoldsEntry(snapshot, entries, e.entry) {
-			s.recordViolation("%d leads in term %d without %d/%d, committed in term %d", leader.id, term, e.entry.Index, e.entry.Term, e.committedInTerm)
+			s.recordViolation("node %d is the leader of term %d, but lacks %d/%d, committed in term %d", leader.id, term, e.entry.Index, e.entry.Term, e.committedInTerm)
 		}
 	}
 }
 
-// checkLogMatching checks that two logs that agree on the term of an index agree on all
-// entries up to it (the paper, section 5.3).
+// checkLogMatching checks that two logs with the same term at an index have the same
+// entries up to that index (the paper, section 5.3).
 func (s *clusterState) checkLogMatching(a, b *nodeState) {
 	snapshotA, logA := a.raft.Log()
 	snapshotB, logB := b.raft.Log()
@@ -197,14 +200,14 @@
 		isSame := x.Term == y.Term && x.Type == y.Type && bytes.Equal(x.Data, y.Data)
 		hasAgreed = hasAgreed || x.Term == y.Term
 		if hasAgreed && !isSame {
-			s.recordViolation("%d and %d have different entries at %d, %d/%d and %d/%d, and agree on a term there or after it", a.id, b.id, i, x.Index, x.Term, y.Index, y.Term)
+			s.recordViolation("nodes %d and %d have different entries at index %d, %d/%d and %d/%d, but the same term there or at a later index", a.id, b.id, i, x.Index, x.Term, y.Index, y.Term)
 		}
 	}
 }
 
-// checkQuorumOverlap checks that any two memberships that can both decide have a common
-// member in all their quorums (thesis, section 4.1). That of a leader can decide while a
-// quorum of it is not in a later term.
+// checkQuorumOverlap checks that every quorum of a membership in use intersects every
+// quorum of any other membership in use (thesis, section 4.1). The memberships of a leader
+// are in use as long as a majority of their voters is not in a later term.
 func (s *clusterState) checkQuorumOverlap() {
 	var active []raft.Membership
 	for _, n := range s.nodes {
@@ -220,13 +223,13 @@
 	for i, a := range active {
 		for _, b := range active[:i] {
 			if !quorumsIntersect(a.Voters, b.Voters) {
-				s.recordViolation("%s and %s are both in use and have disjoint quorums", describeMembership(a), describeMembership(b))
+				s.recordViolation("memberships %q and %q are both in use and have disjoint quorums", describeMembership(a), describeMembership(b))
 			}
 		}
 	}
 }
 
-// canDecide reports whether a majority of the voters is in this term or an earlier one.
+// canDecide reports whether a majority of the voters is in the given term or an earlier one.
 func (s *clusterState) canDecide(m raft.Membership, term uint64) bool {
 	count := 0
 	for _, v := range m.Voters {
@@ -237,7 +240,7 @@
 	return count > len(m.Voters)/2
 }
 
-// quorumsIntersect reports whether each majority of a has a member in common with each
+// quorumsIntersect reports whether every majority of a has a member in common with every
 // majority of b.
 func quorumsIntersect(a, b []raft.Member) bool {
 	shared := 0
@@ -246,7 +249,7 @@
 			shared++
 		}
 	}
-	// The fewest shared members that a majority of this many voters has.
-	fewest := func(voters int) int { return max(0, voters/2+1-(voters-shared)) }
-	return fewest(len(a))+fewest(len(b)) > shared
+	// minShared returns the minimum number of shared members in a majority of the voters.
+	minShared := func(voters int) int { return max(0, voters/2+1-(voters-shared)) }
+	return minShared(len(a))+minShared(len(b)) > shared
 }
--- a/raft/modelcheck/node.go
+++ b/raft/modelcheck/node.go
@@ -11,45 +11,46 @@
 	"lichentray/raft"
 )
 
-// digestSize is the size of the snapshots that the nodes take: the digest of all entries
-// applied, which stands for the state of the state machine.
+// digestSize is the size of a snapshot's data in bytes. The data is the digest of all
+// applied entries, which represents the state of the state machine.
 const digestSize = 8
 
-// nodeState is one node with its disk. It is immutable: an event leads to another
-// nodeState. Equal ones of an exploration are the same pointer.
+// nodeState is the state of one node and its disk. It is immutable: an event leads to
+// another nodeState. Equal states within an exploration share one pointer.
 type nodeState struct {
 	id            uint64
 	raft          *raft.Node
 	now           time.Duration
 	disk          raft.PersistentState
 	pendingWrites []pendingWrite
-	appliedDigest uint64 // of all entries applied
+	appliedDigest uint64 // of all applied entries
 	fingerprint   uint64
 }
 
-// pendingWrite is a write that the disk has not finished.
+// pendingWrite is a write that the disk has not completed.
 type pendingWrite struct {
 	write        *raft.StorageWrite
-	isCompaction bool // its snapshot replaces the log up to its index only
+	isCompaction bool // the snapshot replaces only the entries up to its index
 }
 
-// packet is a message in the network. Equal ones of an exploration are the same pointer.
+// packet is a message in the network. Equal messages within an exploration share one
+// pointer.
 type packet struct {
 	message     raft.Message
 	fingerprint uint64
 }
 
-// transition is what an event does to one node. It depends on that node and the event
-// alone, not on the rest of the cluster.
+// transition is the effect of an event on one node. It depends only on that node and the
+// event, not on the rest of the cluster.
 type transition struct {
-	next         *nodeState // nil if the event cannot happen at the node
+	next         *nodeState // nil if the event cannot occur on the node
 	sent         []*packet
-	observations []observation // in the order in which they were made
+	observations []observation // in the order of the outputs
 	violation    string        // of an invariant of a single node
 }
 
-// observation is an output of a node that the invariants are checked against. One of
-// its pointers is set.
+// observation is an output of a node that is checked against the invariants. Exactly one
+// of its pointers is set.
 type observation struct {
 	committed   *raft.Entry
 	snapshot    *raft.Snapshot
@@ -64,7 +65,7 @@
 	serial uint64 // of a proposal or a read; the new ID for LoseDisk
 }
 
-// transitionCache holds all that an exploration knows of single nodes and messages.
+// transitionCache stores the node states, messages and transitions of an exploration.
 type transitionCache struct {
 	initialMembership raft.Membership
 	nodeStates        map[uint64]*nodeState // by fingerprint
@@ -80,7 +81,7 @@
 	}
 }
 
-// startNode returns a node that starts from what its disk holds.
+// startNode returns a node that starts from the state on its disk.
 func startNode(id uint64, now time.Duration, disk raft.PersistentState) *nodeState {
 	n := &nodeState{id: id, now: now, disk: disk}
 	n.restoreDigest(disk.Snapshot)
@@ -96,7 +97,7 @@
 	return n
 }
 
-// restoreDigest takes the state of a snapshot, if it has one.
+// restoreDigest restores the applied digest from a snapshot, if the snapshot has one.
 func (n *nodeState) restoreDigest(s raft.Snapshot) {
 	if len(s.Data) == digestSize {
 		n.appliedDigest = binary.BigEndian.Uint64(s.Data)
@@ -106,7 +107,7 @@
 // encodeDigest returns the data of a snapshot.
 func encodeDigest(digest uint64) []byte { return binary.BigEndian.AppendUint64(nil, digest) }
 
-// internNode returns the one nodeState of the exploration that equals n.
+// internNode returns the exploration's unique nodeState that equals n.
 func (t *transitionCache) internNode(n *nodeState) *nodeState {
 	b := n.raft.Fingerprint(make([]byte, 0, 1024), fingerprintHorizon)
 	b = n.disk.Fingerprint(b)
@@ -122,7 +123,7 @@
 	return n
 }
 
-// internMessage returns the one packet of the exploration with this message.
+// internMessage returns the exploration's unique packet with this message.
 func (t *transitionCache) internMessage(m raft.Message) *packet {
 	fingerprint := xxhash.Sum64(m.Fingerprint(nil))
 	p := t.packets[fingerprint]
@@ -133,7 +134,7 @@
 	return p
 }
 
-// transition returns what the event of key does to its node.
+// transition returns the effect of key's event on key's node.
 func (t *transitionCache) transition(key transitionKey) *transition {
 	known := t.transitions[key]
 	if known == nil {
@@ -143,7 +144,7 @@
 	return known
 }
 
-// computeTransition runs the raft node on a copy.
+// computeTransition applies the event to a copy of the node.
 func (t *transitionCache) computeTransition(key transitionKey) *transition {
 	n := *key.node
 	n.raft = n.raft.Clone()
@@ -157,7 +158,7 @@
 	return result
 }
 
-// applyEvent applies an event to n. It returns false if the event cannot happen there.
+// applyEvent applies an event to n. It returns false if the event cannot occur on n.
 func (t *transitionCache) applyEvent(n *nodeState, key transitionKey, result *transition) bool {
 	switch key.event.kind {
 	case Deliver:
@@ -183,13 +184,13 @@
 	case Compact:
 		return n.compact(result)
 	case ConfChange:
-		return n.raft.ProposeConfChange(key.event.changed(n.raft.Membership())) == nil
+		return n.raft.ProposeConfChange(key.event.changedMembership(n.raft.Membership())) == nil
 	}
 	return true
 }
 
-// changed returns the membership after a ConfChange.
-func (e event) changed(m raft.Membership) raft.Membership {
+// changedMembership returns the membership after a ConfChange.
+func (e event) changedMembership(m raft.Membership) raft.Membership {
 	target := raft.Member{ID: e.target}
 	switch e.change {
 	case addLearner:
@@ -215,7 +216,7 @@
 	return true
 }
 
-// syncOldestWrite finishes the oldest write and reports it to the raft node.
+// syncOldestWrite completes the oldest pending write and reports it to the raft node.
 func (t *transitionCache) syncOldestWrite(n *nodeState, result *transition) bool {
 	if len(n.pendingWrites) == 0 {
 		return false
@@ -231,7 +232,7 @@
 	return true
 }
 
-// completeWrite makes a write durable.
+// completeWrite applies a write to the disk.
 func (n *nodeState) completeWrite(w pendingWrite) {
 	if w.write.HardState != nil {
 		n.disk.HardState = *w.write.HardState
@@ -254,7 +255,7 @@
 	}
 }
 
-// processReady carries out the work that the raft node hands out.
+// processReady processes the output of the raft node until there is none left.
 func (t *transitionCache) processReady(n *nodeState, result *transition) {
 	for {
 		ready := n.raft.Ready()
@@ -269,7 +270,8 @@
 	}
 }
 
-// queueWrite queues a write, or sends the messages of one that has nothing to wait for.
+// queueWrite queues a write. If the write is empty and no other is pending, it sends the
+// messages of the write immediately.
 func (t *transitionCache) queueWrite(n *nodeState, result *transition, w *raft.StorageWrite) {
 	isEmpty := w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0
 	if isEmpty && len(n.pendingWrites) == 0 {
@@ -279,7 +281,8 @@
 	n.pendingWrites = append(n.pendingWrites, pendingWrite{write: w})
 }
 
-// observe applies what is committed and records what the invariants are checked against.
+// observe applies committed entries and records the outputs to check against the
+// invariants.
 func (n *nodeState) observe(result *transition, ready raft.Ready) {
 	if s := ready.SnapshotToInstall; s != nil {
 		result.observations = append(result.observations, observation{snapshot: s})
@@ -294,19 +297,19 @@
 	}
 }
 
-// sendMessages collects what a node sends, and checks that whatever a message promises
-// is on the node's disk.
+// sendMessages records the messages that a node sends, and checks that the state that each
+// message relies on is on the node's disk.
 func (t *transitionCache) sendMessages(n *nodeState, result *transition, messages []raft.Message) {
 	for _, m := range messages {
 		if !n.isBackedByDisk(m) {
-			result.violation = fmt.Sprintf("%d sends what is not on its disk: %s", n.id, describeMessage(m))
+			result.violation = fmt.Sprintf("node %d sent a message that relies on state not on its disk: %s", n.id, describeMessage(m))
 		}
 		result.sent = append(result.sent, t.internMessage(m))
 	}
 }
 
-// isBackedByDisk reports whether the vote or the entries that a message stands for are
-// on the disk of its sender.
+// isBackedByDisk reports whether the vote or the entries that a message relies on are on
+// the sender's disk.
 func (n *nodeState) isBackedByDisk(m raft.Message) bool {
 	disk := n.disk.HardState
 	switch {
--- a/raft/modelcheck/search.go
+++ b/raft/modelcheck/search.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// visit is how the search reached a state.
+// visit records how the search reached a state.
 type visit struct {
-	parent int32 // index of the visit before, -1 at the first state
+	parent int32 // index of the previous visit, -1 for the initial state
 	event  event
 }
 
-// frontierState is a state whose successors have not been visited.
+// frontierState is a state whose successors have not been visited yet.
 type frontierState struct {
 	state *clusterState
-	visit int32 // index
+	visit int32 // index in search.visits
 }
 
-// search is the progress of an exploration.
+// search is the state of a running exploration.
 type search struct {
 	exploration Exploration
 	result      Result
 	visits      []visit
-	seen        map[uint64]struct{} // hashes of the states visited
+	seen        map[uint64]struct{} // hashes of the visited states
 	next        []frontierState     // the next level
 }
 
-// Run searches breadth first, so that a violation comes with a shortest trace. The error
-// is for a Start that cannot be played.
+// Run runs the exploration. The search is breadth-first, so a violation is reported with a
+// shortest trace. Run returns an error if Start cannot be replayed.
 func (x Exploration) Run() (Result, error) {
-	first, err := x.playTrace(x.Start)
+	first, err := x.replayTrace(x.Start)
 	if err != nil {
 		return Result{}, err
 	}
@@ -53,7 +53,7 @@
 }
 
 // exploreLevel visits the successors of all states of one level. It returns false if the
-// search ends there.
+// search must stop.
 func (s *search) exploreLevel(frontier []frontierState) bool {
 	for i, from := range frontier {
 		frontier[i].state = nil // frees the memory
@@ -69,8 +69,8 @@
 	return true
 }
 
-// visitSuccessor visits the state that e leads to, unless it is known. It returns false
-// if the search ends there.
+// visitSuccessor visits the state that e leads to, unless it was visited before. It returns
+// false if the search must stop.
 func (s *search) visitSuccessor(from frontierState, e event) bool {
 	state := from.state.successor(e)
 	if state == nil {
@@ -98,17 +98,17 @@
 	return true
 }
 
-// reportViolation puts the violation of a state into the result, with the trace that
-// leads there: the one to a visit and the last events after it.
+// reportViolation sets the violation of a state in the result. The trace consists of the
+// path to the visit with index at, followed by the events in last.
 func (s *search) reportViolation(state *clusterState, at int32, last ...event) {
-	var backwards []string
+	var reversed []string
 	for _, e := range last {
-		backwards = append(backwards, e.String())
+		reversed = append(reversed, e.String())
 	}
 	for ; at > 0; at = s.visits[at].parent {
-		backwards = append(backwards, s.visits[at].event.String())
+		reversed = append(reversed, s.visits[at].event.String())
 	}
-	slices.Reverse(backwards)
+	slices.Reverse(reversed)
 	s.result.Violation = state.violation
-	s.result.Trace = append(slices.Clone(s.exploration.Start), backwards...)
+	s.result.Trace = append(slices.Clone(s.exploration.Start), reversed...)
 }
--- a/raft/modelcheck/state.go
+++ b/raft/modelcheck/state.go
@@ -10,40 +10,40 @@
 	"lichentray/raft"
 )
 
-// clusterState is one state of the search: the nodes, the messages in the network, and
-// what has to be remembered to check the invariants of the next step. A state that has
-// been visited does not change.
+// clusterState is one state of the search: the nodes, the messages in the network, and the
+// history needed to check the invariants after the next event. A visited state is not
+// modified.
 type clusterState struct {
 	*transitionCache
 	nodes        []*nodeState
 	network      []*packet
 	committed    []committedEntry  // by index, from 1 on
-	leaderByTerm map[uint64]uint64 // shared between states; replaced, not changed
+	leaderByTerm map[uint64]uint64 // shared between states; replaced, never modified
 	votes        []grantedVote
 	pendingReads []pendingRead
-	lostDisks    []uint64 // IDs
-	nextID       uint64   // the next free one
+	lostDisks    []uint64 // IDs of the nodes that lost their disk
+	nextID       uint64   // next free node ID
 	lastSerial   uint64   // of proposals and reads
 	budgetLeft   Budget
-	violation    string // the first one, or empty
+	violation    string // the first violation, or empty
 }
 
-// committedEntry is an entry that some leader has committed.
+// committedEntry is an entry that a leader has committed.
 type committedEntry struct {
 	entry           raft.Entry
 	digest          uint64 // of all entries up to this one
 	committedInTerm uint64 // term of the leader that committed it first
-	membership      string // the one in force from here on
+	membership      string // latest membership committed at or before this entry
 }
 
-// grantedVote is a vote that was sent, a candidate's for itself included.
+// grantedVote is a vote that was sent, including a candidate's vote for itself.
 type grantedVote struct{ term, voter, candidate uint64 }
 
-// pendingRead is a read that is not answered. minIndex is the number of entries that
-// were committed anywhere when it was asked.
+// pendingRead is an outstanding read. minIndex is the number of entries that were committed
+// on any node when the read was requested.
 type pendingRead struct{ requestID, node, minIndex uint64 }
 
-// initialState returns the state in which all nodes have just started.
+// initialState returns the state right after all nodes have started.
 func (x Exploration) initialState() *clusterState {
 	cache := newTransitionCache()
 	s := &clusterState{transitionCache: cache, budgetLeft: x.Budget}
@@ -63,13 +63,13 @@
 	return s
 }
 
-// fork returns a state that equals s and can be changed.
+// fork returns a modifiable copy of s.
 func (s *clusterState) fork() *clusterState {
 	c := *s
 	c.nodes = slices.Clone(s.nodes)
 	c.network = slices.Clone(s.network)
 	c.pendingReads = slices.Clone(s.pendingReads)
-	// These only grow: a clipped slice is copied when something is appended.
+	// These slices only grow: a clipped slice is copied when an element is appended.
 	c.committed = slices.Clip(s.committed)
 	c.votes = slices.Clip(s.votes)
 	c.lostDisks = slices.Clip(s.lostDisks)
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// hash returns the same value for states that lead to the same future. The order of the
-// messages in the network, the leaders and the votes does not count.
+// hash returns the same value for states with the same future behavior. It ignores the
+// order of the messages in the network, of the leaders and of the votes.
 func (s *clusterState) hash() uint64 {
 	b := make([]byte, 0, 512)
 	put := func(values ...uint64) {
@@ -132,14 +132,14 @@
 	return xxhash.Sum64(b)
 }
 
-// recordViolation keeps the first violation of an invariant.
+// recordViolation records the violation of an invariant, unless there was one before.
 func (s *clusterState) recordViolation(format string, args ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// successor returns the state after e, or nil if e cannot happen or changes nothing.
+// successor returns the state after e, or nil if e cannot occur or has no effect.
 func (s *clusterState) successor(e event) *clusterState {
 	if e.packet != nil {
 		e.node = e.packet.message.To
@@ -150,7 +150,7 @@
 	}
 	before := s.nodes[position]
 	t := s.transition(s.transitionKey(before, e))
-	if t.next == nil || s.changesNothing(before, e, t) {
+	if t.next == nil || s.isNoOp(before, e, t) {
 		return nil
 	}
 	after := s.fork()
@@ -165,8 +165,8 @@
 	return after
 }
 
-// transitionKey returns the key of what e does to n, which leaves out whatever does not
-// matter to that node.
+// transitionKey returns the key of the effect of e on n. It omits the details of e that do
+// not affect that node.
 func (s *clusterState) transitionKey(n *nodeState, e event) transitionKey {
 	key := transitionKey{node: n, event: e}
 	key.event.node = 0
@@ -181,14 +181,15 @@
 	return key
 }
 
-// changesNothing reports whether a transition leads nowhere new. A delivery that changes
-// nothing is left out: the message may as well stay in the network.
-func (s *clusterState) changesNothing(before *nodeState, e event, t *transition) bool {
+// isNoOp reports whether a transition has no effect on the cluster. It is true also for a
+// delivery that only removes the message from the network: the search skips it, as it is
+// covered by the message staying in the network.
+func (s *clusterState) isNoOp(before *nodeState, e event, t *transition) bool {
 	return t.next == before && len(t.observations) == 0 && e.kind != ReadIndex &&
 		!slices.ContainsFunc(t.sent, s.isNewPacket)
 }
 
-// recordClusterEffects records what an event changes beside its node.
+// recordClusterEffects records the effects of an event outside its node.
 func (s *clusterState) recordClusterEffects(e event) {
 	switch e.kind {
 	case Deliver:
@@ -212,8 +213,8 @@
 	}
 }
 
-// isNewPacket reports whether the network would take p: its receiver exists, and an
-// equal message is not in the network already.
+// isNewPacket reports whether p is to be added to the network: its receiver exists, and no
+// equal message is in the network.
 func (s *clusterState) isNewPacket(p *packet) bool {
 	return s.nodeByID(p.message.To) != nil && !slices.Contains(s.network, p)
 }
--- a/raft/modelcheck/trace.go
+++ b/raft/modelcheck/trace.go
@@ -9,38 +9,38 @@
 	"lichentray/raft"
 )
 
-// The lines that a trace may have beside events.
+// Verbs of the trace lines that are not events; see Replay.
 const (
 	lineForget = "forget"
 	lineSettle = "settle"
 	lineElect  = "elect"
 )
 
-// maxEventsUntilQuiet limits the events of one settle or elect line.
-const maxEventsUntilQuiet = 10_000
+// maxEventsUntilIdle limits the events of one settle or elect line.
+const maxEventsUntilIdle = 10_000
 
-// Replay plays a trace: lines as Result.Trace has them, and besides
+// Replay replays a trace. Its lines are events as in Result.Trace, and the following:
 //
-//	settle        deliver and sync until nothing is left to do
-//	settle 1 2    the same among these nodes; nothing else happens
-//	elect 1 2     the same, until node 1 leads
-//	forget        all messages in the network are lost
+//	settle        delivers messages and syncs writes until there are none left
+//	settle 1 2    does the same among these nodes only
+//	elect 1 2     does the same until node 1 is the leader
+//	forget        drops all messages in the network
 //
 // It returns the first violation, or an empty string, and an error if a line cannot be
-// played.
+// replayed.
 func (x Exploration) Replay(trace []string) (violation string, err error) {
-	s, err := x.playTrace(trace)
+	s, err := x.replayTrace(trace)
 	if err != nil {
 		return "", err
 	}
 	return s.violation, nil
 }
 
-// playTrace returns the state after a trace, or after its first violation.
-func (x Exploration) playTrace(trace []string) (*clusterState, error) {
+// replayTrace returns the state after a trace, or after its first violation.
+func (x Exploration) replayTrace(trace []string) (*clusterState, error) {
 	s := x.initialState()
 	for i, line := range trace {
-		next, err := s.playLine(line)
+		next, err := s.replayLine(line)
 		if err != nil {
 			return nil, fmt.Errorf("modelcheck: line %d: %w", i+1, err)
 		}
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-func (s *clusterState) playLine(line string) (*clusterState, error) {
+func (s *clusterState) replayLine(line string) (*clusterState, error) {
 	verb, rest, _ := strings.Cut(line, " ")
 	switch verb {
 	case lineForget:
@@ -60,13 +60,13 @@
 		next.network = nil
 		return next, nil
 	case lineSettle:
-		return s.runUntilQuiet(strings.Fields(rest), "")
+		return s.runUntilIdle(strings.Fields(rest), "")
 	case lineElect:
 		among := strings.Fields(rest)
 		if len(among) == 0 {
-			return nil, errors.New("elect names no node")
+			return nil, errors.New("elect line without nodes")
 		}
-		return s.runUntilQuiet(among, among[0])
+		return s.runUntilIdle(among, among[0])
 	}
 	for _, e := range s.enabledEvents() {
 		if e.String() != line {
@@ -75,21 +75,22 @@
 		if next := s.successor(e); next != nil {
 			return next, nil
 		}
-		return nil, fmt.Errorf("%q does nothing", line)
+		return nil, fmt.Errorf("event %q has no effect", line)
 	}
-	return nil, fmt.Errorf("%q cannot happen", line)
+	return nil, fmt.Errorf("event %q is not possible in this state", line)
 }
 
-// runUntilQuiet delivers and syncs among some nodes, or all if none is named, until
-// nothing is left to do or, if a leader is named, until it leads. A violation ends it.
-func (s *clusterState) runUntilQuiet(among []string, leader string) (*clusterState, error) {
-	for range maxEventsUntilQuiet {
+// runUntilIdle delivers messages and syncs writes among the given nodes, or among all nodes
+// if none is given, until there are none left or, if leader is not empty, until that node
+// is the leader. It stops at a violation.
+func (s *clusterState) runUntilIdle(among []string, leader string) (*clusterState, error) {
+	for range maxEventsUntilIdle {
 		if leader != "" && s.isLedBy(leader) {
 			return s, nil
 		}
 		next := s.nextSyncOrDelivery(among)
 		if next == nil && leader != "" {
-			return nil, fmt.Errorf("%s does not lead", leader)
+			return nil, fmt.Errorf("node %s did not become the leader", leader)
 		}
 		if next == nil {
 			return s, nil
@@ -99,7 +100,7 @@
 			return s, nil
 		}
 	}
-	return nil, errors.New("does not settle")
+	return nil, errors.New("the nodes do not become idle")
 }
 
 func (s *clusterState) isLedBy(id string) bool {
@@ -109,7 +110,7 @@
 }
 
 // nextSyncOrDelivery returns the state after the first sync or delivery among the nodes
-// that changes something, or nil if there is none.
+// that has an effect, or nil if there is none.
 func (s *clusterState) nextSyncOrDelivery(among []string) *clusterState {
 	isIncluded := func(id uint64) bool {
 		return len(among) == 0 || slices.Contains(among, fmt.Sprint(id))
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// describeMessage returns a message as a trace has it.
+// describeMessage returns the representation of a message in a trace.
 func describeMessage(m raft.Message) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %d>%d term %d at %d/%d", m.Type, m.From, m.To, m.Term, m.Index, m.LogTerm)
@@ -158,7 +159,7 @@
 	return b.String()
 }
 
-// describeMembershipData describes the membership of an entry.
+// describeMembershipData describes the membership in the data of an entry.
 func describeMembershipData(data []byte) string {
 	m, err := raft.DecodeMembership(data)
 	if err != nil {
