--- a/loadbalance/admission.go
+++ b/loadbalance/admission.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Load is the load that one node, or all nodes together, put on a service. The names
-// of its fields are those of the wire format.
+// Load is the load that one node, or all nodes together, put on a service. The field names
+// are part of the wire format.
 type Load struct {
-	Rate     float64 // requests per second that arrive, with the rejected ones
+	Rate     float64 // arriving requests per second, including rejected ones
 	Inflight float64 // mean number of requests in flight at endpoints
 }
 
@@ -14,58 +14,58 @@
 	return Load{Rate: l.Rate + other.Rate, Inflight: l.Inflight + other.Inflight}
 }
 
-// AdmissionLimiter is one node's share of a service's slots while all nodes together
-// ask for more than there are (coordinated concurrency limit).
+// AdmissionLimiter limits one node to its share of a service's slots while the nodes
+// together demand more slots than exist (coordinated concurrency limit).
 //
-// A node sees only its own requests. So nodes that each fill what looks free to them
-// fill the queues of the endpoints together, and every request is late. With the total
-// of all loads, each node keeps to its share: the slots times its part of the arrivals.
-// Below saturation, or when the total is too old, nothing is limited. It is not safe
-// for concurrent use.
+// A node sees only its own requests. Nodes that each use every slot that looks free to them
+// would together fill the queues of the endpoints and delay every request. Knowing the total
+// load, each node limits itself to the slots times its fraction of the arrivals. Below
+// saturation, or when the total is out of date, there is no limit. An AdmissionLimiter is
+// not safe for concurrent use.
 type AdmissionLimiter struct {
-	totalValidity time.Duration // how long a total may be used
-	totalReceived time.Duration // when total was set
-	total         Load
-	own           Load // smoothed
-	limiting      bool
+	totalTTL        time.Duration
+	totalReceivedAt time.Duration
+	total           Load
+	own             Load // exponentially smoothed
+	limiting        bool
 }
 
 const (
-	// The limit begins when the endpoints hold enterUtilization times what they work
-	// on at once, and ends at leaveUtilization.
+	// The limit takes effect when the requests in flight exceed enterUtilization times the
+	// slots, and is lifted at leaveUtilization (hysteresis).
 	enterUtilization = 1.3
 	leaveUtilization = 0.9
-	// oversubscription scales the slots that are divided among the nodes. The short queue
-	// at the endpoints absorbs the excess, and keeps them busy while the loads that the
-	// nodes have reported are out of date.
+	// oversubscription scales the slots that are divided among the nodes. The excess waits
+	// in the short queues of the endpoints, which keeps the endpoints busy while the
+	// reported loads lag behind.
 	oversubscription = 1.15
-	// loadGain is the weight of a new observation in the smoothed load.
-	loadGain = 0.4
+	// loadSmoothingFactor is the weight of a new sample in the smoothed load.
+	loadSmoothingFactor = 0.4
 )
 
-// NewAdmissionLimiter returns a limiter that limits nothing yet. totalValidity is how
-// long a total load may be used.
-func NewAdmissionLimiter(totalValidity time.Duration) *AdmissionLimiter {
-	return &AdmissionLimiter{totalValidity: totalValidity}
+// NewAdmissionLimiter returns a limiter without a total load, which imposes no limit. A
+// total load expires totalTTL after it was set.
+func NewAdmissionLimiter(totalTTL time.Duration) *AdmissionLimiter {
+	return &AdmissionLimiter{totalTTL: totalTTL}
 }
 
-// Observe takes this node's load since the last call into its smoothed load.
+// Observe adds a sample, this node's load since the last call, to the smoothed load.
 func (a *AdmissionLimiter) Observe(l Load) {
-	a.own.Rate += loadGain * (l.Rate - a.own.Rate)
-	a.own.Inflight += loadGain * (l.Inflight - a.own.Inflight)
+	a.own.Rate += loadSmoothingFactor * (l.Rate - a.own.Rate)
+	a.own.Inflight += loadSmoothingFactor * (l.Inflight - a.own.Inflight)
 }
 
 // OwnLoad returns this node's smoothed load.
 func (a *AdmissionLimiter) OwnLoad() Load { return a.own }
 
-// SetTotalLoad sets the total load of all nodes.
+// SetTotalLoad sets the load of all nodes together.
 func (a *AdmissionLimiter) SetTotalLoad(now time.Duration, total Load) {
-	a.totalReceived = now
+	a.totalReceivedAt = now
 	a.total = total
 }
 
-// Limit returns how many requests this node may have in flight at endpoints with the
-// given number of slots in all, and whether there is a limit.
+// Limit returns how many requests this node may have in flight at endpoints that have the
+// given number of slots together, and whether there is a limit.
 func (a *AdmissionLimiter) Limit(now time.Duration, slots int) (limit int, isLimited bool) {
 	a.limiting = a.isSaturated(now, slots)
 	if !a.limiting {
@@ -75,9 +75,10 @@
 	return max(1, int(oversubscription*float64(slots)*share+0.5)), true
 }
 
-// isSaturated reports whether the nodes ask for more than there is, with hysteresis.
+// isSaturated reports, with hysteresis, whether the nodes together demand more slots than
+// exist. Without a current total it returns false.
 func (a *AdmissionLimiter) isSaturated(now time.Duration, slots int) bool {
-	if a.total.Rate <= 0 || now-a.totalReceived > a.totalValidity || slots == 0 {
+	if a.total.Rate <= 0 || now-a.totalReceivedAt > a.totalTTL || slots == 0 {
 		return false
 	}
 	threshold := enterUtilization
--- a/loadbalance/admission_test.go
+++ b/loadbalance/admission_test.go
@@ -8,8 +8,9 @@
 	"lichentray/loadbalance"
 )
 
-// Under saturation the limits of the nodes add up to the slots, whatever their loads.
-// Below it, or with an old total, no node is limited.
+// Under saturation, the limits of all nodes must add up to about the number of slots,
+// whatever their loads. Below saturation, or with an expired total load, there must be no
+// limit.
 func TestAdmissionLimitsAddUpToSlots(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -30,20 +31,20 @@
 			a.SetTotalLoad(time.Second, sum)
 			limit, on := a.Limit(2*time.Second, slots)
 			if !on || limit < 1 {
-				t.Fatalf("seed %d: no limit under saturation", seed)
+				t.Fatalf("seed %d: no limit under saturation, want one", seed)
 			}
 			total += limit
 		}
 		if total < slots || total > slots*5/4+n {
-			t.Errorf("seed %d: %d nodes share %d slots as %d", seed, n, slots, total)
+			t.Errorf("seed %d: the limits of %d nodes for %d slots add up to %d", seed, n, slots, total)
 		}
 		for _, a := range nodes {
 			if _, on := a.Limit(4*time.Second, slots); on {
-				t.Fatal("an old sum still limits")
+				t.Fatal("limited by an expired total load")
 			}
 			a.SetTotalLoad(5*time.Second, loadbalance.Load{Rate: sum.Rate, Inflight: 0.5 * float64(slots)})
 			if _, on := a.Limit(5*time.Second, slots); on {
-				t.Fatal("limited although half of the slots are free")
+				t.Fatal("limited while half of the slots are free")
 			}
 		}
 	}
--- a/loadbalance/bench_test.go
+++ b/loadbalance/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkPick measures the work of a proxy for one request among 1000 endpoints.
+// BenchmarkPick measures the cost of selecting one of 1000 endpoints for a request.
 func BenchmarkPick(b *testing.B) {
 	p := NewPool(PoolConfig{Zone: "zone-0", BaseEjectionTime: time.Second, MaxEjectionTime: 6 * time.Second, ZoneBias: 0.6, RegionBias: 1.5})
 	for i := range 1000 {
--- a/loadbalance/doc.go
+++ b/loadbalance/doc.go
@@ -1,11 +1,12 @@
-// Package loadbalance chooses endpoints and limits what is attempted.
+// Package loadbalance selects endpoints and enforces concurrency, retry and warm-up limits.
 //
-// Each proxy node keeps a Pool of the endpoints of each service. Pick chooses among
-// them by locality, load, learned latency, ejection of outliers, slow start, and the
-// share of a version under roll-out. RetryBudget and AdmissionLimiter are one node's
-// shares of limits that hold for all nodes together. QuotaAllocator and OutlierDetector
-// run on the control plane, and SelectProxies in its directory.
+// Each proxy node keeps one Pool of endpoints per service. Pool.Pick selects an endpoint by
+// locality, load, learned latency, outlier ejection, slow start and the traffic share of a
+// version under roll-out. RetryBudget and AdmissionLimiter enforce one node's share of
+// limits that apply to all nodes together. QuotaAllocator and OutlierDetector run on the
+// control plane, and SelectProxies in its directory.
 //
-// The package does no I/O, reads no clock and starts no goroutine: the present time
-// (of a monotonic clock, from any origin) and every random number are arguments.
+// The package does no I/O, reads no clock and starts no goroutine: callers pass in the
+// current time (from a monotonic clock with an arbitrary origin) and a source of random
+// numbers.
 package loadbalance
--- a/loadbalance/ejection.go
+++ b/loadbalance/ejection.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ejectionState is whether an endpoint is excluded for its failures (passive health check).
+// ejectionState is the state of an endpoint's passive health check.
 type ejectionState uint8
 
 const (
-	// inService endpoints have answered since their last failure.
+	// inService means that the endpoint has not failed since its last successful request.
 	inService ejectionState = iota
-	// ejected endpoints have failed. Once their ejection time has passed, one
-	// request at a time may probe them (half-open circuit).
+	// ejected means that the endpoint has failed. After its ejection time, one request at
+	// a time may probe it (half-open circuit).
 	ejected
-	// probing endpoints are ejected, and their probe is in flight.
+	// probing means that the endpoint is ejected and a probe is in flight.
 	probing
 )
 
@@ -28,31 +28,32 @@
 	return "unknown"
 }
 
-// ejection is the passive health check of one endpoint by this node alone.
+// ejection is the passive health check of one endpoint. It uses only what this node observes.
 type ejection struct {
 	state               ejectionState
-	consecutiveFailures int // 0 if and only if the state is inService
+	consecutiveFailures int // 0 if and only if state is inService
 	until               time.Duration
 }
 
-// isActive reports whether the endpoint is excluded from the candidates of Pick.
+// isActive reports whether the endpoint is ejected and its ejection time has not passed.
 func (x *ejection) isActive(now time.Duration) bool { return x.state != inService && now < x.until }
 
-// canProbe reports whether one request may probe whether the endpoint has recovered.
+// canProbe reports whether a request may probe the endpoint for recovery.
 func (x *ejection) canProbe(now time.Duration) bool { return x.state == ejected && now >= x.until }
 
 func (x *ejection) beginProbe() { x.state = probing }
 
-// endProbe is called when any request to the endpoint ends: the outcome of each is as good
-// evidence of recovery as that of the probe.
+// endProbe ends the probe, if one is in flight. It is called when any request to the endpoint
+// ends, because the outcome of any request shows equally well whether it has recovered.
 func (x *ejection) endProbe() {
 	if x.state == probing {
 		x.state = ejected
 	}
 }
 
-// recordFailure ejects the endpoint, or extends its ejection. If a probe is
-// in flight, the state remains probing, so that no second probe begins.
+// recordFailure ejects the endpoint or extends its ejection, with a duration that doubles
+// with each consecutive failure. If a probe is in flight, the state remains probing, so that
+// no second probe begins.
 func (x *ejection) recordFailure(now, base, limit time.Duration) {
 	doublings := min(x.consecutiveFailures, maxEjectionDoublings)
 	x.consecutiveFailures++
@@ -67,15 +68,14 @@
 	x.consecutiveFailures = 0
 }
 
-// maxEjectionDoublings bounds the growth of the ejection time.
+// maxEjectionDoublings limits the exponential growth of the ejection time.
 const maxEjectionDoublings = 6
 
-// IsEjected reports whether failures exclude the endpoint from the candidates of
-// Pick.
+// IsEjected reports whether the endpoint is ejected and its ejection time has not passed.
 func (e *Endpoint) IsEjected(now time.Duration) bool { return e.ejection.isActive(now) }
 
-// RecordFailure ejects an endpoint whose request failed. Finish calls it for a failed
-// request; the caller does so for a response that broke off after Finish.
+// RecordFailure ejects an endpoint after a failed request. Finish calls it for a failed
+// request; callers use it for a response that broke off after Finish.
 func (p *Pool) RecordFailure(now time.Duration, e *Endpoint) {
 	e.unreported.Bad++
 	e.ejection.recordFailure(now, p.cfg.BaseEjectionTime, p.cfg.MaxEjectionTime)
--- a/loadbalance/hash.go
+++ b/loadbalance/hash.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// hashPair returns a hash of two names: FNV-1a, and the finalizer of MurmurHash3 so
-// that names which differ in their last bytes alone are far apart.
+// hashPair returns a hash of two strings: FNV-1a followed by the MurmurHash3 finalizer,
+// which spreads strings that differ only in their last bytes.
 func hashPair(a, b string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
@@ -17,7 +17,7 @@
 	return x ^ x>>33
 }
 
-// hashToUnit returns a number in (0,1] for two names.
+// hashToUnit hashes two strings to a number in (0,1].
 func hashToUnit(a, b string) float64 {
 	const significandBits = 53
 	return (float64(hashPair(a, b)>>(64-significandBits)) + 1) / (1 << significandBits)
--- a/loadbalance/locality.go
+++ b/loadbalance/locality.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// distance is how far an endpoint is from this node.
+// distance is the network distance from this node to an endpoint.
 type distance uint8
 
 const (
@@ -14,7 +14,7 @@
 	sameRegion
 	otherRegion
 
-	distances // their number
+	distanceCount
 )
 
 // String returns the name of the distance.
@@ -30,7 +30,7 @@
 	return "unknown"
 }
 
-// distanceTo returns how far an endpoint is from this node.
+// distanceTo returns the distance from this node to an endpoint.
 func (p *Pool) distanceTo(spec EndpointSpec) distance {
 	switch {
 	case spec.Zone == p.cfg.Zone:
@@ -41,7 +41,7 @@
 	return otherRegion
 }
 
-// costOf returns what a distance adds to the cost of an endpoint.
+// costOf returns the amount that a distance adds to the expected cost of an endpoint.
 func (c *PoolConfig) costOf(d distance) float64 {
 	switch d {
 	case sameZone:
@@ -52,16 +52,16 @@
 	return c.RegionBias
 }
 
-// ZoneState is whether requests may be sent to a zone. The zero value is ZoneActive.
+// ZoneState defines whether requests may be sent to a zone. The zero value is ZoneActive.
 type ZoneState uint8
 
 const (
 	// ZoneActive means that requests are sent to the zone.
 	ZoneActive ZoneState = iota
-	// ZoneEvacuated means that nothing may be sent to the zone.
+	// ZoneEvacuated means that no requests may be sent to the zone.
 	ZoneEvacuated
-	// ZoneReturning means that the evacuation of the zone is being ended, so that its
-	// endpoints count as warming up.
+	// ZoneReturning means that the evacuation of the zone is ending; its endpoints count as
+	// warming up.
 	ZoneReturning
 )
 
@@ -78,7 +78,7 @@
 	return "unknown"
 }
 
-// SetZoneState sets the state of a zone for its present and future endpoints.
+// SetZoneState sets the state of a zone. It applies to current and future endpoints.
 func (p *Pool) SetZoneState(zone string, state ZoneState) {
 	p.zoneStates[zone] = state
 	for _, e := range p.endpoints {
@@ -88,9 +88,9 @@
 	}
 }
 
-// SetZoneLoads sets how many requests of all nodes are in flight at the endpoints of
-// each zone. A zone that is nearly full costs more, so that the next one takes the
-// overflow before queues build up.
+// SetZoneLoads sets the number of requests that all nodes together have in flight at the
+// endpoints of each zone. The cost of a zone rises as it fills up, so that requests move to
+// other zones before queues build up.
 func (p *Pool) SetZoneLoads(inflight map[string]float64) {
 	slots := map[string]float64{}
 	for _, e := range p.endpoints {
@@ -104,14 +104,14 @@
 	}
 }
 
-// Above zoneLoadThreshold of a zone's slots, each further tenth in use costs a tenth
-// of zoneLoadPenalty.
+// Above a utilization of zoneLoadThreshold, the cost of a zone rises linearly with its
+// utilization; zoneLoadPenalty is the slope.
 const (
 	zoneLoadThreshold = 0.7
 	zoneLoadPenalty   = 8
 )
 
-// ProxyNode is a proxy node as the directory knows it.
+// ProxyNode is a proxy node in the directory.
 type ProxyNode struct {
 	Address string
 	Zone    string
@@ -120,16 +120,17 @@
 	Draining bool
 }
 
-// SelectProxies returns the addresses of the proxy nodes that a client should use, at
-// most limit of them: nodes in its zone; nodes in its region if its zone has few left;
-// else any. A zone has few left when it has less than half the mean number per zone.
-// Draining nodes are returned only if there are no others.
+// SelectProxies returns the addresses of at most limit proxy nodes that a client should use.
+// It selects nodes in the client's zone; if that zone is underprovisioned, nodes in the
+// client's region; otherwise any nodes. A zone is underprovisioned if it has less than half
+// the mean number of nodes per zone. Draining nodes are returned only if there are no
+// others.
 //
-// Clients spread evenly over the nodes that they are given. So that a node with more
-// capacity is given to more clients, each client gets as few as it takes for the
-// strongest node to receive its part, but two at least. Weighted rendezvous hashing
-// under the client's key decides which: a client gets the same nodes until some come
-// or go, and little else changes then.
+// A client spreads its requests evenly over the nodes that it gets, so a node with more
+// capacity must be given to more clients. The number of nodes per client is the total weight
+// divided by the largest one, which lets the strongest node receive its share, but at least
+// two. The nodes are selected by weighted rendezvous hashing with the client's key: a client
+// keeps its nodes until nodes join or leave, and then few change.
 func SelectProxies(nodes []ProxyNode, key, zone, region string, regionOf func(zone string) string, limit int) []string {
 	eligible := proxiesNear(nodes, zone, region, regionOf)
 	total, strongest := 0.0, 0.0
@@ -137,9 +138,9 @@
 		total += n.effectiveWeight()
 		strongest = max(strongest, n.effectiveWeight())
 	}
-	// The small addition keeps a quotient that is an integer from being rounded down.
-	wanted := int(total/max(strongest, minProxyWeight) + 1e-6)
-	count := min(len(eligible), limit, max(minProxiesPerClient, wanted))
+	// Adding 1e-6 keeps an integral quotient from being rounded down to the next integer.
+	weightedCount := int(total/max(strongest, minProxyWeight) + 1e-6)
+	count := min(len(eligible), limit, max(minProxiesPerClient, weightedCount))
 
 	type ranked struct {
 		address string
@@ -163,11 +164,10 @@
 	minProxyWeight      = 1e-3
 )
 
-// effectiveWeight returns the weight, which has to be above 0.
+// effectiveWeight returns the weight, raised to minProxyWeight because it must be above 0.
 func (n ProxyNode) effectiveWeight() float64 { return max(n.Weight, minProxyWeight) }
 
-// proxiesNear returns the nodes that a client in a zone and region may use, before any
-// choice among them.
+// proxiesNear returns the nodes that are eligible for a client in a zone and region.
 func proxiesNear(nodes []ProxyNode, zone, region string, regionOf func(zone string) string) []ProxyNode {
 	var inZone, inRegion, serving, draining []ProxyNode
 	zones := map[string]bool{}
@@ -185,9 +185,9 @@
 			inRegion = append(inRegion, n)
 		}
 	}
-	isZoneShort := 2*len(inZone)*len(zones) < len(serving)
+	isZoneUnderprovisioned := 2*len(inZone)*len(zones) < len(serving)
 	switch {
-	case len(inZone) > 0 && !isZoneShort:
+	case len(inZone) > 0 && !isZoneUnderprovisioned:
 		return inZone
 	case len(inRegion) > 0:
 		return inRegion
--- a/loadbalance/locality_test.go
+++ b/loadbalance/locality_test.go
@@ -9,8 +9,8 @@
 	"lichentray/loadbalance"
 )
 
-// Nothing is sent to an evacuated zone, not even when all else is ejected, and to a
-// returning one only what is granted.
+// An evacuated zone must get no requests, not even while all other endpoints are ejected. A
+// returning zone must get only as many as are granted.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
 	p.SetWarmupRate(5)
@@ -21,7 +21,7 @@
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		if e := p.Pick(now, rand.Float64, nil); e != nil {
 			if e.Zone == "a" {
-				t.Fatal("a request went to an evacuated zone")
+				t.Fatal("Pick returned an endpoint in an evacuated zone")
 			}
 			p.Finish(now, e, false, 0)
 		}
@@ -29,7 +29,7 @@
 	p.SetZoneState("a", loadbalance.ZoneReturning)
 	for range 50 {
 		if e := p.Pick(30*time.Second, rand.Float64, nil); e != nil && e.Zone == "a" {
-			t.Fatal("a request went to an endpoint that may be cold, without a grant")
+			t.Fatal("Pick returned an endpoint in a returning zone without a grant")
 		}
 	}
 	p.ApplyGrant(30*time.Second, loadbalance.Grant{Endpoint: "0", Rate: 5}, 40*time.Second)
@@ -41,12 +41,12 @@
 		}
 	}
 	if n < 40 || n > 52 {
-		t.Errorf("%d requests under a grant of 5 a second for 10 s", n)
+		t.Errorf("%d requests under a grant of 5 per second for 10 s, want 40 to 52", n)
 	}
 }
 
-// Clients are spread over their zone by the weights of its nodes, get the same nodes
-// again, and get others when the zone is short.
+// Clients must be distributed over the nodes of their zone by weight, must get the same nodes
+// on every call, and must get nodes of other zones if their zone is underprovisioned.
 func TestSelectProxiesByZoneAndWeight(t *testing.T) {
 	region := func(zone string) string { return zone[:1] }
 	var all []loadbalance.ProxyNode
@@ -63,14 +63,14 @@
 	for c := range 4000 {
 		out := loadbalance.SelectProxies(all, fmt.Sprint("client", c), "a1", "a", region, 64)
 		if again := loadbalance.SelectProxies(all, fmt.Sprint("client", c), "a1", "a", region, 64); fmt.Sprint(again) != fmt.Sprint(out) || len(out) < 2 {
-			t.Fatalf("selected %v, then %v", out, again)
+			t.Fatalf("SelectProxies = %v, then %v; want the same nodes, at least 2", out, again)
 		}
 		for _, a := range out {
 			load[a] += 1 / float64(len(out))
 		}
 	}
 	if strong, weak := load["a1-0"]/4000, load["a1-5"]/4000; strong < 0.35 || strong > 0.6 || weak < 0.04 || weak > 0.1 || len(load) != 9 {
-		t.Errorf("the strong node gets %.2f, a weak one %.2f, of %d nodes", strong, weak, len(load))
+		t.Errorf("the strong node gets %.2f of the load and a weak one %.2f, over %d nodes", strong, weak, len(load))
 	}
 	for i := range 9 {
 		all[i].Draining = i != 3
@@ -78,11 +78,11 @@
 	for _, c := range []struct{ zone, region, in string }{{"a1", "a", "a"}, {"zz", "b", "b"}, {"zz", "z", "ab"}} {
 		for _, a := range loadbalance.SelectProxies(all, "k", c.zone, c.region, region, 64) {
 			if a[0] != c.in[0] && a[0] != c.in[len(c.in)-1] {
-				t.Errorf("a client of %v was given %s", c, a)
+				t.Errorf("a client of %v got proxy %s", c, a)
 			}
 		}
 	}
 	if out := loadbalance.SelectProxies(all[:2], "k", "a1", "a", region, 64); len(out) != 2 {
-		t.Errorf("while all drain, %v are selected", out)
+		t.Errorf("SelectProxies = %v while all nodes drain, want 2 nodes", out)
 	}
 }
--- a/loadbalance/outlier.go
+++ b/loadbalance/outlier.go
@@ -7,33 +7,32 @@
 	"time"
 )
 
-// RecordServerError counts a 5xx response. It does not eject the endpoint, but is reported
-// in its Observation, from which OutlierDetector derives the verdict.
+// RecordServerError counts a 5xx response. It does not eject the endpoint; the count is
+// reported in the Observation from which OutlierDetector derives verdicts.
 func (p *Pool) RecordServerError(e *Endpoint) { e.unreported.Bad++ }
 
-// RecordRejection excludes an endpoint that rejected a request from the candidates of Pick
-// for a short time, as it is overloaded.
+// RecordRejection excludes an endpoint that rejected a request because of overload from the
+// candidates of Pick for a short time.
 func (p *Pool) RecordRejection(now time.Duration, e *Endpoint) {
 	e.overloadedUntil = now + p.cfg.BaseEjectionTime/overloadPauseDivisor
 	e.unreported = e.unreported.Add(Observation{Answers: 1, Times: rejectionLatencyRatio})
 }
 
 const (
-	// rejectionLatencyRatio is the latency ratio that a rejected request counts as.
+	// rejectionLatencyRatio is the latency ratio recorded for a rejected request.
 	rejectionLatencyRatio = 3
-	// overloadPauseDivisor makes the pause after a rejection a part of the base
-	// ejection time.
+	// The pause after a rejection is the base ejection time divided by overloadPauseDivisor.
 	overloadPauseDivisor = 8
 )
 
-// Observation is what nodes observed of one endpoint since their last reports. The names of its
-// fields are those of the wire format.
+// Observation holds what one or more nodes observed of an endpoint since their last reports.
+// The field names are part of the wire format.
 type Observation struct {
-	Answers int // responses whose latency is in Times
-	// Times sums the latencies of the responses, each divided by the usual one of its
-	// route.
+	Answers int // number of responses whose latency is in Times
+	// Times is the sum of the latency ratios of the responses: the latency of each relative
+	// to the usual latency of its route.
 	Times float64
-	// Bad is the number of failed attempts, Nodes how many nodes saw any of them.
+	// Bad is the number of failed attempts, and Nodes the number of nodes that saw any.
 	Bad   int
 	Nodes int
 }
@@ -48,9 +47,9 @@
 	}
 }
 
-// CollectObservations moves what this node observed since the last call into to, by
-// the IDs of the endpoints.
-func (p *Pool) CollectObservations(to map[string]Observation) {
+// CollectObservations moves the observations of this node since the last call to dst, keyed
+// by endpoint ID.
+func (p *Pool) CollectObservations(dst map[string]Observation) {
 	for _, e := range p.endpoints {
 		if e.unreported == (Observation{}) {
 			continue
@@ -58,32 +57,32 @@
 		if e.unreported.Bad > 0 {
 			e.unreported.Nodes = 1
 		}
-		to[e.ID] = e.unreported
+		dst[e.ID] = e.unreported
 		e.unreported = Observation{}
 	}
 }
 
-// Verdict is the state of an endpoint according to the observations of all nodes. The names of its
-// fields are those of the wire format.
+// Verdict is the health and latency of an endpoint according to the observations of all
+// nodes. The field names are part of the wire format.
 type Verdict struct {
 	// Endpoint is the ID of the endpoint.
 	Endpoint string
-	// Pace is the latency of the endpoint in 1/32 of the usual one.
+	// Pace is the latency ratio of the endpoint in units of 1/32: 32 is the usual latency.
 	Pace uint8
-	// Sick reports that the endpoint is unhealthy: it fails too many attempts.
+	// Sick reports whether the endpoint is unhealthy, that is, fails too many attempts.
 	Sick bool
 }
 
-// Bounds and unit of Verdict.Pace.
+// The unit and the range of Verdict.Pace.
 const (
 	verdictPaceUnit = 32
 	minVerdictPace  = 8
 	maxVerdictPace  = math.MaxUint8
 )
 
-// SetVerdicts replaces the verdicts on the endpoints, by their IDs. An endpoint
-// without one is healthy and of the usual latency. Until they expire, the few samples
-// of this node do not change the latencies.
+// SetVerdicts replaces the verdicts, keyed by endpoint ID. An endpoint without a verdict is
+// healthy and has the usual latency. Until the verdicts expire, the few latency samples of
+// this node are not used.
 func (p *Pool) SetVerdicts(until time.Duration, verdicts map[string]Verdict) {
 	p.verdictsUntil = until
 	for _, e := range p.endpoints {
@@ -97,32 +96,33 @@
 	}
 }
 
-// SetUtilization sets which part of the service's slots is in use. While slots are free,
-// faster endpoints are preferred more than in proportion to their throughput; when none
-// are, each gets its proportion.
-func (p *Pool) SetUtilization(used float64) {
-	p.fastBias = min(1, max(0, (fastBiasEnd-used)/fastBiasRange))
+// SetUtilization sets the fraction of the service's slots that is in use. At low utilization,
+// fast endpoints get more requests than in proportion to their throughput; at high
+// utilization, every endpoint gets its proportion.
+func (p *Pool) SetUtilization(utilization float64) {
+	p.lowLatencyBias = min(1, max(0, (biasMaxUtilization-utilization)/biasUtilizationRange))
 }
 
-// The preference for faster endpoints is none at fastBiasEnd of the slots, and full
-// at fastBiasRange below.
+// The bias towards fast endpoints falls linearly from 1 at a utilization of
+// biasMaxUtilization-biasUtilizationRange to 0 at biasMaxUtilization.
 const (
-	fastBiasEnd   = 0.75
-	fastBiasRange = 0.35
+	biasMaxUtilization   = 0.75
+	biasUtilizationRange = 0.35
 )
 
-// OutlierDetector derives verdicts from the observations of all nodes. One node alone
-// sees an endpoint too seldom to learn its latency or that it fails some requests, and
-// cannot tell an unhealthy endpoint from a fault of its own. So only what several
-// nodes saw fail makes an endpoint unhealthy. It is not safe for concurrent use.
+// OutlierDetector derives verdicts from the observations of all nodes. A single node sends an
+// endpoint too few requests to learn its latency or a partial failure, and cannot distinguish
+// an unhealthy endpoint from a fault of its own. An endpoint therefore counts as unhealthy
+// only if several nodes saw failures. An OutlierDetector is not safe for concurrent use.
 type OutlierDetector struct {
-	halfLife   time.Duration // of what was observed
+	halfLife   time.Duration // of the attempt and failure counts
 	decayedAt  time.Duration
-	statistics map[string]*endpointStatistics // by the ID of the endpoint
+	statistics map[string]*endpointStatistics // by endpoint ID
 }
 
-// endpointStatistics are decaying sums of the observations of one endpoint. Latency
-// is remembered for longer, as it changes seldom and takes many answers to learn.
+// endpointStatistics holds exponentially decaying sums of the observations of one endpoint.
+// Latency sums decay more slowly, because latency changes seldom and takes many responses to
+// estimate.
 type endpointStatistics struct {
 	attempts         float64
 	failures         float64
@@ -133,36 +133,39 @@
 }
 
 const (
-	// latencyHalfLifeFactor is how many half-lives of the failures one half-life of
-	// the latency lasts.
+	// latencyHalfLifeFactor is the half-life of the latency sums relative to that of the
+	// failure sums.
 	latencyHalfLifeFactor = 4
-	// negligibleCount is the decayed sum below which an endpoint is forgotten.
-	negligibleCount = 0.05
-	// priorAnswers is how many answers of the usual latency each endpoint starts with.
+	// minRetainedCount is the decayed count below which the statistics of an endpoint are
+	// deleted.
+	minRetainedCount = 0.05
+	// priorAnswers is the number of assumed responses of the usual latency with which the
+	// estimate of each endpoint starts.
 	priorAnswers = 3
-	// latencyTolerance is the deviation from the usual latency that needs no verdict.
+	// latencyTolerance is the deviation from the usual latency up to which no verdict is
+	// needed.
 	latencyTolerance = 0.06
 
-	// unhealthyFailureRatio is the part of the attempts that an unhealthy endpoint
-	// fails, at the least.
+	// unhealthyFailureRatio is the fraction of failed attempts above which an endpoint is
+	// unhealthy.
 	unhealthyFailureRatio = 0.25
-	// maxUnhealthyFraction is the part of a service's endpoints that may be unhealthy.
+	// maxUnhealthyFraction is the maximum fraction of a service's endpoints that are
+	// declared unhealthy.
 	maxUnhealthyFraction = 0.2
-	// An endpoint needs minJudgedAttempts attempts before it can be unhealthy, and
-	// minFailureReporters nodes that saw failures. The latter is below 2, as the count of
-	// two nodes that reported shortly before has already decayed.
-	minJudgedAttempts   = 3
+	// An endpoint is declared unhealthy only after minVerdictAttempts attempts, and only if
+	// minFailureReporters nodes saw failures. The latter is below 2 because the decayed
+	// count of two nodes that reported a short time ago is less than 2.
+	minVerdictAttempts  = 3
 	minFailureReporters = 1.5
 )
 
-// NewOutlierDetector returns a detector without observations. After halfLife, half of
-// what was observed of failures is forgotten.
+// NewOutlierDetector returns a detector without observations. halfLife is the half-life of
+// the attempt and failure counts.
 func NewOutlierDetector(halfLife time.Duration) *OutlierDetector {
 	return &OutlierDetector{halfLife: halfLife, statistics: map[string]*endpointStatistics{}}
 }
 
-// Observe adds what nodes have observed since the last call, by the IDs of the
-// endpoints.
+// Observe adds the observations of nodes since the last call, keyed by endpoint ID.
 func (d *OutlierDetector) Observe(observations map[string]Observation) {
 	for id, o := range observations {
 		s := d.statistics[id]
@@ -178,8 +181,9 @@
 	}
 }
 
-// Verdicts returns the verdicts on the endpoints, whose IDs are given by service. An
-// endpoint without a verdict is healthy and of the usual latency.
+// Verdicts returns the verdicts on the endpoints of the given services; services maps each
+// service to its endpoint IDs. An endpoint without a verdict is healthy and has the usual
+// latency.
 func (d *OutlierDetector) Verdicts(now time.Duration, services map[string][]string) []Verdict {
 	d.decay(now)
 	var verdicts []Verdict
@@ -202,8 +206,8 @@
 	return verdicts
 }
 
-// decay lets the statistics age up to now, and forgets those of endpoints that have
-// not been observed for long.
+// decay applies the exponential decay up to now, and deletes the statistics of endpoints that
+// have not been observed for a long time.
 func (d *OutlierDetector) decay(now time.Duration) {
 	halfLives := float64(now-d.decayedAt) / float64(d.halfLife)
 	failureDecay := math.Exp2(-halfLives)
@@ -215,15 +219,16 @@
 		s.failureReporters *= failureDecay
 		s.answers *= latencyDecay
 		s.latencyRatioSum *= latencyDecay
-		if s.answers < negligibleCount && s.attempts < negligibleCount {
+		if s.answers < minRetainedCount && s.attempts < minRetainedCount {
 			delete(d.statistics, id)
 		}
 	}
 }
 
-// unhealthyOf returns which endpoints of one service are unhealthy. If too many are,
-// only those with the highest failure ratios count: a fault of the proxies, or of something
-// that all endpoints depend on, is then more likely than one of each endpoint.
+// unhealthyOf returns the unhealthy endpoints of one service, given all its endpoint IDs. If
+// more than maxUnhealthyFraction of them are failing, only those with the highest failure
+// ratios are returned: a fault of the proxies or of a shared dependency is then more likely
+// than separate faults of the endpoints.
 func (d *OutlierDetector) unhealthyOf(ids []string) map[string]bool {
 	var failing []string
 	for _, id := range ids {
@@ -242,17 +247,17 @@
 	return unhealthy
 }
 
-// isFailing reports whether the endpoint fails enough attempts, at enough nodes, to be
-// unhealthy.
+// isFailing reports whether the endpoint has failed enough attempts, from enough nodes, to
+// count as unhealthy.
 func (s *endpointStatistics) isFailing() bool {
 	return s.failureReporters >= minFailureReporters &&
-		s.attempts >= minJudgedAttempts &&
+		s.attempts >= minVerdictAttempts &&
 		s.failureRatio() > unhealthyFailureRatio
 }
 
 func (s *endpointStatistics) failureRatio() float64 { return s.failures / s.attempts }
 
-// latencyRatio returns the mean latency of the endpoint divided by the usual one.
+// latencyRatio returns the mean latency of the endpoint relative to the usual latency.
 func (s *endpointStatistics) latencyRatio() float64 {
 	return (s.latencyRatioSum + priorAnswers) / (s.answers + priorAnswers)
 }
--- a/loadbalance/outlier_test.go
+++ b/loadbalance/outlier_test.go
@@ -8,8 +8,8 @@
 	"lichentray/loadbalance"
 )
 
-// Once its ejection time has passed, an endpoint gets one request and no more until
-// that has succeeded.
+// After its ejection time, an endpoint must get one probe and no further requests until the
+// probe has succeeded.
 func TestEjectedEndpointReturnsByOneProbe(t *testing.T) {
 	p := newTestPool(2)
 	rnd := func() float64 { return 0.1 }
@@ -29,50 +29,51 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d requests probed an ejected endpoint", n)
+		t.Errorf("%d requests probed an ejected endpoint, want 1", n)
 	}
 }
 
-// A slow endpoint and one that fails at several nodes get a verdict. Failures at a
-// single node make no endpoint unhealthy, and never is more than a part of them so.
+// A slow endpoint, and one that fails requests of several nodes, must get a verdict. Failures
+// seen by a single node must not make an endpoint unhealthy, and at most a fifth of the
+// endpoints may be unhealthy.
 func TestOutlierDetectorVerdicts(t *testing.T) {
-	j := loadbalance.NewOutlierDetector(time.Second)
+	detector := loadbalance.NewOutlierDetector(time.Second)
 	ids := make([]string, 20)
 	for i := range ids {
 		ids[i] = fmt.Sprint("e", i)
 	}
 	for step := range 20 {
-		seen := map[string]loadbalance.Observation{}
+		observations := map[string]loadbalance.Observation{}
 		for _, id := range ids {
-			seen[id] = loadbalance.Observation{Answers: 4, Times: 4}
+			observations[id] = loadbalance.Observation{Answers: 4, Times: 4}
 		}
-		seen["e1"] = loadbalance.Observation{Answers: 4, Times: 12}
-		seen["e2"] = loadbalance.Observation{Answers: 4, Times: 4, Bad: 4, Nodes: 3}
+		observations["e1"] = loadbalance.Observation{Answers: 4, Times: 12}
+		observations["e2"] = loadbalance.Observation{Answers: 4, Times: 4, Bad: 4, Nodes: 3}
 		if step == 19 {
-			seen["e3"] = loadbalance.Observation{Answers: 1, Times: 1, Bad: 6, Nodes: 1}
+			observations["e3"] = loadbalance.Observation{Answers: 1, Times: 1, Bad: 6, Nodes: 1}
 		}
-		j.Observe(seen)
-		j.Verdicts(time.Duration(step)*400*time.Millisecond, nil)
+		detector.Observe(observations)
+		detector.Verdicts(time.Duration(step)*400*time.Millisecond, nil)
 	}
-	got := map[string]loadbalance.Verdict{}
-	for _, v := range j.Verdicts(20*400*time.Millisecond, map[string][]string{"s": ids}) {
-		got[v.Endpoint] = v
+	verdicts := map[string]loadbalance.Verdict{}
+	for _, v := range detector.Verdicts(20*400*time.Millisecond, map[string][]string{"s": ids}) {
+		verdicts[v.Endpoint] = v
 	}
-	if !got["e2"].Sick || got["e1"].Sick || got["e3"].Sick || got["e1"].Pace < 70 || got["e1"].Pace > 100 || len(got) != 2 {
-		t.Errorf("verdicts %v", got)
+	if !verdicts["e2"].Sick || verdicts["e1"].Sick || verdicts["e3"].Sick || verdicts["e1"].Pace < 70 || verdicts["e1"].Pace > 100 || len(verdicts) != 2 {
+		t.Errorf("verdicts are %v, want e1 slow and e2 unhealthy only", verdicts)
 	}
 	seen := map[string]loadbalance.Observation{}
 	for _, id := range ids {
 		seen[id] = loadbalance.Observation{Bad: 20, Nodes: 5}
 	}
-	j.Observe(seen)
+	detector.Observe(seen)
 	n := 0
-	for _, v := range j.Verdicts(9*time.Second, map[string][]string{"s": ids}) {
+	for _, v := range detector.Verdicts(9*time.Second, map[string][]string{"s": ids}) {
 		if v.Sick {
 			n++
 		}
 	}
 	if n == 0 || n > len(ids)/5 {
-		t.Errorf("%d of %d endpoints are unhealthy", n, len(ids))
+		t.Errorf("%d of %d endpoints are unhealthy, want some but at most a fifth", n, len(ids))
 	}
 }
--- a/loadbalance/picker.go
+++ b/loadbalance/picker.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// choicesPerDistance is how many endpoints at one distance are compared (the power
-// of d choices). Of equally loaded ones, that with an idle connection is taken, so that
-// each node uses a subset of the endpoints and needs no connection to each of them.
+// choicesPerDistance is the number of random endpoints compared at each distance (power of
+// d choices). Among equally loaded endpoints, one with an idle connection is preferred, so
+// that a node uses a subset of the endpoints and does not need a connection to each.
 const choicesPerDistance = 3
 
-// probeProbability is the chance of a pick to probe an endpoint whose ejection time
-// has passed, while others can serve.
+// probeProbability is the probability that Pick probes an endpoint whose ejection time has
+// passed although other endpoints are available.
 const probeProbability = 0.2
 
-// unhealthyWeight scales the weight of an unhealthy endpoint. It leaves the few
-// requests by which all nodes together notice that the endpoint has recovered.
+// unhealthyWeight scales the weight of an unhealthy endpoint. It is above 0 so that the
+// nodes together still send enough requests to detect a recovery.
 const unhealthyWeight = 0.03
 
-// candidateSet is the endpoints at one distance that can take a request.
+// candidateSet holds the endpoints at one distance that can take a request.
 type candidateSet struct {
 	endpoints []*Endpoint
-	// cumulativeWeights sums the weights up to and with each endpoint.
+	// cumulativeWeights[i] is the sum of the weights of endpoints[0] to endpoints[i].
 	cumulativeWeights []float64
 }
 
@@ -38,14 +38,14 @@
 	c.cumulativeWeights = append(c.cumulativeWeights, weight)
 }
 
-// sample draws one endpoint by weight. The set must not be empty.
+// sample draws a random endpoint by weight. The set must not be empty.
 func (c *candidateSet) sample(random func() float64) *Endpoint {
 	x := random() * c.cumulativeWeights[len(c.cumulativeWeights)-1]
 	return c.endpoints[min(sort.SearchFloat64s(c.cumulativeWeights, x), len(c.endpoints)-1)]
 }
 
-// leastLoaded draws choicesPerDistance endpoints and returns the one with the
-// lowest load relative to its capacity. The set must not be empty.
+// leastLoaded samples choicesPerDistance endpoints and returns the one with the lowest
+// load relative to its capacity. The set must not be empty.
 func (c *candidateSet) leastLoaded(random func() float64) *Endpoint {
 	best := c.sample(random)
 	for range choicesPerDistance - 1 {
@@ -61,15 +61,16 @@
 	return best
 }
 
-// Pick chooses an endpoint and counts a request as in flight there; the caller calls
-// Finish with its outcome. random returns numbers in [0,1). skip, if not nil,
-// excludes endpoints that have been attempted. The result is nil if no endpoint can
-// take a request.
+// Pick selects an endpoint and counts a request as in flight there. The caller reports the
+// outcome with Finish. random returns numbers in [0,1). skip, if not nil, excludes
+// endpoints, such as those already attempted. Pick returns nil if no endpoint can take a
+// request.
 //
-// With many nodes, what one of them has in flight at an endpoint is a poor estimate
-// of its load, and all of them would overload the fastest endpoints. So each
-// distance offers the least loaded of a few endpoints, drawn by latency and capacity,
-// and Pick takes the cheapest of these offers.
+// With many nodes, the requests that one node has in flight at an endpoint are a poor
+// estimate of its load, and choosing the cheapest endpoint would make all nodes overload
+// the fastest ones. Pick therefore samples a few endpoints at each distance, weighted by
+// latency and capacity, keeps the least loaded of each sample, and returns the cheapest of
+// these.
 func (p *Pool) Pick(now time.Duration, random func() float64, skip func(*Endpoint) bool) *Endpoint {
 	p.refreshRolloutSubset()
 	probe := p.collectCandidates(now, skip)
@@ -91,8 +92,8 @@
 	return picked
 }
 
-// collectCandidates fills the candidate sets and returns the first endpoint whose
-// ejection time has passed and which may be probed; nil if there is none.
+// collectCandidates fills the candidate sets, and returns the first endpoint that is due for
+// a probe after its ejection, or nil if there is none.
 func (p *Pool) collectCandidates(now time.Duration, skip func(*Endpoint) bool) (probe *Endpoint) {
 	for i := range p.candidates {
 		p.candidates[i].reset()
@@ -114,19 +115,19 @@
 	return probe
 }
 
-// weight returns the weight of an endpoint among those at its distance: its
-// throughput, with more for the faster ones while slots are free; see SetUtilization.
+// weight returns the sampling weight of an endpoint among those at its distance: its
+// throughput, increased for fast endpoints while slots are free (see SetUtilization).
 func (p *Pool) weight(now time.Duration, e *Endpoint) float64 {
 	latency := e.latencyFactor(now)
-	weight := float64(e.Capacity) / latency * (1 + p.fastBias*(1/(latency*latency)-1))
+	weight := float64(e.Capacity) / latency * (1 + p.lowLatencyBias*(1/(latency*latency)-1))
 	if e.unhealthy {
 		weight *= unhealthyWeight
 	}
 	return weight
 }
 
-// cheapestCandidate returns the cheapest of the least loaded candidates at each
-// distance, or nil if there is no candidate.
+// cheapestCandidate samples the least loaded candidate at each distance and returns the one
+// with the lowest expected cost, or nil if there are no candidates.
 func (p *Pool) cheapestCandidate(now time.Duration, random func() float64) *Endpoint {
 	var cheapest *Endpoint
 	lowestCost := 0.0
@@ -142,9 +143,9 @@
 	return cheapest
 }
 
-// pickEjected returns, for when no endpoint is in service, the one whose ejection
-// ends first and begins a probe there, so that a service whose endpoints have all
-// failed once is attempted again.
+// pickEjected begins a probe of the endpoint whose ejection ends first, and returns it. It
+// is used when no endpoint is available, so that a service whose endpoints have all been
+// ejected is attempted again.
 func (p *Pool) pickEjected(now time.Duration, skip func(*Endpoint) bool) *Endpoint {
 	var first *Endpoint
 	for _, e := range p.endpoints {
@@ -161,8 +162,8 @@
 	return first
 }
 
-// expectedCost returns the expected time of a request at the endpoint, in the usual
-// latency of its route. It grows with the square of the requests in flight.
+// expectedCost returns the expected cost of a request at the endpoint, in multiples of the
+// usual latency of its route. It grows with the square of the requests in flight.
 func (e *Endpoint) expectedCost(now time.Duration) float64 {
 	inflight := float64(e.inflight)
 	return e.latencyFactor(now)*(1+inflight*inflight/float64(e.Capacity)) + e.distanceCost + e.zoneLoadCost
--- a/loadbalance/picker_test.go
+++ b/loadbalance/picker_test.go
@@ -9,7 +9,7 @@
 	"lichentray/loadbalance"
 )
 
-// newTestPool returns a pool of n endpoints of capacity 2 in the node's own zone.
+// newTestPool returns a pool with n endpoints of capacity 2 in the zone of the node.
 func newTestPool(n int) *loadbalance.Pool {
 	p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: 8 * time.Second, ZoneBias: 0.25})
 	for i := range n {
@@ -18,14 +18,14 @@
 	return p
 }
 
-// The plain model mirrors Pool.Pick and Pool.Finish: it knows which endpoints drain, and
-// until when they are ejected. Pick never chooses an endpoint that drains or was
-// attempted, nor an ejected one while another is free.
-func TestPickMatchesPlainModel(t *testing.T) {
+// The reference model of Pool.Pick and Pool.Finish records which endpoints are draining and
+// until when each is ejected. Pick must never return an endpoint that is draining or was
+// already attempted, nor an ejected one while another is free.
+func TestPickMatchesReferenceModel(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	p := newTestPool(8)
-	draining, until := map[string]bool{}, map[string]time.Duration{}
-	var out []*loadbalance.Endpoint
+	draining, ejectedUntil := map[string]bool{}, map[string]time.Duration{}
+	var inFlight []*loadbalance.Endpoint
 	for step := range 20000 {
 		now := time.Duration(step) * 5 * time.Millisecond
 		if r.Intn(200) == 0 {
@@ -33,42 +33,43 @@
 			draining[id] = !draining[id] && len(draining) < 3
 			p.Upsert(now, loadbalance.EndpointSpec{ID: id, Zone: "a", Capacity: 2, Draining: draining[id]}, 0)
 		}
-		tried := map[*loadbalance.Endpoint]bool{}
-		if r.Intn(3) == 0 && len(out) > 0 {
-			tried[out[r.Intn(len(out))]] = true
+		attempted := map[*loadbalance.Endpoint]bool{}
+		if r.Intn(3) == 0 && len(inFlight) > 0 {
+			attempted[inFlight[r.Intn(len(inFlight))]] = true
 		}
-		e := p.Pick(now, r.Float64, func(e *loadbalance.Endpoint) bool { return tried[e] })
+		e := p.Pick(now, r.Float64, func(e *loadbalance.Endpoint) bool { return attempted[e] })
 		if e != nil {
-			if draining[e.ID] || tried[e] {
-				t.Fatalf("picked %s: draining %v, tried %v", e.ID, draining[e.ID], tried[e])
+			if draining[e.ID] || attempted[e] {
+				t.Fatalf("picked %s: draining %v, attempted %v", e.ID, draining[e.ID], attempted[e])
 			}
-			if now < until[e.ID] {
+			if now < ejectedUntil[e.ID] {
 				for _, x := range p.Endpoints() {
-					if !draining[x.ID] && !tried[x] && now >= until[x.ID] && x.Inflight() == 0 && !x.IsEjected(now) {
-						if _, failed := until[x.ID]; !failed {
-							t.Fatalf("picked %s, ejected until %v at %v, though %s was free", e.ID, until[e.ID], now, x.ID)
+					if !draining[x.ID] && !attempted[x] && now >= ejectedUntil[x.ID] && x.Inflight() == 0 && !x.IsEjected(now) {
+						if _, failed := ejectedUntil[x.ID]; !failed {
+							t.Fatalf("picked %s, ejected until %v, at %v although %s was free", e.ID, ejectedUntil[e.ID], now, x.ID)
 						}
 					}
 				}
 			}
-			out = append(out, e)
+			inFlight = append(inFlight, e)
 		}
-		for len(out) > r.Intn(20) {
-			e := out[0]
-			out = out[1:]
+		for len(inFlight) > r.Intn(20) {
+			e := inFlight[0]
+			inFlight = inFlight[1:]
 			ok := r.Intn(30) > 0
 			p.Finish(now, e, ok, 1)
 			if ok {
-				delete(until, e.ID)
+				delete(ejectedUntil, e.ID)
 			} else {
-				until[e.ID] = now + time.Second
+				ejectedUntil[e.ID] = now + time.Second
 			}
 		}
 	}
 }
 
-// With many nodes, each with little in flight, no endpoint gets far more requests than
-// the others, though some are faster.
+// With many nodes that each have few requests in flight, no endpoint may get far more
+// requests than the others, even if some are faster. It guards against nodes that all prefer
+// the same fast endpoints.
 func TestManyNodesDoNotOverloadFastEndpoints(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	pools := make([]*loadbalance.Pool, 60)
@@ -83,23 +84,23 @@
 		}
 		pools[i].SetVerdicts(time.Hour, verdicts)
 	}
-	got := map[string]int{}
+	requests := map[string]int{}
 	const n = 24000
 	for i := range n {
 		p := pools[r.Intn(len(pools))]
 		now := time.Duration(i) * time.Millisecond
 		e := p.Pick(now, r.Float64, nil)
-		got[e.ID]++
+		requests[e.ID]++
 		p.Finish(now, e, true, 1)
 	}
-	for id, k := range got {
+	for id, k := range requests {
 		if mean := n / 40; k > 2*mean || k < mean/3 {
-			t.Errorf("endpoint %s got %d requests, the mean is %d", id, k, mean)
+			t.Errorf("endpoint %s got %d requests, mean is %d", id, k, mean)
 		}
 	}
 }
 
-// All nodes together stay within the connections that an endpoint takes.
+// All nodes together must stay within the maximum number of connections of an endpoint.
 func TestPeersStayWithinMaxConnections(t *testing.T) {
 	p := newTestPool(1)
 	p.SetMaxConnections(12)
@@ -109,6 +110,6 @@
 		n++
 	}
 	if n*6 > 12 {
-		t.Errorf("%d requests a node at once, 6 nodes, 12 connections", n)
+		t.Errorf("%d concurrent requests per node with 6 nodes, want at most 12 connections in total", n)
 	}
 }
--- a/loadbalance/quota.go
+++ b/loadbalance/quota.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Grant is one node's share of an endpoint that warms up: it may send Rate requests
-// per second, and one at once. The names of its fields are those of the wire format.
+// Grant is one node's share of the request rate of an endpoint that warms up. The node may
+// send Rate requests per second, with a burst of one. The field names are part of the wire
+// format.
 type Grant struct {
 	Endpoint string // ID
 	Rate     float64
 }
 
-// ApplyGrant takes a grant that is valid until the given time. Grants for endpoints that
-// the pool does not have are ignored.
+// ApplyGrant applies a grant that is valid until the given time. Grants for endpoints that
+// are not in the pool are ignored.
 func (p *Pool) ApplyGrant(now time.Duration, g Grant, until time.Duration) {
 	if e := p.byID[g.Endpoint]; e != nil {
 		e.quota.renew(now, g.Rate, until)
 	}
 }
 
-// quotaBucket is a token bucket of one token: what this node may send to one endpoint
-// that warms up. Without a grant in force, that is nothing.
+// quotaBucket is a token bucket with a capacity of one token. It limits the requests of this
+// node to an endpoint that warms up. Without a valid grant, no request may be sent.
 type quotaBucket struct {
 	rate       float64 // tokens per second
 	tokens     float64
@@ -30,7 +31,8 @@
 	expiresAt  time.Duration
 }
 
-// renew replaces the rate. A bucket that never had a grant starts empty.
+// renew sets the rate and extends the validity. A bucket without an earlier grant starts
+// empty.
 func (b *quotaBucket) renew(now time.Duration, rate float64, until time.Duration) {
 	if b.expiresAt == 0 {
 		b.refilledAt = now
@@ -54,45 +56,45 @@
 	return b.tokens >= 1
 }
 
-// QuotaAllocator divides the rate that endpoints can serve while they warm up among the nodes that
-// send to them (distributed rate limiting by leases).
+// QuotaAllocator divides the request rate that endpoints can serve while they warm up among
+// the nodes that send to them (distributed rate limiting with leases).
 //
-// A grant counts until it has certainly expired at its holder, even if the holder never
-// reports again, and what counts for an endpoint never exceeds its bound. An allocator
-// that has just taken over does not know the grants of its predecessor, so it grants
-// nothing before those have expired. It is not safe for concurrent use.
+// A grant is counted until it has certainly expired at its holder, even if the holder never
+// reports again, and the counted grants of an endpoint never exceed its limit. A new
+// allocator does not know the grants of its predecessor, so it grants nothing until those
+// have expired. A QuotaAllocator is not safe for concurrent use.
 type QuotaAllocator struct {
 	leaseDuration time.Duration
-	grantsFrom    time.Duration                    // nothing is granted before
+	grantsFrom    time.Duration                    // no grants are made before
 	leases        map[string]map[string]quotaLease // by endpoint and node
 }
 
-// quotaLease is a grant as the allocator has to count it.
+// quotaLease is a grant that the allocator counts.
 type quotaLease struct {
 	rate      float64
 	expiresAt time.Duration
 }
 
-// maxInOneSecond returns how many requests the holder may send within one second: one
-// at once beyond its rate.
-func (l quotaLease) maxInOneSecond() float64 { return l.rate + 1 }
+// maxRequestsInOneSecond returns how many requests the holder may send within any second: its
+// rate plus a burst of one.
+func (l quotaLease) maxRequestsInOneSecond() float64 { return l.rate + 1 }
 
-// WarmingEndpoint is an endpoint that warms up, as the allocator sees it.
+// WarmingEndpoint describes an endpoint that warms up to the allocator.
 type WarmingEndpoint struct {
 	ID   string
-	Rate float64 // requests per second that it can serve
-	// MaxPerSecond is the number of requests that it may get in any second.
+	Rate float64 // requests per second that the endpoint can serve
+	// MaxPerSecond is the maximum number of requests that the endpoint may get in any second.
 	MaxPerSecond float64
-	// Proxies are the nodes that may send to it.
+	// Proxies are the nodes that may send requests to the endpoint.
 	Proxies []string
 }
 
-// maxLeaseHolders bounds how many nodes send to one endpoint that warms up. A share of
-// less than two requests per second is of little use to a node.
+// maxLeaseHolders is the maximum number of nodes that send to one endpoint that warms up. A
+// share of less than two requests per second is of little use to a node.
 const maxLeaseHolders = 4
 
-// NewQuotaAllocator returns an allocator that takes over now. Grants expire after
-// leaseDuration.
+// NewQuotaAllocator returns an allocator that takes over at now. Its grants, and those of its
+// predecessor, expire after leaseDuration.
 func NewQuotaAllocator(now, leaseDuration time.Duration) *QuotaAllocator {
 	return &QuotaAllocator{
 		leaseDuration: leaseDuration,
@@ -101,8 +103,7 @@
 	}
 }
 
-// Allocate grants or renews the shares of the endpoints, and returns the grants by
-// node.
+// Allocate makes or renews the grants for the endpoints, and returns the grants by node.
 func (a *QuotaAllocator) Allocate(now time.Duration, endpoints []WarmingEndpoint) map[string][]Grant {
 	a.expire(now)
 	grants := map[string][]Grant{}
@@ -115,7 +116,7 @@
 	return grants
 }
 
-// expire drops the leases that have ended.
+// expire deletes the leases that have expired.
 func (a *QuotaAllocator) expire(now time.Duration) {
 	for id, holders := range a.leases {
 		for node, l := range holders {
@@ -131,7 +132,8 @@
 
 // allocateEndpoint adds the grants for one endpoint.
 func (a *QuotaAllocator) allocateEndpoint(now time.Duration, e WarmingEndpoint, grants map[string][]Grant) {
-	// Each holder may send one more than its rate within a second.
+	// Each holder may exceed its rate by a burst of one request within a second, so the
+	// margin above the rate limits the number of holders.
 	count := min(maxLeaseHolders, len(e.Proxies), int(e.MaxPerSecond-e.Rate))
 	if count < 1 {
 		return
@@ -143,16 +145,16 @@
 		a.leases[e.ID] = holders
 	}
 	for _, node := range selectByRendezvousHash(e.ID, e.Proxies, count) {
-		total := lease.maxInOneSecond()
+		total := lease.maxRequestsInOneSecond()
 		for other, l := range holders {
 			if other != node {
-				total += l.maxInOneSecond()
+				total += l.maxRequestsInOneSecond()
 			}
 		}
 		if total > e.MaxPerSecond {
 			continue
 		}
-		// A larger share that was granted before counts until it has expired.
+		// An earlier grant with a higher rate counts until it has expired.
 		if current, found := holders[node]; found && current.rate > lease.rate {
 			continue
 		}
@@ -161,8 +163,9 @@
 	}
 }
 
-// selectByRendezvousHash selects count of the nodes for an endpoint. When a node comes
-// or goes, only its own endpoints move. The nodes must be count at the least.
+// selectByRendezvousHash selects count of the nodes for an endpoint. When a node joins or
+// leaves, only the endpoints assigned to it are reassigned. There must be at least count
+// nodes.
 func selectByRendezvousHash(id string, nodes []string, count int) []string {
 	type ranked struct {
 		node   string
--- a/loadbalance/quota_test.go
+++ b/loadbalance/quota_test.go
@@ -9,9 +9,9 @@
 	"lichentray/loadbalance"
 )
 
-// Nodes are partitioned, freeze or restart, the allocator is replaced, and grants arrive
-// late: in no second does an endpoint that warms up get more than its bound. The plain
-// model mirrors QuotaAllocator.Allocate and Pool.ApplyGrant: it is the list of arrivals.
+// An endpoint that warms up must never get more requests in one second than its limit, while
+// nodes are partitioned, freeze or restart, the allocator is replaced, and grants arrive late.
+// The reference model of QuotaAllocator.Allocate and Pool.ApplyGrant is the list of arrivals.
 func TestQuotaBoundsRequestsToWarmingEndpoint(t *testing.T) {
 	const leaseDuration = 4 * time.Second
 	for seed := int64(0); seed < 12; seed++ {
@@ -36,7 +36,7 @@
 		for i := range 3 + r.Intn(12) {
 			nodes = append(nodes, newNode(fmt.Sprint("n", i)))
 		}
-		g := loadbalance.NewQuotaAllocator(0, leaseDuration)
+		allocator := loadbalance.NewQuotaAllocator(0, leaseDuration)
 		type delayedGrants struct {
 			at     time.Duration
 			to     *node
@@ -48,7 +48,7 @@
 		for now := time.Duration(0); now < 60*time.Second; now += 10 * time.Millisecond {
 			if now%(500*time.Millisecond) == 0 {
 				if r.Intn(40) == 0 {
-					g = loadbalance.NewQuotaAllocator(now, leaseDuration) // another leads now
+					allocator = loadbalance.NewQuotaAllocator(now, leaseDuration) // leader change
 				}
 				reporting := map[string]*node{}
 				var proxies []string
@@ -61,7 +61,7 @@
 					reporting[n.name] = n
 					proxies = append(proxies, n.name)
 				}
-				for name, grants := range g.Allocate(now, []loadbalance.WarmingEndpoint{{ID: "e", Rate: rate, MaxPerSecond: bound, Proxies: proxies}}) {
+				for name, grants := range allocator.Allocate(now, []loadbalance.WarmingEndpoint{{ID: "e", Rate: rate, MaxPerSecond: bound, Proxies: proxies}}) {
 					n := reporting[name]
 					inTransit = append(inTransit, delayedGrants{now + time.Duration(r.Intn(2500))*time.Millisecond, n, n.seq, grants})
 				}
@@ -76,20 +76,20 @@
 					nodes[i] = newNode(n.name)
 				}
 			}
-			keep := inTransit[:0]
-			for _, l := range inTransit {
-				if now < l.at || now < l.to.frozenUntil {
-					keep = append(keep, l)
+			undelivered := inTransit[:0]
+			for _, message := range inTransit {
+				if now < message.at || now < message.to.frozenUntil {
+					undelivered = append(undelivered, message)
 					continue
 				}
-				if now >= l.to.partitionedUntil {
-					for _, x := range l.grants {
-						l.to.pool.ApplyGrant(now, x, l.to.reportedAt[l.seq]+leaseDuration)
+				if now >= message.to.partitionedUntil {
+					for _, grant := range message.grants {
+						message.to.pool.ApplyGrant(now, grant, message.to.reportedAt[message.seq]+leaseDuration)
 					}
 				}
 			}
-			inTransit = keep
-			for _, n := range nodes { // every node sends all it may
+			inTransit = undelivered
+			for _, n := range nodes { // every node sends as much as it may
 				for now >= n.frozenUntil && n.pool.Pick(now, r.Float64, nil) != nil {
 					arrivals = append(arrivals, now)
 				}
@@ -101,11 +101,11 @@
 				from++
 			}
 			if n := i - from + 1; float64(n) > 1.5*rate+8 {
-				t.Fatalf("seed %d: %d requests in the second up to %v, %.1f allowed", seed, n, at, 1.5*rate+8)
+				t.Fatalf("seed %d: %d requests in the second before %v, want at most %.1f", seed, n, at, 1.5*rate+8)
 			}
 		}
 		if float64(len(arrivals)) < rate*10 {
-			t.Errorf("seed %d: only %d requests in a minute, it bears %.1f a second", seed, len(arrivals), rate)
+			t.Errorf("seed %d: only %d requests in a minute to an endpoint that can serve %.1f per second", seed, len(arrivals), rate)
 		}
 	}
 }
--- a/loadbalance/retrybudget_test.go
+++ b/loadbalance/retrybudget_test.go
@@ -8,9 +8,9 @@
 	"lichentray/loadbalance"
 )
 
-// Whatever the nodes do, the extra attempts of all of them within any window stay
-// within ratio times the requests plus the slack. The plain model mirrors
-// RetryBudget.TryWithdraw: it is the list of arrivals.
+// Whatever the nodes do, their extra attempts within any window must not exceed ratio times
+// the requests plus the slack. The reference model of RetryBudget.TryWithdraw is the list of
+// arrivals.
 func TestRetryBudgetHoldsInEveryWindowOverAllNodes(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 64.0
 	for seed := int64(0); seed < 12; seed++ {
@@ -23,7 +23,7 @@
 			at    time.Duration
 			extra bool
 		}
-		var all []arrival
+		var arrivals []arrival
 		rate := 1 + r.Intn(30)
 		for now := time.Duration(0); now < 60*time.Second; now += 10 * time.Millisecond {
 			if r.Intn(400) == 0 {
@@ -32,23 +32,23 @@
 			for range r.Intn(rate) {
 				b := nodes[r.Intn(len(nodes))]
 				b.Deposit()
-				all = append(all, arrival{now, false})
+				arrivals = append(arrivals, arrival{now, false})
 				for r.Intn(2) == 0 && b.TryWithdraw() {
-					all = append(all, arrival{now, true})
+					arrivals = append(arrivals, arrival{now, true})
 				}
 			}
 		}
 		from, requests, extra := 0, 0.0, 0.0
-		spent := false
-		for _, a := range all {
+		hasRetried := false
+		for _, a := range arrivals {
 			if a.extra {
 				extra++
-				spent = true
+				hasRetried = true
 			} else {
 				requests++
 			}
-			for all[from].at <= a.at-window {
-				if all[from].extra {
+			for arrivals[from].at <= a.at-window {
+				if arrivals[from].extra {
 					extra--
 				} else {
 					requests--
@@ -56,11 +56,11 @@
 				from++
 			}
 			if a.extra && extra > ratio*requests+slack {
-				t.Fatalf("seed %d: %v extra attempts for %v requests in the window that ends at %v", seed, extra, requests, a.at)
+				t.Fatalf("seed %d: %v extra attempts for %v requests in the window ending at %v", seed, extra, requests, a.at)
 			}
 		}
-		if !spent {
-			t.Errorf("seed %d: no extra attempt was ever made", seed)
+		if !hasRetried {
+			t.Errorf("seed %d: no extra attempts were made", seed)
 		}
 	}
 }
--- a/loadbalance/versions.go
+++ b/loadbalance/versions.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// VersionGroup is whether the version of an endpoint may receive requests, and which.
+// VersionGroup classifies the software version of an endpoint with regard to a roll-out.
 type VersionGroup uint8
 
 const (
-	// BaseVersion is the version in use.
+	// BaseVersion is the version in production use.
 	BaseVersion VersionGroup = iota
 	// TargetVersion is the version under roll-out.
 	TargetVersion
-	// ExcludedVersion may not receive requests.
+	// ExcludedVersion is any other version; it must not receive requests.
 	ExcludedVersion
 )
 
@@ -31,13 +31,13 @@
 	return "unknown"
 }
 
-// Versions are the versions of a service that may receive requests. In the zero value
-// all may.
+// Versions defines which versions of a service may receive requests. With the zero value,
+// all versions may.
 type Versions struct {
-	Known  bool // false: all versions are in use
+	Known  bool // false: every version counts as the base version
 	Base   string
-	Target string // under roll-out; counts only if TargetShare is above 0
-	// TargetShare is the part of the requests that go to the target, from 0 to 1.
+	Target string // under roll-out; ignored if TargetShare is 0
+	// TargetShare is the fraction of the requests that go to the target, from 0 to 1.
 	TargetShare float64
 }
 
@@ -52,15 +52,15 @@
 	return ExcludedVersion
 }
 
-// While the target gets a small share, that goes to few of its endpoints, so that each
-// has to carry what it will when all requests have moved: a fault that shows only under
-// load shows there.
+// A small traffic share of the target is sent to a subset of its endpoints, so that each of
+// these carries the load that it will have after the roll-out. Faults that occur only under
+// load then show up early.
 const (
-	// subsetOverload is the load of an endpoint of the subset, relative to the one that it
-	// will have after the roll-out.
+	// subsetOverload is the load of an endpoint of the subset, relative to its load after the
+	// roll-out.
 	subsetOverload = 1.25
-	// minSubsetSize is the least size of the subset, as one endpoint may be unhealthy
-	// by itself.
+	// minSubsetSize is the minimum size of the subset, because a single endpoint may be
+	// unhealthy for reasons unrelated to its version.
 	minSubsetSize = 4
 )
 
@@ -79,8 +79,8 @@
 // Versions returns which versions may receive requests.
 func (p *Pool) Versions() Versions { return p.versions }
 
-// refreshRolloutSubset marks the endpoints of the target that serve its share: the
-// first ones by the hash of their IDs, which are the same on every node.
+// refreshRolloutSubset marks the endpoints that serve the target's traffic share: the first
+// ones in the order of the hashes of their IDs, which is the same on every node.
 func (p *Pool) refreshRolloutSubset() {
 	if !p.rolloutSubsetStale {
 		return
@@ -104,7 +104,8 @@
 	}
 }
 
-// ExcludedCount returns how many endpoints may receive nothing for their version.
+// ExcludedCount returns the number of endpoints that must not receive requests because of
+// their version.
 func (p *Pool) ExcludedCount() int {
 	count := 0
 	for _, e := range p.endpoints {
@@ -115,8 +116,8 @@
 	return count
 }
 
-// BaseInflight returns how many requests of this node are in flight at endpoints of
-// the version in use.
+// BaseInflight returns the number of requests that this node has in flight at endpoints of
+// the base version.
 func (p *Pool) BaseInflight() int {
 	inflight := 0
 	for _, e := range p.endpoints {
