--- a/routing/table.go
+++ b/routing/table.go
@@ -1,5 +1,5 @@
-// Package routing compiles a configuration into a route table, in which services and
-// routes have dense indices, and finds the route of a request.
+// Package routing compiles a configuration into a route table, which assigns dense indices to
+// services and routes and matches requests to routes.
 package routing
 
 import (
@@ -12,8 +12,8 @@
 	"lichentray/config"
 )
 
-// Table is a compiled configuration. It is not changed after Compile, and is safe for
-// concurrent use.
+// Table is a compiled configuration. It is immutable after Compile and safe for concurrent
+// use.
 type Table struct {
 	Version  uint64
 	Limits   config.Limits
@@ -21,11 +21,11 @@
 	Routes   []*Route
 
 	routesByHost map[string][]*Route // by lower-case host; longest prefix first
-	serviceIndex map[string]int      // in Services, by name
+	serviceIndex map[string]int      // index in Services, by name
 }
 
-// Compile builds the table of a validated configuration. Rules without any defined
-// service, which validation rejects, are left out.
+// Compile builds the table of a validated configuration. It omits rules without a defined
+// service, which validation would reject.
 func Compile(c *config.Configuration) *Table {
 	t := &Table{
 		Version:      c.Version,
@@ -43,7 +43,7 @@
 	return t
 }
 
-// addServices adds the services. Of several with one name the first counts.
+// addServices adds the services. If several have the same name, the first one is used.
 func (t *Table) addServices(clusters []config.Cluster) {
 	for _, c := range clusters {
 		if _, isKnown := t.serviceIndex[c.Name]; isKnown {
@@ -57,7 +57,7 @@
 func (t *Table) addListener(l config.Listener) {
 	host := strings.ToLower(l.Hostname)
 	if _, isKnown := t.routesByHost[host]; !isKnown {
-		t.routesByHost[host] = nil // a host without rules is known too, see HasHost
+		t.routesByHost[host] = nil // HasHost also reports hosts without rules
 	}
 	for _, rule := range l.Rules {
 		r := t.compileRoute(rule)
@@ -69,8 +69,8 @@
 	}
 }
 
-// compileRoute returns the route of a rule with the next index, or nil if none of its
-// services is defined.
+// compileRoute compiles a rule into a route with the next index. It returns nil if none of the
+// rule's services is defined.
 func (t *Table) compileRoute(rule config.Rule) *Route {
 	r := &Route{
 		Index:         len(t.Routes),
@@ -79,8 +79,8 @@
 		Type:          rule.Type,
 		Idempotent:    rule.Type != config.RouteNonIdempotent && rule.Type != config.RouteUpload,
 		Priority:      int(rule.Priority),
-		TargetLatency: durationOfSeconds(rule.TargetLatencySeconds),
-		Timeout:       durationOfSeconds(rule.Action.TimeoutSeconds),
+		TargetLatency: secondsToDuration(rule.TargetLatencySeconds),
+		Timeout:       secondsToDuration(rule.Action.TimeoutSeconds),
 		MaxAttempts:   int(rule.Action.MaxAttempts),
 		Regions:       rule.Action.Regions,
 	}
@@ -93,7 +93,7 @@
 		if !isDefined {
 			continue
 		}
-		r.Backends = append(r.Backends, Backend{Service: i, Weight: ref.Weight})
+		r.Backends = append(r.Backends, Backend{ServiceIndex: i, Weight: ref.Weight})
 		r.totalWeight += ref.Weight
 	}
 	if len(r.Backends) == 0 {
@@ -102,9 +102,9 @@
 	return r
 }
 
-func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ServiceIndex returns the index of a service in Services, or -1.
+// ServiceIndex returns the index of a service in Services, or -1 if it is not defined.
 func (t *Table) ServiceIndex(name string) int {
 	if i, ok := t.serviceIndex[name]; ok {
 		return i
@@ -118,8 +118,9 @@
 	return ok
 }
 
-// Match returns the route with the longest prefix of path on a host, or nil. The host
-// may have a port. A host that is in lower case costs no allocation.
+// Match returns the route of a host whose prefix is the longest one that matches path, or nil
+// if there is none. host may include a port. A lower-case host is matched without an
+// allocation.
 func (t *Table) Match(host, path []byte) *Route {
 	if i := bytes.LastIndexByte(host, ':'); i >= 0 && bytes.IndexByte(host[i:], ']') < 0 {
 		host = host[:i]
