--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -8,14 +8,14 @@
 	"lichentray/config"
 )
 
-// largeConfiguration is the sample with many more routes.
+// largeConfiguration returns sampleConfiguration with n additional routes.
 func largeConfiguration(n int) []byte {
-	const mark = `"rules":[`
+	const marker = `"rules":[`
 	var sb strings.Builder
 	for i := range n {
 		fmt.Fprintf(&sb, `{"name":"b%d","route_type":"idempotent","match":{"path_prefix":"/p%d/"},"action":{"backend_service":"s1","timeout_s":1,"max_attempts":2}},`, i, i)
 	}
-	return []byte(strings.Replace(sampleConfiguration, mark, mark+sb.String(), 1))
+	return []byte(strings.Replace(sampleConfiguration, marker, marker+sb.String(), 1))
 }
 
 func BenchmarkParse(b *testing.B) {
--- a/config/configuration.go
+++ b/config/configuration.go
@@ -1,9 +1,9 @@
-// Package config is the configuration that an operator sends: its JSON schema, its form
-// in Go, and its validation. Package routing compiles it into a route table.
+// Package config defines the routing configuration that an operator submits: its JSON schema,
+// its Go types and its validation. Package routing compiles it into a route table.
 package config
 
-// Configuration is a configuration as the operator sends it. It replaces the one in force
-// if its version is higher.
+// Configuration is a configuration as submitted by an operator. It replaces the active
+// configuration if its version is higher.
 type Configuration struct {
 	Version   uint64     `json:"config_version"`
 	Limits    Limits     `json:"limits"`
@@ -11,7 +11,7 @@
 	Clusters  []Cluster  `json:"clusters"`
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits defines limits on the size and the duration of client requests.
 type Limits struct {
 	MaxHeaderBytes       float64 `json:"max_header_bytes"`
 	MaxBodyBytes         float64 `json:"max_body_bytes"`
@@ -19,7 +19,7 @@
 	IdleTimeoutSeconds   float64 `json:"idle_timeout_s"`
 }
 
-// Listener is the routes of one host.
+// Listener holds the routes of one host.
 type Listener struct {
 	Hostname string `json:"hostname"`
 	Rules    []Rule `json:"rules"`
@@ -35,11 +35,11 @@
 	Action               RouteAction `json:"action"`
 }
 
-// RouteType is what the requests of a route have in common: whether they are idempotent.
+// RouteType classifies the requests of a route. It determines whether they are idempotent.
 type RouteType string
 
-// The route types. Requests of idempotent and download routes may be sent more than
-// once (RFC 9110, section 9.2.2).
+// The route types. Requests on idempotent and download routes may be sent more than once
+// (RFC 9110, section 9.2.2).
 const (
 	RouteIdempotent    RouteType = "idempotent"
 	RouteNonIdempotent RouteType = "non_idempotent"
@@ -47,25 +47,25 @@
 	RouteUpload        RouteType = "upload"
 )
 
-// RouteMatch is the condition under which a route matches a request: the prefix of its path,
-// byte by byte. Of several matching routes of one host the longest prefix wins.
+// RouteMatch is the condition under which a route matches a request: a path prefix, compared
+// byte by byte. If several routes of a host match, the one with the longest prefix is used.
 type RouteMatch struct {
 	Prefix string `json:"path_prefix"`
 }
 
-// RouteAction is how the requests of a route are forwarded: to Service or, if Split is not
-// empty, to the services of Split by their weights.
+// RouteAction defines how the requests of a route are forwarded: to Service or, if Split is
+// not empty, to the services of Split in proportion to their weights.
 type RouteAction struct {
 	Service        string       `json:"backend_service"`
 	Split          []BackendRef `json:"traffic_split"`
 	TimeoutSeconds float64      `json:"timeout_s"`
 	MaxAttempts    float64      `json:"max_attempts"`
-	// Regions are those whose endpoints may serve the route. If there are none, all
+	// Regions lists the regions whose endpoints may serve the route. If it is empty, all
 	// endpoints may.
 	Regions []string `json:"allowed_regions"`
 }
 
-// BackendRef is one service of a split.
+// BackendRef is a service in a traffic split.
 type BackendRef struct {
 	Service string  `json:"backend_service"`
 	Weight  float64 `json:"weight"`
@@ -77,8 +77,8 @@
 	HealthPath     string  `json:"health_check_path"`
 	MaxConnections float64 `json:"max_connections"`
 	// WarmupSeconds is how long an endpoint warms up after its start, and
-	// WarmupRatePerSecond how many requests per second it can serve meanwhile; 0 means
-	// no limit.
+	// WarmupRatePerSecond how many requests per second it can serve during that time;
+	// 0 means no limit.
 	WarmupSeconds       float64 `json:"cold_start_s"`
 	WarmupRatePerSecond float64 `json:"cold_rate_s"`
 }
--- a/config/parse.go
+++ b/config/parse.go
@@ -9,8 +9,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Parse decodes and validates a configuration. The error names the first field that is
-// wrong.
+// Parse decodes and validates a configuration. The error names the first invalid field.
+// Callers pass the text of the error on to clients as the detail of an answer.
 func Parse(text []byte) (*Configuration, error) {
 	schema, err := compiledSchema()
 	if err != nil {
@@ -33,7 +33,8 @@
 	return c, nil
 }
 
-// DecodeValidated decodes a configuration that was validated before it was stored.
+// DecodeValidated decodes a configuration without validating it, for configurations that were
+// validated before they were stored.
 func DecodeValidated(text []byte) (*Configuration, error) {
 	c := new(Configuration)
 	if err := json.Unmarshal(text, c); err != nil {
@@ -42,8 +43,8 @@
 	return c, nil
 }
 
-// validateServices checks what the schema cannot: that every rule names services that
-// are defined, and that the weights of a split allow a choice.
+// validateServices checks what the schema cannot express: that every rule refers to defined
+// services, and that the weights of a split do not add up to 0.
 func (c *Configuration) validateServices() error {
 	defined := map[string]bool{}
 	for _, s := range c.Clusters {
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -20,29 +20,29 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, old, new, field string }{
-		{"cut short", `"max_connections":130}]}`, ``, ""},
-		{"more after the end", `"max_connections":130}]}`, `"max_connections":130}]} x`, ""},
+		{"truncated", `"max_connections":130}]}`, ``, ""},
+		{"trailing data", `"max_connections":130}]}`, `"max_connections":130}]} x`, ""},
 		{"unknown service", `"backend_service":"s1","timeout_s"`, `"backend_service":"nobody","timeout_s"`, "backend_service"},
 		{"unknown service in a split", `"backend_service":"s2","weight":10`, `"backend_service":"nobody","weight":10`, "traffic_split"},
-		{"odd route type", `"non_idempotent"`, `"maybe"`, "route_type"},
-		{"long timeout", `"timeout_s":2`, `"timeout_s":601`, "timeout_s"},
-		{"no attempts", `"timeout_s":2,"max_attempts":2`, `"timeout_s":2,"max_attempts":0`, "max_attempts"},
-		{"weight below 0", `"weight":10`, `"weight":-1`, "weight"},
+		{"unknown route type", `"non_idempotent"`, `"maybe"`, "route_type"},
+		{"timeout too long", `"timeout_s":2`, `"timeout_s":601`, "timeout_s"},
+		{"max_attempts of 0", `"timeout_s":2,"max_attempts":2`, `"timeout_s":2,"max_attempts":0`, "max_attempts"},
+		{"negative weight", `"weight":10`, `"weight":-1`, "weight"},
 		{"weights add up to 0", `"weight":90},{"backend_service":"s2","weight":10`, `"weight":0},{"backend_service":"s2","weight":0`, "traffic_split"},
 		{"wrong type", `"config_version":7`, `"config_version":"7"`, "config_version"},
-		{"no version", `"config_version":7,`, ``, "config_version"},
-		{"no routes list", `"listeners":[`, `"other":[`, "listeners"},
+		{"version missing", `"config_version":7,`, ``, "config_version"},
+		{"listeners missing", `"listeners":[`, `"other":[`, "listeners"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(sampleConfiguration, c.old, c.new, 1)
 			if text == sampleConfiguration {
-				t.Fatal("the sample was not changed")
+				t.Fatal("the replacement did not change sampleConfiguration")
 			}
 			_, err := config.Parse([]byte(text))
 			if err == nil {
-				t.Error("it was accepted")
+				t.Error("Parse accepted an invalid configuration")
 			} else if !strings.Contains(err.Error(), c.field) {
-				t.Errorf("the error does not name %s: %v", c.field, err)
+				t.Errorf("error does not name %s: %v", c.field, err)
 			}
 		})
 	}
--- a/config/schema.go
+++ b/config/schema.go
@@ -14,18 +14,18 @@
 //go:embed configuration.schema.json
 var schemaJSON []byte
 
-// compiledSchema compiles the schema of a configuration once.
+// compiledSchema compiles the configuration schema on the first call.
 var compiledSchema = sync.OnceValues(func() (*Schema, error) { return NewSchema(schemaJSON) })
 
-// CompileSchema compiles the schema of a configuration ahead of the first call of
-// Parse, which otherwise does so.
+// CompileSchema compiles the configuration schema in advance. Otherwise the first call of
+// Parse compiles it.
 func CompileSchema() error {
 	_, err := compiledSchema()
 	return err
 }
 
-// Schema is a compiled JSON schema whose errors name the field. It is safe for
-// concurrent use.
+// Schema is a compiled JSON schema. Its validation errors name the invalid field. It is safe
+// for concurrent use.
 type Schema struct{ compiled *jsonschema.Schema }
 
 // NewSchema compiles a JSON schema.
@@ -46,8 +46,8 @@
 	return &Schema{compiled}, nil
 }
 
-// Validate checks a value of the form that encoding/json decodes into an any. The error
-// is one line that begins with the path of the first wrong field.
+// Validate checks a value of the types that encoding/json decodes into an any. The error is
+// one line that begins with the path of the first invalid field.
 func (s *Schema) Validate(v any) error {
 	err := s.compiled.Validate(v)
 	var invalid *jsonschema.ValidationError
