--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -52,7 +52,7 @@
 		deadMemberTimeout: timing.DeadMemberTimeout,
 		catchUpWindow:     timing.ElectionTimeout,
 		leaveRequestTTL:   timing.ConnectionTimeout,
-		learnerExpiry:     max(set.Bounds.Recovery.Duration(), 2*set.Bounds.CatchUp.Duration()),
+		learnerExpiry:     max(set.Bounds.RecoveryTime.Duration(), 2*set.Bounds.CatchUpTime.Duration()),
 		failureDomainOf:   failureDomainOf,
 	}
 }
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -322,7 +322,7 @@
 // more, and rejoins with its disk, on which it is a voter.
 func TestLeaveAndRejoin(t *testing.T) {
 	cluster := newTestCluster(t, 4, func(s *settings.Settings) {
-		s.Bounds.Recovery, s.Bounds.CatchUp = 1, 1
+		s.Bounds.RecoveryTime, s.Bounds.CatchUpTime = 1, 1
 	})
 	voters := func(without string) (n, members int) {
 		x := cluster.leader()
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -83,7 +83,7 @@
 func TestRolloutSucceedsAndRollsBack(t *testing.T) {
 	cluster := newTestCluster(t, 3, func(s *settings.Settings) {
 		s.Guarantees = []string{"rollout"}
-		s.Bounds.ConfigApply, s.Bounds.DrainApply = 1, 1
+		s.Bounds.ConfigPropagation, s.Bounds.DrainPropagation = 1, 1
 	})
 	nodes := cluster.nodes
 	eventually(t, "a configuration is taken", func() bool { return nodes[0].ReplaceConfiguration([]byte(fmt.Sprintf(configurationFormat, 5))) == nil })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -144,7 +144,7 @@
 		}
 	}()
 	watcher := newSettingsWatcher(path, text, log, signals.SettingsChanged)
-	go watcher.run(ctx, s.Bounds.SeedReload.Duration(), caught.hangup)
+	go watcher.run(ctx, s.Bounds.SeedReloadInterval.Duration(), caught.hangup)
 	return run(path, s, log, signals)
 }
 
--- a/internal/proxy/handle_test.go
+++ b/internal/proxy/handle_test.go
@@ -18,7 +18,7 @@
 func TestRequestWaitsForFirstConfig(t *testing.T) {
 	e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
-	set.Bounds.ContactWindow, set.Bounds.ConfigApply, set.Bounds.DrainApply = 6, 40, 40 // a view within 10 s of the start
+	set.Bounds.ContactWindow, set.Bounds.ConfigPropagation, set.Bounds.DrainPropagation = 6, 40, 40 // a view within 10 s of the start
 	open := func(began time.Duration) (*Proxy, string) {
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 		p.startedAt = p.startedAt.Add(-began)
--- a/internal/proxy/reflector_test.go
+++ b/internal/proxy/reflector_test.go
@@ -74,7 +74,7 @@
 func TestQuietStreamIsKept(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.21", "127.0.0.22")
 	set := controlplanetest.Settings(t, "127.0.0.23", "", 1, port, []string{"127.0.0.21", "127.0.0.22"}, false)
-	set.Bounds.DrainApply, set.Bounds.ConfigApply = 1, 1
+	set.Bounds.DrainPropagation, set.Bounds.ConfigPropagation = 1, 1
 	address := func(ip string) string { return set.InternalAddr(ip + ":1") }
 	list := func(a *transport.Request) *transport.Response {
 		return &transport.Response{ID: a.ID, Revision: max(1, a.Least)}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,25 +8,25 @@
 	"github.com/BurntSushi/toml"
 )
 
-// EnvPath is the environment variable that holds the path of the settings file.
+// EnvPath is the name of the environment variable that holds the path of the settings file.
 const EnvPath = "LICHENTRAY_CONFIG"
 
-// DefaultPath is the path of the settings file if the variable is not set.
+// DefaultPath is the path of the settings file if the environment variable is not set.
 const DefaultPath = "/etc/lichentray/node.toml"
 
-// The defaults of Audit.
+// The default values of the fields of Audit.
 const (
 	DefaultUnknownTenant     = "unknown"
 	DefaultMaxPendingRecords = 5000
 	DefaultMaxRecords        = 50000
 )
 
-// defaultHistoryRetention is Bounds.HistoryRetention where the file does not give it: longer than a
-// caller waits for an event in one call.
+// defaultHistoryRetention is the default of Bounds.HistoryRetention. It is longer than a caller
+// waits for an event in one call.
 const defaultHistoryRetention Seconds = 60
 
-// ResolvePath returns the path of the settings file: the value of the command line's flag if it is
-// not empty, else that of the variable EnvPath, else DefaultPath.
+// ResolvePath returns the path of the settings file: the value of the command-line flag if it is
+// not empty, otherwise that of the environment variable EnvPath, otherwise DefaultPath.
 func ResolvePath(flag string) string {
 	if flag != "" {
 		return flag
@@ -37,7 +37,7 @@
 	return DefaultPath
 }
 
-// Load reads, validates and returns the settings at path.
+// Load reads and validates the settings file at path.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,8 +50,7 @@
 	return s, nil
 }
 
-// Parse validates and returns settings in the form of the file. An error names the key that is
-// wrong.
+// Parse decodes and validates the text of a settings file. Errors name the invalid key.
 func Parse(text []byte) (*Settings, error) {
 	var document map[string]any
 	if err := decodeTOML(text, &document); err != nil {
@@ -74,14 +73,14 @@
 	return s, nil
 }
 
-func decodeTOML(text []byte, to any) error {
-	if _, err := toml.NewDecoder(bytes.NewReader(text)).Decode(to); err != nil {
-		return fmt.Errorf("not readable as TOML: %w", err)
+func decodeTOML(text []byte, dst any) error {
+	if _, err := toml.NewDecoder(bytes.NewReader(text)).Decode(dst); err != nil {
+		return fmt.Errorf("invalid TOML: %w", err)
 	}
 	return nil
 }
 
-// setDefaults fills in what the file does not give and what must not be 0.
+// setDefaults sets the defaults of fields that the file omits and that must not be 0.
 func (b *Bounds) setDefaults() {
 	if b.HistoryRetention == 0 {
 		b.HistoryRetention = defaultHistoryRetention
@@ -91,7 +90,7 @@
 	}
 }
 
-// setDefaults fills in what the file does not give.
+// setDefaults sets the defaults of fields that the file omits.
 func (a *Audit) setDefaults() {
 	if a.UnknownTenant == "" {
 		a.UnknownTenant = DefaultUnknownTenant
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,13 +1,13 @@
 // Package settings reads and validates the settings file of a process.
 //
-// The file is TOML. It is validated against the JSON schema in settings.schema.json, which is
-// embedded; keys that the schema does not know are ignored, so that a newer deployment tool can
-// start an older program. The names of keys and their meaning are public.
+// The file format is TOML. The file is validated against the embedded JSON schema
+// settings.schema.json. Unknown keys are ignored, so that a newer deployment tool can start an
+// older program. The names and the meaning of the keys are a public interface.
 //
-// Settings are values: the package keeps no state, watches no file and starts no goroutine. The
-// programs read the file again when it has changed (package daemon) and decide themselves what
-// takes effect without a restart. Time-outs that several packages share are derived here, see
-// timeouts.go; those of one package are derived there.
+// The package keeps no state, watches no file and starts no goroutine. The programs reload the
+// file when it has changed (package daemon) and decide which settings take effect without a
+// restart. Timeouts that several packages share are derived in timeouts.go; timeouts of a single
+// package are derived in that package.
 package settings
 
 import (
@@ -17,170 +17,177 @@
 	"time"
 )
 
-// Seconds is a time in seconds, with fractions, as the settings file has it.
+// Seconds is a duration in seconds, possibly fractional, as in the settings file.
 type Seconds float64
 
-// Duration converts the time.
+// Duration converts the value to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Limits are what one process may use of its machine. A value of 0 is not given, but for
-// MemoryMB and MaxOpenFiles, which are required.
+// Limits holds the resource limits of a process. A value of 0 means that the file does not set
+// the limit; MemoryMB and MaxOpenFiles are required.
 type Limits struct {
-	// CPUShare is the share of the machine's processors, as a fraction.
+	// CPUShare is the fraction of the machine's processors that the process may use.
 	CPUShare float64 `toml:"cpu_share"`
 	// CPUCores is the number of processors that the process sees.
 	CPUCores float64 `toml:"cpu_cores"`
-	// MemoryMB bounds the resident memory, in MiB.
+	// MemoryMB is the maximum resident memory in MiB.
 	MemoryMB float64 `toml:"memory_mb"`
-	// MaxOpenFiles bounds the open descriptors.
+	// MaxOpenFiles is the maximum number of open file descriptors.
 	MaxOpenFiles int `toml:"max_open_files"`
-	// BandwidthMbps is the bandwidth of the machine's link, in Mbit/s.
+	// BandwidthMbps is the bandwidth of the machine's link in Mbit/s.
 	BandwidthMbps float64 `toml:"bandwidth_mbps"`
-	// DiskMB bounds what the process stores, in MiB.
+	// DiskMB is the maximum size of the stored data in MiB.
 	DiskMB float64 `toml:"disk_mb"`
 }
 
-// Bounds are the figures of the guarantees that a deployment must meet. Time-outs are derived from
-// them. Some are not used by any program; they are read so that all settings are validated.
+// Bounds holds the parameters of the guarantees that a deployment must meet. Timeouts are derived
+// from them. Some are not used by any program; they are decoded so that all settings are
+// validated.
 type Bounds struct {
-	// SeedReload is how old the list of seed nodes in the file may be. The file is read again
-	// at this interval.
-	SeedReload Seconds `toml:"seed_lag_s"`
-	// AddressReuse is how long the address of an endpoint that ended is not given to another.
-	AddressReuse Seconds `toml:"address_reuse_s"`
-	// ContactWindow is how long a machine must have been connected and undisturbed for the
-	// bounds on times to hold for it. Most time-outs between machines are fractions of it.
+	// SeedReloadInterval is the maximum age of the list of seed nodes in the file. The file is
+	// reloaded at this interval.
+	SeedReloadInterval Seconds `toml:"seed_lag_s"`
+	// AddressReuseDelay is how long the address of a terminated endpoint is not reused for another
+	// one.
+	AddressReuseDelay Seconds `toml:"address_reuse_s"`
+	// ContactWindow is how long a machine must have been connected without disturbance for the
+	// time bounds to apply to it. Most timeouts between machines are fractions of it.
 	ContactWindow Seconds `toml:"contact_s"`
-	// AckTimeout is how long an order may go without an acknowledgement while the control plane
-	// is undisturbed.
+	// AckTimeout is the maximum time until an order is acknowledged while the control plane is
+	// undisturbed.
 	AckTimeout Seconds `toml:"ack_timeout_s"`
-	// CatchUp is how long a machine that has returned counts as lost.
-	CatchUp Seconds `toml:"catch_up_s"`
-	// DrainApply is how long after the acknowledgement of a draining endpoint requests may
-	// reach it.
-	DrainApply Seconds `toml:"drain_s"`
+	// CatchUpTime is how long a machine still counts as lost after it has returned.
+	CatchUpTime Seconds `toml:"catch_up_s"`
+	// DrainPropagation is how long requests may still reach a draining endpoint after the
+	// draining was acknowledged.
+	DrainPropagation Seconds `toml:"drain_s"`
 	// GracePeriod is the time between SIGTERM and SIGKILL.
 	GracePeriod Seconds `toml:"grace_period_s"`
 	// LossSlack is the delay within which a request that was read may be cut off around planned
 	// work.
 	LossSlack Seconds `toml:"loss_slack_s"`
-	// ConfigApply is how long after its acknowledgement requests may be handled by an older
-	// configuration.
-	ConfigApply Seconds `toml:"config_apply_s"`
-	// RollbackSlack is how long a machine may go back to an older configuration after a newer
-	// one had an effect.
+	// ConfigPropagation is how long requests may still be handled with an older configuration
+	// after a newer one was acknowledged.
+	ConfigPropagation Seconds `toml:"config_apply_s"`
+	// RollbackSlack is how long a machine may revert to an older configuration after a newer one
+	// had an effect.
 	RollbackSlack Seconds `toml:"rollback_slack_s"`
-	// MaxConfigStretch is by how much a disturbed control plane may lengthen ConfigApply.
-	MaxConfigStretch Seconds `toml:"max_stretch_s"`
-	// RetryBudgetRatio is how many retries a service may get for each request.
+	// ConfigPropagationExtension is the maximum by which a disturbed control plane may extend
+	// ConfigPropagation.
+	ConfigPropagationExtension Seconds `toml:"max_stretch_s"`
+	// RetryBudgetRatio is the maximum number of retries per request of a service.
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
-	// RetryBudgetWindow is the window in which retries are counted.
+	// RetryBudgetWindow is the time window in which retries are counted.
 	RetryBudgetWindow Seconds `toml:"budget_window_s"`
-	// RetryBudgetSlack is how many retries a service may get in a window in addition to
-	// RetryBudgetRatio.
+	// RetryBudgetSlack is the number of retries that a service may get in a window in addition
+	// to those that RetryBudgetRatio allows.
 	RetryBudgetSlack float64 `toml:"retry_budget_slack"`
-	// Recovery is how long after the return of lost machines requests may stay unserved.
-	Recovery Seconds `toml:"recovery_s"`
-	// HistoryRetention is how long the events of a watch are kept, by default a minute.
+	// RecoveryTime is how long requests may remain unserved after lost machines have returned.
+	RecoveryTime Seconds `toml:"recovery_s"`
+	// HistoryRetention is how long the events of a watch are kept; one minute by default.
 	HistoryRetention Seconds `toml:"history_retention_s"`
-	// LockRelease is how long after the end of its lease a lock may still not be granted to another.
-	LockRelease Seconds `toml:"release_s"`
-	// SlowStartOvershoot is how many times the rate that it can carry an endpoint in slow start
-	// may get. 0 means that slow start is not coordinated between proxies.
+	// LockReleaseDelay is the maximum time from the end of a lock's lease until the lock can be
+	// granted to another holder.
+	LockReleaseDelay Seconds `toml:"release_s"`
+	// SlowStartOvershoot is the maximum request rate of an endpoint in slow start, as a multiple
+	// of the rate that it can serve. 0 means that slow start is not coordinated between proxies.
 	SlowStartOvershoot float64 `toml:"cold_overshoot"`
-	// SlowStartSlack is how many requests a second such an endpoint may get in addition.
+	// SlowStartSlack is the number of requests per second that such an endpoint may get in
+	// addition.
 	SlowStartSlack float64 `toml:"cold_slack"`
-	// ZoneEvacuation is how long the evacuation of a zone may take.
+	// ZoneEvacuation is the maximum duration of the evacuation of a zone.
 	ZoneEvacuation Seconds `toml:"evacuation_s"`
-	// MaxTTL is how long clients use an answer of the directory at most, by default ContactWindow.
+	// MaxTTL is the maximum time for which clients use an answer of the directory; ContactWindow
+	// by default.
 	MaxTTL Seconds `toml:"ttl_max_s"`
-	// ExposureRatio is the share of requests that a bad target version may get until the deadline
-	// of its roll-out.
+	// ExposureRatio is the maximum fraction of requests that a faulty target version may get
+	// until the deadline of its roll-out.
 	ExposureRatio float64 `toml:"exposure_ratio"`
-	// ExposureSlack is how many requests such a version may get in addition.
+	// ExposureSlack is the number of requests that such a version may get in addition.
 	ExposureSlack float64 `toml:"exposure_slack"`
-	// RolloutRollback is the time within which a roll-out that shows a fault has to be rolled
-	// back.
+	// RolloutRollback is the time within which a roll-out that shows a fault must be rolled back.
 	RolloutRollback Seconds `toml:"rollback_s"`
 }
 
 // Audit configures the audit log of failed requests.
 type Audit struct {
-	// TenantByHost names the tenant of a host.
+	// TenantByHost maps hosts to tenants.
 	TenantByHost map[string]string `toml:"hosts"`
-	// TenantHeader is the request header that names the tenant where TenantByHost does not.
+	// TenantHeader is the request header that names the tenant if TenantByHost does not.
 	TenantHeader string `toml:"tenant_header"`
-	// UnknownTenant is the tenant recorded for all other requests, by default DefaultUnknownTenant.
+	// UnknownTenant is the tenant recorded for all other requests; DefaultUnknownTenant by
+	// default.
 	UnknownTenant string `toml:"unknown_tenant"`
-	// RequestHeader is the header by which the attempts of a client at one request are known.
-	// If it is empty, each attempt is a request of its own.
+	// RequestHeader is the request header that identifies the attempts of a client that belong
+	// to the same request. If it is empty, every attempt counts as a separate request.
 	RequestHeader string `toml:"request_header"`
-	// MaxPendingRecords bounds the records that a proxy holds until they are committed, by
-	// default DefaultMaxPendingRecords.
+	// MaxPendingRecords is the maximum number of uncommitted records that a proxy holds;
+	// DefaultMaxPendingRecords by default.
 	MaxPendingRecords int `toml:"most_held"`
-	// MaxRecords bounds the records of the audit log, by default DefaultMaxRecords.
+	// MaxRecords is the maximum number of records in the audit log; DefaultMaxRecords by default.
 	MaxRecords int `toml:"most_entries"`
 }
 
-// ListenAddresses are the addresses (IP:port) that a process listens at. Those that its role does
-// not serve are empty.
+// ListenAddresses holds the addresses (IP:port) on which a process listens. Addresses that its
+// role does not serve are empty.
 type ListenAddresses struct {
-	// Frontend is where a proxy takes requests of clients.
+	// Frontend is the address on which a proxy accepts client requests.
 	Frontend string `toml:"frontend"`
-	// Readiness is where a proxy answers whether it takes requests.
+	// Readiness is the address of a proxy's readiness check.
 	Readiness string `toml:"readiness"`
-	// Control is where a control-plane node serves its HTTP API.
+	// Control is the address of a control-plane node's HTTP API.
 	Control string `toml:"control_plane"`
-	// Directory is where a control-plane node answers clients which proxies to connect to.
+	// Directory is the address on which a control-plane node tells clients which proxies to
+	// connect to.
 	Directory string `toml:"directory"`
 }
 
-// FaultTolerance is how many machines, zones or regions of the control plane's core may be lost at
-// once while the guarantees hold.
+// FaultTolerance is the number of machines, zones or regions of the control plane's core that may
+// be lost at the same time without violating the guarantees.
 type FaultTolerance struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// EntryTypeDirectory is the Settings.EntryType of a deployment whose clients ask a directory which
-// proxy to connect to.
+// EntryTypeDirectory is the Settings.EntryType of a deployment in which clients ask a directory
+// which proxy to connect to.
 const EntryTypeDirectory = "directory"
 
-// guaranteeRollout is the guarantee under which requests are routed by the version of an endpoint.
+// guaranteeRollout is the guarantee that requires requests to be routed by endpoint version.
 const guaranteeRollout = "rollout"
 
-// Settings are the settings of one process.
+// Settings holds the settings of one process.
 type Settings struct {
 	NodeName string `toml:"node_name"`
 	// Role is the name of the process's role in the deployment. No program depends on it.
 	Role string `toml:"role"`
-	// Serves lists what the process's machine serves, see the constants of the same name in
-	// validate.go.
+	// Serves lists the services that the process's machine provides; see the constants
+	// servesControl, servesEdge and servesDirectory.
 	Serves []string `toml:"serves"`
-	// EntryType is how clients find a proxy, see EntryTypeDirectory.
+	// EntryType defines how clients find a proxy; see EntryTypeDirectory.
 	EntryType string `toml:"entry_type"`
 	IPAddress string `toml:"ip_address"`
-	// BindIP is the IP address on which a control-plane node listens, where it is not the one at
-	// which others reach the node: a port forwarder stands in between. It is empty otherwise.
+	// BindIP is the IP address on which a control-plane node listens if it differs from the
+	// address at which other machines reach the node, that is, behind a port forwarder. It is
+	// empty otherwise.
 	BindIP string `toml:"bind_ip"`
 	Zone   string `toml:"zone"`
 	Region string `toml:"region"`
-	// PortRange holds the first and the last of the ports that are free for internal use.
+	// PortRange holds the first and the last port available for internal use.
 	PortRange []int `toml:"internal_port_range"`
-	// SeedNodes are the API addresses (IP:port) of a few control-plane nodes. They may have
-	// changed since the file was written.
+	// SeedNodes are the API addresses (IP:port) of some control-plane nodes. They may be out of
+	// date.
 	SeedNodes []string `toml:"seed_nodes"`
-	// Bootstrap is set at the first start of a deployment, when all disks are empty.
+	// Bootstrap is true on the first start of a deployment, when all disks are empty.
 	Bootstrap bool `toml:"bootstrap"`
-	// QuorumMember is true if the machine counts in FaultTolerance.
+	// QuorumMember is true if the machine counts towards FaultTolerance.
 	QuorumMember bool `toml:"quorum_member"`
-	// DataDirectory is the directory for durable state. It is empty on a machine without a
-	// disk.
+	// DataDirectory is the directory for durable state. It is empty on a machine without a disk.
 	DataDirectory string `toml:"data_directory"`
-	// HeartbeatInterval is how often endpoints send heartbeats.
+	// HeartbeatInterval is the interval at which endpoints send heartbeats.
 	HeartbeatInterval Seconds `toml:"heartbeat_interval_s"`
-	// RegionByZone holds every zone of the deployment.
+	// RegionByZone maps every zone of the deployment to its region.
 	RegionByZone   map[string]string `toml:"zones"`
 	Listen         ListenAddresses   `toml:"listen_addresses"`
 	Limits         Limits            `toml:"limits"`
@@ -188,16 +195,16 @@
 	Bounds         Bounds            `toml:"bounds"`
 	// Audit is nil in a deployment that keeps no audit log.
 	Audit *Audit `toml:"account"`
-	// Guarantees names the guarantees that are in force.
+	// Guarantees lists the names of the guarantees in force.
 	Guarantees []string `toml:"guarantees"`
 }
 
-// HasRollouts reports whether requests are routed by the version of an endpoint: to the base
-// version, and to another one only during a roll-out to it.
+// HasRollouts reports whether requests are routed by endpoint version: to the base version, and to
+// another version only during its roll-out.
 func (s *Settings) HasRollouts() bool { return slices.Contains(s.Guarantees, guaranteeRollout) }
 
-// BindAddr returns the address (IP:port) to listen on so that others reach the node at an address
-// of its own.
+// BindAddr returns the address (IP:port) on which to listen, given the address at which others
+// reach the node. The two differ if BindIP is set.
 func (s *Settings) BindAddr(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || s.BindIP == "" {
@@ -207,7 +214,7 @@
 }
 
 // InternalAddr returns the internal address (IP:port) of a control-plane node, given any address of
-// its machine, with or without a port. All machines use the same internal ports.
+// its machine with or without a port. All machines use the same internal ports.
 func (s *Settings) InternalAddr(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// readSample returns the text of a complete settings file.
+// readSample returns the contents of a complete settings file.
 func readSample(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/node.toml")
@@ -16,15 +16,15 @@
 	return string(text)
 }
 
-// TestParse checks that settings are read, that unknown keys are ignored, and that errors name the
-// key that is wrong.
+// TestParse checks that settings are decoded, that unknown keys are ignored, and that errors name
+// the invalid key.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(readSample(t) + "\nsomething_new = 3\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Bounds.ContactWindow.Duration().Seconds() != 3 || s.InternalAddr("10.2.0.40:8166") != "10.2.0.40:7720" || !s.Bootstrap {
-		t.Errorf("read as %+v", s)
+		t.Errorf("Parse of the sample returned %+v", s)
 	}
 	for _, test := range []struct{ name, old, new, wantInError string }{
 		{"node name missing", `node_name = "edge-1"`, ``, "node_name"},
@@ -41,27 +41,27 @@
 		t.Run(test.name, func(t *testing.T) {
 			text := strings.Replace(readSample(t), test.old, test.new, 1)
 			if _, err := Parse([]byte(text)); err == nil {
-				t.Errorf("%q instead of %q was accepted", test.new, test.old)
+				t.Errorf("Parse accepted %q in place of %q", test.new, test.old)
 			} else if !strings.Contains(err.Error(), test.wantInError) {
-				t.Errorf("%q: the error does not name %s: %v", test.new, test.wantInError, err)
+				t.Errorf("%q: error does not name %s: %v", test.new, test.wantInError, err)
 			}
 		})
 	}
 }
 
-// TestBoundsDefaults guards against bounds that a file does not give and that are read as 0: watches would
-// have no history, and the answers of a directory no lifetime.
+// TestBoundsDefaults guards against bounds that are 0 because the file omits them: watches would have
+// no history, and answers of the directory no lifetime.
 func TestBoundsDefaults(t *testing.T) {
 	text := readSample(t)
 	given, err := Parse([]byte(text))
 	if err != nil || given.Bounds.HistoryRetention != 20 {
-		t.Fatalf("given: %v, %v", given.Bounds.HistoryRetention, err)
+		t.Fatalf("with history_retention_s = 20: HistoryRetention = %v, error %v", given.Bounds.HistoryRetention, err)
 	}
 	s, err := Parse([]byte(strings.Replace(text, "history_retention_s = 20\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Bounds.HistoryRetention != defaultHistoryRetention || s.Bounds.MaxTTL != s.Bounds.ContactWindow {
-		t.Errorf("not given: %v, %v", s.Bounds.HistoryRetention, s.Bounds.MaxTTL)
+		t.Errorf("defaults: HistoryRetention = %v, MaxTTL = %v", s.Bounds.HistoryRetention, s.Bounds.MaxTTL)
 	}
 }
--- a/internal/settings/timeouts.go
+++ b/internal/settings/timeouts.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// PropagationBound is the time within which a change must have reached every proxy:
+// PropagationBound returns the time within which a change must have reached every proxy:
 //
 //	min(drain_s, config_apply_s)
 //
 // The interval of the bookmarks on a stream to a proxy, and the time without a frame after which
-// the stream counts as lost, are fractions of it.
+// the stream is considered lost, are fractions of it.
 func (s *Settings) PropagationBound() time.Duration {
-	return min(s.Bounds.DrainApply.Duration(), s.Bounds.ConfigApply.Duration())
+	return min(s.Bounds.DrainPropagation.Duration(), s.Bounds.ConfigPropagation.Duration())
 }
 
-// RolloutLease is how long a proxy goes on sending requests to the target version without a bookmark
-// from a control-plane node that is up to date:
+// RolloutLease returns how long a proxy continues to send requests to the target version without a
+// bookmark from an up-to-date control-plane node:
 //
 //	max(PropagationBound / 2, rollback_s / 5)
 func (s *Settings) RolloutLease() time.Duration {
 	return max(s.PropagationBound()/2, s.Bounds.RolloutRollback.Duration()/5)
 }
 
-// QuotaGrantLifetime is how long a share of an endpoint in slow start is valid:
+// QuotaGrantLifetime returns how long a grant for an endpoint in slow start is valid:
 //
 //	contact_s * 2 / 3
 //
-// The proxy counts it from the sending of the report that the grant answers, the leader from the
-// later moment of granting, so that a share is not granted again while it may be in use.
+// The proxy measures the lifetime from the time at which it sent the report that the grant answers,
+// and the leader from the later time at which it made the grant, so that the leader does not grant a
+// share again while it may still be in use.
 func (s *Settings) QuotaGrantLifetime() time.Duration {
 	return s.Bounds.ContactWindow.Duration() * 2 / 3
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -1,7 +1,7 @@
 package settings
 
 import (
-	_ "embed" // for schemaText
+	_ "embed" // for schemaJSON
 	"errors"
 	"fmt"
 	"time"
@@ -9,31 +9,32 @@
 	"lichentray/config"
 )
 
-// schemaText is the JSON schema of the settings file.
+// schemaJSON is the JSON schema of the settings file.
 //
 //go:embed settings.schema.json
-var schemaText []byte
+var schemaJSON []byte
 
-// What a machine may serve, see Settings.Serves. Other values are ignored.
+// The values of Settings.Serves that the programs use. Other values are ignored.
 const (
 	servesControl   = "control"
 	servesEdge      = "edge"
 	servesDirectory = "directory"
 )
 
-// errPortRange is the error of a port range that is empty.
+// errPortRange is the error for an empty port range.
 var errPortRange = errors.New("internal_port_range: first port is above the last")
 
 // validateDocument validates a decoded TOML document against the schema.
 func validateDocument(document map[string]any) error {
-	schema, err := config.NewSchema(schemaText)
+	schema, err := config.NewSchema(schemaJSON)
 	if err != nil {
 		return err
 	}
 	return schema.Validate(jsonValue(document))
 }
 
-// jsonValue converts a decoded TOML value to the types of decoded JSON, as the schema has no dates.
+// jsonValue converts a decoded TOML value to the types of decoded JSON. Dates become strings,
+// because JSON has no dates.
 func jsonValue(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -66,7 +67,7 @@
 	}
 	for _, service := range s.Serves {
 		if listen, ok := required[service]; ok && listen.address == "" {
-			return fmt.Errorf("listen_addresses.%s: missing, but serves names %q", listen.key, service)
+			return fmt.Errorf("listen_addresses.%s: required because serves contains %q", listen.key, service)
 		}
 	}
 	return nil
