--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,9 @@
-// Package metrics holds the counters of a process and makes its logger.
+// Package metrics provides the metrics and the logger of a process.
 //
-// What happens often is counted; a line is logged only when a state changes. Counters are printed
-// in the text form of Prometheus, each with the prefix lichentray_ and without a type.
+// Frequent events are counted; log lines are written only when a state changes. Metrics are
+// exposed in the Prometheus text format, with the prefix lichentray_ and without type information.
 //
-// Everything in the package is safe for concurrent use. It starts no goroutine.
+// The package is safe for concurrent use and starts no goroutine.
 package metrics
 
 import (
@@ -18,36 +18,37 @@
 	"sync/atomic"
 )
 
-// namePrefix begins the name of every counter.
+// namePrefix is the prefix of every metric name.
 const namePrefix = "lichentray_"
 
-// Counter is one figure. The code that owns it either raises it, or sets it as a gauge.
+// Counter is one metric. Its owner uses it either as a counter, with Add and Inc, or as a gauge,
+// with Set.
 type Counter struct{ value atomic.Int64 }
 
-// Add raises the counter by n.
+// Add increases the counter by n.
 func (c *Counter) Add(n int64) { c.value.Add(n) }
 
-// Inc raises the counter by one.
+// Inc increases the counter by 1.
 func (c *Counter) Inc() { c.value.Add(1) }
 
-// Set replaces the value, which makes the counter a gauge.
+// Set sets the value of a gauge.
 func (c *Counter) Set(n int64) { c.value.Store(n) }
 
-// Value returns the present value.
+// Value returns the current value.
 func (c *Counter) Value() int64 { return c.value.Load() }
 
 // Registry is a set of named counters. Counters are never removed.
 type Registry struct {
 	mu       sync.Mutex
-	counters map[string]*Counter // by name and labels, as they are printed
+	counters map[string]*Counter // by counterKey
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{counters: map[string]*Counter{}} }
 
-// Counter returns the counter with a name and labels, and creates it with the value 0 if there is
-// none. Labels are given as name, value, name, value; their order is part of the counter's
-// identity. On a path where every nanosecond counts, the counter is kept by its user.
+// Counter returns the counter with the given name and labels, and creates it with the value 0 if it
+// does not exist. Labels are alternating names and values; their order is part of the counter's
+// identity. Callers on performance-critical paths keep the returned counter to avoid the lookup.
 func (r *Registry) Counter(name string, labels ...string) *Counter {
 	key := counterKey(name, labels)
 	r.mu.Lock()
@@ -60,7 +61,7 @@
 	return c
 }
 
-// counterKey returns a name with its labels as they are printed.
+// counterKey returns the name and the labels of a counter in the Prometheus text format.
 func counterKey(name string, labels []string) string {
 	if len(labels) == 0 {
 		return namePrefix + name
@@ -80,8 +81,8 @@
 	return key.String()
 }
 
-// WriteText prints every counter in the text form of Prometheus, sorted by name. The values are
-// not of one moment. An error is that of w.
+// WriteText writes all counters to w in the Prometheus text format, sorted by name. The values are
+// not an atomic snapshot. The returned error is that of w.
 func (r *Registry) WriteText(w io.Writer) error {
 	names, counters := r.sorted()
 	for i, name := range names {
@@ -108,8 +109,8 @@
 	return names, counters
 }
 
-// NewLogger returns the logger of a process, which writes a line of text for each record to the
-// standard output, with the names of the node and of the program.
+// NewLogger returns the logger of a process. It writes one line of text per record to standard
+// output, with the names of the node and the program as attributes.
 func NewLogger(node, program string) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stdout, nil)).With("node", node, "program", program)
 }
