--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,11 +1,11 @@
-// Package apierror is the closed list of the kinds of errors that the system answers with, and
-// the one table from a kind to its HTTP status and its name.
+// Package apierror defines the kinds of errors that the system returns to callers, and maps each
+// kind to its HTTP status, its name and its message.
 //
-// A kind tells a caller what it may rely on: whether the call was carried out, and whether it
-// makes sense to try again. Every answer that the system makes by itself, at a proxy or at the
-// control plane, has one of these kinds; answers of endpoints are passed on as they are.
+// A kind tells the caller whether the call was executed and whether a retry makes sense. Every
+// error response that a proxy or the control plane generates itself has one of these kinds;
+// responses of endpoints are forwarded unchanged.
 //
-// The package has no state, and everything in it is safe for concurrent use.
+// The package has no mutable state and is safe for concurrent use.
 package apierror
 
 import (
@@ -13,21 +13,21 @@
 	"fmt"
 )
 
-// Kind is one way in which a call can fail.
+// Kind classifies the failure of a call.
 type Kind uint8
 
-// The kinds. Their values are sent between processes (transport.Response.Kind): a new kind goes to
-// the end of the list.
+// The kinds. Their values are sent between processes (transport.Response.Kind), so new kinds must be
+// added at the end of the list.
 const (
-	// Internal is an error that has no kind. The call may have been carried out.
+	// Internal is an error without a specific kind. The call may have been executed.
 	Internal Kind = iota
-	// BadRequest is a request that cannot be read or lacks something.
+	// BadRequest is a malformed or incomplete request.
 	BadRequest
-	// InvalidConfiguration is a configuration that does not pass validation.
+	// InvalidConfiguration is a configuration that fails validation.
 	InvalidConfiguration
-	// NoRoute is a request for which there is no route, or a call that does not exist.
+	// NoRoute is a request without a matching route, or an API call that does not exist.
 	NoRoute
-	// NotFound is a call about something that does not exist.
+	// NotFound is a call that refers to an object that does not exist.
 	NotFound
 	// HeaderTimeout is a request whose header did not arrive in time.
 	HeaderTimeout
@@ -35,36 +35,36 @@
 	LockHeld
 	// Conflict is an order that contradicts the stored state.
 	Conflict
-	// RevisionExpired is a watch from a revision whose successors are no longer retained.
+	// RevisionExpired is a watch from a revision after which not all events are retained.
 	RevisionExpired
-	// RevisionMismatch is a conditional write to a cell that has another revision.
+	// RevisionMismatch is a conditional write to a cell with a different revision.
 	RevisionMismatch
 	// BodyTooLarge is a request whose body exceeds a limit.
 	BodyTooLarge
 	// HeaderTooLarge is a request whose header exceeds a limit.
 	HeaderTooLarge
-	// Overloaded is a request that was rejected because of load. It was not carried out and
+	// Overloaded is a request that was rejected because of overload. It was not executed and
 	// never will be.
 	Overloaded
-	// BadGateway is a request for which an endpoint failed. It may have been carried out.
+	// BadGateway is a request for which an endpoint failed. It may have been executed.
 	BadGateway
-	// Unavailable is a call that cannot be served now. It was not carried out and never will be.
+	// Unavailable is a call that cannot be served now. It was not executed and never will be.
 	Unavailable
-	// UnknownOutcome is a call that may have been carried out, or may be later.
+	// UnknownOutcome is a call that may have been executed, or may still be executed later.
 	UnknownOutcome
-	// DeadlineExceeded is a request whose deadline passed. It may have been carried out.
+	// DeadlineExceeded is a request whose deadline passed. It may have been executed.
 	DeadlineExceeded
 	kindCount
 )
 
-// kindInfo is how a kind is answered.
+// kindInfo holds the name, HTTP status and message of a kind.
 type kindInfo struct {
 	name    string
 	status  int
 	message string
 }
 
-// kindTable holds all kinds. Names, statuses and messages are public.
+// kindTable holds the kindInfo of every kind. Names, statuses and messages are a public interface.
 var kindTable = [kindCount]kindInfo{
 	Internal:             {name: "internal", status: 500, message: "internal error"},
 	BadRequest:           {name: "bad_request", status: 400, message: "request cannot be read"},
@@ -85,19 +85,19 @@
 	DeadlineExceeded:     {name: "deadline", status: 504, message: "deadline reached"},
 }
 
-// Status returns the HTTP status with which the kind is answered.
+// Status returns the HTTP status code of the kind.
 func (k Kind) Status() int { return kindTable[k].status }
 
-// Message returns the sentence that describes the kind in the text of an error.
+// Message returns the human-readable description of the kind that begins the text of an error.
 func (k Kind) Message() string { return kindTable[k].message }
 
-// String returns the name of the kind in bodies, logs and metrics.
+// String returns the name of the kind, as used in response bodies, logs and metrics.
 func (k Kind) String() string { return kindTable[k].name }
 
-// Error is an error of a kind. It is not modified once it is made.
+// Error is an error with a kind. It is immutable.
 type Error struct {
 	Kind Kind
-	// Detail says what is known of the cause. It may be empty.
+	// Detail describes the cause. It may be empty.
 	Detail string
 }
 
@@ -109,13 +109,13 @@
 	return e.Kind.Message() + ": " + e.Detail
 }
 
-// New returns an error of a kind, with a detail in the form of fmt.Sprintf.
+// New returns an error with a kind and a detail formatted with fmt.Sprintf.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// KindOf returns the kind of an error that is, or wraps, an *Error. It returns Internal for every
-// other error, and for nil.
+// KindOf returns the kind of the *Error that err is or wraps. For any other error, and for nil, it
+// returns Internal.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
