--- a/loadbalance/quota_test.go
+++ b/loadbalance/quota_test.go
@@ -101,7 +101,7 @@
 				from++
 			}
 			if n := i - from + 1; float64(n) > 1.5*rate+8 {
-				t.Fatalf("seed %d: %d requests in the second before %v, want at most %.1f", seed, n, at, 1.5*rate+8)
+				t.Fatalf("seed %d: %d requests in the second ending at %v, want at most %.1f", seed, n, at, 1.5*rate+8)
 			}
 		}
 		if float64(len(arrivals)) < rate*10 {
