--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -330,7 +330,7 @@
 // has been removed from the group, and must rejoin although its disk says that it is a voter.
 func TestLeaveAndRejoin(t *testing.T) {
 	cluster := newTestCluster(t, 4, func(s *settings.Settings) {
-		s.Bounds.Recovery, s.Bounds.CatchUp = 1, 1
+		s.Bounds.RecoveryTime, s.Bounds.CatchUpTime = 1, 1
 	})
 	voters := func(without string) (n, members int) {
 		leader := cluster.leader()
