--- a/coordination/bench_test.go
+++ b/coordination/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkPutCell puts to ten groups with a history of 20,000 puts, and reports the
-// memory that an entry of the history takes.
+// BenchmarkPutCell writes to cells in ten groups with a history of 20,000 writes, and
+// reports the memory used per history entry.
 func BenchmarkPutCell(b *testing.B) {
 	const historySize = 20000
 	var before, after runtime.MemStats
--- a/coordination/cell.go
+++ b/coordination/cell.go
@@ -6,17 +6,17 @@
 	"lichentray/eventlog"
 )
 
-// Cell is the newest value of a cell. It is stored in snapshots by gob, so the field
-// names are part of that format.
+// Cell is the current value of a cell. Snapshots store it with gob, so the field names are
+// part of the snapshot format.
 type Cell struct {
 	Value string
-	// Revision is that of the newest write within the cell's group: 1 for the group's
-	// first write, and one more for each after it.
+	// Revision is the revision of the cell's newest write. The writes of a group are
+	// numbered consecutively from 1.
 	Revision uint64
 }
 
-// Event is a write to a cell as a watch returns it. Snapshots of earlier versions hold
-// events by gob, so the field names are part of that format.
+// Event is a write to a cell as a watch returns it. Snapshots of earlier versions store
+// events with gob, so the field names are part of that format.
 type Event struct {
 	Name     string
 	Value    string
@@ -24,12 +24,12 @@
 	At       uint64 // global revision
 }
 
-// CellChange is a write to a cell as the history holds it. It is stored in snapshots
-// by gob, so the field names are part of that format.
+// CellChange is a write to a cell as the history stores it. Snapshots store it with gob,
+// so the field names are part of the snapshot format.
 type CellChange struct{ Name, Value string }
 
-// GroupOf returns the group to which a cell belongs by its name: the name up to and
-// including the first dot, or the whole name if it has none.
+// GroupOf returns the group of the cell with this name: the name up to and including its
+// first dot, or the whole name if it has no dot.
 func GroupOf(name string) string {
 	if i := strings.IndexByte(name, '.'); i >= 0 {
 		return name[:i+1]
@@ -37,10 +37,10 @@
 	return name
 }
 
-// putCell writes a cell. A write that the history holds, or whose value is the
-// present one, counts as a repeat and returns the revision that it got first, whether
-// or not the expected revision still holds. A value therefore identifies its write:
-// clients that write one value twice on purpose must make the two differ.
+// putCell writes a cell. A write of a value that is in the cell's history, or is its
+// current value, is treated as a retry: it returns the revision of the original write and
+// ignores the expected revision. A value therefore identifies its write, and a client that
+// wants to write the same value twice must make the two values distinct.
 func (t *Table) putCell(revision uint64, c Command) Result {
 	change := CellChange{Name: c.Name, Value: c.Value}
 	if first := t.firstRevision[change]; first > 0 {
@@ -59,8 +59,8 @@
 	return Result{Revision: written}
 }
 
-// compactHistory forgets the writes up to and including a global revision. The values
-// of cells stay.
+// compactHistory removes the writes up to and including a global revision from the
+// history. The current values of cells are kept.
 func (t *Table) compactHistory(revision uint64) {
 	for _, e := range t.Feed.Entries[:t.Feed.FirstAfter(revision)] {
 		delete(t.firstRevision, e.Value)
@@ -68,12 +68,12 @@
 	t.Feed.Compact(revision)
 }
 
-// GroupRevision returns the revision of a group's newest write, or 0 before the first.
+// GroupRevision returns the revision of a group's newest write, or 0 if it has none.
 func (t *Table) GroupRevision(group string) uint64 { return t.Feed.Last[group] }
 
 // EventsSince returns the writes to a group's cells after a revision of the group, in
-// order, and the revision of the newest. ok is false if some of them have been
-// forgotten.
+// order, and the group's newest revision. ok is false if some of these writes have been
+// compacted.
 func (t *Table) EventsSince(group string, after uint64) (events []Event, revision uint64, ok bool) {
 	ok = t.Feed.Replay(group, after, func(e eventlog.Entry[CellChange]) bool {
 		events = append(events, Event{
--- a/coordination/legacy.go
+++ b/coordination/legacy.go
@@ -7,15 +7,15 @@
 	"lichentray/eventlog"
 )
 
-// LegacyGroup is the history of a group as earlier versions stored it in snapshots.
-// It is only decoded, never written.
+// LegacyGroup is the history of a group in the snapshot format of earlier versions. It is
+// decoded but never written.
 type LegacyGroup struct {
 	Revision uint64
-	Floor    uint64 // highest revision that was forgotten
+	Floor    uint64 // highest compacted revision
 	Events   []Event
 }
 
-// migrateLegacyGroups builds Feed from the histories of an earlier version.
+// migrateLegacyGroups converts Groups, the histories of an earlier version, to Feed.
 func (t *Table) migrateLegacyGroups() {
 	t.Feed = &eventlog.Log[CellChange]{Last: map[string]uint64{}, Floor: map[string]uint64{}}
 	var events []Event
--- a/coordination/legacy_test.go
+++ b/coordination/legacy_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestMigrateLegacyHistory decodes a table that holds its history by group, as earlier
-// versions stored it. It must replay the same events afterwards.
+// TestMigrateLegacyHistory guards against the loss of events when a snapshot of an earlier
+// version, which stores the history by group, is decoded.
 func TestMigrateLegacyHistory(t *testing.T) {
 	table := &Table{Cells: map[string]Cell{"g.a": {"4", 4}}, Groups: map[string]*LegacyGroup{
 		"g.": {Revision: 4, Floor: 2, Events: []Event{{"g.b", "3", 3, 8}, {"g.a", "4", 4, 11}}},
@@ -14,15 +14,15 @@
 	}}
 	table.FinishDecode()
 	if _, _, ok := table.EventsSince("g.", 1); ok {
-		t.Error("events that were forgotten before are there again")
+		t.Error(`EventsSince("g.", 1) succeeded, want a failure because the events are compacted`)
 	}
 	if ev, rev, ok := table.EventsSince("g.", 3); !ok || rev != 4 || !reflect.DeepEqual(ev, []Event{{"g.a", "4", 4, 11}}) {
-		t.Errorf("after 3: %v at %d, %v", ev, rev, ok)
+		t.Errorf(`EventsSince("g.", 3) = %v, %d, %v, want the event of revision 4`, ev, rev, ok)
 	}
 	if r := table.Apply(12, Command{Operation: PutCell, Name: "g.b", Value: "3"}); r.Revision != 3 {
-		t.Errorf("a repeated put got %+v", r)
+		t.Errorf("retried write = %+v, want revision 3", r)
 	}
 	if r := table.Apply(13, Command{Operation: PutCell, Name: "h.a", Value: "2"}); r.Revision != 2 {
-		t.Errorf("a new put got %+v", r)
+		t.Errorf("new write = %+v, want revision 2", r)
 	}
 }
--- a/coordination/lock_exploration_test.go
+++ b/coordination/lock_exploration_test.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// Longer searches: go test ./coordination -run EveryOrder -explore.ticks=1
+// Flags for longer searches, as in go test ./coordination -run EveryOrder -explore.ticks=1
 var (
-	moreCalls = flag.Int("explore.calls", 0, "how many more calls the first caller sends")
-	moreTicks = flag.Int("explore.ticks", 0, "how many more ticks of time pass")
+	extraCalls = flag.Int("explore.calls", 0, "number of additional calls that the first caller sends")
+	extraTicks = flag.Int("explore.ticks", 0, "number of additional clock ticks")
 )
 
-// TestLockHasOneHolderInEveryOrderOfCalls searches, breadth first, through every order in
-// which the calls of two callers of one lock may be sent, delayed past their callers'
-// patience, doubled, proposed, applied and answered, with time passing, a change of
-// leader and a restart in between. Callers use one name each, as applications do. In no
-// state do two of them count themselves holder: each does from a successful answer until
-// the lease has run out, counted from when the call was sent, or until it sends a release.
+// TestLockHasOneHolderInEveryOrderOfCalls guards against two callers that hold one lock at
+// the same time. It searches, breadth first, all orders in which the calls of two callers
+// are sent, abandoned, delayed, duplicated, proposed, applied and answered, combined with
+// clock ticks, a leader change or a restart. Each caller always uses the same holder name,
+// as applications do. A caller considers itself the holder from a successful answer until
+// its lease, counted from the sending of the call, expires or until it sends a release.
 func TestLockHasOneHolderInEveryOrderOfCalls(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		bounds explorationBounds
 	}{
 		{"delayed calls", explorationBounds{calls: [2]int{4, 1}}},
-		{"leases that run out", explorationBounds{calls: [2]int{3, 1}, ticks: 2}},
-		{"doubled calls", explorationBounds{calls: [2]int{3, 1}, duplicates: 1}},
-		{"change of leader", explorationBounds{calls: [2]int{3, 1}, elections: 1}},
+		{"expiring leases", explorationBounds{calls: [2]int{3, 1}, ticks: 2}},
+		{"duplicated calls", explorationBounds{calls: [2]int{3, 1}, duplicates: 1}},
+		{"leader change", explorationBounds{calls: [2]int{3, 1}, elections: 1}},
 		{"restart", explorationBounds{calls: [2]int{3, 1}, ticks: 1, restarts: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			c.bounds.calls[0] += *moreCalls
-			c.bounds.ticks += *moreTicks
+			c.bounds.calls[0] += *extraCalls
+			c.bounds.ticks += *extraTicks
 			states, trace := exploreLock(c.bounds)
 			if trace != nil {
-				t.Errorf("two holders after:\n%s", strings.Join(trace, "\n"))
+				t.Errorf("two holders or an unsafe release after:\n%s", strings.Join(trace, "\n"))
 			}
 			if t.Logf("%d states", states); states < 5000 && trace == nil {
-				t.Errorf("only %d states were searched", states)
+				t.Errorf("searched %d states, want at least 5000", states)
 			}
 		})
 	}
@@ -51,95 +51,95 @@
 
 const (
 	exploredLock = "l"
-	// leaseTicks is the lease that callers ask for, in ticks of time.
+	// leaseTicks is the lease duration that callers request, in clock ticks.
 	leaseTicks = 2
 	tick       = time.Second
 	leaseMS    = uint64(leaseTicks * tick / time.Millisecond)
 )
 
-// explorationBounds bound a search.
+// explorationBounds limits the number of events of each kind in a search.
 type explorationBounds struct {
-	calls      [2]int // that each caller sends
+	calls      [2]int // by caller
 	ticks      int
-	duplicates int // calls that are delivered twice
+	duplicates int // duplicate deliveries of calls
 	elections  int
 	restarts   int
 }
 
-// lockCall is a call of a caller.
+// lockCall is a call that a caller has sent.
 type lockCall struct {
 	caller  int
 	command Command
 	sentAt  time.Duration
-	copies  int // that may still be delivered
+	copies  int // copies in flight
 }
 
-// lockCaller is a caller as it sees itself.
+// lockCaller is the local state of a caller.
 type lockCaller struct {
-	waitsFor  int // index of the call, or -1
-	fence     uint64
-	countsTil time.Duration
+	awaitedCall int // index of the unanswered call, or -1
+	fence       uint64
+	holdsUntil  time.Duration // time until which the caller considers itself the holder
 }
 
-// loggedCall is an entry of the log: a command as it was proposed, for a call.
-type loggedCall struct {
+// logEntry is an entry of the replicated log: the proposed form of a call's command.
+type logEntry struct {
 	command  Command
-	call     int
+	call     int // index of the call
 	proposer int
 }
 
-// lockReplica is a replica of the table.
+// lockReplica is a replica of the locks and its lease timers.
 type lockReplica struct {
-	applied int // entries of the log
+	applied int // number of applied log entries
 	locks   map[string]Lock
 	timers  LeaseTimers
 }
 
-// lockWorld is a state of the search.
-type lockWorld struct {
-	now      time.Duration
-	leader   int
-	mustHave int // entries that the leader applies before it proposes
-	log      []loggedCall
-	replicas [2]lockReplica
-	callers  [2]lockCaller
-	calls    []lockCall
-	left     explorationBounds
-	// isUnsound is set once a replica has found a command unsound that it applied.
-	isUnsound bool
+// explorationState is a state of the search.
+type explorationState struct {
+	now             time.Duration
+	leader          int
+	requiredEntries int // number of entries that the leader must apply before it proposes
+	log             []logEntry
+	replicas        [2]lockReplica
+	callers         [2]lockCaller
+	calls           []lockCall
+	remaining       explorationBounds
+	// hasUnsafeRelease is set once LeaseTimers.Update has reported a command as unsafe.
+	hasUnsafeRelease bool
 }
 
-// lockStep is a way from one state to another.
-type lockStep struct {
+// transition is an event and the state that results from it.
+type transition struct {
 	name string
-	next *lockWorld
+	next *explorationState
 }
 
-// exploreLock searches all states and returns their number, or the steps to the first
-// one with two holders.
+// exploreLock searches all reachable states and returns their number. If it finds a state
+// with two holders or an unsafe release, it stops and returns the steps that lead to it.
 func exploreLock(bounds explorationBounds) (states int, trace []string) {
 	type origin struct {
 		from uint64
 		step string
 	}
-	start := &lockWorld{left: bounds, callers: [2]lockCaller{{waitsFor: -1}, {waitsFor: -1}}}
+	start := &explorationState{remaining: bounds, callers: [2]lockCaller{{awaitedCall: -1}, {awaitedCall: -1}}}
 	for i := range start.replicas {
 		start.replicas[i].locks = map[string]Lock{}
 		start.replicas[i].timers.Restart(0, nil)
 	}
 	origins := map[uint64]origin{start.key(): {}}
-	for queue := []*lockWorld{start}; len(queue) > 0; queue = queue[1:] {
-		world := queue[0]
-		queue[0] = nil // the memory of a search is that of its frontier
-		key := world.key()
-		if world.holders() > 1 || world.isUnsound {
+	for queue := []*explorationState{start}; len(queue) > 0; queue = queue[1:] {
+		state := queue[0]
+		queue[0] = nil // frees the state, so that only the frontier uses memory
+		key := state.key()
+		if state.holderCount() > 1 || state.hasUnsafeRelease {
 			for o := origins[key]; o.step != ""; o = origins[o.from] {
 				trace = append(trace, o.step)
 			}
 			slices.Reverse(trace)
 			return len(origins), trace
 		}
-		for _, s := range world.steps() {
+		for _, s := range state.transitions() {
 			next := s.next.key()
 			if _, isKnown := origins[next]; !isKnown {
 				origins[next] = origin{key, s.name}
@@ -150,47 +150,47 @@
 	return len(origins), nil
 }
 
-// holders is how many callers count themselves holder.
-func (w *lockWorld) holders() (n int) {
-	for _, c := range w.callers {
-		if w.now < c.countsTil {
+// holderCount returns how many callers consider themselves the holder.
+func (s *explorationState) holderCount() (n int) {
+	for _, c := range s.callers {
+		if s.now < c.holdsUntil {
 			n++
 		}
 	}
 	return n
 }
 
-// key is a hash of all that the future of a state depends on.
-func (w *lockWorld) key() uint64 {
+// key returns a hash of everything that determines the further transitions of a state.
+func (s *explorationState) key() uint64 {
 	var key explorationKey
-	key.add(w.isUnsound, w.now, w.leader, w.mustHave, len(w.log), w.left.calls[0], w.left.calls[1], w.left.ticks, w.left.duplicates, w.left.elections, w.left.restarts)
-	for _, c := range w.callers {
-		key.add(c.waitsFor, c.fence, c.countsTil)
+	key.add(s.hasUnsafeRelease, s.now, s.leader, s.requiredEntries, len(s.log), s.remaining.calls[0], s.remaining.calls[1], s.remaining.ticks, s.remaining.duplicates, s.remaining.elections, s.remaining.restarts)
+	for _, c := range s.callers {
+		key.add(c.awaitedCall, c.fence, c.holdsUntil)
 	}
-	for i := range w.replicas {
-		r := &w.replicas[i]
-		if i > 0 && !w.usesBoth() {
+	for i := range s.replicas {
+		r := &s.replicas[i]
+		if i > 0 && !s.mayUseSecondReplica() {
 			break
 		}
 		lock := r.locks[exploredLock]
 		timer := r.timers.byLock[exploredLock]
 		key.add(r.applied, lock.Holder, lock.Fence, lock.Grant, timer)
-		for c := range w.callers {
-			key.add(r.timers.pending[acquirer{exploredLock, nameOf(c)}])
+		for c := range s.callers {
+			key.add(r.timers.pendingAcquisitions[acquirer{exploredLock, callerName(c)}])
 		}
-		for _, entry := range w.log[r.applied:] {
+		for _, entry := range s.log[r.applied:] {
 			key.add(entry.call, entry.proposer, entry.command)
 		}
 	}
-	for i, c := range w.calls {
-		if isAwaited := w.callers[c.caller].waitsFor == i; isAwaited || c.copies > 0 {
+	for i, c := range s.calls {
+		if isAwaited := s.callers[c.caller].awaitedCall == i; isAwaited || c.copies > 0 {
 			key.add(i, c)
 		}
 	}
 	return key.hash
 }
 
-// explorationKey is a hash of comparable values. Two searches of one process agree on it.
+// explorationKey is a hash of comparable values. It is stable within one process.
 type explorationKey struct{ hash uint64 }
 
 var explorationSeed = maphash.MakeSeed()
@@ -203,109 +203,111 @@
 	}
 }
 
-// usesBoth reports whether the second replica may still come to lead.
-func (w *lockWorld) usesBoth() bool { return w.left.elections > 0 || w.leader == 1 }
+// mayUseSecondReplica reports whether the second replica leads or may still become the leader.
+func (s *explorationState) mayUseSecondReplica() bool {
+	return s.remaining.elections > 0 || s.leader == 1
+}
 
-func (w *lockWorld) clone() *lockWorld {
-	c := *w
-	c.log = slices.Clone(w.log)
-	c.calls = slices.Clone(w.calls)
+func (s *explorationState) clone() *explorationState {
+	c := *s
+	c.log = slices.Clone(s.log)
+	c.calls = slices.Clone(s.calls)
 	for i := range c.replicas {
-		c.replicas[i].locks = maps.Clone(w.replicas[i].locks)
+		c.replicas[i].locks = maps.Clone(s.replicas[i].locks)
 		c.replicas[i].timers = LeaseTimers{
-			byLock:  maps.Clone(w.replicas[i].timers.byLock),
-			pending: maps.Clone(w.replicas[i].timers.pending),
+			byLock:              maps.Clone(s.replicas[i].timers.byLock),
+			pendingAcquisitions: maps.Clone(s.replicas[i].timers.pendingAcquisitions),
 		}
 	}
 	return &c
 }
 
-// steps returns all ways to go on from a state.
-func (w *lockWorld) steps() (steps []lockStep) {
-	add := func(name string, do func(next *lockWorld)) {
-		next := w.clone()
+// transitions returns all transitions from a state.
+func (s *explorationState) transitions() (result []transition) {
+	add := func(name string, do func(next *explorationState)) {
+		next := s.clone()
 		do(next)
-		steps = append(steps, lockStep{name, next})
+		result = append(result, transition{name, next})
 	}
-	if w.left.ticks > 0 {
-		add("a tick of time", func(next *lockWorld) { next.left.ticks--; next.now += tick })
+	if s.remaining.ticks > 0 {
+		add("the clock ticks", func(next *explorationState) { next.remaining.ticks--; next.now += tick })
 	}
-	if w.left.elections > 0 {
-		add("the other replica leads", func(next *lockWorld) {
-			next.left.elections--
-			next.leader = 1 - w.leader
-			next.mustHave = len(w.log)
+	if s.remaining.elections > 0 {
+		add("the other replica becomes leader", func(next *explorationState) {
+			next.remaining.elections--
+			next.leader = 1 - s.leader
+			next.requiredEntries = len(s.log)
 		})
 	}
-	w.addReplicaSteps(0, add)
-	if w.usesBoth() {
-		w.addReplicaSteps(1, add)
+	s.addReplicaTransitions(0, add)
+	if s.mayUseSecondReplica() {
+		s.addReplicaTransitions(1, add)
 	}
-	for i := range w.callers {
-		w.addCallerSteps(i, add)
+	for i := range s.callers {
+		s.addCallerTransitions(i, add)
 	}
-	for i := range w.calls {
-		w.addCallSteps(i, add)
+	for i := range s.calls {
+		s.addCallTransitions(i, add)
 	}
-	return steps
+	return result
 }
 
-func (w *lockWorld) addReplicaSteps(i int, add func(string, func(*lockWorld))) {
-	r := &w.replicas[i]
-	if r.applied < len(w.log) {
-		add(fmt.Sprintf("replica %d applies entry %d", i, r.applied), func(next *lockWorld) { next.apply(i) })
+func (s *explorationState) addReplicaTransitions(i int, add func(string, func(*explorationState))) {
+	r := &s.replicas[i]
+	if r.applied < len(s.log) {
+		add(fmt.Sprintf("replica %d applies entry %d", i, r.applied), func(next *explorationState) { next.apply(i) })
 	}
-	if w.left.restarts > 0 {
-		add(fmt.Sprintf("replica %d restarts", i), func(next *lockWorld) {
-			next.left.restarts--
-			next.replicas[i].timers.Restart(w.now, w.replicas[i].locks)
-			if i == w.leader { // it may lead again, in a new term
-				next.mustHave = len(w.log)
+	if s.remaining.restarts > 0 {
+		add(fmt.Sprintf("replica %d restarts", i), func(next *explorationState) {
+			next.remaining.restarts--
+			next.replicas[i].timers.Restart(s.now, s.replicas[i].locks)
+			if i == s.leader { // it may become the leader again, in a new term
+				next.requiredEntries = len(s.log)
 			}
 		})
 	}
 }
 
-// apply applies the next entry at a replica.
-func (w *lockWorld) apply(i int) {
-	r := &w.replicas[i]
-	entry := w.log[r.applied]
+// apply applies the next log entry at replica i.
+func (s *explorationState) apply(i int) {
+	r := &s.replicas[i]
+	entry := s.log[r.applied]
 	r.applied++
 	table := Table{Locks: r.locks}
 	result := table.Apply(uint64(r.applied), entry.command)
-	if !r.timers.Update(w.now, uint64(r.applied), &entry.command, result, r.locks) {
-		w.isUnsound = true
+	if !r.timers.Update(s.now, uint64(r.applied), &entry.command, result, r.locks) {
+		s.hasUnsafeRelease = true
 	}
 	if entry.proposer == i {
-		w.answerCall(entry.call, result)
+		s.answerCall(entry.call, result)
 	}
 }
 
-// nameOf is the name of a caller.
-func nameOf(caller int) string { return string(rune('a' + caller)) }
+// callerName returns the holder name that a caller uses.
+func callerName(caller int) string { return string(rune('a' + caller)) }
 
-// addCallerSteps adds what a caller may do. Whether it counts itself holder does not keep it
-// from acquiring again: it may have been started anew.
-func (w *lockWorld) addCallerSteps(i int, add func(string, func(*lockWorld))) {
-	c := &w.callers[i]
-	who := nameOf(i)
-	if c.waitsFor >= 0 {
-		add(who+" gives up its call", func(next *lockWorld) { next.callers[i].waitsFor = -1 })
+// addCallerTransitions adds the possible actions of caller i. A caller may acquire the lock
+// even while it considers itself the holder, because it may have been restarted.
+func (s *explorationState) addCallerTransitions(i int, add func(string, func(*explorationState))) {
+	c := &s.callers[i]
+	name := callerName(i)
+	if c.awaitedCall >= 0 {
+		add(name+" abandons its call", func(next *explorationState) { next.callers[i].awaitedCall = -1 })
 		return
 	}
-	if w.left.calls[i] == 0 {
+	if s.remaining.calls[i] == 0 {
 		return
 	}
 	send := func(command Command) {
 		command.Name = exploredLock
-		command.Holder = who
-		add(fmt.Sprintf("%s sends call %d: %v under %d", who, len(w.calls), command.Operation, command.FencingToken), func(next *lockWorld) {
-			next.left.calls[i]--
-			next.callers[i].waitsFor = len(w.calls)
-			next.calls = append(next.calls, lockCall{caller: i, command: command, sentAt: w.now, copies: 1})
+		command.Holder = name
+		add(fmt.Sprintf("%s sends call %d: %v under %d", name, len(s.calls), command.Operation, command.FencingToken), func(next *explorationState) {
+			next.remaining.calls[i]--
+			next.callers[i].awaitedCall = len(s.calls)
+			next.calls = append(next.calls, lockCall{caller: i, command: command, sentAt: s.now, copies: 1})
 			if command.Operation == ReleaseLock {
 				next.callers[i].fence = 0
-				next.callers[i].countsTil = 0
+				next.callers[i].holdsUntil = 0
 			}
 		})
 	}
@@ -316,54 +318,55 @@
 	}
 }
 
-// addCallSteps adds what may happen to a call that was sent.
-func (w *lockWorld) addCallSteps(i int, add func(string, func(*lockWorld))) {
-	call := &w.calls[i]
-	if call.copies > 0 && w.replicas[w.leader].applied >= w.mustHave {
-		add(fmt.Sprintf("the leader gets call %d", i), func(next *lockWorld) {
+// addCallTransitions adds the deliveries of call i to the leader.
+func (s *explorationState) addCallTransitions(i int, add func(string, func(*explorationState))) {
+	call := &s.calls[i]
+	if call.copies > 0 && s.replicas[s.leader].applied >= s.requiredEntries {
+		add(fmt.Sprintf("the leader receives call %d", i), func(next *explorationState) {
 			next.calls[i].copies--
 			next.propose(i)
 		})
-		if w.left.duplicates > 0 {
-			add(fmt.Sprintf("the leader gets call %d, a copy is kept", i), func(next *lockWorld) {
-				next.left.duplicates--
+		if s.remaining.duplicates > 0 {
+			add(fmt.Sprintf("the leader receives call %d, a copy stays in flight", i), func(next *explorationState) {
+				next.remaining.duplicates--
 				next.propose(i)
 			})
 		}
 	}
 }
 
-// propose has the leader put a call into the log.
-func (w *lockWorld) propose(i int) {
-	r := &w.replicas[w.leader]
-	prepared, decision := r.timers.Prepare(w.now, &w.calls[i].command, r.locks)
+// propose makes the leader handle call i as LeaseTimers.Prepare decides.
+func (s *explorationState) propose(i int) {
+	r := &s.replicas[s.leader]
+	prepared, decision := r.timers.Prepare(s.now, &s.calls[i].command, r.locks)
 	switch decision {
 	case Propose:
-		w.log = append(w.log, loggedCall{command: *prepared, call: i, proposer: w.leader})
-		r.timers.Proposed(uint64(len(w.log)), prepared)
+		s.log = append(s.log, logEntry{command: *prepared, call: i, proposer: s.leader})
+		r.timers.Proposed(uint64(len(s.log)), prepared)
 	case AnswerOK:
-		w.answerCall(i, Result{})
+		s.answerCall(i, Result{})
 	case Defer:
-		w.calls[i].copies++
+		s.calls[i].copies++
 	}
 }
 
-// answerCall answers a call, if its caller still waits: a caller that does not has given it
-// up, or has the answer of another copy. An answer that takes its time would only let the
-// caller count itself holder for a shorter time.
-func (w *lockWorld) answerCall(i int, result Result) {
-	call := &w.calls[i]
-	c := &w.callers[call.caller]
-	if c.waitsFor != i {
+// answerCall delivers the answer to call i if its caller still waits for it. A caller that does
+// not wait has abandoned the call or received the answer to another copy. Delayed answers are
+// not modeled: a delay would only shorten the time in which the caller considers itself the
+// holder.
+func (s *explorationState) answerCall(i int, result Result) {
+	call := &s.calls[i]
+	c := &s.callers[call.caller]
+	if c.awaitedCall != i {
 		return
 	}
-	c.waitsFor = -1
+	c.awaitedCall = -1
 	switch {
 	case call.command.Operation == ReleaseLock:
 	case result.Code != OK:
 		c.fence = 0
 	default:
 		c.fence = result.Fence
-		c.countsTil = max(c.countsTil, call.sentAt+leaseTicks*tick)
+		c.holdsUntil = max(c.holdsUntil, call.sentAt+leaseTicks*tick)
 	}
 }
--- a/coordination/sequence.go
+++ b/coordination/sequence.go
@@ -1,6 +1,6 @@
 package coordination
 
-// nextNumber draws a number of a sequence. The global revision of the command serves
-// as the number: it rises with every call, so a sequence is strictly increasing and
-// unique but not free of gaps, and needs no state of its own.
+// nextNumber returns the next number of a sequence, which is the global revision of the
+// command. Revisions rise with every call, so the numbers are unique and strictly
+// increasing, but not contiguous, and a sequence needs no state of its own.
 func nextNumber(revision uint64) Result { return Result{Value: revision} }
--- a/coordination/table.go
+++ b/coordination/table.go
@@ -1,17 +1,17 @@
-// Package coordination is the state of the coordination primitives that the control
-// plane offers its clients: locks with fencing tokens, sequences, and cells, which
-// are compare-and-set registers whose writes can be watched in groups.
+// Package coordination implements the coordination primitives that the control plane
+// offers its clients: locks with fencing tokens, sequences, and cells, which are
+// compare-and-set registers whose writes can be watched by group.
 //
-// A Table is a deterministic state machine without a clock. A lease is timed beside it, by
-// the LeaseTimers of each replica: a timer starts when the replica applies a grant, and an
-// acquisition that takes a lock over names the grant whose lease expired by its proposer's
-// timer. The state only checks that this grant is still the newest one, so a renewal that is
-// committed first wins. Replicas that apply the same commands in the same order hold the
-// same state.
+// A Table is a deterministic state machine without a clock: replicas that apply the same
+// commands in the same order hold the same state. Lease expiry is tracked outside the
+// Table, by the LeaseTimers of each replica. A timer starts when the replica applies a
+// grant. A command that takes over a lock names the grant whose lease has expired by the
+// proposer's timer, and the Table only checks that this grant is still the newest one. A
+// renewal that is committed before the takeover therefore wins.
 //
-// The package does no input or output, reads no clock and starts no goroutine. A
-// Table is part of the state of package registry, which applies the commands;
-// internal/controlplane drives the LeaseTimers and serves reads and watches.
+// The package does no input or output, reads no clock and starts no goroutines. A Table is
+// part of the state of package registry, which applies the commands; internal/controlplane
+// drives the LeaseTimers and serves reads and watches.
 package coordination
 
 import (
@@ -23,12 +23,12 @@
 
 // The operations. Their values are stored in the replicated log.
 const (
-	AcquireLock    Operation = iota + 1 // acquire a lock, or take over one whose lease ran out
+	AcquireLock    Operation = iota + 1 // acquire a lock, or take over one whose lease has expired
 	RenewLock                           // extend the lease of a lock
-	ReleaseLock                         // give a lock back before its lease ends
-	NextNumber                          // draw the next number of a sequence
+	ReleaseLock                         // release a lock before its lease expires
+	NextNumber                          // return the next number of a sequence
 	PutCell                             // replace the value of a cell
-	CompactHistory                      // forget the writes to cells up to a revision of the log
+	CompactHistory                      // remove writes to cells up to a global revision from the history
 )
 
 // String returns the name of the operation.
@@ -53,12 +53,12 @@
 // Code is the outcome of a command.
 type Code uint8
 
-// The outcomes. A command whose outcome is not OK changed nothing. Their values are
+// The outcomes. A command with an outcome other than OK changes nothing. The values are
 // part of the internal protocol.
 const (
 	OK               Code = iota
 	LockHeld              // another holder has the lock
-	LockLost              // the holder no longer has the lock under this fencing token
+	LockLost              // the caller does not hold the lock under this fencing token
 	RevisionMismatch      // the cell is not at the expected revision
 )
 
@@ -77,55 +77,57 @@
 	return "unknown"
 }
 
-// Command is a command on the state. Which fields are used depends on Operation.
+// Command is a command to a Table. Operation determines which other fields are used.
 type Command struct {
 	Operation Operation
 	Name      string // of the lock, sequence or cell
 
-	Holder       string // who acquires, renews or releases the lock
+	Holder       string // client that acquires, renews or releases the lock
 	FencingToken uint64 // of the lock to renew or release
-	LeaseMS      uint64 // duration of the lease in ms
-	// ExpiredToken and ExpiredGrant are the Fence and Grant of the lock whose lease has
-	// expired by the timer of the proposer of an acquisition; zero if none has.
+	LeaseMS      uint64 // requested lease duration in ms
+	// ExpiredToken and ExpiredGrant are the Fence and Grant of the present lock if the
+	// proposer of an acquisition found that the acquirer may take it over: normally because
+	// the lease has expired by the proposer's timer (see LeaseTimers.Prepare). Otherwise
+	// they are zero.
 	ExpiredToken, ExpiredGrant uint64
 
-	Value               string // to put into the cell
-	ExpectedRevision    uint64 // that the cell must have if HasExpectedRevision; 0: no value yet
+	Value               string // new value of the cell
+	ExpectedRevision    uint64 // required revision of the cell if HasExpectedRevision; 0: no value yet
 	HasExpectedRevision bool
 
-	CompactBefore uint64 // global revision up to which the history is forgotten
+	CompactBefore uint64 // newest global revision that CompactHistory removes
 }
 
-// Result is the outcome of a command. It is sent between control-plane nodes by gob,
-// so its field names are part of the internal protocol.
+// Result is the result of a command. Control-plane nodes send it to each other with gob,
+// so the field names are part of the internal protocol.
 type Result struct {
 	Code Code
-	// Fence is the fencing token and Grant the newest grant of a lock that was acquired
-	// or renewed.
+	// Fence is the fencing token, and Grant the newest grant, of the acquired or renewed
+	// lock.
 	Fence uint64
 	Grant uint64
-	// Value is the number drawn from a sequence.
+	// Value is the number returned by NextNumber.
 	Value uint64
-	// Revision is the cell's revision: that of the write, or, for RevisionMismatch, the
-	// present one.
+	// Revision is the revision of the write by PutCell or, for RevisionMismatch, the
+	// cell's current revision.
 	Revision uint64
 }
 
-// Table is the state. Its exported fields are stored in snapshots by gob, so their
-// names are part of that format; they are for reading only. It is not safe for
-// concurrent use, but reads may run at the same time as each other.
+// Table is the state of all locks and cells. Snapshots store its exported fields with gob,
+// so their names are part of the snapshot format. Callers must not modify the fields.
+// Concurrent reads are safe; a write must not run concurrently with any other access.
 type Table struct {
-	Locks map[string]Lock // the locks that are held, by name
+	Locks map[string]Lock // held locks by name
 	Cells map[string]Cell // by name
-	// Feed is the log of the writes to cells. Its topics are the groups (see GroupOf),
-	// and its offsets the revisions of cells.
+	// Feed is the history of the writes to cells. Its topics are the groups (see GroupOf),
+	// and the numbers of its entries are the revisions of cells.
 	Feed *eventlog.Log[CellChange]
-	// Groups is the history in the form of earlier versions; FinishDecode moves it to
+	// Groups is the history in the format of earlier versions; FinishDecode converts it to
 	// Feed.
 	Groups map[string]*LegacyGroup
 
-	// firstRevision is the revision of each write that Feed still holds. A repeated
-	// write is answered from it.
+	// firstRevision holds the revision of each write in Feed. Retried writes are answered
+	// from it.
 	firstRevision map[CellChange]uint64
 }
 
@@ -139,8 +141,8 @@
 	}
 }
 
-// FinishDecode makes a table that was decoded ready for use: it migrates the form of
-// earlier versions and rebuilds what is not stored.
+// FinishDecode must be called after a table has been decoded. It migrates the format of
+// earlier versions and rebuilds the indexes that are not stored.
 func (t *Table) FinishDecode() {
 	if len(t.Groups) > 0 {
 		t.migrateLegacyGroups()
@@ -152,9 +154,9 @@
 	}
 }
 
-// Apply carries out one command. revision is the global revision that the command gets
-// if it succeeds; it must be above that of every earlier success, as it serves as
-// fencing token, grant and number.
+// Apply executes one command. revision is the global revision that the command gets if it
+// succeeds. It serves as fencing token, grant and sequence number, so it must be greater
+// than the revision of every earlier successful command.
 func (t *Table) Apply(revision uint64, c Command) Result {
 	switch c.Operation {
 	case AcquireLock:
