--- a/audit/golden_test.go
+++ b/audit/golden_test.go
@@ -11,9 +11,9 @@
 	"lichentray/internal/goldentest"
 )
 
-// TestGoldenJSON compares the JSON of the account with a golden file, byte by byte and
-// field by field: the batch, which is stored in log commands, and the filter and the
-// answer of the API.
+// TestGoldenJSON guards against changes of the stored format and the API. It compares the
+// JSON of batches, which are stored in log commands, and of the API's filters and query
+// results with a golden file, byte by byte and field by field.
 func TestGoldenJSON(t *testing.T) {
 	first := audit.Record{Seq: 4, AtMS: 1700000000001, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Executed, Status: 201, TookMS: 35}
 	second := audit.Record{Seq: 5, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-2", Kind: audit.MaybeExecuted, Status: 502, TookMS: 36}
@@ -44,11 +44,11 @@
 	})
 	lines := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("golden file has %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		if got := string(encode(want[i])); got != line {
-			t.Errorf("written %s, want %s", got, line)
+			t.Errorf("encoded %s, want %s", got, line)
 		}
 		got := reflect.New(reflect.TypeOf(want[i]))
 		if err := json.Unmarshal([]byte(line), got.Interface()); err != nil {
@@ -56,7 +56,7 @@
 		}
 		goldentest.Same(t, line, got.Elem().Interface(), want[i])
 	}
-	// Life.At is not part of the JSON; the registry's image has it.
+	// Incarnation.At is not part of the JSON; the registry stores it in its snapshots.
 	complete := append([]any{audit.Incarnation{At: 22}}, want...)
 	goldentest.Complete(t, complete...)
 }
--- a/audit/log.go
+++ b/audit/log.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// silenceTimeoutMS is the time after which an incarnation that has not closed counts
-// as ended, if others have been heard of since. An idle proxy sends at least three
-// batches in it.
+// silenceTimeoutMS is the time without a batch after which an incarnation that has not
+// closed is presumed to have ended, measured by the batches of other incarnations. Even an
+// idle proxy sends at least three batches in this time.
 const silenceTimeoutMS = 15000
 
-// Incarnation is one run of a proxy's process as the Log knows it. It is stored in
-// snapshots by gob and returned as JSON, so the names of the fields and of their JSON
-// keys are part of those formats.
+// Incarnation is the state of one proxy process in the Log. Snapshots store it with gob, and
+// the API returns it as JSON, so the names of the fields and JSON keys are part of these
+// formats.
 type Incarnation struct {
 	Node    string  `json:"node"`
 	Last    uint64  `json:"last"`    // highest sequence number ingested
@@ -20,45 +20,46 @@
 	Dropped uint64  `json:"dropped"` // records dropped by its recorder
 	PerS    float64 `json:"per_s"`   // requests per second at LastMS
 	Out     int     `json:"out"`     // requests in flight at LastMS
-	Closed  bool    `json:"closed"`  // it has sent everything
-	// Gap says that the incarnation ended without having sent everything, and MayMiss
-	// how many requests may have gone through it unrecorded.
+	Closed  bool    `json:"closed"`  // it has sent its last batch
+	// Gap is set if the incarnation ended without a closing batch. MayMiss is the estimated
+	// number of requests that it may have handled without sending a record.
 	Gap     bool  `json:"gap"`
 	MayMiss int64 `json:"may_miss"`
-	// At is the global revision of its newest batch.
+	// At is the global revision of the newest batch.
 	At uint64 `json:"-"`
 }
 
-// markGap records that the incarnation ended without closing, at unixMS at the latest.
-// What may be missing are the requests in flight at the last batch and those that
-// came after it at the rate of that time, rounded up.
+// markGap records that the incarnation ended without a closing batch, at unixMS at the
+// latest. Records may be missing for the requests in flight at the last batch and for those
+// that arrived afterwards, estimated from the request rate at the last batch and rounded up.
 func (i *Incarnation) markGap(unixMS int64) {
 	elapsedMS := float64(max(0, unixMS-i.LastMS))
 	i.Gap = true
-	// Replicas must agree: the order of these operations decides how they round. 0.999
-	// rounds up to a whole request.
+	// All replicas must get the same result, so the order of these floating-point operations
+	// must not change. Adding 0.999 rounds up to a whole request.
 	i.MayMiss = int64(i.Out) + int64(i.PerS*elapsedMS/1000+0.999)
 }
 
-// Attempt is a record within its entry. Snapshots hold it by gob, so the names Node
-// and Record are part of that format, the latter being the name of the embedded type.
+// Attempt is a record in an entry, with the node that sent it. Snapshots store it with gob,
+// so the field names Node and Record are part of the snapshot format. The latter is the name
+// of the embedded type.
 type Attempt struct {
 	Node string `json:"node"`
 	Record
 }
 
-// Entry is what the Log holds of one request: one failed attempt, or all attempts of
-// a commitment. It is stored in snapshots by gob, so the field names are part of that
-// format.
+// Entry is an entry of the Log: one failed attempt of a request, or all attempts of a
+// non-idempotent request that say whether it was executed. Snapshots store it with gob, so
+// the field names are part of the snapshot format.
 type Entry struct {
 	Tenant   string    `json:"tenant"`
 	Request  string    `json:"request"`
 	Tries    []Attempt `json:"tries"`
-	revision uint64    // global revision of the newest attempt, see Log.Ats
+	revision uint64    // global revision of the newest attempt, stored in Log.Ats
 }
 
-// Kind returns what the attempts amount to, or the empty string if they are no
-// failure.
+// Kind returns the kind of failure that follows from the attempts, or the empty string if
+// the request did not fail.
 func (e *Entry) Kind() Kind {
 	executed, maybeExecuted := 0, 0
 	for _, attempt := range e.Tries {
@@ -85,16 +86,16 @@
 	return Lost
 }
 
-// Log is the audit log. It is part of a replicated state: replicas that ingest the
-// same batches in the same order hold the same log. Its exported fields are stored in
-// snapshots by gob, so their names are part of that format; they are for reading
-// only. It is not safe for concurrent use.
+// Log is the audit log. It is part of the replicated state: replicas that ingest the same
+// batches in the same order hold the same log. Snapshots store its exported fields with gob,
+// so their names are part of the snapshot format. Callers must not modify the fields. Log is
+// not safe for concurrent use.
 type Log struct {
-	Lives   map[string]*Incarnation // by id
+	Lives   map[string]*Incarnation // by ID
 	Entries map[string]*Entry       // by entryKey
-	// Dropped counts the entries that were evicted because the log was full, by tenant.
+	// Dropped counts, by tenant, the entries that were evicted because the log was full.
 	Dropped map[string]uint64
-	// Ats holds the revisions of the entries, by key, in the stored form only.
+	// Ats holds the revisions of the entries by entryKey. It is set only in the encoded form.
 	Ats map[string]uint64
 }
 
@@ -107,8 +108,7 @@
 	}
 }
 
-// PrepareEncode fills in what is stored but not kept in use. It must be called before
-// the log is encoded.
+// PrepareEncode sets Ats. It must be called before the log is encoded.
 func (l *Log) PrepareEncode() {
 	l.Ats = make(map[string]uint64, len(l.Entries))
 	for key, e := range l.Entries {
@@ -116,7 +116,8 @@
 	}
 }
 
-// FinishDecode makes a log that was decoded ready for use.
+// FinishDecode restores the revisions of the entries from Ats. It must be called after the
+// log has been decoded.
 func (l *Log) FinishDecode() {
 	for key, revision := range l.Ats {
 		if e := l.Entries[key]; e != nil {
@@ -126,9 +127,9 @@
 	l.Ats = nil
 }
 
-// Ingest adds a batch at a global revision. It returns the sequence number up to which
-// the log holds all records of the incarnation that were not dropped. A record that was
-// ingested before is skipped, so a batch may come again.
+// Ingest adds the records of a batch at a global revision. It returns the sequence number up
+// to which all records of the incarnation that its recorder did not drop have been ingested.
+// Ingest is idempotent: it skips records that it has already ingested.
 func (l *Log) Ingest(revision uint64, batch Batch) (acknowledged uint64) {
 	incarnation := l.Lives[batch.Life]
 	if incarnation == nil {
@@ -143,7 +144,7 @@
 		incarnation.Last = record.Seq
 		l.addRecord(revision, Attempt{Node: incarnation.Node, Record: record}, batch)
 	}
-	if batch.AtMS >= incarnation.LastMS { // else an older batch came late
+	if batch.AtMS >= incarnation.LastMS { // otherwise the batch is a delayed older one
 		incarnation.LastMS = batch.AtMS
 		incarnation.PerS = batch.PerS
 		incarnation.Out = batch.Out
@@ -153,15 +154,15 @@
 	if batch.Closed {
 		incarnation.Closed = true
 	}
-	if incarnation.Closed { // a gap that was assumed meanwhile is none
+	if incarnation.Closed { // clears a gap that was presumed before the closing batch arrived
 		incarnation.Gap = false
 		incarnation.MayMiss = 0
 	}
 	return incarnation.Last
 }
 
-// markPredecessors marks a gap for the earlier incarnations of a node from which the
-// first batch of a new one has come: those that have not closed ended without closing.
+// markPredecessors marks a gap for each earlier incarnation of the batch's node that has not
+// closed. The first batch of a new incarnation proves that the earlier ones have ended.
 func (l *Log) markPredecessors(batch Batch) {
 	for _, earlier := range l.Lives {
 		if earlier.Node == batch.Node && !earlier.Closed && !earlier.Gap {
@@ -170,11 +171,12 @@
 	}
 }
 
-// entryKey returns the key of the entry to which an attempt belongs: one for all
-// attempts of a commitment, and one of its own for any other.
+// entryKey returns the key of the entry to which a record belongs. All records that say
+// whether a non-idempotent request was executed share one entry; any other record has an
+// entry of its own.
 func entryKey(incarnation string, r Record) string {
 	key := r.Tenant + "\x00" + r.Request
-	if r.isCommitmentEvidence() {
+	if r.isExecutionEvidence() {
 		return key
 	}
 	return key + "\x00" + incarnation + "\x00" + r.Attempt + "\x00" + string(r.Kind)
@@ -195,12 +197,12 @@
 	e.revision = revision
 }
 
-// evictionDivisor is the part of the entries that one eviction drops. Several are
-// dropped at once, as each eviction sorts all of them.
+// evictionDivisor is the divisor of the number of entries that gives the number removed by
+// one eviction. Several are removed at once because each eviction sorts all entries.
 const evictionDivisor = 16
 
-// evictEntries drops a part of the entries: first commitments without a failure, then
-// the oldest.
+// evictEntries removes 1/evictionDivisor of the entries: those that are not failures first,
+// then the oldest.
 func (l *Log) evictEntries() {
 	keys := make([]string, 0, len(l.Entries))
 	for key := range l.Entries {
@@ -225,9 +227,9 @@
 	}
 }
 
-// Compact forgets what no query returns, if it is not newer than a global revision:
-// commitments that ran exactly once, and incarnations that closed and dropped
-// nothing.
+// Compact removes data up to and including a global revision that queries do not return:
+// non-idempotent requests that were executed exactly once, and incarnations that closed
+// without dropping records.
 func (l *Log) Compact(revision uint64) {
 	for key, e := range l.Entries {
 		if e.revision <= revision && e.Kind() == "" {
--- a/audit/log_test.go
+++ b/audit/log_test.go
@@ -19,45 +19,46 @@
 	}
 }
 
-// closingBatch is the last batch of an incarnation that shuts down gracefully.
+// closingBatch returns the last batch of an incarnation that shuts down gracefully.
 func closingBatch(incarnation, node string, unixMS int64) audit.Batch {
 	return audit.Batch{Life: incarnation, Node: node, AtMS: unixMS, Closed: true}
 }
 
-// TestIncarnationGaps checks what may be missing of an incarnation, by how it ended.
+// TestIncarnationGaps checks that an incarnation that ends without a closing batch is
+// reported as a gap, with the estimated number of missing requests, and that no other is.
 func TestIncarnationGaps(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		batches []audit.Batch // after the first of incarnation a1, at 1000 ms
-		gap     bool
-		mayMiss int64
+		name        string
+		batches     []audit.Batch // after the first of incarnation a1, at 1000 ms
+		wantGap     bool
+		wantMayMiss int64
 	}{
 		{
-			name:    "still alive",
+			name:    "running",
 			batches: []audit.Batch{newBatch("a1", "a", 2000)},
 		},
 		{
-			name:    "silent for less than the time-out",
+			name:    "silent for less than the timeout",
 			batches: []audit.Batch{newBatch("b1", "b", 15000)},
 		},
 		{
-			name:    "silent for longer than the time-out",
-			batches: []audit.Batch{newBatch("b1", "b", 21000)},
-			gap:     true,
-			mayMiss: 2 + 200,
+			name:        "silent for longer than the timeout",
+			batches:     []audit.Batch{newBatch("b1", "b", 21000)},
+			wantGap:     true,
+			wantMayMiss: 2 + 200,
 		},
 		{
-			name:    "followed by a new incarnation",
-			batches: []audit.Batch{newBatch("a2", "a", 4000)},
-			gap:     true,
-			mayMiss: 2 + 30,
+			name:        "followed by a new incarnation",
+			batches:     []audit.Batch{newBatch("a2", "a", 4000)},
+			wantGap:     true,
+			wantMayMiss: 2 + 30,
 		},
 		{
 			name:    "closed before a new incarnation",
 			batches: []audit.Batch{closingBatch("a1", "a", 2000), newBatch("a2", "a", 4000)},
 		},
 		{
-			name:    "closing batch comes after a new incarnation",
+			name:    "closing batch delayed until after a new incarnation",
 			batches: []audit.Batch{newBatch("a2", "a", 4000), closingBatch("a1", "a", 2000)},
 		},
 	} {
@@ -68,15 +69,15 @@
 				log.Ingest(uint64(2+i), batch)
 			}
 			gap, listed := log.Query(audit.Filter{}).Gaps["a1"]
-			if listed != test.gap || gap.MayMiss != test.mayMiss {
-				t.Errorf("gap %v, %+v", listed, gap)
+			if listed != test.wantGap || gap.MayMiss != test.wantMayMiss {
+				t.Errorf("Gaps[a1] found = %v, value = %+v, want the gap of the test case", listed, gap)
 			}
 		})
 	}
 }
 
-// TestLogBound fills a log beyond its bound: commitments that ran are evicted first, and
-// what is evicted is counted. It then queries what is left with a filter.
+// TestLogBound fills a log beyond its limit. Requests that did not fail must be evicted first,
+// and evictions must be counted. It then queries the remaining entries with a filter.
 func TestLogBound(t *testing.T) {
 	log := audit.NewLog()
 	for i := range 40 {
@@ -87,24 +88,25 @@
 		log.Ingest(uint64(i+1), newBatch("a1", "a", int64(i), audit.Record{
 			Seq:     uint64(i + 1),
 			AtMS:    int64(i),
-			Tenant:  "museum",
+			Tenant:  "tenant-1",
 			Request: fmt.Sprint("q", i),
 			Attempt: fmt.Sprint(i),
 			Kind:    kind,
 		}))
 	}
 	all := log.Query(audit.Filter{})
-	if len(log.Entries) > 32 || all.Dropped["museum"] != uint64(40-len(log.Entries)) || len(all.Failures) != 32 {
-		t.Errorf("%d entries, %d failures, dropped %v", len(log.Entries), len(all.Failures), all.Dropped)
+	if len(log.Entries) > 32 || all.Dropped["tenant-1"] != uint64(40-len(log.Entries)) || len(all.Failures) != 32 {
+		t.Errorf("%d entries, %d failures, dropped = %v, want at most 32 entries, 32 failures and all evictions counted", len(log.Entries), len(all.Failures), all.Dropped)
 	}
 	some := log.Query(audit.Filter{Limit: 2, SinceMS: 10, UntilMS: 39})
-	if len(some.Failures) != 2 || some.Failures[1].AtMS != 38 || some.Counts["museum"][audit.MissedLatencyTarget] != 29 {
-		t.Errorf("filtered: %+v", some)
+	if len(some.Failures) != 2 || some.Failures[1].AtMS != 38 || some.Counts["tenant-1"][audit.MissedLatencyTarget] != 29 {
+		t.Errorf("Query with a filter = %+v, want 2 failures up to 38 ms and a count of 29", some)
 	}
 }
 
-// TestCompactForgetsWhatSucceeded compacts a commitment that ran and one that may have.
-func TestCompactForgetsWhatSucceeded(t *testing.T) {
+// TestCompactRemovesSuccessfulRequests checks that compaction removes a non-idempotent request
+// that was executed and keeps one that only may have been.
+func TestCompactRemovesSuccessfulRequests(t *testing.T) {
 	log := audit.NewLog()
 	log.Ingest(1, newBatch("a1", "a", 1,
 		audit.Record{Seq: 1, Request: "q", Kind: audit.Executed},
@@ -112,14 +114,14 @@
 	))
 	log.Compact(1)
 	if len(log.Entries) != 1 || len(log.Query(audit.Filter{Kind: audit.Indeterminate}).Failures) != 1 {
-		t.Errorf("after compaction: %v", log.Entries)
+		t.Errorf("entries after Compact = %v, want the indeterminate request only", log.Entries)
 	}
 }
 
 func Example() {
 	log := audit.NewLog()
-	// Two attempts of one loan ran, through two proxies; the second batch comes twice.
-	record := audit.Record{Seq: 1, Tenant: "museum", Request: "loan 12", Kind: audit.Executed}
+	// Two proxies each executed an attempt of one request; the second batch is delivered twice.
+	record := audit.Record{Seq: 1, Tenant: "tenant-1", Request: "request-12", Kind: audit.Executed}
 	log.Ingest(1, audit.Batch{Life: "p1-x", Node: "p1", Records: []audit.Record{record}})
 	for revision := uint64(2); revision < 4; revision++ {
 		log.Ingest(revision, audit.Batch{Life: "p2-y", Node: "p2", Records: []audit.Record{record}})
@@ -127,5 +129,5 @@
 	for _, f := range log.Query(audit.Filter{}).Failures {
 		fmt.Println(f.Tenant, f.Request, f.Kind, len(f.Attempts))
 	}
-	// Output: museum loan 12 doubled 2
+	// Output: tenant-1 request-12 doubled 2
 }
--- a/audit/query.go
+++ b/audit/query.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// Filter selects failures. A field that is zero selects all. The JSON keys are part of
-// the API.
+// Filter selects failures. A zero field does not restrict the selection. The JSON keys are
+// part of the API.
 type Filter struct {
 	Tenant  string `json:"tenant,omitempty"`
 	Kind    Kind   `json:"kind,omitempty"`
 	Request string `json:"request,omitempty"`
 	SinceMS int64  `json:"since_ms,omitempty"` // Unix time in ms, inclusive
 	UntilMS int64  `json:"until_ms,omitempty"` // Unix time in ms, exclusive
-	// Limit is how many failures are returned at most: the newest of those selected.
+	// Limit is the maximum number of failures to return. If more are selected, the newest
+	// are returned.
 	Limit int `json:"most,omitempty"`
 }
 
-// matches reports whether the filter selects an entry of a kind that is a failure, the
-// times aside.
+// matches reports whether the filter selects a failure of this kind, without regard to its
+// time.
 func (f Filter) matches(e *Entry, kind Kind) bool {
 	return (f.Tenant == "" || f.Tenant == e.Tenant) &&
 		(f.Kind == "" || f.Kind == kind) &&
 		(f.Request == "" || f.Request == e.Request)
 }
 
-// matchesTime reports whether the filter selects a failure of this Unix time in ms.
+// matchesTime reports whether the filter selects failures of this Unix time in ms.
 func (f Filter) matchesTime(unixMS int64) bool {
 	return f.SinceMS <= unixMS && (f.UntilMS <= 0 || unixMS < f.UntilMS)
 }
 
-// Failure is one failed request as a query returns it. The JSON keys are part of the
-// API.
+// Failure is a failed request in the result of a query. The JSON keys are part of the API.
 type Failure struct {
 	Tenant   string    `json:"tenant"`
 	Request  string    `json:"request"`
@@ -42,7 +42,8 @@
 	Attempts []Attempt `json:"tries"`
 }
 
-// compareFailures orders failures by time; the rest makes the order total.
+// compareFailures orders failures by time. The other fields break ties, so that the order is
+// total.
 func compareFailures(a, b Failure) int {
 	switch {
 	case a.AtMS != b.AtMS:
@@ -57,19 +58,20 @@
 	return strings.Compare(a.Attempts[0].Attempt, b.Attempts[0].Attempt)
 }
 
-// QueryResult answers a query. The JSON keys are part of the API.
+// QueryResult is the result of a query. The JSON keys are part of the API.
 type QueryResult struct {
-	Failures []Failure `json:"failures"` // the oldest first
-	// Counts is the number of failures selected, by tenant and kind. It includes those
-	// that Filter.Limit left out of Failures.
+	Failures []Failure `json:"failures"` // oldest first
+	// Counts is the number of selected failures by tenant and kind. It includes failures
+	// that are not in Failures because of Filter.Limit.
 	Counts map[string]map[Kind]int `json:"sums"`
-	// Gaps holds the incarnations of which records may be missing, by id.
+	// Gaps holds, by ID, the incarnations of which records may be missing.
 	Gaps map[string]Incarnation `json:"gaps"`
-	// Dropped counts the entries that were evicted because the log was full, by tenant.
+	// Dropped counts, by tenant, the entries that were evicted because the log was full.
 	Dropped map[string]uint64 `json:"dropped"`
 }
 
-// Query returns the failures that a filter selects, and what may be missing from them.
+// Query returns the failures that a filter selects, and information about entries that may
+// be missing.
 func (l *Log) Query(f Filter) QueryResult {
 	result := QueryResult{
 		Failures: []Failure{},
@@ -110,7 +112,7 @@
 	return result
 }
 
-// firstAttemptMS returns the Unix time in ms of the first attempt.
+// firstAttemptMS returns the Unix time in ms of the earliest attempt.
 func (e *Entry) firstAttemptMS() int64 {
 	first := e.Tries[0].AtMS
 	for _, attempt := range e.Tries {
@@ -119,9 +121,10 @@
 	return first
 }
 
-// gaps returns the incarnations of which records may be missing. One that has been
-// silent for too long, measured by the newest batch of any, is marked in the result
-// only: whether it has ended is not certain until its node has a new incarnation.
+// gaps returns the incarnations of which records may be missing. An incarnation whose newest
+// batch is more than silenceTimeoutMS older than the newest batch of all is marked only in
+// the result and not in the Log: whether it has ended is not certain until its node has a
+// new incarnation.
 func (l *Log) gaps() map[string]Incarnation {
 	newestMS := int64(0)
 	for _, incarnation := range l.Lives {
--- a/audit/record.go
+++ b/audit/record.go
@@ -1,44 +1,43 @@
-// Package audit is the audit log of failed requests, gathered from all proxy nodes:
-// what went wrong for each tenant, by request, without missing or duplicate entries,
-// and, where entries may be missing, how many.
+// Package audit implements the audit log of failed requests of all proxy nodes. The log
+// lists the failures of each tenant by request, without duplicates. Where entries may be
+// missing, it says how many.
 //
-// A proxy keeps a Recorder: it numbers the records of its process, one incarnation of
-// the node, and keeps each until it is acknowledged. The replicated state keeps a
-// Log, which ingests each record once, however often and through whichever
-// control-plane node it is sent. Queries are answered from the Log.
+// Each proxy process, called an incarnation of its node, has a Recorder, which numbers the
+// records of the process and keeps each until it is acknowledged. The replicated state has
+// a Log, which ingests each record once, no matter how often and through which
+// control-plane nodes it is sent. Queries are answered from the Log.
 //
-// The package does no input or output, reads no clock and starts no goroutine: times
-// come in as arguments, batches are sent by internal/proxy, and the Log is part of
-// the state of package registry.
+// The package does no input or output, reads no clock and starts no goroutines: times are
+// passed as arguments, internal/proxy sends the batches, and the Log is part of the state
+// of package registry.
 package audit
 
-// Kind is how one attempt, or one request as a whole, ended. The values are stored
-// and sent.
+// Kind is the outcome of an attempt or of a whole request. The values are stored and sent.
 type Kind string
 
-// The kinds of an attempt. The last three are recorded for every attempt of a commitment,
-// that is, of a request on a route that is not idempotent. They are evidence only:
-// whether the commitment failed shows when all its attempts, which may have gone through
-// several proxies, are seen together.
+// The kinds of an attempt. Executed, MaybeExecuted and NotExecuted are recorded for attempts
+// of non-idempotent requests, that is, requests on a route that is not idempotent. They are
+// not failures by themselves: whether the request failed follows from the kinds of all its
+// attempts, which may have gone through several proxies.
 const (
-	MissedLatencyTarget Kind = "late"       // answered well, but after its latency target
-	Failed              Kind = "failed"     // not answered well
-	Truncated           Kind = "broken_off" // the answer ended early
+	MissedLatencyTarget Kind = "late"       // successful response that missed the latency target
+	Failed              Kind = "failed"     // no successful response
+	Truncated           Kind = "broken_off" // response ended early
 
-	Executed      Kind = "ran"     // an endpoint answered the commitment well
-	MaybeExecuted Kind = "unsure"  // an endpoint may have got the commitment, but gave no clear answer
-	NotExecuted   Kind = "not_run" // the commitment has certainly not run
+	Executed      Kind = "ran"     // an endpoint answered the request successfully
+	MaybeExecuted Kind = "unsure"  // an endpoint may have received the request, but gave no conclusive answer
+	NotExecuted   Kind = "not_run" // the request was certainly not executed
 )
 
-// The kinds of a failed commitment, by what its attempts amount to.
+// The kinds of a failed non-idempotent request, derived from the kinds of its attempts.
 const (
-	Duplicated      Kind = "doubled"       // at least two attempts ran
-	MaybeDuplicated Kind = "maybe_doubled" // one attempt ran, and another may have
-	Indeterminate   Kind = "unclear"       // none is known to have run, at least one may have
-	Lost            Kind = "lost"          // no attempt has run
+	Duplicated      Kind = "doubled"       // at least two attempts were executed
+	MaybeDuplicated Kind = "maybe_doubled" // one attempt was executed, and another may have been
+	Indeterminate   Kind = "unclear"       // no attempt is known to be executed, but at least one may have been
+	Lost            Kind = "lost"          // no attempt was executed
 )
 
-// FailureKinds returns the kinds that a failure in the audit log may have.
+// FailureKinds returns the kinds that a failure in the audit log can have.
 func FailureKinds() []Kind {
 	return []Kind{
 		MissedLatencyTarget, Failed, Truncated,
@@ -46,46 +45,46 @@
 	}
 }
 
-// Record describes one attempt of one request. Records are stored and sent by gob and
-// as JSON, so the names of the fields and of their JSON keys are part of those
-// formats.
+// Record describes one attempt of one request. Records are stored and sent with gob and as
+// JSON, so the names of the fields and JSON keys are part of these formats.
 type Record struct {
-	// Seq numbers the records of an incarnation from 1.
+	// Seq is the sequence number of the record within its incarnation, starting at 1.
 	Seq     uint64 `json:"seq"`
 	AtMS    int64  `json:"at_ms"` // Unix time in ms by the proxy's clock
 	Tenant  string `json:"tenant"`
 	Route   string `json:"route"`
-	Request string `json:"request"` // id that all attempts of a request share
-	Attempt string `json:"attempt"` // id of this attempt alone
+	Request string `json:"request"` // request ID, shared by all attempts of the request
+	Attempt string `json:"attempt"` // ID of this attempt
 	Kind    Kind   `json:"kind"`
 	Status  int    `json:"status"`  // HTTP status code
 	TookMS  int64  `json:"took_ms"` // duration in ms
 }
 
-// isCommitmentEvidence reports whether the record belongs to a commitment.
-func (r Record) isCommitmentEvidence() bool {
+// isExecutionEvidence reports whether the record says if an attempt of a non-idempotent
+// request was executed. Such records are evaluated together with those of the other attempts.
+func (r Record) isExecutionEvidence() bool {
 	return r.Kind == Executed || r.Kind == MaybeExecuted || r.Kind == NotExecuted
 }
 
-// Batch is what a proxy sends at a time. Batches are stored in the replicated log as
-// JSON and are sent by gob, so the names of the fields and of their JSON keys are part
-// of those formats.
+// Batch is a message with records from a proxy. Batches are stored in the replicated log as
+// JSON and sent with gob, so the names of the fields and JSON keys are part of these formats.
 type Batch struct {
-	Life    string   `json:"life"`  // id of the incarnation
+	Life    string   `json:"life"`  // ID of the incarnation
 	Node    string   `json:"node"`  // name of the node
 	AtMS    int64    `json:"at_ms"` // Unix time in ms by the proxy's clock
 	Records []Record `json:"records"`
-	// Dropped is how many records the incarnation has dropped so far because its
+	// Dropped is the number of records that the incarnation has dropped so far because its
 	// recorder was full.
 	Dropped uint64 `json:"dropped"`
-	// PerS and Out are the proxy's requests per second and requests in flight. They
-	// bound what may be missing if the process ends without another batch.
+	// PerS is the proxy's number of requests per second, and Out its number of requests in
+	// flight. They are used to estimate how many requests may be missing if the process
+	// ends without sending another batch.
 	PerS float64 `json:"per_s"`
 	Out  int     `json:"out"`
-	// Closed says that the incarnation ends and that this is its last batch.
+	// Closed marks the last batch of an incarnation that shuts down gracefully.
 	Closed bool `json:"closed"`
-	// Most is the greatest number of entries of the Log. The control-plane node that
-	// proposes the batch sets it, so that all replicas apply the same bound; 0 is no
-	// bound.
+	// Most is the maximum number of entries in the Log, or 0 for no limit. The
+	// control-plane node that proposes the batch sets it, so that all replicas apply the
+	// same limit.
 	Most int `json:"most"`
 }
--- a/audit/recorder.go
+++ b/audit/recorder.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// Recorder keeps the records of one incarnation of a proxy node until the audit log
-// has acknowledged them. It is not safe for concurrent use.
+// Recorder buffers the records of one incarnation of a proxy node until the audit log has
+// acknowledged them. It is not safe for concurrent use.
 type Recorder struct {
 	incarnation string
 	node        string
 	maxPending  int
 	lastSeq     uint64
-	pending     []Record // in the order of their numbers
+	pending     []Record // by ascending sequence number
 	dropped     uint64
 }
 
-// NewRecorder returns the recorder of one incarnation of a node. It keeps at most
-// maxPending records that are not acknowledged.
+// NewRecorder returns the recorder of one incarnation of a node. It buffers at most
+// maxPending unacknowledged records.
 func NewRecorder(incarnation, node string, maxPending int) *Recorder {
 	return &Recorder{incarnation: incarnation, node: node, maxPending: maxPending}
 }
 
-// Append numbers a record and keeps it. If the recorder is full, the record is dropped
-// and counted.
+// Append assigns the next sequence number to a record and buffers the record. If the
+// recorder is full, it drops the record and counts it.
 func (r *Recorder) Append(record Record) {
 	r.lastSeq++
 	if len(r.pending) >= r.maxPending {
@@ -31,9 +31,9 @@
 	r.pending = append(r.pending, record)
 }
 
-// NextBatch returns a batch with the oldest records that are not acknowledged, at most
-// limit of them. They stay pending, so a batch that is not acknowledged is followed by
-// one with the same records. The caller sets PerS, Out and Closed.
+// NextBatch returns a batch with at most limit records, the oldest unacknowledged ones. The
+// records stay pending, so they are sent again until they are acknowledged. The caller sets
+// PerS, Out and Closed.
 func (r *Recorder) NextBatch(unixMS int64, limit int) Batch {
 	return Batch{
 		Life:    r.incarnation,
@@ -44,8 +44,8 @@
 	}
 }
 
-// Acknowledge forgets the records up to and including seq, which the audit log holds.
-// An acknowledgement for another incarnation is ignored.
+// Acknowledge removes the records up to and including seq, which the audit log has
+// ingested. It ignores an acknowledgement for another incarnation.
 func (r *Recorder) Acknowledge(incarnation string, seq uint64) {
 	if incarnation != r.incarnation {
 		return
@@ -57,8 +57,8 @@
 	r.pending = append([]Record(nil), r.pending[n:]...)
 }
 
-// Pending returns how many records are not acknowledged.
+// Pending returns the number of unacknowledged records in the buffer.
 func (r *Recorder) Pending() int { return len(r.pending) }
 
-// Dropped returns how many records were dropped.
+// Dropped returns the number of records dropped because the recorder was full.
 func (r *Recorder) Dropped() uint64 { return r.dropped }
