--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -8,18 +8,18 @@
 // Verdict is the outcome of an analysis.
 type Verdict struct {
 	Bad     bool   // the target is worse than the base and must be rolled back
-	Suspect bool   // it may be: no further traffic should move to it
-	Reason  string // if Bad, for people to read
+	Suspect bool   // the target may be worse, and its share of the traffic must not increase
+	Reason  string // human-readable reason if Bad
 }
 
-// criterion is one way in which a version can be worse than another.
+// criterion is a kind of fault by which the versions are compared.
 type criterion struct {
 	name string
-	// A target whose rate of faults exceeds the base's by less than tolerance is
-	// accepted; one that exceeds it by tolerance + detectableIncrease must be found.
+	// A target is accepted if its fault rate exceeds that of the base by less than
+	// tolerance, and must be found bad if it exceeds it by tolerance + detectableIncrease.
 	tolerance          float64
 	detectableIncrease float64
-	// countFaults returns the number of faults and of the trials that they are among.
+	// countFaults returns the number of faults and the number of trials.
 	countFaults func(Counts) (faults, trials int)
 }
 
@@ -39,60 +39,60 @@
 }
 
 // The test is a cumulative sum (CUSUM; Page, "Continuous inspection schemes", 1954) of
-// the log-likelihood ratio of each answer under a bad and a tolerable rate. It never
-// falls below 0, so that a fault that comes late has no good past to make up for. At
-// alarmThreshold the version is bad: a false alarm takes some e^12 answers at the
-// tolerable rate, a true one a few dozen at the bad rate. From suspectThreshold on the
-// roll-out does not advance.
+// the log-likelihood ratios of the answers under a bad and a tolerable fault rate. The sum
+// never falls below 0, so that earlier good answers do not delay the detection of a fault
+// that starts late. At alarmThreshold the version is found bad: a false alarm takes about
+// e^12 answers at the tolerable rate, a true alarm a few dozen at the bad rate. At
+// suspectThreshold or above, the rollout does not advance.
 const (
 	alarmThreshold   = 12
 	suspectThreshold = 4
 )
 
 const (
-	// baseRateFactor weighs the base's own rate of faults: both versions meet the same
-	// bursts, crashes and broken connections, but not at the same moment.
+	// baseRateFactor multiplies the fault rate of the base. It is above 1 because bursts,
+	// crashes and broken connections affect both versions, but not at the same moment.
 	baseRateFactor = 1.5
-	// baseRateWindow is how many of the base's newest answers its rate is over. It is
-	// not a time, as the base gets no answers any more once all traffic has moved.
+	// baseRateWindow is the number of the base's newest answers from which its fault rate is
+	// computed. The window is not a duration because the base gets no more answers once all
+	// traffic has moved.
 	baseRateWindow = 2000
-	// priorAnswers is how many good answers the base is given beforehand.
+	// priorAnswers is the number of good answers that are added to those of the base.
 	priorAnswers = 20
-	// maxTolerableRate and maxBadRate bound the two rates that the test compares.
+	// maxTolerableRate and maxBadRate limit the two rates that the test compares.
 	maxTolerableRate = 0.6
 	maxBadRate       = 0.95
-	// minEndpointsToExclude is how many endpoints the target must have for the one with
-	// most faults to be left out: it may be unhealthy by itself, whereas a bad version
-	// is bad everywhere.
+	// minEndpointsToExclude is the minimum number of target endpoints for which the one with
+	// the most faults is excluded: a single endpoint may be unhealthy on its own, whereas a
+	// bad version affects all of them.
 	minEndpointsToExclude = 3
 )
 
-// allRoutes is the key under which the sum over all routes is analysed.
+// allRoutes is the key for the analysis of the total over all routes.
 const allRoutes = ""
 
-// faultRate is a rate of faults as a fraction.
+// faultRate is the ratio of faults to trials.
 type faultRate struct{ faults, trials float64 }
 
 // routeAnalysis is the state of the analysis of one route.
 type routeAnalysis struct {
-	previous  RouteCounts              // as last analysed
+	previous  RouteCounts              // counts at the previous analysis
 	cusum     [len(criteria)]float64   // by criterion
 	baseRates [len(criteria)]faultRate // by criterion, over baseRateWindow
 }
 
-// Analyzer analyses the evidence of one order as it grows. It is not safe for
-// concurrent use.
+// Analyzer analyzes the growing evidence of one order. It is not safe for concurrent use.
 type Analyzer struct {
 	routes map[string]*routeAnalysis
 }
 
-// NewAnalyzer returns an analyzer that has seen no evidence.
+// NewAnalyzer returns an analyzer for a new order.
 func NewAnalyzer() *Analyzer {
 	return &Analyzer{routes: map[string]*routeAnalysis{}}
 }
 
-// Analyze takes all evidence since the order, of a target with this number of
-// endpoints, and returns the verdict.
+// Analyze returns the verdict on a target with this number of endpoints. e is all evidence
+// since the order.
 func (a *Analyzer) Analyze(e Evidence, endpoints int) Verdict {
 	var total RouteCounts
 	for _, counts := range e {
@@ -107,7 +107,8 @@
 	return verdict
 }
 
-// analyzeRoute adds what is new on a route to its test and a finding to the verdict.
+// analyzeRoute updates the tests of a route with the counts since the previous analysis, and
+// adds their findings to the verdict.
 func (a *Analyzer) analyzeRoute(route string, counts RouteCounts, excludeWorst bool, verdict *Verdict) {
 	state := a.routes[route]
 	if state == nil {
@@ -124,7 +125,7 @@
 		base.add(criterion.countFaults(newBase))
 		faults, trials := criterion.countFaults(newTarget)
 		if excludeWorst {
-			faults -= criterion.faultsOfWorst(counts.Ill, previous.Ill)
+			faults -= criterion.worstEndpointFaults(counts.Ill, previous.Ill)
 		}
 		if trials <= 0 || faults < 0 {
 			continue
@@ -141,7 +142,8 @@
 	}
 }
 
-// add adds trials to the rate and keeps the weight of baseRateWindow of them.
+// add adds trials to the rate and scales the total down to baseRateWindow trials if it is
+// greater.
 func (r *faultRate) add(faults, trials int) {
 	r.faults += float64(max(0, faults))
 	r.trials += float64(max(0, trials))
@@ -151,9 +153,8 @@
 	}
 }
 
-// nextCUSUM returns the cumulative sum after further trials of the target. It adds the
-// logarithm of how much more likely their faults are at a bad rate than at a tolerable
-// one.
+// nextCUSUM returns the cumulative sum after further trials of the target. It adds their
+// log-likelihood ratio under the bad and the tolerable rate.
 func (c *criterion) nextCUSUM(cusum float64, base faultRate, faults, trials int) float64 {
 	tolerable := min(maxTolerableRate, c.tolerance+baseRateFactor*base.faults/(base.trials+priorAnswers))
 	bad := min(maxBadRate, tolerable+c.detectableIncrease)
@@ -162,9 +163,9 @@
 	return max(0, cusum)
 }
 
-// faultsOfWorst returns the new faults of the endpoint that has shown most, or 0 if
-// none has shown any.
-func (c *criterion) faultsOfWorst(byEndpoint, previous map[string]Counts) int {
+// worstEndpointFaults returns the number of new faults of the endpoint that has the most
+// faults in total, or 0 if no endpoint has any.
+func (c *criterion) worstEndpointFaults(byEndpoint, previous map[string]Counts) int {
 	worst, most := "", 0
 	for endpoint, counts := range byEndpoint {
 		faults, _ := c.countFaults(counts)
@@ -176,8 +177,8 @@
 	return faults
 }
 
-// reason says by which criterion a target was found bad. The text is stored and
-// returned by the API.
+// reason returns the text that says by which criterion a target was found bad. The text is
+// stored and returned by the API.
 func reason(criterion, route string, faults, trials int, base faultRate) string {
 	text := fmt.Sprintf("%s: %d of %d lately, the base's rate is %.3f",
 		criterion, faults, trials, base.faults/max(1, base.trials))
--- a/rollout/analysis_test.go
+++ b/rollout/analysis_test.go
@@ -10,49 +10,50 @@
 	"lichentray/rollout"
 )
 
-// reportInterval is the step of simulated time: proxies report once in it.
+// reportInterval is the step of simulated time. Proxies report once per step.
 const reportInterval = 300 * time.Millisecond
 
-// faultRates returns the parts of the target's answers that fail and that are slow, in
-// addition to the ordinary ones. load is that of its endpoints, 1 with all traffic.
+// faultRates returns the fractions of the target's answers that fail and that are slow, in
+// addition to the base rates. load is the load of its endpoints; 1 is the load of all traffic.
 type faultRates func(at time.Duration, route string, load float64) (fail, slow float64)
 
-// trafficModel is the traffic of a service as its proxies see it.
+// trafficModel describes the traffic of a service as its proxies observe it.
 type trafficModel struct {
 	random            *rand.Rand
 	requestsPerSecond float64
-	// Rates of the answers of both versions that fail, are slow, and do not come.
+	// Rates at which attempts at both versions fail, are slow, and end without an answer.
 	failRate, slowRate, brokenRate float64
 	burstRate                      func(at time.Duration) float64 // added to brokenRate
 	targetFaults                   faultRates
-	hasFaultyEndpoint              bool // of the target, while it has few
+	hasFaultyEndpoint              bool // one target endpoint fails while the target's share is small
 	hasNoLeader                    func(at time.Duration) bool
 }
 
-// simulationResult is what a roll-out came to in a trafficModel.
+// simulationResult is the outcome of a simulated rollout.
 type simulationResult struct {
 	state     rollout.State
 	reason    string
 	decidedAt time.Duration
-	exposure  float64 // part of all requests that the target got before the deadline
-	// exposureAfterFault is the time from the 50th bad answer to the last request.
+	exposure  float64 // fraction of all requests before the deadline that went to the target
+	// exposureAfterFault is the time from the 50th bad answer of the target to its last
+	// request.
 	exposureAfterFault time.Duration
 }
 
-// simulation is one roll-out in a trafficModel.
+// simulation is the state of a simulated rollout.
 type simulation struct {
 	trafficModel
 	rollout  rollout.Rollout
 	analyzer *rollout.Analyzer
 	split    rollout.StratifiedSplit
-	share    float64 // of the requests that the proxies send to the target
+	share    float64 // fraction of the requests that the proxies send to the target
 	reported rollout.Evidence
-	// observed is what the proxies will report next.
+	// observed is the evidence that the proxies will report in the next step.
 	observed rollout.Evidence
 
-	stage        int // that the proxies know
+	stage        int // newest stage that the proxies know
 	stageAt      time.Duration
-	stageAnswers int // of the target before the stage
+	stageAnswers int // answers of the target before the stage
 
 	requests, targetRequests int
 	badAnswers               int
@@ -61,8 +62,8 @@
 	result                   simulationResult
 }
 
-// simulate runs one roll-out. A decision reaches the proxies one step later, and what
-// they observe reaches the analyzer one step later.
+// simulate runs one rollout. Decisions reach the proxies with a delay of one step, and the
+// observations of the proxies reach the analyzer with a delay of one step.
 func (m trafficModel) simulate(t *testing.T) simulationResult {
 	sim := &simulation{
 		trafficModel: m,
@@ -78,7 +79,7 @@
 		for i, part := range []float64{0.6, 0.3, 0.1} {
 			n := sim.poisson(sim.requestsPerSecond * part * reportInterval.Seconds())
 			for range n {
-				sim.request(at, i, []string{"lookup", "reserve", "sheet"}[i])
+				sim.request(at, i, []string{"lookup", "reserve", "export"}[i])
 			}
 		}
 		sim.updateShare(at)
@@ -95,7 +96,7 @@
 	return sim.result
 }
 
-// poisson draws from a Poisson distribution with this mean.
+// poisson returns a random number from a Poisson distribution with this mean.
 func (sim *simulation) poisson(mean float64) int {
 	n, limit, product := 0, math.Exp(-mean), 1.0
 	for product *= sim.random.Float64(); product > limit; product *= sim.random.Float64() {
@@ -108,7 +109,7 @@
 	return sim.hasNoLeader != nil && sim.hasNoLeader(at)
 }
 
-// request sends one request on a route and observes its outcome.
+// request simulates one request on a route and records its outcome.
 func (sim *simulation) request(at time.Duration, routeNumber int, route string) {
 	sim.requests++
 	sim.split.RecordRequest(routeNumber)
@@ -157,7 +158,7 @@
 	}
 }
 
-// updateShare sets the share that the proxies apply from now on.
+// updateShare sets the share that the proxies apply from the next step on.
 func (sim *simulation) updateShare(at time.Duration) {
 	sim.share = 0
 	if sim.rollout.State == rollout.InProgress && at > time.Second {
@@ -167,11 +168,11 @@
 		sim.share = 1
 	}
 	if sim.isWithoutLeader(at) && (sim.share < 1 || sim.rollout.State == rollout.InProgress) {
-		sim.share = 0 // the proxies' leases have run out
+		sim.share = 0 // the proxies' leases have expired
 	}
 }
 
-// advance lets the leader derive the next state.
+// advance makes the leader derive the next state.
 func (sim *simulation) advance(at time.Duration) {
 	if sim.rollout.Stage != sim.stage {
 		sim.stage = sim.rollout.Stage
@@ -200,8 +201,9 @@
 	}
 }
 
-// TestVerdicts counts wrong decisions over many seeds, and what a bad version got of the
-// traffic, against stated bounds.
+// TestVerdicts guards against an analysis that promotes bad versions, rolls back good ones or
+// exposes too many requests to a bad version. It simulates rollouts with many seeds and limits
+// the number of wrong decisions and the exposure of each case.
 func TestVerdicts(t *testing.T) {
 	always := func(fail, slow float64) faultRates {
 		return func(time.Duration, string, float64) (float64, float64) { return fail, slow }
@@ -241,26 +243,26 @@
 		name     string
 		model    trafficModel
 		isGood   bool
-		maxWrong int // decisions
+		maxWrong int // wrong decisions
 	}{
 		{"good", trafficModel{}, true, 0},
 		{"good, few requests", trafficModel{requestsPerSecond: 120}, true, 1},
-		{"good, hardly any requests", trafficModel{requestsPerSecond: 25}, true, 3},
-		{"good, crashes among both versions", trafficModel{burstRate: crash}, true, 0},
-		{"good, one of its few endpoints unhealthy", trafficModel{hasFaultyEndpoint: true}, true, 2},
-		{"good, answers lost at both", trafficModel{brokenRate: 0.05}, true, 0},
-		{"good, both fail often", trafficModel{failRate: 0.05, slowRate: 0.06}, true, 0},
+		{"good, very few requests", trafficModel{requestsPerSecond: 25}, true, 3},
+		{"good, crashes of both versions", trafficModel{burstRate: crash}, true, 0},
+		{"good, one unhealthy endpoint", trafficModel{hasFaultyEndpoint: true}, true, 2},
+		{"good, broken attempts at both versions", trafficModel{brokenRate: 0.05}, true, 0},
+		{"good, frequent faults of both versions", trafficModel{failRate: 0.05, slowRate: 0.06}, true, 0},
 		{"good, no leader for three seconds", trafficModel{hasNoLeader: partition}, true, 0},
-		{"slightly worse than the base's own errors", trafficModel{failRate: 0.02, targetFaults: always(0.01, 0)}, true, 1},
-		{"bad at once", trafficModel{targetFaults: always(0.43, 0)}, false, 0},
-		{"a fifth fails", trafficModel{targetFaults: always(0.2, 0)}, false, 0},
-		{"slow", trafficModel{targetFaults: always(0, 0.4)}, false, 0},
-		{"late", trafficModel{targetFaults: since(3500*time.Millisecond, 0.41)}, false, 0},
-		{"late, as all moves", trafficModel{targetFaults: since(10400*time.Millisecond, 0.41)}, false, 0},
-		{"one route", trafficModel{targetFaults: onRoute("sheet", 0.43)}, false, 0},
-		{"under load", trafficModel{targetFaults: underLoad(0.43)}, false, 0},
-		{"bad at once, no leader for three seconds", trafficModel{hasNoLeader: partition, targetFaults: since(4*time.Second, 0.43)}, false, 0},
-		{"bad, crashes among both versions", trafficModel{burstRate: crash, targetFaults: since(6*time.Second, 0.43)}, false, 0},
+		{"good, fault rate slightly above the base", trafficModel{failRate: 0.02, targetFaults: always(0.01, 0)}, true, 1},
+		{"bad from the start", trafficModel{targetFaults: always(0.43, 0)}, false, 0},
+		{"bad, 20% of answers fail", trafficModel{targetFaults: always(0.2, 0)}, false, 0},
+		{"bad, slow", trafficModel{targetFaults: always(0, 0.4)}, false, 0},
+		{"bad after 3.5 s", trafficModel{targetFaults: since(3500*time.Millisecond, 0.41)}, false, 0},
+		{"bad after 10.4 s, when all traffic moves", trafficModel{targetFaults: since(10400*time.Millisecond, 0.41)}, false, 0},
+		{"bad on one route", trafficModel{targetFaults: onRoute("export", 0.43)}, false, 0},
+		{"bad under full load", trafficModel{targetFaults: underLoad(0.43)}, false, 0},
+		{"bad, no leader for three seconds", trafficModel{hasNoLeader: partition, targetFaults: since(4*time.Second, 0.43)}, false, 0},
+		{"bad, crashes of both versions", trafficModel{burstRate: crash, targetFaults: since(6*time.Second, 0.43)}, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			const runs = 60
@@ -282,12 +284,12 @@
 				worst.exposureAfterFault = max(worst.exposureAfterFault, got.exposureAfterFault)
 			}
 			if wrong > test.maxWrong {
-				t.Errorf("%d of %d verdicts wrong", wrong, runs)
+				t.Errorf("%d of %d decisions are wrong, more than the maximum", wrong, runs)
 			}
 			if !test.isGood && (worst.exposure > 0.1 || worst.exposureAfterFault > 4*time.Second) {
-				t.Errorf("a bad version got %.3f of the requests, the last %v after its 50th bad answer", worst.exposure, worst.exposureAfterFault)
+				t.Errorf("exposure to a bad version = %.3f of the requests, ending %v after its 50th bad answer, want at most 0.1 and 4s", worst.exposure, worst.exposureAfterFault)
 			}
-			t.Logf("wrong %d, exposure %.3f, %v after the 50th", wrong, worst.exposure, worst.exposureAfterFault)
+			t.Logf("%d wrong decisions, maximum exposure %.3f, ending %v after the 50th bad answer", wrong, worst.exposure, worst.exposureAfterFault)
 		})
 	}
 }
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -7,8 +7,8 @@
 	"lichentray/rollout"
 )
 
-// BenchmarkAnalyze measures one analysis of a roll-out, as the leader makes it four times
-// a second: the sum of the evidence of the control plane's nodes and the test.
+// BenchmarkAnalyze measures one analysis of a rollout: adding up the evidence of all
+// control-plane nodes, and the test. The leader does this four times per second.
 func BenchmarkAnalyze(b *testing.B) {
 	for _, routes := range []int{3, 100} {
 		one := rollout.Evidence{}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -2,18 +2,18 @@
 
 import "maps"
 
-// Counts is what was seen of one version, or one endpoint, on one route. It is sent by
-// gob, so the field names are part of the internal protocol.
+// Counts holds the outcomes of attempts at one version, or one endpoint, on one route. It is
+// sent with gob, so the field names are part of the internal protocol.
 type Counts struct {
-	Answers int // attempts that were answered, well or with a fault of the endpoint
-	Failed  int // answers with a fault of the endpoint
+	Answers int // attempts that were answered, successfully or with an endpoint fault
+	Failed  int // answers with an endpoint fault
 	Broken  int // attempts that ended without an answer
-	Timed   int // answers whose duration is comparable with others
-	Slow    int // of Timed, those that took SlowFactor times the usual or longer
+	Timed   int // attempts whose latency was compared with the typical latency
+	Slow    int // of Timed, those that took SlowFactor times the typical latency or longer
 }
 
-// SlowFactor is the multiple of a route's usual duration from which on an answer
-// counts as slow.
+// SlowFactor is the multiple of a route's typical latency from which an attempt counts as
+// slow.
 const SlowFactor = 4
 
 // Add returns the sum of two counts.
@@ -37,24 +37,24 @@
 	}
 }
 
-// faults returns the counts that speak against a version alone.
+// faults returns only the counts of faults.
 func (c Counts) faults() Counts {
 	return Counts{Failed: c.Failed, Broken: c.Broken, Slow: c.Slow}
 }
 
-// RouteCounts is what was seen of both versions on one route. It is sent by gob, so
-// the field names are part of the internal protocol.
+// RouteCounts holds the outcomes of attempts at both versions on one route. It is sent with
+// gob, so the field names are part of the internal protocol.
 type RouteCounts struct {
 	Base, Target Counts
-	// Ill holds the faults among Target by endpoint ID; endpoints without any are left
-	// out. The map may be shared and is never modified.
+	// Ill holds the faults in Target by endpoint ID, without endpoints that have none. The
+	// map may be shared and must not be modified.
 	Ill map[string]Counts
 }
 
-// NewBaseCounts returns the counts of attempts at an endpoint of the base.
+// NewBaseCounts returns the counts of attempts at the base version.
 func NewBaseCounts(c Counts) RouteCounts { return RouteCounts{Base: c} }
 
-// NewTargetCounts returns the counts of attempts at one endpoint of the target.
+// NewTargetCounts returns the counts of attempts at one endpoint of the target version.
 func NewTargetCounts(endpoint string, c Counts) RouteCounts {
 	counts := RouteCounts{Target: c}
 	if faults := c.faults(); faults != (Counts{}) {
@@ -82,21 +82,21 @@
 	return sum
 }
 
-// Evidence is what was seen of both versions of one service, by route. It is sent by
-// gob.
+// Evidence holds the outcomes of attempts at both versions of one service, by route. It is
+// sent with gob.
 type Evidence map[string]RouteCounts
 
-// Add adds other evidence to e.
+// Add adds the counts of o to e.
 func (e Evidence) Add(o Evidence) {
 	for route, counts := range o {
 		e[route] = e[route].add(counts)
 	}
 }
 
-// Clone returns a copy that Add to either does not change in the other.
+// Clone returns a copy. Add on either does not change the other.
 func (e Evidence) Clone() Evidence { return maps.Clone(e) }
 
-// TargetAnswers returns the number of the target's answers.
+// TargetAnswers returns the number of answers of the target.
 func (e Evidence) TargetAnswers() int {
 	n := 0
 	for _, counts := range e {
@@ -105,7 +105,7 @@
 	return n
 }
 
-// TotalAnswers returns the number of the answers of both versions.
+// TotalAnswers returns the number of answers of both versions.
 func (e Evidence) TotalAnswers() int {
 	n := 0
 	for _, counts := range e {
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -9,8 +9,8 @@
 	"lichentray/rollout"
 )
 
-// TestGoldenRollouts compares the roll-outs that the registry holds, as JSON, with a
-// golden file, byte by byte and field by field.
+// TestGoldenRollouts guards against changes of the stored format. It compares the JSON that
+// the registry stores with a golden file, byte by byte and field by field.
 func TestGoldenRollouts(t *testing.T) {
 	want := []rollout.Rollout{
 		{Base: "v1"},
@@ -27,11 +27,11 @@
 	})
 	lines := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("golden file has %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		if got := string(want[i].Encode()); got != line {
-			t.Errorf("written %s, want %s", got, line)
+			t.Errorf("encoded %s, want %s", got, line)
 		}
 		got, err := rollout.Decode([]byte(line))
 		if err != nil {
--- a/rollout/split.go
+++ b/rollout/split.go
@@ -1,27 +1,27 @@
 package rollout
 
 const (
-	// maxShareFactor is the most by which a rare route's share is raised.
+	// maxShareFactor limits the factor by which the share of a route is raised.
 	maxShareFactor = 4
-	// commonRouteFraction is the part of the requests from which on a route is common.
+	// commonRouteFraction is the minimum fraction of all requests that a common route has.
 	commonRouteFraction = 0.01
-	// decayFactor is what Decay leaves of a count, and minCount that below which it
-	// forgets the route.
+	// decayFactor is the factor that Decay applies to each count.
 	decayFactor = 0.8
-	minCount    = 0.01
+	// minCount is the count below which Decay removes a route.
+	minCount = 0.01
 )
 
-// StratifiedSplit computes how much of each route's requests goes to the target, so
-// that a fault on a rare route is found as soon as one on a common route: each common
-// route sends the target about as many requests as any other, with at most
-// maxShareFactor times the share of all. The zero value has seen no requests. It is not
-// safe for concurrent use.
+// StratifiedSplit computes the share of each route's requests that goes to the target, so
+// that a fault on a less frequent route is found as soon as one on a frequent route: all
+// common routes send about the same number of requests to the target, but none sends more
+// than maxShareFactor times the overall share. The zero value has counted no requests. It is
+// not safe for concurrent use.
 type StratifiedSplit struct {
 	requestsByRoute map[int]float64
 	totalRequests   float64
 }
 
-// RecordRequest counts a request on a route.
+// RecordRequest counts one request on a route.
 func (s *StratifiedSplit) RecordRequest(route int) {
 	if s.requestsByRoute == nil {
 		s.requestsByRoute = map[int]float64{}
@@ -30,8 +30,8 @@
 	s.totalRequests++
 }
 
-// Decay lowers the weight of the requests counted so far. Called at a steady pace, it
-// makes the split follow the traffic of late.
+// Decay reduces the weight of the requests counted so far. When called at regular intervals,
+// it makes the split follow recent traffic.
 func (s *StratifiedSplit) Decay() {
 	s.totalRequests = 0
 	for route, n := range s.requestsByRoute {
@@ -45,8 +45,8 @@
 	}
 }
 
-// RouteShare returns the part of a route's requests, from 0 to 1, that goes to the
-// target if share of all requests is to.
+// RouteShare returns the fraction of a route's requests, from 0 to 1, that goes to the target
+// when the overall share is share.
 func (s *StratifiedSplit) RouteShare(share float64, route int) float64 {
 	if share >= 1 || share <= 0 {
 		return share
@@ -65,7 +65,7 @@
 	return min(1, share*min(maxShareFactor, factor))
 }
 
-// isCommon reports whether a route with this number of requests is common.
+// isCommon reports whether a route with this count of requests is common.
 func (s *StratifiedSplit) isCommon(requests float64) bool {
 	return requests >= commonRouteFraction*s.totalRequests
 }
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -1,17 +1,18 @@
-// Package rollout decides progressive deliveries: it moves the traffic of a service
-// from the version in use to a new one in stages, and promotes or rolls back by
-// canary analysis, a sequential test that compares the answers of both versions.
+// Package rollout implements progressive delivery: it moves the traffic of a service in
+// stages from the version in use, the base, to a new one, the target. Canary analysis, a
+// sequential test that compares the answers of both versions, decides whether the target is
+// promoted or rolled back. An order is an operator's request to roll out a version.
 //
-// Rollout is the state machine of one service. Analyzer judges the evidence that the
-// proxies gather, StratifiedSplit computes for a proxy how much of each route to send
-// to the new version. Package internal/controlplane runs the state machine and the
-// analysis on the Raft leader and stores each state in the registry; internal/proxy
-// counts answers and splits traffic.
+// Rollout is the state machine of one service. Analyzer evaluates the evidence that the
+// proxies collect, and StratifiedSplit computes for a proxy how much of each route's traffic
+// goes to the target. Package internal/controlplane runs the state machine and the analysis
+// on the Raft leader and stores each state in the registry; internal/proxy counts answers
+// and splits traffic.
 //
-// The package does no input or output, reads no clock and starts no goroutine: times
-// and evidence come in as arguments. Nor does it decide alone which of two next states
-// takes effect: the caller must write a state under the condition that the one that it
-// was derived from is still the newest.
+// The package does no input or output, reads no clock and starts no goroutines: times and
+// evidence are passed as arguments. The package does not resolve concurrent transitions: the
+// caller must write a new state with a compare-and-set against the state from which it was
+// derived.
 package rollout
 
 import (
@@ -20,43 +21,43 @@
 	"time"
 )
 
-// State is the state of a roll-out. The values are stored and returned by the API.
+// State is the state of a rollout. The values are stored and returned by the API.
 type State string
 
-// The states. The empty one says that no roll-out was ever ordered.
+// The states. An empty State means that there has never been an order.
 const (
 	InProgress State = "in_progress"
 	Succeeded  State = "succeeded"
 	RolledBack State = "rolled_back"
 )
 
-// Rollout is the versions of one service and its newest order. It is stored as JSON;
-// the keys are part of that format.
+// Rollout holds the versions of one service and the state of its newest order. It is stored
+// as JSON, so the keys are part of the stored format.
 type Rollout struct {
-	// Base is the version in ordinary use; empty until the service has an endpoint.
+	// Base is the version in use, or empty until the service has an endpoint.
 	Base string `json:"base"`
-	// OrderNumber counts the orders, so that evidence of an earlier one is recognised.
+	// OrderNumber numbers the orders, so that evidence from earlier ones can be recognized.
 	OrderNumber uint64 `json:"order,omitempty"`
-	// Target is the version that the newest order is to bring into use.
+	// Target is the version that the newest order rolls out.
 	Target string `json:"target,omitempty"`
 	State  State  `json:"state,omitempty"`
-	Stage  int    `json:"stage,omitempty"` // index in stages
-	// DeadlineSeconds is the time that the order gave, and ElapsedSeconds what of it
-	// had passed when this state was written. Each replica counts on from there by its
-	// own monotonic clock.
+	Stage  int    `json:"stage,omitempty"` // index into stages
+	// DeadlineSeconds is the time limit of the order, counted from the order, and
+	// ElapsedSeconds the time that had passed when this state was written. Each replica
+	// adds the time since then by its own monotonic clock.
 	DeadlineSeconds float64 `json:"deadline_s,omitempty"`
 	ElapsedSeconds  float64 `json:"spent_s,omitempty"`
-	// Reason says why the roll-out ended, for people to read.
+	// Reason says in human-readable form why the rollout ended.
 	Reason string `json:"why,omitempty"`
 }
 
-// Encode returns the roll-out as the value of a registry object.
+// Encode returns the rollout as the value of a registry object.
 func (r Rollout) Encode() []byte {
-	value, _ := json.Marshal(r) // a struct of plain fields with finite numbers always encodes
+	value, _ := json.Marshal(r) // cannot fail: all fields are strings or finite numbers
 	return value
 }
 
-// Decode reads a roll-out from the value of a registry object.
+// Decode parses a rollout from the value of a registry object.
 func Decode(value []byte) (Rollout, error) {
 	var r Rollout
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -65,16 +66,17 @@
 	return r, nil
 }
 
-// stage is one step of a roll-out.
+// stage is one stage of a rollout.
 type stage struct {
-	trafficShare float64 // of the service's requests, that goes to the target
-	notBefore    float64 // fraction of the deadline before which it is not entered
+	trafficShare float64 // fraction of the service's requests that goes to the target
+	notBefore    float64 // fraction of the deadline before which the stage is not entered
 }
 
-// The stages. The first takes most of the time, as a fault may show late and costs
-// little while the share is small. All traffic is moved late and fast, as each second
-// of it weighs as much as a minute of the canary. The first share is a fifth of the
-// greatest exposure to a bad version that is tolerated until the deadline.
+// The stages. The first stage takes most of the time, because a fault may appear late and
+// affects few requests while the share is small. All traffic is moved late and quickly,
+// because one second of full traffic exposes about as many requests as a minute of the first
+// stage. The first share is a fifth of the maximum fraction of requests that a bad version may
+// get until the deadline.
 var stages = [...]stage{
 	{trafficShare: 0.02, notBefore: 0},
 	{trafficShare: 0.08, notBefore: 0.55},
@@ -83,27 +85,27 @@
 }
 
 const (
-	// earliestPromotion is the fraction of the deadline before which a version is not
-	// promoted.
+	// earliestPromotion is the fraction of the deadline before which a version is normally
+	// not promoted; the exception is described in Advance.
 	earliestPromotion = 0.8
-	// minCapacityRatio is the part of the base's capacity that the target must have
-	// before it gets all traffic.
+	// minCapacityRatio is the minimum ratio of the target's capacity to that of the base
+	// before the target gets all traffic.
 	minCapacityRatio = 0.7
-	// The number of the target's answers that a promotion needs: one in
-	// answersPerRequired of the answers of both versions, within bounds.
+	// A promotion requires one answer of the target per answersPerRequired answers of both
+	// versions, but at least minRequiredAnswers and at most maxRequiredAnswers.
 	minRequiredAnswers = 5
 	maxRequiredAnswers = 20
 	answersPerRequired = 50
 )
 
-// IsFinalStage reports whether a roll-out is under way and all requests go to the
-// target.
+// IsFinalStage reports whether a rollout is in progress and in the stage in which all
+// requests go to the target.
 func (r Rollout) IsFinalStage() bool {
 	return r.State == InProgress && r.Stage >= len(stages)-1
 }
 
-// TrafficShare returns the part of the service's requests, from 0 to 1, that is to go
-// to the target while a roll-out is under way, and otherwise 0.
+// TrafficShare returns the fraction of the service's requests, from 0 to 1, that goes to the
+// target, or 0 if no rollout is in progress.
 func (r Rollout) TrafficShare() float64 {
 	if r.State != InProgress {
 		return 0
@@ -111,19 +113,20 @@
 	return stages[max(0, min(r.Stage, len(stages)-1))].trafficShare
 }
 
-// RejectedError says why an order cannot be accepted, for people to read. Its texts are
-// returned by the API.
+// RejectedError is the human-readable reason why an order is rejected. The API returns it.
 type RejectedError string
 
 // Error implements the error interface.
 func (e RejectedError) Error() string { return string(e) }
 
-// Start returns the state after an order to roll out a version within a deadline. The
-// error is a RejectedError if the order contradicts what is under way or decided.
+// Start returns the state after an order to roll out the target within a deadline. It returns
+// a RejectedError if the service has no base version, or if the order conflicts with a rollout
+// that is in progress or was rolled back.
 //
-// Orders are idempotent. The newest one is known by its target and deadline: sent
-// again after a lost answer, it returns the state unchanged, however the roll-out
-// ended. So does another order for a version that is under way or in use.
+// Orders are idempotent. The newest order is identified by its target and deadline. If it is
+// sent again, for example after a lost response, Start returns the state unchanged, whatever
+// the outcome of the rollout. Start also returns the state unchanged for another order of a
+// target whose rollout is in progress or has succeeded.
 func (r Rollout) Start(target string, deadline time.Duration) (Rollout, error) {
 	switch {
 	case r.Base == "":
@@ -149,45 +152,45 @@
 	return next, nil
 }
 
-// Observation is what is known of a roll-out when its next state is sought.
+// Observation is the input from which Advance derives the next state.
 type Observation struct {
 	Elapsed      time.Duration // since the order
-	StageElapsed time.Duration // since the present stage was entered
-	// AnalysisDelay is how long it takes from entering a stage until its first answers
-	// have been analysed.
+	StageElapsed time.Duration // since the current stage was entered
+	// AnalysisDelay is the time from entering a stage until its first answers have been
+	// analyzed.
 	AnalysisDelay time.Duration
-	// PropagationDelay is how long it takes until a decision is known everywhere.
+	// PropagationDelay is the time until all nodes know a decision.
 	PropagationDelay time.Duration
 	Verdict          Verdict
-	// StageTargetAnswers and TargetAnswers are the answers of the target that were
-	// analysed in the present stage and in all, TotalAnswers those of both versions.
+	// StageTargetAnswers is the number of analyzed answers of the target in the current
+	// stage, TargetAnswers that of all stages, and TotalAnswers that of both versions.
 	StageTargetAnswers, TargetAnswers int
 	TotalAnswers                      int
-	// BaseCapacity and TargetCapacity are the sums of the capacities of the endpoints
-	// of either version.
+	// BaseCapacity and TargetCapacity are the total capacities of the endpoints of each
+	// version.
 	BaseCapacity, TargetCapacity int
-	// TrafficShifted says that every proxy knows the present stage and none has a
-	// request in flight at the base.
+	// TrafficShifted is set if all proxies know the current stage and none has a request
+	// in flight to the base.
 	TrafficShifted bool
 }
 
-// hasEnoughAnswers reports whether the target has answered often enough to be
-// promoted. A service with little traffic needs fewer answers, as little of it is
-// exposed to a bad version too.
+// hasEnoughAnswers reports whether the target has given enough answers to be promoted. A
+// service with little traffic needs fewer answers, because a bad version affects fewer
+// requests.
 func (o Observation) hasEnoughAnswers() bool {
 	required := min(maxRequiredAnswers, o.TotalAnswers/answersPerRequired)
 	return o.TargetAnswers >= max(minRequiredAnswers, required)
 }
 
-// hasEnoughCapacity reports whether the target's endpoints can carry all traffic.
+// hasEnoughCapacity reports whether the target has enough capacity for all traffic.
 func (o Observation) hasEnoughCapacity() bool {
 	return float64(o.TargetCapacity) >= minCapacityRatio*float64(o.BaseCapacity)
 }
 
-// Advance returns the state that follows from an observation; changed is false if
-// there is nothing to do yet. The target is rolled back as soon as it is found bad,
-// and if the deadline comes with too little evidence: an operator can order again,
-// but endpoints of the base that were stopped do not come back.
+// Advance returns the state that follows from an observation. changed is false if the state
+// stays the same. The target is rolled back as soon as it is found bad, and also if there is
+// too little evidence at the deadline: after a rollback an operator can order another rollout,
+// whereas endpoints of the base that were stopped after a promotion do not come back.
 func (r Rollout) Advance(o Observation) (next Rollout, changed bool) {
 	if r.State != InProgress {
 		return r, false
@@ -196,14 +199,15 @@
 		return r.finish(RolledBack, o.Verdict.Reason, o.Elapsed), true
 	}
 	deadline := time.Duration(r.DeadlineSeconds * float64(time.Second))
-	// A decision must be known everywhere by the deadline. If there is none one
-	// PropagationDelay before it, the target is rolled back; in the one before that, a
-	// proven target is promoted without waiting until traffic has shifted.
-	isLastChance := o.Elapsed >= deadline-2*o.PropagationDelay
+	// All nodes must know the decision by the deadline. One PropagationDelay before the
+	// deadline, an undecided target is rolled back. From two PropagationDelays before the
+	// deadline, a target that fulfills canPromote is promoted without waiting for
+	// TrafficShifted.
+	isNearDeadline := o.Elapsed >= deadline-2*o.PropagationDelay
 	isOverdue := o.Elapsed >= deadline-o.PropagationDelay
 	isComplete := o.TrafficShifted && o.Elapsed >= fractionOf(deadline, earliestPromotion)
 	switch {
-	case r.isProven(o) && (isLastChance || isComplete):
+	case r.canPromote(o) && (isNearDeadline || isComplete):
 		return r.finish(Succeeded, "", o.Elapsed), true
 	case isOverdue:
 		return r.finish(RolledBack, o.rollbackReason(), o.Elapsed), true
@@ -215,7 +219,7 @@
 	return r, false
 }
 
-// finish returns the state after the decision on a roll-out.
+// finish returns the final state of a rollout.
 func (r Rollout) finish(state State, reason string, elapsed time.Duration) Rollout {
 	r.State = state
 	r.Reason = reason
@@ -226,9 +230,9 @@
 	return r
 }
 
-// isProven reports whether the target may be promoted: it has carried all traffic for
-// long enough to be analysed, and nothing speaks against it.
-func (r Rollout) isProven(o Observation) bool {
+// canPromote reports whether the target may be promoted: it has received all traffic for long
+// enough to be analyzed, has given enough answers, and is not suspect.
+func (r Rollout) canPromote(o Observation) bool {
 	return r.IsFinalStage() &&
 		o.StageElapsed >= o.AnalysisDelay &&
 		o.StageTargetAnswers > 0 &&
@@ -236,8 +240,9 @@
 		!o.Verdict.Suspect
 }
 
-// canEnterNextStage reports whether there is a next stage and the present one has
-// been analysed without a finding.
+// canEnterNextStage reports whether there is a next stage, its earliest time has come, and the
+// current stage has been analyzed without a finding. The final stage also requires enough
+// answers and capacity.
 func (r Rollout) canEnterNextStage(o Observation, deadline time.Duration) bool {
 	if r.IsFinalStage() || o.StageElapsed < o.AnalysisDelay || o.Verdict.Suspect {
 		return false
@@ -249,8 +254,8 @@
 	return next.trafficShare < 1 || o.hasEnoughAnswers() && o.hasEnoughCapacity()
 }
 
-// rollbackReason says why a roll-out was not promoted before its deadline. The texts
-// are stored and returned by the API.
+// rollbackReason returns the reason why a target was not promoted before the deadline. The
+// texts are stored and returned by the API.
 func (o Observation) rollbackReason() string {
 	switch {
 	case o.TargetCapacity == 0:
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -11,7 +11,7 @@
 
 const deadline = 15 * time.Second
 
-// startedRollout returns a roll-out from v1 to v2 as it is right after its order.
+// startedRollout returns a rollout from v1 to v2 in its initial state.
 func startedRollout(t *testing.T) rollout.Rollout {
 	t.Helper()
 	r, err := rollout.Rollout{Base: "v1"}.Start("v2", deadline)
@@ -21,7 +21,9 @@
 	return r
 }
 
-// TestStart gives an order in every state and compares with a table written by hand.
+// TestStart checks the outcome of an order in every state. A retried order must not start a
+// second rollout, and a conflicting one must be rejected. It also checks that the resulting
+// states survive encoding and decoding.
 func TestStart(t *testing.T) {
 	in := func(s rollout.State) rollout.Rollout {
 		r := rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: s, DeadlineSeconds: 15}
@@ -61,20 +63,20 @@
 			got, err := test.from.Start(test.target, test.deadline)
 			var rejection rollout.RejectedError
 			if errors.As(err, &rejection) != test.rejected || got.State != test.state || got.OrderNumber != test.orderNumber {
-				t.Errorf("%+v ordered to %s: %+v, %v", test.from, test.target, got, err)
+				t.Errorf("%+v.Start(%s) = %+v, %v, want the outcome of the test case", test.from, test.target, got, err)
 			}
 			if back, err := rollout.Decode(got.Encode()); err != nil || back != got {
-				t.Errorf("%+v comes back as %+v, %v", got, back, err)
+				t.Errorf("Decode(Encode(%+v)) = %+v, %v, want the same value", got, back, err)
 			}
 		})
 	}
 	if _, err := rollout.Decode([]byte(`{"base":`)); err == nil {
-		t.Error("a truncated value was decoded")
+		t.Error("Decode of a truncated value succeeded, want an error")
 	}
 }
 
-// storedRollout is the roll-out's object in the registry: a write succeeds only at the
-// revision that was read.
+// storedRollout is a rollout's object in the registry. A write succeeds only at the revision
+// that was read.
 type storedRollout struct {
 	rollout  rollout.Rollout
 	revision int
@@ -89,10 +91,11 @@
 	return true
 }
 
-// TestSingleDecision runs all sequences of six steps of two leaders that read the state
-// and decide on what they read, one finding the version good and the other bad, an
-// operator who repeats the order or gives another, and a restart that forgets what was
-// read. The model is the outcome that each order came to first: it must never change.
+// TestSingleDecision guards against a rollout whose outcome changes after it was decided, as
+// when two leaders decide differently on what they have read. It runs all sequences of six
+// steps of two leaders, one that finds the target good and one that finds it bad, an operator
+// who repeats the order or sends another one, and a restart of a leader. The first outcome of
+// each order must never change.
 func TestSingleDecision(t *testing.T) {
 	good := rollout.Observation{
 		Elapsed:            deadline,
@@ -106,21 +109,21 @@
 	}
 	bad := good
 	bad.Verdict.Bad = true
-	steps := []string{"A reads", "B reads", "A finds it good", "B finds it bad", "same order", "other order", "A restarts"}
+	steps := []string{"A reads", "B reads", "A finds target good", "B finds target bad", "same order", "other order", "A restarts"}
 	outcomes := map[rollout.State]int{}
-	// stored is the registry's object, a and b what the two leaders have read, and decided
-	// the outcome of the newest order that has one.
+	// stored is the object in the registry, a and b are the copies that the two leaders have
+	// read, and decided is the outcome of the newest order that has one.
 	var run func(stored, a, b storedRollout, decided map[uint64]rollout.State, depth int, path string)
 	run = func(stored, a, b storedRollout, decided map[uint64]rollout.State, depth int, path string) {
 		r := stored.rollout
 		if outcome, done := decided[r.OrderNumber]; done && (r.State != outcome || r.Target == "") {
-			t.Fatalf("%s: order %d was %s and is %s", path, r.OrderNumber, outcome, r.State)
+			t.Fatalf("%s: outcome of order %d changed from %s to %s", path, r.OrderNumber, outcome, r.State)
 		}
 		if r.State == rollout.Succeeded || r.State == rollout.RolledBack {
 			decided = map[uint64]rollout.State{r.OrderNumber: r.State}
 			base := map[rollout.State]string{rollout.Succeeded: r.Target, rollout.RolledBack: "v1"}[r.State]
 			if r.OrderNumber == 1 && r.Base != base {
-				t.Fatalf("%s: %s with base %s", path, r.State, r.Base)
+				t.Fatalf("%s: state %s has the wrong base %s", path, r.State, r.Base)
 			}
 			outcomes[r.State]++
 		}
@@ -134,11 +137,11 @@
 				a = stored
 			case "B reads":
 				b = stored
-			case "A finds it good":
+			case "A finds target good":
 				if next, changed := a.rollout.Advance(good); changed {
 					stored.compareAndSet(next, a.revision)
 				}
-			case "B finds it bad":
+			case "B finds target bad":
 				if next, changed := b.rollout.Advance(bad); changed {
 					stored.compareAndSet(next, b.revision)
 				}
@@ -146,7 +149,7 @@
 				target := map[string]string{"same order": "v2", "other order": "v3"}[step]
 				if next, err := r.Start(target, deadline); err == nil && next != r {
 					if r.State == rollout.InProgress {
-						t.Fatalf("%s: a second order began while one is under way", path)
+						t.Fatalf("%s: a second order was accepted while one is in progress", path)
 					}
 					stored.compareAndSet(next, stored.revision)
 				}
@@ -161,12 +164,13 @@
 	start := storedRollout{first, 1}
 	run(start, start, start, map[uint64]rollout.State{}, 6, "started")
 	if outcomes[rollout.Succeeded] == 0 || outcomes[rollout.RolledBack] == 0 {
-		t.Errorf("outcomes met: %v", outcomes)
+		t.Errorf("outcomes = %v, want both succeeded and rolled back", outcomes)
 	}
 }
 
-// TestInsufficientEvidenceRollsBack lets the deadline come with too few answers, too few
-// endpoints or none: the roll-out must be rolled back and say why.
+// TestInsufficientEvidenceRollsBack guards against the promotion of a target that could not be
+// evaluated. If there are too few answers or endpoints by the deadline, or the target is
+// suspect, the rollout must be rolled back with the matching reason.
 func TestInsufficientEvidenceRollsBack(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -207,13 +211,13 @@
 				r, _ = r.Advance(o)
 			}
 			if r.State != rollout.RolledBack || r.Reason != test.reason || r.Base != "v1" {
-				t.Errorf("%+v ends as %+v", o, r)
+				t.Errorf("rollout with observation %+v ended as %+v, want it rolled back with the reason of the test case", o, r)
 			}
 		})
 	}
 }
 
-// Example follows a version that proves good through its stages.
+// Example advances a rollout of a good version through its stages.
 func Example() {
 	r, _ := rollout.Rollout{Base: "v1"}.Start("v2", 10*time.Second)
 	analyzer := rollout.NewAnalyzer()
