--- a/watchcache/cache.go
+++ b/watchcache/cache.go
@@ -83,7 +83,7 @@
 // together, as a reader must see all of them or none.
 func (c *Cache) compact(now time.Duration) {
 	n := 0
-	for n < len(c.arrivals) && (c.isOverBounds(now, n) || c.isSplit(n)) {
+	for n < len(c.arrivals) && (c.exceedsLimits(now, n) || c.wouldSplitWrite(n)) {
 		c.compactedRevision = c.log.Entries[n].At
 		c.valueBytes -= valueSize(c.log.Entries[n].Value)
 		n++
@@ -94,16 +94,16 @@
 	}
 }
 
-// isOverBounds reports whether event n must leave the window; those before it have.
-func (c *Cache) isOverBounds(now time.Duration, n int) bool {
+// exceedsLimits reports whether event n must leave the window; those before it have.
+func (c *Cache) exceedsLimits(now time.Duration, n int) bool {
 	return now-c.arrivals[n] > c.window ||
 		len(c.arrivals)-n > c.maxEvents ||
 		c.valueBytes > c.maxValueBytes
 }
 
-// isSplit reports whether event n belongs to the write whose other events, before
+// wouldSplitWrite reports whether event n belongs to the write whose other events, before
 // it, have just left the window.
-func (c *Cache) isSplit(n int) bool {
+func (c *Cache) wouldSplitWrite(n int) bool {
 	return n > 0 && c.log.Entries[n].At == c.compactedRevision
 }
 
