--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -1,22 +1,22 @@
-// Package eventlog is an append-only log of numbered events by topic, replayed from
-// offsets.
+// Package eventlog implements an append-only event log that is partitioned by topic
+// and can be replayed from an offset.
 //
-// Each entry carries the global revision of its change, which the caller gives and
-// which never decreases, and its offset within its topic, which rises by one from 1.
-// Both follow from the changes alone, so all replicas that appended the same changes
-// hold the same log. A reader is only an offset: it can go on at any replica and costs
-// nothing while it is slow. Entries may be forgotten from the oldest on; the log keeps
-// how far it did so, so that a reader that comes too late is not mistaken for one that
-// has read everything.
+// Each entry has the global revision of its change, which the caller supplies and
+// which never decreases, and its offset within the topic, which starts at 1 and
+// increases by one. Both depend only on the changes, so replicas that append the same
+// changes hold the same log. The only state of a reader is an offset: it can resume at
+// any replica, and a slow reader uses no resources. Compaction discards the oldest
+// entries. The log records the highest offset discarded in each topic, which
+// distinguishes a reader that missed entries from one that has read all of them.
 //
-// The package does no input or output, reads no clock and starts no goroutine. It is
-// used by packages watchcache and coordination.
+// The package performs no I/O, reads no clock and starts no goroutines. Packages
+// watchcache and coordination use it.
 package eventlog
 
 import "sort"
 
-// Entry is one event. Entries are stored in snapshots by gob, so the field names are
-// part of that format.
+// Entry is one event. Snapshots store entries in gob encoding, so the field names are
+// part of the snapshot format.
 type Entry[T any] struct {
 	At     uint64 // global revision of the change
 	Topic  string
@@ -24,27 +24,26 @@
 	Value  T
 }
 
-// Log is an event log. The zero value is empty. It is not safe for concurrent use,
-// see BuildIndex for reading. The exported fields are stored in snapshots by gob, so
-// their names are part of that format.
+// Log is an event log. The zero value is an empty log. A Log is not safe for
+// concurrent use; for concurrent readers see BuildIndex. Snapshots store the exported
+// fields in gob encoding, so their names are part of the snapshot format.
 type Log[T any] struct {
-	// Entries are in the order of their revisions.
+	// Entries is sorted by revision.
 	Entries []Entry[T]
-	// Last is the newest offset of each topic, Floor the highest that has been
-	// forgotten.
+	// Last holds the newest offset of each topic, and Floor the highest discarded one.
 	Last, Floor map[string]uint64
 
-	// firstPosition is how many entries have been forgotten since the log was made or
-	// decoded. An entry's position is its index in Entries plus firstPosition, and does
-	// not change when older ones are forgotten.
+	// firstPosition is the number of entries discarded since the log was created or
+	// decoded. The position of an entry is its index in Entries plus firstPosition; it
+	// does not change when older entries are discarded.
 	firstPosition uint64
-	// positions holds the positions of each topic's entries in order; nil until
-	// BuildIndex.
+	// positions holds the positions of the entries of each topic in ascending order.
+	// It is nil until BuildIndex is called.
 	positions map[string][]uint64
 }
 
-// Append adds an event to a topic and returns its offset there. revision must not be
-// below that of the entry before; several events may share one.
+// Append adds an event to a topic and returns its offset. revision must not be lower
+// than that of the previous entry; several events may share a revision.
 func (l *Log[T]) Append(revision uint64, topic string, value T) (offset uint64) {
 	if l.Last == nil {
 		l.Last = map[string]uint64{}
@@ -58,9 +57,8 @@
 	return offset
 }
 
-// BuildIndex builds the index of a log that was decoded. The other methods call it
-// where it is needed; if several goroutines are to read the log at the same time, it
-// must be called before they start.
+// BuildIndex builds the index of a decoded log. The other methods call it on demand;
+// it must be called explicitly before several goroutines read the log concurrently.
 func (l *Log[T]) BuildIndex() {
 	if l.positions != nil {
 		return
@@ -71,10 +69,10 @@
 	}
 }
 
-// Compact forgets the entries up to and including a global revision.
+// Compact discards the entries up to and including a global revision.
 func (l *Log[T]) Compact(revision uint64) { l.DropOldest(l.FirstAfter(revision)) }
 
-// DropOldest forgets the oldest n entries. n must not exceed len(l.Entries).
+// DropOldest discards the oldest n entries. n must not exceed len(l.Entries).
 func (l *Log[T]) DropOldest(n int) {
 	if n == 0 {
 		return
@@ -85,8 +83,8 @@
 		l.Floor[e.Topic] = e.Number
 		dropped[e.Topic]++
 	}
-	// The rest is copied into new memory, so that what was forgotten is released also
-	// if nothing remains, for which slices.Clone would keep the old array.
+	// Copying the remaining entries releases the memory of the discarded ones.
+	// slices.Clone would keep the old array if no entries remain.
 	for topic, count := range dropped {
 		if rest := l.positions[topic][count:]; len(rest) > 0 {
 			l.positions[topic] = append([]uint64(nil), rest...)
@@ -98,9 +96,9 @@
 	l.firstPosition += uint64(n)
 }
 
-// Replay calls visit for the entries of a topic above an offset, in order, until it
-// returns false. It reports false, and visits nothing, if entries above the offset
-// have been forgotten.
+// Replay calls visit in order for the entries of a topic above an offset, until visit
+// returns false. It visits nothing and returns false if entries above the offset have
+// been discarded.
 func (l *Log[T]) Replay(topic string, after uint64, visit func(Entry[T]) bool) (ok bool) {
 	floor := l.Floor[topic]
 	if after < floor {
@@ -109,7 +107,7 @@
 	if len(l.Entries) > 0 {
 		l.BuildIndex()
 	}
-	// Offsets rise by one, so the entries to skip can be counted.
+	// Offsets are consecutive, so their difference is the number of entries to skip.
 	positions := l.positions[topic]
 	skip := min(after-floor, uint64(len(positions)))
 	for _, position := range positions[skip:] {
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -11,28 +11,30 @@
 	"lichentray/eventlog"
 )
 
-// referenceLog is every entry ever, and how far each topic was forgotten.
+// referenceLog holds every entry ever appended and the highest offset discarded in each
+// topic.
 type referenceLog struct {
 	entries []eventlog.Entry[int]
 	floor   map[string]uint64
 }
 
-// TestLogMatchesReferenceLog appends to a log, compacts it, and passes it on to another
-// replica in its encoded form. It must replay every topic from every offset as a list of
-// all entries does, and reject exactly the offsets that were forgotten.
+// TestLogMatchesReferenceLog guards against wrong replays after compaction or decoding. It
+// appends to a log at random, compacts it and replaces it by its decoded copy. Replay from
+// every offset must match a list of all entries and must fail exactly for offsets below the
+// floor.
 func TestLogMatchesReferenceLog(t *testing.T) {
 	for seed := range int64(30) {
 		random := rand.New(rand.NewSource(seed))
 		log, reference := &eventlog.Log[int]{}, referenceLog{floor: map[string]uint64{}}
 		lastOffset := map[string]uint64{}
-		for index := uint64(1); index < 300; index++ {
+		for revision := uint64(1); revision < 300; revision++ {
 			topic := fmt.Sprint("t", random.Intn(4))
 			switch random.Intn(8) {
 			case 0:
-				before := uint64(random.Intn(int(index)))
-				log.Compact(before)
+				upTo := uint64(random.Intn(int(revision)))
+				log.Compact(upTo)
 				for _, e := range reference.entries {
-					if e.At <= before {
+					if e.At <= upTo {
 						reference.floor[e.Topic] = max(reference.floor[e.Topic], e.Number)
 					}
 				}
@@ -47,10 +49,10 @@
 				}
 			default:
 				lastOffset[topic]++
-				if n := log.Append(index, topic, int(index)); n != lastOffset[topic] {
-					t.Fatalf("seed %d: number %d of %s, want %d", seed, n, topic, lastOffset[topic])
+				if n := log.Append(revision, topic, int(revision)); n != lastOffset[topic] {
+					t.Fatalf("seed %d: Append returned offset %d for topic %s, want %d", seed, n, topic, lastOffset[topic])
 				}
-				reference.entries = append(reference.entries, eventlog.Entry[int]{At: index, Topic: topic, Number: lastOffset[topic], Value: int(index)})
+				reference.entries = append(reference.entries, eventlog.Entry[int]{At: revision, Topic: topic, Number: lastOffset[topic], Value: int(revision)})
 			}
 			for after := range lastOffset[topic] + 2 {
 				var got, want []eventlog.Entry[int]
@@ -61,7 +63,7 @@
 					}
 				}
 				if ok != (after >= reference.floor[topic]) || !reflect.DeepEqual(got, want) {
-					t.Fatalf("seed %d, index %d: %s after %d gave %v, %v; ever were %v, floor %d", seed, index, topic, after, got, ok, want, reference.floor[topic])
+					t.Fatalf("seed %d, revision %d: Replay(%q, %d) visited %v and returned %v, want entries %v with floor %d", seed, revision, topic, after, got, ok, want, reference.floor[topic])
 				}
 			}
 		}
@@ -70,15 +72,15 @@
 
 func Example() {
 	log := &eventlog.Log[string]{}
-	log.Append(7, "loans.", "sheet 12 to Basel")
-	log.Append(9, "loans.", "sheet 12 back")
-	log.Replay("loans.", 1, func(e eventlog.Entry[string]) bool {
+	log.Append(7, "orders.", "order 12 created")
+	log.Append(9, "orders.", "order 12 shipped")
+	log.Replay("orders.", 1, func(e eventlog.Entry[string]) bool {
 		fmt.Println(e.Number, e.Value)
 		return true
 	})
 	log.Compact(7)
-	fmt.Println(log.Replay("loans.", 0, nil))
+	fmt.Println(log.Replay("orders.", 0, nil))
 	// Output:
-	// 2 sheet 12 back
+	// 2 order 12 shipped
 	// false
 }
--- a/watchcache/mirror.go
+++ b/watchcache/mirror.go
@@ -6,34 +6,34 @@
 	"lichentray/registry"
 )
 
-// ErrBaseMismatch says that an event's delta was made against a value that the
-// mirror does not hold: the follower must list again.
-var ErrBaseMismatch = errors.New("watchcache: delta does not fit the mirror's value")
+// ErrBaseMismatch is returned if an event's delta was computed against a value that the
+// mirror does not hold. The watcher must list again.
+var ErrBaseMismatch = errors.New("watchcache: delta does not match the value in the mirror")
 
-// Mirror is a follower's exact copy of a store or of a part of it. Its revision never
-// decreases. It is not safe for concurrent use.
+// Mirror is a watcher's exact copy of a store or of a part of it. Its revision never
+// decreases. A Mirror is not safe for concurrent use.
 type Mirror struct {
 	revision uint64
 	synced   bool
 	objects  map[string]registry.Object
 }
 
-// NewMirror returns an empty mirror that has not synced.
+// NewMirror returns an empty mirror for which HasSynced is false.
 func NewMirror() *Mirror { return &Mirror{objects: map[string]registry.Object{}} }
 
 // Revision returns the revision at which the copy is exact.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// HasSynced reports whether the mirror holds a list, and needs no new one before it
-// goes on with events.
+// HasSynced reports whether the mirror holds a list and can apply events without listing
+// again.
 func (m *Mirror) HasSynced() bool { return m.synced }
 
-// Objects returns the content by key. The map is the mirror's own: it must not be
-// modified, and is valid until the next call of Replace.
+// Objects returns the objects by key. The map belongs to the mirror: it must not be
+// modified and is valid until the next call of Replace.
 func (m *Mirror) Objects() map[string]registry.Object { return m.objects }
 
-// Replace sets the content to a list at a revision. It returns ErrFutureRevision,
-// and changes nothing, if the mirror is newer than the list.
+// Replace replaces the content by a list read at a revision. If the mirror is newer than
+// the list, it returns ErrFutureRevision and changes nothing.
 func (m *Mirror) Replace(revision uint64, objects []registry.Object) error {
 	if revision < m.revision {
 		return ErrFutureRevision
@@ -48,10 +48,11 @@
 	return nil
 }
 
-// ApplyEvent applies one event and reports whether it did. An event below the mirror's
-// revision is skipped, as the content includes it; one at the revision is not, as the
-// events of one write share theirs, and applying it twice does no harm. On
-// ErrBaseMismatch the content is unchanged and must be listed anew.
+// ApplyEvent applies one event and reports whether it was applied. An event below the
+// mirror's revision is skipped because the content already includes it. An event at the
+// mirror's revision is applied because the events of one write share a revision; applying
+// an event twice is harmless. On ErrBaseMismatch the content is unchanged and the watcher
+// must list again.
 func (m *Mirror) ApplyEvent(e registry.Event) (applied bool, err error) {
 	if e.Revision < m.revision {
 		return false, nil
@@ -79,10 +80,10 @@
 	return true, nil
 }
 
-// Invalidate makes HasSynced false, so that the follower lists again. The content
-// stays in use until Replace.
+// Invalidate makes HasSynced return false, so that the watcher lists again. The content
+// remains available until Replace is called.
 func (m *Mirror) Invalidate() { m.synced = false }
 
-// ApplyBookmark raises the revision to one up to which the follower has received all
-// events. A lower one changes nothing.
+// ApplyBookmark advances the mirror to a revision up to which the watcher has received
+// all events. A lower revision has no effect.
 func (m *Mirror) ApplyBookmark(revision uint64) { m.revision = max(m.revision, revision) }
