--- a/internal/controlplane/endpoint_registrar.go
+++ b/internal/controlplane/endpoint_registrar.go
@@ -17,7 +17,7 @@
 		isFirstAttempt = false
 		departed, hasDeparted := r.store.Get(departedKey(endpoint.ID))
 		registered := registry.DecodeDeparture(departed).RegisteredSequence
-		if hasDeparted && !(mayStartAgain && registry.StartsAgain(registered, endpoint.Sequence)) {
+		if hasDeparted && !(mayStartAgain && registry.IsNewIncarnation(registered, endpoint.Sequence)) {
 			return nil, nil // a late heartbeat of an endpoint that has deregistered
 		}
 		h.recordHeartbeat(endpoint.ID)
@@ -61,7 +61,7 @@
 		return nil, apierror.New(apierror.Internal, "%v", err)
 	}
 	if endpoint.Draining {
-		if mayStartAgain && !heartbeat.Draining && registry.StartsAgain(endpoint.FirstSequence(), heartbeat.Sequence) {
+		if mayStartAgain && !heartbeat.Draining && registry.IsNewIncarnation(endpoint.FirstSequence(), heartbeat.Sequence) {
 			return deleteIfUnchanged(object), nil
 		}
 		return nil, nil
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -62,7 +62,7 @@
 	object, _ := r.store.Get(key)
 	current := registry.DecodeEvacuation(object)
 	orderedAt := r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: begin}]
-	next = current.ApplyOrder(begin, z.now()-orderedAt, window)
+	next = current.ApplyRequest(begin, z.now()-orderedAt, window)
 	if next == current {
 		return next, nil
 	}
--- a/registry/audit_test.go
+++ b/registry/audit_test.go
@@ -33,131 +33,131 @@
 
 // expectedKind is the model of what all attempts of one commitment amount to.
 func expectedKind(attempts []causedAttempt) audit.Kind {
-	ran, unsure := 0, 0
+	executed, maybeExecuted := 0, 0
 	for _, c := range attempts {
 		if c.Kind == audit.Executed {
-			ran++
+			executed++
 		}
 		if c.Kind == audit.MaybeExecuted {
-			unsure++
+			maybeExecuted++
 		}
 	}
 	switch {
-	case ran >= 2:
+	case executed >= 2:
 		return audit.Duplicated
-	case ran == 1 && unsure >= 1:
+	case executed == 1 && maybeExecuted >= 1:
 		return audit.MaybeDuplicated
-	case ran == 1:
+	case executed == 1:
 		return ""
-	case unsure >= 1:
+	case maybeExecuted >= 1:
 		return audit.Indeterminate
 	}
 	return audit.Lost
 }
 
 func runAuditSimulation(t *testing.T, seed int64) {
-	const proxies, perBatch = 6, 20
-	c := rafttest.NewCluster(seed, 3, func() rafttest.StateMachine {
+	const proxyCount, perBatch = 6, 20
+	cluster := rafttest.NewCluster(seed, 3, func() rafttest.StateMachine {
 		return newSimulatedStore(func() time.Duration { return 0 })
 	})
-	c.Run(time.Second)
+	cluster.Run(time.Second)
 	type proxy struct {
 		recorder    *audit.Recorder
 		incarnation string
-		n           int
-		// known says that the log knows the incarnation: before, it takes no requests.
-		known bool
+		restarts    int
+		// isKnown says that the log knows the incarnation: before, it takes no requests.
+		isKnown bool
 	}
-	var all [proxies]*proxy
-	open := func(i int) {
+	var proxies [proxyCount]*proxy
+	startProxy := func(i int) {
 		n := 0
-		if all[i] != nil {
-			n = all[i].n + 1
+		if proxies[i] != nil {
+			n = proxies[i].restarts + 1
 		}
 		incarnation := fmt.Sprintf("p%d-%d", i, n)
-		all[i] = &proxy{recorder: audit.NewRecorder(incarnation, fmt.Sprint("p", i), 10000), incarnation: incarnation, n: n}
+		proxies[i] = &proxy{recorder: audit.NewRecorder(incarnation, fmt.Sprint("p", i), 10000), incarnation: incarnation, restarts: n}
 	}
-	for i := range all {
-		open(i)
+	for i := range proxies {
+		startProxy(i)
 	}
-	ms := func() int64 { return c.Now.Milliseconds() }
+	unixMS := func() int64 { return cluster.Now.Milliseconds() }
 	send := func(p *proxy, closed bool) {
-		b := p.recorder.NextBatch(ms(), perBatch)
-		b.PerS, b.Out, b.Closed, b.Most = 100, 2, closed && len(b.Records) < perBatch, 100000
-		data := registry.EncodeCommand(registry.Command{Audit: &b})
-		ids := c.IDs()
-		id := ids[c.Rand.Intn(len(ids))]
-		if l := c.Leader(); l != nil && c.Rand.Intn(4) > 0 {
+		batch := p.recorder.NextBatch(unixMS(), perBatch)
+		batch.PerS, batch.Out, batch.Closed, batch.Most = 100, 2, closed && len(batch.Records) < perBatch, 100000
+		data := registry.EncodeCommand(registry.Command{Audit: &batch})
+		ids := cluster.IDs()
+		id := ids[cluster.Rand.Intn(len(ids))]
+		if l := cluster.Leader(); l != nil && cluster.Rand.Intn(4) > 0 {
 			id = l.ID
 		}
-		lost := c.Rand.Intn(4) == 0
+		isAckLost := cluster.Rand.Intn(4) == 0
 		done := func(res any, ok bool) {
-			if r, is := res.(registry.Result); ok && is && !lost {
+			if r, is := res.(registry.Result); ok && is && !isAckLost {
 				p.recorder.Acknowledge(p.incarnation, r.Account)
-				p.known = true
+				p.isKnown = true
 			}
 		}
-		c.Propose(id, data, done)
-		if c.Rand.Intn(5) == 0 { // the batch comes twice
-			c.Propose(id, data, done)
+		cluster.Propose(id, data, done)
+		if cluster.Rand.Intn(5) == 0 { // the batch comes twice
+			cluster.Propose(id, data, done)
 		}
 	}
-	var truth []causedAttempt
+	var caused []causedAttempt
 	unacknowledged := map[string][]causedAttempt{} // by killed incarnation, what was not acknowledged
 	kinds := []audit.Kind{audit.MissedLatencyTarget, audit.Failed, audit.Truncated}
 	evidence := []audit.Kind{audit.Executed, audit.Executed, audit.MaybeExecuted, audit.NotExecuted}
-	at := 0
+	attemptCount := 0
 	record := func(p *proxy, r audit.Record) {
-		if !p.known {
+		if !p.isKnown {
 			return
 		}
-		at++
-		r.Attempt, r.AtMS, r.Route = fmt.Sprint("a", at), ms(), "r"
+		attemptCount++
+		r.Attempt, r.AtMS, r.Route = fmt.Sprint("a", attemptCount), unixMS(), "r"
 		p.recorder.Append(r)
-		truth = append(truth, causedAttempt{p.incarnation, r})
+		caused = append(caused, causedAttempt{p.incarnation, r})
 	}
 	for round := range 160 {
-		id := c.IDs()[c.Rand.Intn(3)]
-		injectFault(c, id, 10)
-		tenant := fmt.Sprint("t", c.Rand.Intn(3))
-		for range c.Rand.Intn(3) {
-			record(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[c.Rand.Intn(3)], Status: 502})
+		id := cluster.IDs()[cluster.Rand.Intn(3)]
+		injectFault(cluster, id, 10)
+		tenant := fmt.Sprint("t", cluster.Rand.Intn(3))
+		for range cluster.Rand.Intn(3) {
+			record(proxies[cluster.Rand.Intn(proxyCount)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[cluster.Rand.Intn(3)], Status: 502})
 		}
-		for range c.Rand.Intn(4) { // the attempts of one commitment
-			record(all[c.Rand.Intn(proxies)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[c.Rand.Intn(4)]})
+		for range cluster.Rand.Intn(4) { // the attempts of one commitment
+			record(proxies[cluster.Rand.Intn(proxyCount)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[cluster.Rand.Intn(4)]})
 		}
-		for _, p := range all {
-			if c.Rand.Intn(3) == 0 {
+		for _, p := range proxies {
+			if cluster.Rand.Intn(3) == 0 {
 				send(p, false)
 			}
 		}
-		if c.Rand.Intn(12) == 0 { // killed: what is pending is lost with it
-			i := c.Rand.Intn(proxies)
-			pending := all[i].recorder.NextBatch(ms(), 1<<30).Records
+		if cluster.Rand.Intn(12) == 0 { // killed: what is pending is lost with it
+			i := cluster.Rand.Intn(proxyCount)
+			pending := proxies[i].recorder.NextBatch(unixMS(), 1<<30).Records
 			for _, r := range pending {
-				unacknowledged[all[i].incarnation] = append(unacknowledged[all[i].incarnation], causedAttempt{all[i].incarnation, r})
+				unacknowledged[proxies[i].incarnation] = append(unacknowledged[proxies[i].incarnation], causedAttempt{proxies[i].incarnation, r})
 			}
-			open(i)
+			startProxy(i)
 		}
-		c.Run(time.Duration(10+c.Rand.Intn(40)) * time.Millisecond)
-		if c.Violation != "" {
-			t.Fatal(c.Violation)
+		cluster.Run(time.Duration(10+cluster.Rand.Intn(40)) * time.Millisecond)
+		if cluster.Violation != "" {
+			t.Fatal(cluster.Violation)
 		}
 	}
-	c.Heal()
-	for _, id := range c.IDs() {
-		c.SetFrozen(id, false)
+	cluster.Heal()
+	for _, id := range cluster.IDs() {
+		cluster.SetFrozen(id, false)
 	}
 	for range 300 {
-		for _, p := range all {
+		for _, p := range proxies {
 			send(p, true)
 		}
-		c.Run(20 * time.Millisecond)
+		cluster.Run(20 * time.Millisecond)
 	}
-	c.Run(time.Second)
-	store := c.Nodes[1].StateMachine.(*simulatedStore).store
-	for _, id := range c.IDs()[1:] {
-		if got := c.Nodes[id].StateMachine.(*simulatedStore).store.AuditLog().Query(audit.Filter{}); !reflect.DeepEqual(got, store.AuditLog().Query(audit.Filter{})) {
+	cluster.Run(time.Second)
+	store := cluster.Nodes[1].StateMachine.(*simulatedStore).store
+	for _, id := range cluster.IDs()[1:] {
+		if got := cluster.Nodes[id].StateMachine.(*simulatedStore).store.AuditLog().Query(audit.Filter{}); !reflect.DeepEqual(got, store.AuditLog().Query(audit.Filter{})) {
 			t.Fatalf("node %d holds another audit log", id)
 		}
 	}
@@ -170,60 +170,60 @@
 	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.AuditLog().Query(audit.Filter{}), store.AuditLog().Query(audit.Filter{})) {
 		t.Fatalf("the audit log does not come back from a snapshot: %v", err)
 	}
-	account := store.AuditLog().Query(audit.Filter{})
+	result := store.AuditLog().Query(audit.Filter{})
 	// The log certainly holds all but what was not acknowledged to killed incarnations,
 	// some of which may have been ingested without an answer.
-	unknown := map[string]bool{}
-	for incarnation, rs := range unacknowledged {
-		for _, r := range rs {
-			unknown[incarnation+r.Attempt] = true
-		}
-		if g, listed := account.Gaps[incarnation]; !listed || g.MayMiss < 2 {
-			if len(rs) > 0 {
-				t.Errorf("%s ended with %d records pending and the audit log says %+v", incarnation, len(rs), g)
+	maybeMissing := map[string]bool{}
+	for incarnation, records := range unacknowledged {
+		for _, r := range records {
+			maybeMissing[incarnation+r.Attempt] = true
+		}
+		if gap, listed := result.Gaps[incarnation]; !listed || gap.MayMiss < 2 {
+			if len(records) > 0 {
+				t.Errorf("%s ended with %d records pending and the audit log says %+v", incarnation, len(records), gap)
 			}
 		}
 	}
-	in := map[string]bool{}
-	for _, f := range account.Failures {
+	recorded := map[string]bool{}
+	for _, f := range result.Failures {
 		for _, attempt := range f.Attempts {
-			if in[attempt.Attempt] {
+			if recorded[attempt.Attempt] {
 				t.Errorf("%s is there twice", attempt.Attempt)
 			}
-			in[attempt.Attempt] = true
+			recorded[attempt.Attempt] = true
 		}
 	}
-	commits := map[string][]causedAttempt{}
+	nonIdempotent := map[string][]causedAttempt{}
 	want := map[string]bool{}
-	for _, x := range truth {
-		if unknown[x.incarnation+x.Attempt] && !in[x.Attempt] {
+	for _, x := range caused {
+		if maybeMissing[x.incarnation+x.Attempt] && !recorded[x.Attempt] {
 			continue // lost with its proxy, within the gap
 		}
 		if x.Kind == audit.Executed || x.Kind == audit.MaybeExecuted || x.Kind == audit.NotExecuted {
-			commits[x.Tenant+" "+x.Request] = append(commits[x.Tenant+" "+x.Request], x)
+			nonIdempotent[x.Tenant+" "+x.Request] = append(nonIdempotent[x.Tenant+" "+x.Request], x)
 			continue
 		}
 		want[fmt.Sprint(x.Tenant, " ", x.Request, " ", x.Kind, " ", x.Attempt)] = true
 	}
-	doubtful := map[string]bool{} // commitments with an attempt that may not have been ingested
-	for _, rs := range unacknowledged {
-		for _, r := range rs {
-			doubtful[r.Tenant+" "+r.Request] = true
+	uncertain := map[string]bool{} // commitments with an attempt that may not have been ingested
+	for _, records := range unacknowledged {
+		for _, r := range records {
+			uncertain[r.Tenant+" "+r.Request] = true
 		}
 	}
-	for key, attempts := range commits {
-		if kind := expectedKind(attempts); kind != "" && !doubtful[key] {
+	for key, attempts := range nonIdempotent {
+		if kind := expectedKind(attempts); kind != "" && !uncertain[key] {
 			want[key+" "+string(kind)] = true
 		}
 	}
 	got := map[string]bool{}
-	for _, f := range account.Failures {
+	for _, f := range result.Failures {
 		key := f.Tenant + " " + f.Request
 		switch f.Kind {
 		case audit.MissedLatencyTarget, audit.Failed, audit.Truncated:
 			got[fmt.Sprint(key, " ", f.Kind, " ", f.Attempts[0].Attempt)] = true
 		default:
-			if !doubtful[key] {
+			if !uncertain[key] {
 				got[key+" "+string(f.Kind)] = true
 			}
 		}
--- a/registry/caller_test.go
+++ b/registry/caller_test.go
@@ -25,7 +25,7 @@
 
 // scheduleNextCall makes the next call after a random delay.
 func (p *caller) scheduleNextCall() {
-	if !p.sim.isOver {
+	if !p.sim.isStopping {
 		p.sim.schedule(p.sim.randomDuration(300*time.Millisecond), p.makeNextCall)
 	}
 }
@@ -45,12 +45,12 @@
 	cell := fmt.Sprintf("g%d.%d", r.Intn(2), r.Intn(3))
 	p.version++
 	value := fmt.Sprint(p.name, " ", p.version)
-	k := r.Intn(12)
+	choice := r.Intn(12)
 	if sim.keepsHolderNames {
-		k = 11 // nothing but locks
+		choice = 11 // nothing but locks
 	}
 	switch {
-	case k < 2:
+	case choice < 2:
 		x := &call{object: registry.ConfigKey}
 		sim.callNode(sim.pickNode(), x, func() {
 			if x.outcome == answered {
@@ -58,9 +58,9 @@
 			}
 			p.scheduleNextCall()
 		})
-	case k < 4:
+	case choice < 4:
 		p.replaceConfig("configuration of some length that stays as it is, and of " + value)
-	case k < 6:
+	case choice < 6:
 		x := &call{object: cell}
 		sim.callNode(sim.pickNode(), x, func() {
 			if x.outcome == answered {
@@ -68,12 +68,12 @@
 			}
 			p.scheduleNextCall()
 		})
-	case k < 8:
+	case choice < 8:
 		p.putCell(coordination.Command{Operation: coordination.PutCell, Name: cell, Value: value, HasExpectedRevision: r.Intn(2) == 0, ExpectedRevision: p.cells[cell]})
-	case k < 9:
+	case choice < 9:
 		p.callCoordination(coordination.Command{Operation: coordination.NextNumber, Name: fmt.Sprint("n", r.Intn(2))}, func(*call) {})
 	default:
-		p.advanceLock()
+		p.useLock()
 	}
 }
 
@@ -115,10 +115,10 @@
 	})
 }
 
-// advanceLock makes the next step with a lock: it acquires, renews, releases or abandons
+// useLock makes the next step with a lock: it acquires, renews, releases or abandons
 // it. Each acquisition is under a holder's name of its own, unless the callers of the
 // simulation keep theirs, as applications do that come back after an end or a failed call.
-func (p *caller) advanceLock() {
+func (p *caller) useLock() {
 	r := p.sim.cluster.Rand
 	if p.lock == "" {
 		p.lockCount++
@@ -131,8 +131,8 @@
 	if p.sim.keepsHolderNames {
 		l.LeaseMS = longLeaseMS
 	}
-	switch k := r.Intn(10); {
-	case p.fencingToken == 0 || k < 1:
+	switch choice := r.Intn(10); {
+	case p.fencingToken == 0 || choice < 1:
 		l.Operation, l.FencingToken = coordination.AcquireLock, 0
 		p.callCoordination(l, func(x *call) {
 			if x.outcome == answered && x.result.Latch.Code == coordination.OK {
@@ -141,14 +141,14 @@
 				p.lock = ""
 			}
 		})
-	case k < 6:
+	case choice < 6:
 		l.Operation = coordination.RenewLock
 		p.callCoordination(l, func(x *call) {
 			if x.outcome == answered && x.result.Latch.Code == coordination.LockLost {
 				p.lock = ""
 			}
 		})
-	case k < 8:
+	case choice < 8:
 		p.lock = ""
 		l.Operation = coordination.ReleaseLock
 		p.callCoordination(l, func(*call) {})
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -9,24 +9,24 @@
 	"lichentray/coordination"
 )
 
-// A command is stored in the log in a compact binary form: a byte for the kind, then
-// uvarints and byte strings with their length before them. Gob would write its type
-// descriptions into every entry. The form is stored data; new kinds get new bytes.
+// The log stores a command in a compact binary encoding: one byte for the kind, then
+// uvarints and length-prefixed byte strings. Gob would repeat its type descriptors in
+// every entry. The encoding is stored data, so a new kind must get a new byte.
 const (
 	commandTxn          = 1
 	commandCoordination = 2
-	commandAudit        = 3 // followed by JSON: it is rare, and people read it too
+	commandAudit        = 3 // followed by JSON: audit batches are rare, and JSON is readable
 
 	writeFlagDelete = 1
 	writeFlagDelta  = 2
 )
 
-// ErrMalformedCommand says that bytes are not the encoded form of a command: they
-// are cut short, too long, or of an unknown kind.
+// ErrMalformedCommand is returned for bytes that do not encode a command: truncated data,
+// trailing bytes or an unknown kind.
 var ErrMalformedCommand = errors.New("registry: malformed command")
 
-// EncodeCommand returns the form of a command in the log. A command without a field set
-// has the form of an empty transaction.
+// EncodeCommand returns the log encoding of a command. A command with no field set is
+// encoded as an empty transaction.
 func EncodeCommand(c Command) []byte {
 	switch {
 	case c.Audit != nil:
@@ -80,8 +80,8 @@
 	return b
 }
 
-// DecodeCommand reads a command from its form in the log. The error is
-// ErrMalformedCommand. The command shares no memory with b.
+// DecodeCommand decodes a command from its log encoding. The error is
+// ErrMalformedCommand. The command does not share memory with b.
 func DecodeCommand(b []byte) (Command, error) {
 	if len(b) == 0 {
 		return Command{}, ErrMalformedCommand
@@ -109,7 +109,7 @@
 }
 
 func decodeCoordination(r *byteReader) *coordination.Command {
-	// Go evaluates the calls in this order, which is that of encodeCoordination.
+	// Go evaluates the calls in source order, which must match encodeCoordination.
 	return &coordination.Command{
 		Operation:           coordination.Operation(r.byte()),
 		Name:                string(r.bytes()),
@@ -144,15 +144,15 @@
 	return txn
 }
 
-// appendBytes appends a byte string with its length before it.
+// appendBytes appends a length-prefixed byte string.
 func appendBytes(b, s []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(len(s)))
 	return append(b, s...)
 }
 
-// byteReader reads what binary.AppendUvarint and appendBytes wrote. Once something
-// cannot be read, malformed is set and stays set, so that a caller may read several
-// items and check once.
+// byteReader decodes the output of binary.AppendUvarint and appendBytes. malformed stays
+// set after the first failed read, so that a caller can read several items and check
+// once.
 type byteReader struct {
 	rest      []byte
 	malformed bool
@@ -178,7 +178,7 @@
 	return v
 }
 
-// bytes reads a byte string into memory of its own.
+// bytes reads a byte string and returns a copy of it.
 func (r *byteReader) bytes() []byte {
 	n := r.uvarint()
 	if r.malformed || n > uint64(len(r.rest)) {
@@ -190,9 +190,9 @@
 	return s
 }
 
-// count reads the number of items that follow. Each takes a byte at least, so a
-// greater number than there are bytes left is malformed; this bounds the memory that
-// a corrupt entry can ask for.
+// count reads the number of items that follow. An item takes at least one byte, so a count
+// above the number of remaining bytes is malformed. The check bounds the memory that a
+// corrupt entry can allocate.
 func (r *byteReader) count() int {
 	n := r.uvarint()
 	if n > uint64(len(r.rest)) {
--- a/registry/delta.go
+++ b/registry/delta.go
@@ -7,29 +7,31 @@
 	"hash/maphash"
 )
 
-// A delta describes a new value as copies of parts of the old one and literal bytes
-// between them: any number of times the offset and the length of a copy as uvarints,
-// then literal bytes with their length before them. An update still replaces the
-// complete object; the delta is only its form in the log and on the wire, and is tied
-// to the revision of the value that it was made against.
+// A delta encodes a new value as a sequence of parts. Each part consists of the offset and
+// the length, as uvarints, of a range to copy from the old value, followed by
+// length-prefixed literal bytes. An update still replaces the complete object: the delta
+// is only its encoding in the log and on the wire. It is valid only against the revision
+// of the value from which it was computed.
 
-// ErrDeltaMismatch says that a delta is malformed or was made against another value.
-var ErrDeltaMismatch = errors.New("registry: delta does not fit the value")
+// ErrDeltaMismatch is returned for a delta that is malformed or was computed against
+// another value.
+var ErrDeltaMismatch = errors.New("registry: delta does not match the old value")
 
-// Blocks end after the first closing brace behind minBlockSize bytes, so that an object
-// of a JSON text is found again after it moved unchanged, and after maxBlockSize bytes
-// at the latest.
+// Sizes in bytes. A block ends after the first closing brace that follows its first
+// minBlockSize bytes, so that a JSON object that moves unchanged within the text still
+// forms a block of its own. A block without such a brace ends after maxBlockSize bytes.
 const (
 	minBlockSize = 24
 	maxBlockSize = 512
-	// typicalBlockSize only sizes the index, for blocks of this length.
+	// typicalBlockSize only determines the initial capacity of the index.
 	typicalBlockSize = 64
 )
 
-// blockHashSeed may differ between processes: hashes never leave ComputeDelta.
+// blockHashSeed may differ between processes because hashes are used only within
+// ComputeDelta.
 var blockHashSeed = maphash.MakeSeed()
 
-// blockEnd returns where the block of b that begins at start ends.
+// blockEnd returns the end offset of the block of b that begins at start.
 func blockEnd(b []byte, start int) int {
 	if start+minBlockSize >= len(b) {
 		return len(b)
@@ -42,7 +44,7 @@
 	return limit
 }
 
-// indexBlocks returns the offset of each block of b by its hash.
+// indexBlocks maps the hash of each block of b to the offset of the block.
 func indexBlocks(b []byte) map[uint64]int {
 	offsets := make(map[uint64]int, len(b)/typicalBlockSize+1)
 	for start := 0; start < len(b); {
@@ -53,8 +55,8 @@
 	return offsets
 }
 
-// commonPrefixLength returns how many bytes a and b have in common at their start,
-// of which the first known are known to be.
+// commonPrefixLength returns the length of the common prefix of a and b. The caller
+// guarantees that the first known bytes are equal.
 func commonPrefixLength(a, b []byte, known int) int {
 	n := known
 	for n < len(a) && n < len(b) && a[n] == b[n] {
@@ -63,13 +65,13 @@
 	return n
 }
 
-// ComputeDelta returns the delta that makes value from old (see ApplyDelta). It may
-// be longer than value if the two have little in common.
+// ComputeDelta returns a delta from which ApplyDelta reconstructs value, given old. The
+// delta may be longer than value if the two have little in common.
 func ComputeDelta(old, value []byte) []byte {
 	oldBlocks := indexBlocks(old)
 	var delta []byte
 	copyOffset, copyLength, literalStart := 0, 0, 0
-	// appendPart writes the copy found last and the literal between it and end.
+	// appendPart encodes the most recent copy and the literal bytes from there to end.
 	appendPart := func(end int) {
 		if copyLength == 0 && end == literalStart {
 			return
@@ -96,9 +98,9 @@
 	return delta
 }
 
-// ApplyDelta returns the value that a delta makes from old. The error is
-// ErrDeltaMismatch. That the result is the value meant is certain only if old is the
-// value that the delta was made against, which callers ensure by its revision.
+// ApplyDelta applies a delta to old and returns the new value. The error is
+// ErrDeltaMismatch. Not every mismatch is detected: callers must compare revisions to
+// ensure that old is the value from which the delta was computed.
 func ApplyDelta(old, delta []byte) ([]byte, error) {
 	r := &byteReader{rest: delta}
 	value := make([]byte, 0, len(old)+len(delta))
--- a/registry/evacuation.go
+++ b/registry/evacuation.go
@@ -2,34 +2,33 @@
 
 import "time"
 
-// The states of a zone other than ordinary use, which is the empty string. Values
-// written by earlier versions hold these strings alone, and the status API returns
-// them. While a zone is returning, its endpoints count as warming up until their
-// heartbeats say otherwise.
+// The states of a zone; the empty string is normal operation. Earlier versions stored
+// only these strings, and the status API returns them. While a zone is returning, its
+// endpoints are treated as warming up until their heartbeats indicate otherwise.
 const (
 	Evacuated = "evacuated"
 	Returning = "returning"
 )
 
-// Evacuation is the state of a zone, as it is stored under EvacuationPrefix. The
-// zero value is a zone in ordinary use.
+// Evacuation is the state of a zone, stored under EvacuationPrefix. The zero value is a
+// zone in normal operation.
 //
-// Several operators may evacuate one zone at the same time. The zone returns only when
-// each of them has finished, so begin and finish orders are counted. Orders carry no
-// identity, and an operator whose answer was lost sends the order again: a repeat is
-// distinguished from a new order by its age and by whether the order before it was
-// acknowledged, see RepeatWindow.
+// Several operators may evacuate a zone at the same time. The zone returns only after all
+// of them have finished, so begin and finish requests are counted. Requests have no ID,
+// and an operator whose response was lost retries: a retry is distinguished from a new
+// request by the time since the previous request of the same kind and by whether that one
+// was acknowledged, see RepeatWindow.
 type Evacuation struct {
 	BeginCount  int `json:"begins,omitempty"`
 	FinishCount int `json:"finishes,omitempty"`
-	// BeginAcknowledged and FinishAcknowledged say that the node that accepted the
-	// newest order of the kind was still alive after it had answered, so that its
-	// answer most likely arrived.
+	// BeginAcknowledged and FinishAcknowledged report whether the node that accepted the
+	// newest request of the kind was still alive after it had responded, so that the
+	// response most likely arrived.
 	BeginAcknowledged  bool `json:"begin_told,omitempty"`
 	FinishAcknowledged bool `json:"finish_told,omitempty"`
 }
 
-// State returns Evacuated, Returning or, for ordinary use, the empty string.
+// State returns Evacuated, Returning or, in normal operation, the empty string.
 func (e Evacuation) State() string {
 	switch {
 	case e.BeginCount == 0:
@@ -40,15 +39,15 @@
 	return Returning
 }
 
-// RepeatWindow is how long after an order another one of its kind counts as a
-// repeat of it: Acknowledged applies if the earlier order was acknowledged,
-// Unacknowledged, which is longer, if its answer may have been lost.
+// RepeatWindow is the time after a request during which another request of the same kind
+// counts as a retry. Acknowledged applies if the earlier request was acknowledged;
+// Unacknowledged, which is longer, applies if its response may have been lost.
 type RepeatWindow struct{ Acknowledged, Unacknowledged time.Duration }
 
-// ApplyOrder returns the state after an order to begin or to finish an evacuation.
-// age is the time since the newest order of the same kind. A repeat, and a finish
-// without an evacuation, return the state unchanged.
-func (e Evacuation) ApplyOrder(begin bool, age time.Duration, window RepeatWindow) Evacuation {
+// ApplyRequest returns the state after a request to begin or to finish an evacuation. age
+// is the time since the newest request of the same kind. A retry, or a finish request for
+// a zone that is not evacuated, leaves the state unchanged.
+func (e Evacuation) ApplyRequest(begin bool, age time.Duration, window RepeatWindow) Evacuation {
 	if e.isRepeat(begin, age, window) {
 		return e
 	}
@@ -65,14 +64,14 @@
 	return e
 }
 
-// isRepeat reports whether an order counts as a repeat of the newest one of its kind.
+// isRepeat reports whether a request counts as a retry of the newest one of its kind.
 func (e Evacuation) isRepeat(begin bool, age time.Duration, window RepeatWindow) bool {
 	count, acknowledged := e.FinishCount, e.FinishAcknowledged
 	if begin {
 		count, acknowledged = e.BeginCount, e.BeginAcknowledged
 	}
 	if count == 0 || begin && e.State() == Returning {
-		return false // a begin after all have finished is new, whatever its age
+		return false // a begin request after the last finish is new regardless of age
 	}
 	if acknowledged {
 		return age < window.Acknowledged
@@ -80,8 +79,8 @@
 	return age < window.Unacknowledged
 }
 
-// Acknowledge returns the state after the node that accepted the newest order of a kind
-// was seen alive after its answer.
+// Acknowledge returns the state after the node that accepted the newest request of a kind
+// was found alive after its response.
 func (e Evacuation) Acknowledge(begin bool) Evacuation {
 	if begin {
 		e.BeginAcknowledged = e.BeginCount > 0
@@ -91,12 +90,12 @@
 	return e
 }
 
-// Encode returns the evacuation as the value of an object.
+// Encode encodes the evacuation as the value of an object.
 func (e Evacuation) Encode() []byte { return marshalValue(e) }
 
-// DecodeEvacuation reads an evacuation from an object's value. No value is a zone in
-// ordinary use. A value that cannot be read counts as evacuated, the safer side.
-// Earlier versions wrote the name of the state alone, without counts.
+// DecodeEvacuation decodes an evacuation from an object's value. An empty value is a zone
+// in normal operation. An unreadable value counts as evacuated, which is the safer
+// assumption. Earlier versions wrote only the name of the state, without counts.
 func DecodeEvacuation(o Object) Evacuation {
 	evacuatedOnce := Evacuation{BeginCount: 1, BeginAcknowledged: true}
 	switch string(o.Value) {
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// TestEvacuationOrderInterleavings lets two operators evacuate the same zone, in every
+// TestEvacuationRequestInterleavings lets two operators evacuate the same zone, in every
 // short interleaving of their orders, of lost answers and of repeated orders. The model
 // is what each operator knows: the zone must be evacuated from the first answer to an
 // operator's order until that operator finishes, and must return in the end.
-func TestEvacuationOrderInterleavings(t *testing.T) {
-	r := RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
-	type order struct {
+func TestEvacuationRequestInterleavings(t *testing.T) {
+	window := RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
+	type request struct {
 		at           int
-		who          int
+		operator     int
 		begin, first bool
 		lost         bool // the node that carried it out crashes before its answer
 	}
-	played := 0
+	interleavings := 0
 	// An order whose answer is lost is repeated one or three seconds later.
 	for begin2 := 3; begin2 <= 7; begin2++ {
 		for finish1 := 4; finish1 <= 12; finish1++ {
@@ -27,23 +27,23 @@
 				if d := finish1 - finish2; d > -6 && d < 6 {
 					continue // orders to finish this near to each other may count as repeats
 				}
-				for lost := range 16 {
-					for _, again := range []int{1, 3} {
-						var orders []order
-						for i, o := range []order{{at: 0, who: 0, begin: true}, {at: begin2, who: 1, begin: true}, {at: finish1, who: 0}, {at: finish2, who: 1}} {
-							o.first, o.lost = true, lost>>i&1 == 1
-							orders = append(orders, o)
+				for lostMask := range 16 {
+					for _, repeatDelay := range []int{1, 3} {
+						var requests []request
+						for i, o := range []request{{at: 0, operator: 0, begin: true}, {at: begin2, operator: 1, begin: true}, {at: finish1, operator: 0}, {at: finish2, operator: 1}} {
+							o.first, o.lost = true, lostMask>>i&1 == 1
+							requests = append(requests, o)
 							if o.lost {
-								orders = append(orders, order{at: o.at + again, who: o.who, begin: o.begin})
+								requests = append(requests, request{at: o.at + repeatDelay, operator: o.operator, begin: o.begin})
 							}
 						}
-						sort.SliceStable(orders, func(i, k int) bool { return orders[i].at < orders[k].at })
+						sort.SliceStable(requests, func(i, k int) bool { return requests[i].at < requests[k].at })
 						var e Evacuation
 						newest := map[bool]int{}
 						evacuated := [2]bool{}
-						name := fmt.Sprint(begin2, finish1, finish2, lost, again)
-						for _, o := range orders {
-							next := e.ApplyOrder(o.begin, time.Duration(o.at-newest[o.begin])*time.Second, r)
+						name := fmt.Sprint(begin2, finish1, finish2, lostMask, repeatDelay)
+						for _, o := range requests {
+							next := e.ApplyRequest(o.begin, time.Duration(o.at-newest[o.begin])*time.Second, window)
 							if next != e {
 								e, newest[o.begin] = next, o.at
 							}
@@ -51,10 +51,10 @@
 								e = e.Acknowledge(o.begin)
 							}
 							if o.begin && !o.lost {
-								evacuated[o.who] = true
+								evacuated[o.operator] = true
 							}
 							if !o.begin && o.first {
-								evacuated[o.who] = false
+								evacuated[o.operator] = false
 							}
 							if (evacuated[0] || evacuated[1]) && e.State() != Evacuated {
 								t.Fatalf("%s: at %d the zone is %q while an operator has it evacuated", name, o.at, e.State())
@@ -63,14 +63,14 @@
 						if e.State() != Returning {
 							t.Fatalf("%s: all orders are finished, the zone is %+v", name, e)
 						}
-						played++
+						interleavings++
 					}
 				}
 			}
 		}
 	}
-	if played < 1000 {
-		t.Fatalf("only %d interleavings were run", played)
+	if interleavings < 1000 {
+		t.Fatalf("only %d interleavings were run", interleavings)
 	}
 }
 
--- a/registry/fault_test.go
+++ b/registry/fault_test.go
@@ -38,31 +38,31 @@
 	for i := range 6 {
 		sim.runWatcher(fmt.Sprintf("g%d.", i%2), 0)
 	}
-	for _, k := range sim.cluster.Rand.Perm(8) {
+	for _, fault := range sim.cluster.Rand.Perm(8) {
 		ids := sim.cluster.IDs()
 		id := ids[sim.cluster.Rand.Intn(len(ids))]
 		if l := sim.cluster.Leader(); l != nil && sim.cluster.Rand.Intn(2) == 0 {
 			id = l.ID
 		}
 		sim.faultyNodeID = id
-		span := 3 * time.Second
-		if k < 3 {
+		duration := 3 * time.Second
+		if fault < 3 {
 			sim.probeFaultyNode()
 		}
-		switch k {
+		switch fault {
 		case 0, 1, 2: // partitions: both ways, incoming only, outgoing only
 			for _, o := range ids {
-				sim.cluster.SetLinkCut(id, o, k != 1)
-				sim.cluster.SetLinkCut(o, id, k != 2)
+				sim.cluster.SetLinkCut(id, o, fault != 1)
+				sim.cluster.SetLinkCut(o, id, fault != 2)
 			}
-			span = partitionDuration
+			duration = partitionDuration
 		case 3, 4:
 			if l := sim.cluster.Leader(); l != nil {
 				sim.faultyNodeID = l.ID
 			}
 			for _, o := range ids { // in one of the two cases the node thaws while partitioned
-				sim.cluster.SetLinkCut(sim.faultyNodeID, o, k == 4)
-				sim.cluster.SetLinkCut(o, sim.faultyNodeID, k == 4)
+				sim.cluster.SetLinkCut(sim.faultyNodeID, o, fault == 4)
+				sim.cluster.SetLinkCut(o, sim.faultyNodeID, fault == 4)
 			}
 			sim.cluster.SetFrozen(sim.faultyNodeID, true)
 			sim.run(sim.randomDuration(4 * time.Second))
@@ -96,7 +96,7 @@
 		case 7:
 			sim.loseDisk(id)
 		}
-		sim.run(span)
+		sim.run(duration)
 		sim.cluster.Heal()
 		sim.run(2 * time.Second)
 	}
@@ -136,16 +136,16 @@
 // voter by a new member, until the new member is a voter.
 func (sim *simulation) admitReplacement() {
 	if l := sim.cluster.Leader(); l != nil && !l.Raft.HasPendingConfChange() {
-		ms, id := l.Raft.Membership(), sim.nextNodeID-1
-		m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
+		membership, id := l.Raft.Membership(), sim.nextNodeID-1
+		member := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 		switch {
-		case !ms.IsMember(id):
-			_ = l.Raft.ProposeConfChange(ms.WithLearner(m)) // retried
-		case ms.IsMember(sim.lostNodeID):
-			_ = l.Raft.ProposeConfChange(ms.Without(sim.lostNodeID))
-		case !ms.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
-			_ = l.Raft.ProposeConfChange(ms.WithVoter(m))
-		case ms.IsVoter(id):
+		case !membership.IsMember(id):
+			_ = l.Raft.ProposeConfChange(membership.WithLearner(member)) // retried
+		case membership.IsMember(sim.lostNodeID):
+			_ = l.Raft.ProposeConfChange(membership.Without(sim.lostNodeID))
+		case !membership.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
+			_ = l.Raft.ProposeConfChange(membership.WithVoter(member))
+		case membership.IsVoter(id):
 			sim.lostNodeID = 0
 			return
 		}
@@ -157,7 +157,7 @@
 // for every object: each must answer, and no lock stays with a holder whose lease has
 // run out.
 func (sim *simulation) healAndReadAll() {
-	sim.isOver = true
+	sim.isStopping = true
 	sim.run(5 * time.Second)
 	if sim.lostNodeID != 0 {
 		sim.t.Error("the new member never became a voter")
@@ -215,8 +215,8 @@
 		mustAnswer(sim.cluster.IDs()[1], fmt.Sprint("n", k), &coordination.Command{Operation: coordination.NextNumber, Name: fmt.Sprint("n", k)})
 		group := fmt.Sprintf("g%d.", k)
 		for _, id := range sim.cluster.IDs() {
-			events, rev, _ := sim.cluster.Nodes[id].StateMachine.(*replica).store.Coordination().EventsSince(group, 0)
-			sim.checkWatchedEvents(group, 0, events, rev)
+			events, revision, _ := sim.cluster.Nodes[id].StateMachine.(*replica).store.Coordination().EventsSince(group, 0)
+			sim.checkWatchedEvents(group, 0, events, revision)
 		}
 	}
 }
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -21,7 +21,7 @@
 		Revision uint64
 		Objects  []goldenObject
 		Latches  *goldenTable
-		Account  *goldenBook
+		Account  *goldenAuditLog
 	}
 	goldenObject struct {
 		Key            string
@@ -32,8 +32,8 @@
 	goldenTable struct {
 		Locks  map[string]goldenLock
 		Cells  map[string]goldenCell
-		Feed   *goldenFeed
-		Groups map[string]*goldenGroup
+		Feed   *goldenEventLog
+		Groups map[string]*goldenLegacyGroup
 	}
 	goldenLock struct {
 		Holder string
@@ -45,18 +45,18 @@
 		Value    string
 		Revision uint64
 	}
-	goldenFeed struct {
-		Entries     []goldenFeedEntry
+	goldenEventLog struct {
+		Entries     []goldenEventLogEntry
 		Last, Floor map[string]uint64
 	}
-	goldenFeedEntry struct {
+	goldenEventLogEntry struct {
 		At     uint64
 		Topic  string
 		Number uint64
-		Value  goldenChange
+		Value  goldenCellChange
 	}
-	goldenChange struct{ Name, Value string }
-	goldenGroup  struct {
+	goldenCellChange  struct{ Name, Value string }
+	goldenLegacyGroup struct {
 		Revision uint64
 		Floor    uint64
 		Events   []goldenCellEvent
@@ -67,13 +67,13 @@
 		Revision uint64
 		At       uint64
 	}
-	goldenBook struct {
-		Lives   map[string]*goldenLife
+	goldenAuditLog struct {
+		Lives   map[string]*goldenIncarnation
 		Entries map[string]*goldenEntry
 		Dropped map[string]uint64
 		Ats     map[string]uint64
 	}
-	goldenLife struct {
+	goldenIncarnation struct {
 		Node    string
 		Last    uint64
 		LastMS  int64
@@ -88,9 +88,9 @@
 	goldenEntry struct {
 		Tenant  string
 		Request string
-		Tries   []goldenTry
+		Tries   []goldenAttempt
 	}
-	goldenTry struct {
+	goldenAttempt struct {
 		Node   string
 		Record goldenRecord
 	}
@@ -109,11 +109,11 @@
 
 // The values that stand in the golden image.
 const (
-	goldenConfigText   = `{"config_version":"12","clusters":["payments","invoices"]}`
-	goldenEndpointText = `{"id":"e1","service":"payments","version":"v1","address":"127.0.0.1:9001","zone":"zone-a","capacity":8,"draining":true,"sequence":21,"cold_s":2.5,"cold":true}`
-	goldenProxyText    = `{"name":"p1","address":"127.0.0.1:9101","zone":"zone-a","leaving":true,"weight":1.5}`
-	goldenEvacText     = `{"begins":3,"finishes":1,"begin_told":true,"finish_told":true}`
-	goldenRolloutText  = `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`
+	goldenConfigText     = `{"config_version":"12","clusters":["payments","invoices"]}`
+	goldenEndpointText   = `{"id":"e1","service":"payments","version":"v1","address":"127.0.0.1:9001","zone":"zone-a","capacity":8,"draining":true,"sequence":21,"cold_s":2.5,"cold":true}`
+	goldenProxyText      = `{"name":"p1","address":"127.0.0.1:9101","zone":"zone-a","leaving":true,"weight":1.5}`
+	goldenEvacuationText = `{"begins":3,"finishes":1,"begin_told":true,"finish_told":true}`
+	goldenRolloutText    = `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`
 )
 
 // goldenStore builds, by commands, the state that the golden image holds.
@@ -123,20 +123,20 @@
 	put := func(key, value string) {
 		s.Apply(Command{Txn: &Txn{Then: []Write{{Key: key, Value: []byte(value)}}}})
 	}
-	account := func(b audit.Batch) { s.Apply(Command{Audit: &b}) }
-	accept := func(version uint64, text string) {
+	applyAuditBatch := func(b audit.Batch) { s.Apply(Command{Audit: &b}) }
+	acceptConfig := func(version uint64, text string) {
 		txn, err := s.BuildConfigTxn(version, []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Apply(Command{Txn: txn})
 	}
-	accept(11, `{"config_version":"11"}`) // 1
-	accept(12, goldenConfigText)          // 2
+	acceptConfig(11, `{"config_version":"11"}`) // 1
+	acceptConfig(12, goldenConfigText)          // 2
 	put("endpoints/e1", goldenEndpointText)
 	put("departed/e0", "")
 	put("proxies/p1", goldenProxyText)
-	put("evacuations/zone-b", goldenEvacText)
+	put("evacuations/zone-b", goldenEvacuationText)
 	put("rollouts/payments", `{"base":"v1"}`)
 	put("rollouts/payments", goldenRolloutText) // 8
 	for _, c := range []coordination.Command{
@@ -158,9 +158,9 @@
 	record := func(seq uint64, kind audit.Kind) audit.Record {
 		return audit.Record{Seq: seq, AtMS: 1700000000000 + int64(seq), Tenant: fmt.Sprint("tenant-", seq), Route: "pay", Request: fmt.Sprint("request-", seq), Attempt: fmt.Sprint("attempt-", seq), Kind: kind, Status: 500 + int(seq), TookMS: 30 + int64(seq)}
 	}
-	account(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.MissedLatencyTarget), record(2, audit.MaybeExecuted), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
-	account(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                                      // 20; ends life-1
-	account(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                                        // 21
+	applyAuditBatch(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.MissedLatencyTarget), record(2, audit.MaybeExecuted), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
+	applyAuditBatch(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                                      // 20; ends life-1
+	applyAuditBatch(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                                        // 21
 	return s
 }
 
@@ -171,7 +171,7 @@
 		{Key: "configuration/current", Value: []byte("\x00\x00\x00\x00\x00\x00\x00\x0c" + goldenConfigText), CreateRevision: 1, ModRevision: 2},
 		{Key: "departed/e0", CreateRevision: 4, ModRevision: 4},
 		{Key: "endpoints/e1", Value: []byte(goldenEndpointText), CreateRevision: 3, ModRevision: 3},
-		{Key: "evacuations/zone-b", Value: []byte(goldenEvacText), CreateRevision: 6, ModRevision: 6},
+		{Key: "evacuations/zone-b", Value: []byte(goldenEvacuationText), CreateRevision: 6, ModRevision: 6},
 		{Key: "proxies/p1", Value: []byte(goldenProxyText), CreateRevision: 5, ModRevision: 5},
 		{Key: "rollouts/payments", Value: []byte(goldenRolloutText), CreateRevision: 7, ModRevision: 8},
 	}
@@ -221,33 +221,33 @@
 			{Key: "configuration/current", Value: []byte("\x00\x00\x00\x00\x00\x00\x00\x0c" + goldenConfigText), CreateRevision: 1, ModRevision: 2},
 			{Key: "departed/e0", CreateRevision: 4, ModRevision: 4},
 			{Key: "endpoints/e1", Value: []byte(goldenEndpointText), CreateRevision: 3, ModRevision: 3},
-			{Key: "evacuations/zone-b", Value: []byte(goldenEvacText), CreateRevision: 6, ModRevision: 6},
+			{Key: "evacuations/zone-b", Value: []byte(goldenEvacuationText), CreateRevision: 6, ModRevision: 6},
 			{Key: "proxies/p1", Value: []byte(goldenProxyText), CreateRevision: 5, ModRevision: 5},
 			{Key: "rollouts/payments", Value: []byte(goldenRolloutText), CreateRevision: 7, ModRevision: 8},
 		},
 		Latches: &goldenTable{
 			Locks: map[string]goldenLock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
 			Cells: map[string]goldenCell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
-			Feed: &goldenFeed{
-				Entries: []goldenFeedEntry{
-					{At: 15, Topic: "g.", Number: 2, Value: goldenChange{Name: "g.b", Value: "2"}},
-					{At: 16, Topic: "g.", Number: 3, Value: goldenChange{Name: "g.a", Value: "3"}},
-					{At: 17, Topic: "single", Number: 1, Value: goldenChange{Name: "single", Value: "4"}},
+			Feed: &goldenEventLog{
+				Entries: []goldenEventLogEntry{
+					{At: 15, Topic: "g.", Number: 2, Value: goldenCellChange{Name: "g.b", Value: "2"}},
+					{At: 16, Topic: "g.", Number: 3, Value: goldenCellChange{Name: "g.a", Value: "3"}},
+					{At: 17, Topic: "single", Number: 1, Value: goldenCellChange{Name: "single", Value: "4"}},
 				},
 				Last:  map[string]uint64{"g.": 3, "single": 1},
 				Floor: map[string]uint64{"g.": 1},
 			},
 		},
-		Account: &goldenBook{
-			Lives: map[string]*goldenLife{
+		Account: &goldenAuditLog{
+			Lives: map[string]*goldenIncarnation{
 				"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19},
 				"life-2": {Node: "p1", LastMS: 1700000003000, At: 20},
 				"life-3": {Node: "p2", LastMS: 1700000004000, Closed: true, At: 21},
 			},
 			Entries: map[string]*goldenEntry{
-				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []goldenTry{
+				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []goldenAttempt{
 					{Node: "p1", Record: goldenRecord{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: "unsure", Status: 502, TookMS: 32}}}},
-				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []goldenTry{
+				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []goldenAttempt{
 					{Node: "p1", Record: goldenRecord{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: "failed", Status: 503, TookMS: 33}}}},
 			},
 			Dropped: map[string]uint64{"tenant-1": 1},
@@ -256,9 +256,9 @@
 	}
 }
 
-// goldenGroupsImage is an image with the histories by group, as versions before the
+// goldenLegacyGroupsImage is an image with the histories by group, as versions before the
 // feed wrote them.
-func goldenGroupsImage() snapshotImage {
+func goldenLegacyGroupsImage() snapshotImage {
 	return snapshotImage{
 		Revision: 31,
 		Objects:  []Object{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
@@ -273,14 +273,14 @@
 	}
 }
 
-func goldenGroupsImageForm() goldenImage {
+func goldenLegacyGroupsImageForm() goldenImage {
 	return goldenImage{
 		Revision: 31,
 		Objects:  []goldenObject{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
 		Latches: &goldenTable{
 			Locks: map[string]goldenLock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
 			Cells: map[string]goldenCell{"h.a": {Value: "6", Revision: 7}},
-			Groups: map[string]*goldenGroup{"h.": {Revision: 7, Floor: 5, Events: []goldenCellEvent{
+			Groups: map[string]*goldenLegacyGroup{"h.": {Revision: 7, Floor: 5, Events: []goldenCellEvent{
 				{Name: "h.b", Value: "5", Revision: 6, At: 26},
 				{Name: "h.a", Value: "6", Revision: 7, At: 27},
 			}}},
@@ -333,16 +333,16 @@
 	} {
 		goldentest.Same(t, what+", read as before", goldenDecode[goldenImage](t, data), goldenStoreImageForm())
 	}
-	goldentest.Complete(t, goldenStoreImage(), goldenGroupsImage())
-	goldentest.Complete(t, goldenStoreImageForm(), goldenGroupsImageForm())
+	goldentest.Complete(t, goldenStoreImage(), goldenLegacyGroupsImage())
+	goldentest.Complete(t, goldenStoreImageForm(), goldenLegacyGroupsImageForm())
 }
 
-// TestGoldenGroupsImage is TestGoldenImage for an image from before the feed, which is
+// TestGoldenLegacyGroupsImage is TestGoldenImage for an image from before the feed, which is
 // only read.
-func TestGoldenGroupsImage(t *testing.T) {
-	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenGroupsImage()) })
-	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenGroupsImage())
-	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenGroupsImageForm())
+func TestGoldenLegacyGroupsImage(t *testing.T) {
+	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenLegacyGroupsImage()) })
+	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenLegacyGroupsImage())
+	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenLegacyGroupsImageForm())
 	s := NewStore()
 	if err := s.Restore(golden); err != nil {
 		t.Fatal(err)
@@ -355,7 +355,7 @@
 }
 
 func goldenCommands() []Command {
-	latched := func(c coordination.Command) Command { return Command{Coordination: &c} }
+	coordinationCommand := func(c coordination.Command) Command { return Command{Coordination: &c} }
 	return []Command{
 		{Txn: &Txn{}},
 		{Txn: &Txn{
@@ -366,13 +366,13 @@
 				{Key: "configuration/current", Value: []byte("\x00\x03\x01x"), IsDelta: true},
 			},
 		}},
-		latched(coordination.Command{Operation: coordination.AcquireLock, Name: "press", Holder: "holder-1", LeaseMS: 3000, ExpiredToken: 41, ExpiredGrant: 42}),
-		latched(coordination.Command{Operation: coordination.RenewLock, Name: "press", Holder: "holder-1", FencingToken: 43, LeaseMS: 3001}),
-		latched(coordination.Command{Operation: coordination.ReleaseLock, Name: "press", Holder: "holder-1", FencingToken: 44}),
-		latched(coordination.Command{Operation: coordination.NextNumber, Name: "orders"}),
-		latched(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "value-1", ExpectedRevision: 45, HasExpectedRevision: true}),
-		latched(coordination.Command{Operation: coordination.CompactHistory, CompactBefore: 460000}),
-		latched(coordination.Command{Operation: coordination.PutCell, Name: "name", Holder: "holder", Value: "value", FencingToken: 1, LeaseMS: 2, ExpiredToken: 3, ExpiredGrant: 4, ExpectedRevision: 5, HasExpectedRevision: true, CompactBefore: 6}),
+		coordinationCommand(coordination.Command{Operation: coordination.AcquireLock, Name: "press", Holder: "holder-1", LeaseMS: 3000, ExpiredToken: 41, ExpiredGrant: 42}),
+		coordinationCommand(coordination.Command{Operation: coordination.RenewLock, Name: "press", Holder: "holder-1", FencingToken: 43, LeaseMS: 3001}),
+		coordinationCommand(coordination.Command{Operation: coordination.ReleaseLock, Name: "press", Holder: "holder-1", FencingToken: 44}),
+		coordinationCommand(coordination.Command{Operation: coordination.NextNumber, Name: "orders"}),
+		coordinationCommand(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "value-1", ExpectedRevision: 45, HasExpectedRevision: true}),
+		coordinationCommand(coordination.Command{Operation: coordination.CompactHistory, CompactBefore: 460000}),
+		coordinationCommand(coordination.Command{Operation: coordination.PutCell, Name: "name", Holder: "holder", Value: "value", FencingToken: 1, LeaseMS: 2, ExpiredToken: 3, ExpiredGrant: 4, ExpectedRevision: 5, HasExpectedRevision: true, CompactBefore: 6}),
 		{Audit: &audit.Batch{
 			Life: "life-1", Node: "p1", AtMS: 1700000000001, Dropped: 51, PerS: 52.5, Out: 53, Closed: true, Most: 54,
 			Records: []audit.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Truncated, Status: 200, TookMS: 56}},
@@ -513,9 +513,9 @@
 	}
 	// What the golden image holds is what the present code writes.
 	for text, got := range map[string][]byte{
-		goldenEndpointText: Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, WarmUpSeconds: 2.5, WarmingUp: true}.Encode(),
-		goldenProxyText:    Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
-		goldenEvacText:     Evacuation{BeginCount: 3, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true}.Encode(),
+		goldenEndpointText:   Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, WarmUpSeconds: 2.5, WarmingUp: true}.Encode(),
+		goldenProxyText:      Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
+		goldenEvacuationText: Evacuation{BeginCount: 3, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true}.Encode(),
 	} {
 		if string(got) != text {
 			t.Errorf("written %s, want %s", got, text)
--- a/registry/history_test.go
+++ b/registry/history_test.go
@@ -28,8 +28,8 @@
 			sim := newSimulation(t, seed, 3+2*int(seed%2))
 			sim.injectFaults()
 			sim.healAndReadAll()
-			count, late := sim.checkHistory()
-			if count[answered] < 1500 || count[rejected] < 50 || late < 5 || sim.watchedEvents < 500 || sim.snapshotInstalls < 1 {
+			counts, lateEffects := sim.checkHistory()
+			if counts[answered] < 1500 || counts[rejected] < 50 || lateEffects < 5 || sim.watchedEvents < 500 || sim.snapshotInstalls < 1 {
 				t.Error("too few calls were answered, rejected or of unknown outcome")
 			}
 		})
@@ -53,7 +53,7 @@
 				if c := x.command.Coordination; c != nil && c.Operation == coordination.ReleaseLock {
 					releases++
 				}
-				if x.withheldOrder > 0 {
+				if x.withheldSeq > 0 {
 					withheld++
 				}
 			}
@@ -67,38 +67,38 @@
 // checkHistory checks all that callers saw against what a single copy would allow. It
 // returns the number of calls by outcome, and of those with an unknown outcome that took
 // effect.
-func (sim *simulation) checkHistory() (count map[outcome]int, late int) {
+func (sim *simulation) checkHistory() (counts map[outcome]int, lateEffects int) {
 	if sim.cluster.Violation != "" {
 		sim.t.Error(sim.cluster.Violation)
 	}
 	byObject := map[string][]porcupine.Operation{}
-	count = map[outcome]int{}
-	given := map[string]uint64{}
+	counts = map[outcome]int{}
+	revisionByValue := map[string]uint64{}
 	for _, x := range sim.calls {
-		count[x.outcome]++
-		e, took := sim.effects[x.tag]
-		op := porcupine.Operation{Input: x, Call: x.callOrder, Return: x.returnOrder}
-		if took && x.outcome == answered {
-			op.Return = min(x.returnOrder, e.appliedOrder)
+		counts[x.outcome]++
+		e, tookEffect := sim.effects[x.tag]
+		op := porcupine.Operation{Input: x, Call: x.callSeq, Return: x.returnSeq}
+		if tookEffect && x.outcome == answered {
+			op.Return = min(x.returnSeq, e.appliedSeq)
 		}
 		switch {
-		case x.outcome == rejected && took:
+		case x.outcome == rejected && tookEffect:
 			sim.t.Errorf("rejected, and yet it took effect at index %d: %+v", e.index, x)
-		case x.outcome == unknown && took:
-			x.result, op.Return = e.result, e.appliedOrder
-			late++
-		case x.withheldOrder > 0:
-			op.Return = x.withheldOrder
+		case x.outcome == unknown && tookEffect:
+			x.result, op.Return = e.result, e.appliedSeq
+			lateEffects++
+		case x.withheldSeq > 0:
+			op.Return = x.withheldSeq
 		case x.outcome != answered:
 			continue
 		case x.command != (registry.Command{}) && !reflect.DeepEqual(e.result, x.result):
 			sim.t.Errorf("answered as %+v, committed as %+v: %+v", x.result, e.result, x)
 		}
 		if c := x.command.Coordination; c != nil && c.Operation == coordination.PutCell && x.result.Latch.Code == coordination.OK {
-			if first, ok := given[c.Value]; ok && first != x.result.Latch.Revision {
+			if first, ok := revisionByValue[c.Value]; ok && first != x.result.Latch.Revision {
 				sim.t.Errorf("%q was given revision %d and %d", c.Value, first, x.result.Latch.Revision)
 			}
-			given[c.Value] = x.result.Latch.Revision
+			revisionByValue[c.Value] = x.result.Latch.Revision
 		}
 		byObject[x.object] = append(byObject[x.object], op)
 	}
@@ -115,8 +115,8 @@
 			sim.checkSingleHolder(o)
 		}
 	}
-	sim.t.Logf("%d calls: %d answered, %d rejected, %d unknown of which %d took effect; %d events watched, %d snapshots installed", len(sim.calls), count[answered], count[rejected], count[unknown], late, sim.watchedEvents, sim.snapshotInstalls)
-	return count, late
+	sim.t.Logf("%d calls: %d answered, %d rejected, %d unknown of which %d took effect; %d events watched, %d snapshots installed", len(sim.calls), counts[answered], counts[rejected], counts[unknown], lateEffects, sim.watchedEvents, sim.snapshotInstalls)
+	return counts, lateEffects
 }
 
 // modelFor returns the sequential model of an object by the form of its name.
@@ -136,9 +136,9 @@
 
 // newModel returns a model from an initial state and a step that reports whether a call
 // is allowed in a state, and the state after it.
-func newModel[S any](first S, step func(s S, x *call) (bool, S)) porcupine.Model {
+func newModel[S any](initial S, step func(s S, x *call) (bool, S)) porcupine.Model {
 	return porcupine.Model{
-		Init: func() any { return first },
+		Init: func() any { return initial },
 		Step: func(s, x, _ any) (bool, any) { return step(s.(S), x.(*call)) },
 	}
 }
@@ -156,11 +156,11 @@
 	}
 	want := x.command.Txn.If[0].ModRevision
 	if x.result.Conflict {
-		at := uint64(0)
+		currentRevision := uint64(0)
 		if len(x.result.Current) > 0 {
-			at = x.result.Current[0].ModRevision
+			currentRevision = x.result.Current[0].ModRevision
 		}
-		return s.revision != want && s.revision == at, s
+		return s.revision != want && s.revision == currentRevision, s
 	}
 	return s.revision == want && x.result.Revision > want, registerState{x.result.Revision, x.value}
 }
@@ -198,24 +198,24 @@
 	if x.outcome == answered {
 		until = x.sentAt + time.Duration(c.LeaseMS)*time.Millisecond
 	}
-	mine := s.holder == c.Holder && s.fencingToken == c.FencingToken
+	isHolder := s.holder == c.Holder && s.fencingToken == c.FencingToken
 	switch {
-	case x.withheldOrder > 0:
-		s.wasReleased = s.wasReleased || mine
-		return !mine || s.wasReacquired || sim.snapshotInstalls > 0, s
+	case x.withheldSeq > 0:
+		s.wasReleased = s.wasReleased || isHolder
+		return !isHolder || s.wasReacquired || sim.snapshotInstalls > 0, s
 	case c.Operation == coordination.ReleaseLock:
-		if mine {
+		if isHolder {
 			s.holder, s.expiresAt = "", 0
 		}
 		return true, s
 	case c.Operation == coordination.RenewLock:
 		if r.Code != coordination.OK {
-			return !mine, s
+			return !isHolder, s
 		}
 		if x.outcome == answered {
 			s.expiresAt = until
 		}
-		return mine, s
+		return isHolder, s
 	case r.Code == coordination.LockHeld:
 		return s.holder != "" && s.holder != c.Holder, s
 	case s.holder == c.Holder && r.Fence == s.fencingToken:
@@ -234,19 +234,19 @@
 // caller relies on it from a successful answer until the lease has run out, counted from
 // when the call was sent, or until it sends a release.
 func (sim *simulation) checkSingleHolder(name string) {
-	type span struct {
+	type holding struct {
 		holder   string
 		from, to time.Duration
 	}
 	until := map[string]time.Duration{} // when the holder's next answer comes or its release is sent
-	var spans []span
+	var holdings []holding
 	for i := len(sim.calls) - 1; i >= 0; i-- { // in the reverse order of sending
 		x := sim.calls[i]
 		c := x.command.Coordination
 		if x.object != name || c.Operation != coordination.ReleaseLock && (x.outcome != answered || x.result.Latch.Code != coordination.OK) {
 			continue
 		}
-		s := span{c.Holder, x.returnedAt, x.sentAt + time.Duration(c.LeaseMS)*time.Millisecond}
+		s := holding{c.Holder, x.returnedAt, x.sentAt + time.Duration(c.LeaseMS)*time.Millisecond}
 		if next, ok := until[c.Holder]; ok {
 			s.to = min(s.to, next)
 		}
@@ -255,12 +255,12 @@
 			continue
 		}
 		if until[c.Holder] = x.returnedAt; s.from < s.to {
-			spans = append(spans, s)
+			holdings = append(holdings, s)
 		}
 	}
-	sort.Slice(spans, func(i, j int) bool { return spans[i].from < spans[j].from })
-	var last span
-	for _, s := range spans {
+	sort.Slice(holdings, func(i, j int) bool { return holdings[i].from < holdings[j].from })
+	var last holding
+	for _, s := range holdings {
 		if s.holder != last.holder && s.from < last.to {
 			sim.t.Errorf("%s: %s has it until %v, %s from %v", name, last.holder, last.to, s.holder, s.from)
 		}
--- a/registry/replay_test.go
+++ b/registry/replay_test.go
@@ -37,7 +37,7 @@
 		})
 	})
 	c.Run(time.Second)
-	table := func(id uint64) *coordination.Table {
+	tableOf := func(id uint64) *coordination.Table {
 		return c.Nodes[id].StateMachine.(*simulatedStore).store.Coordination()
 	}
 	propose := func(l *coordination.Command, done func(coordination.Result)) {
@@ -50,18 +50,18 @@
 		}
 	}
 	type watcher struct {
-		group string
-		after uint64
-		at    time.Duration // when it got to revision after
+		group     string
+		after     uint64
+		reachedAt time.Duration // when it got to revision after
 	}
 	watchers := make([]watcher, 6)
 	for i := range watchers {
-		watchers[i] = watcher{group: fmt.Sprintf("g%d.", i%2), at: c.Now}
+		watchers[i] = watcher{group: fmt.Sprintf("g%d.", i%2), reachedAt: c.Now}
 	}
 	model := map[string]map[uint64]coordination.Event{"g0.": {}, "g1.": {}}
 	recordEvent := func(group string, e coordination.Event) {
-		if was, there := model[group][e.Revision]; there && was != e {
-			t.Errorf("revision %d of %s was %+v and is %+v", e.Revision, group, was, e)
+		if previous, exists := model[group][e.Revision]; exists && previous != e {
+			t.Errorf("revision %d of %s was %+v and is %+v", e.Revision, group, previous, e)
 		}
 		model[group][e.Revision] = e
 	}
@@ -70,23 +70,23 @@
 		revision uint64
 	}
 	var samples []sample
-	seen, compacted, lost := 0, 0, uint64(0)
-	next := uint64(6)
+	eventsSeen, compactedWatches, lostNodeID := 0, 0, uint64(0)
+	nextNodeID := uint64(6)
 	// admitReplacement takes the next step to make the new member a voter in place of the
 	// lost one.
 	admitReplacement := func() {
-		if l := c.Leader(); l != nil && lost != 0 && !l.Raft.HasPendingConfChange() {
-			ms, id := l.Raft.Membership(), next-1
-			m := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
+		if l := c.Leader(); l != nil && lostNodeID != 0 && !l.Raft.HasPendingConfChange() {
+			membership, id := l.Raft.Membership(), nextNodeID-1
+			member := raft.Member{ID: id, Addr: fmt.Sprint("node-", id)}
 			switch {
-			case ms.IsMember(lost):
-				_ = l.Raft.ProposeConfChange(ms.Without(lost)) // retried in the next round
-			case !ms.IsMember(id):
-				_ = l.Raft.ProposeConfChange(ms.WithLearner(m))
-			case !ms.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
-				_ = l.Raft.ProposeConfChange(ms.WithVoter(m))
-			case ms.IsVoter(id):
-				lost = 0
+			case membership.IsMember(lostNodeID):
+				_ = l.Raft.ProposeConfChange(membership.Without(lostNodeID)) // retried in the next round
+			case !membership.IsMember(id):
+				_ = l.Raft.ProposeConfChange(membership.WithLearner(member))
+			case !membership.IsVoter(id) && l.Raft.MatchIndex(id)+100 > l.Raft.LastIndex():
+				_ = l.Raft.ProposeConfChange(membership.WithVoter(member))
+			case membership.IsVoter(id):
+				lostNodeID = 0
 			}
 		}
 	}
@@ -95,20 +95,20 @@
 		id := ids[c.Rand.Intn(len(ids))]
 		injectFault(c, id, 9)
 		// One machine comes back with an empty disk, as another member.
-		if l := c.Leader(); c.Rand.Intn(12) == 0 && l != nil && lost == 0 && l.ID != id && l.Raft.Membership().IsVoter(id) {
-			lost = id
+		if l := c.Leader(); c.Rand.Intn(12) == 0 && l != nil && lostNodeID == 0 && l.ID != id && l.Raft.Membership().IsVoter(id) {
+			lostNodeID = id
 			c.Crash(id)
 			c.Remove(id)
-			c.Add(next)
-			next++
+			c.Add(nextNodeID)
+			nextNodeID++
 		}
 		admitReplacement()
 		for k := range 4 {
 			name := fmt.Sprintf("g%d.%d", c.Rand.Intn(2), c.Rand.Intn(3))
 			e := coordination.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
 			propose(&coordination.Command{Operation: coordination.PutCell, Name: e.Name, Value: e.Value}, func(r coordination.Result) {
-				if was, there := model[coordination.GroupOf(name)][r.Revision]; there && was.Value != e.Value {
-					t.Errorf("revision %d was given to %+v and %+v", r.Revision, was, e)
+				if previous, exists := model[coordination.GroupOf(name)][r.Revision]; exists && previous.Value != e.Value {
+					t.Errorf("revision %d was given to %+v and %+v", r.Revision, previous, e)
 				}
 			})
 			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
@@ -124,38 +124,38 @@
 			if c.Rand.Intn(2) == 0 {
 				continue // disconnected or slow
 			}
-			id, w, was := ids[c.Rand.Intn(len(ids))], &watchers[i], watchers[i]
+			id, current, previous := ids[c.Rand.Intn(len(ids))], &watchers[i], watchers[i]
 			l := c.Leader()
 			if l == nil || !c.IsUp(id) {
 				continue
 			}
-			store, lead := c.Nodes[id].StateMachine.(*simulatedStore).store, l.StateMachine.(*simulatedStore).store
-			tab := store.Coordination()
+			store, leaderStore := c.Nodes[id].StateMachine.(*simulatedStore).store, l.StateMachine.(*simulatedStore).store
+			table := store.Coordination()
 			c.Read(l.ID, func(ok bool) { // a read index, behind which any node that has reached it may serve
-				if !ok || *w != was || store.Revision() < lead.Revision() {
+				if !ok || *current != previous || store.Revision() < leaderStore.Revision() {
 					return
 				}
-				events, rev, kept := tab.EventsSince(w.group, w.after)
+				events, revision, kept := table.EventsSince(current.group, current.after)
 				if !kept {
-					if c.Now-w.at < retention {
-						t.Errorf("node %d: revision %d, had %v ago, is gone", id, w.after, c.Now-w.at)
+					if c.Now-current.reachedAt < retention {
+						t.Errorf("node %d: revision %d, had %v ago, is gone", id, current.after, c.Now-current.reachedAt)
 					}
-					compacted++
-					*w = watcher{w.group, rev, c.Now}
+					compactedWatches++
+					*current = watcher{current.group, revision, c.Now}
 					return
 				}
 				for _, e := range events {
-					if e.Revision != w.after+1 {
-						t.Errorf("node %d: after %d comes %d", id, w.after, e.Revision)
+					if e.Revision != current.after+1 {
+						t.Errorf("node %d: after %d comes %d", id, current.after, e.Revision)
 					}
-					w.after = e.Revision
-					recordEvent(w.group, e)
-					seen++
+					current.after = e.Revision
+					recordEvent(current.group, e)
+					eventsSeen++
 				}
-				if w.after != rev {
-					t.Errorf("node %d: replayed to %d of %d", id, w.after, rev)
+				if current.after != revision {
+					t.Errorf("node %d: replayed to %d of %d", id, current.after, revision)
 				}
-				w.at = c.Now
+				current.reachedAt = c.Now
 			})
 		}
 		if c.Violation != "" {
@@ -170,28 +170,28 @@
 		admitReplacement()
 		c.Run(50 * time.Millisecond)
 	}
-	if lost != 0 {
+	if lostNodeID != 0 {
 		t.Error("the new member never became a voter")
 	}
 	propose(&coordination.Command{Operation: coordination.PutCell, Name: "g0.0", Value: "last"}, func(coordination.Result) {})
 	c.Run(3 * time.Second)
 	var first *coordination.Table
 	for _, id := range c.IDs() {
-		tab := table(id)
+		table := tableOf(id)
 		if first == nil {
-			first = tab
+			first = table
 		}
 		for group := range model {
 			for after := uint64(0); after <= first.GroupRevision(group); after++ {
 				a, ra, ka := first.EventsSince(group, after)
-				b, rb, kb := tab.EventsSince(group, after)
+				b, rb, kb := table.EventsSince(group, after)
 				if ra != rb || ka != kb || !reflect.DeepEqual(a, b) {
 					t.Fatalf("node %d replays %s after %d as %v at %d (%v), the first as %v at %d (%v)", id, group, after, b, rb, kb, a, ra, ka)
 				}
 			}
 		}
 	}
-	if seen < 100 {
-		t.Errorf("watchers saw %d events, %d times compacted", seen, compacted)
+	if eventsSeen < 100 {
+		t.Errorf("watchers saw %d events, %d times compacted", eventsSeen, compactedWatches)
 	}
 }
--- a/registry/retry_test.go
+++ b/registry/retry_test.go
@@ -12,7 +12,7 @@
 	"lichentray/registry"
 )
 
-// TestConcurrentRetriedOrders sends eight orders of each kind at once, to eight nodes,
+// TestConcurrentRetriedRequests sends eight orders of each kind at once, to eight nodes,
 // while the leader crashes, freezes, is partitioned or nothing happens. Each answer is
 // lost at first, and each order is sent to one node after another until it is answered
 // twice.
@@ -26,34 +26,34 @@
 //     until the lease runs out.
 //   - Puts: both answers have the same revision; of eight that expect an empty cell
 //     exactly one is carried out. A repeat is recognised as long as the history is kept.
-func TestConcurrentRetriedOrders(t *testing.T) {
+func TestConcurrentRetriedRequests(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			runConcurrentOrders(t, seed)
+			runConcurrentRequests(t, seed)
 		})
 	}
 }
 
-func runConcurrentOrders(t *testing.T, seed int64) {
+func runConcurrentRequests(t *testing.T, seed int64) {
 	sim := newSimulation(t, seed, 8)
 	ids := sim.cluster.IDs()
-	open := 0
+	unanswered := 0
 	// retry sends one order until an answer after the second comes back.
 	retry := func(k int, send func(id uint64, done func(o outcome))) {
-		open++
+		unanswered++
 		attempt := 0
 		var next func(o outcome)
 		next = func(o outcome) {
 			if attempt++; attempt > 2 && o == answered {
-				open--
+				unanswered--
 				return
 			}
 			sim.schedule(sim.randomDuration(200*time.Millisecond), func() { send(ids[(k+3*attempt)%8], next) })
 		}
 		next(unknown)
 	}
-	coordinate := func(c coordination.Command) func(id uint64, done func(o outcome)) {
+	sendCommand := func(c coordination.Command) func(id uint64, done func(o outcome)) {
 		return func(id uint64, done func(o outcome)) {
 			sim.sendCounts[c.Value]++
 			x := &call{object: c.Name, command: registry.Command{Coordination: &c}}
@@ -62,11 +62,11 @@
 	}
 	for k := range 8 {
 		retry(k, func(id uint64, done func(o outcome)) { sim.replaceConfig(id, uint64(k+1), done) })
-		retry(k, coordinate(coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: "one", LeaseMS: 10_000}))
-		retry(k, coordinate(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: fmt.Sprint("put ", k)}))
-		retry(k, coordinate(coordination.Command{Operation: coordination.PutCell, Name: "e.a", Value: fmt.Sprint("first ", k), HasExpectedRevision: true}))
+		retry(k, sendCommand(coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: "one", LeaseMS: 10_000}))
+		retry(k, sendCommand(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: fmt.Sprint("put ", k)}))
+		retry(k, sendCommand(coordination.Command{Operation: coordination.PutCell, Name: "e.a", Value: fmt.Sprint("first ", k), HasExpectedRevision: true}))
 		sim.schedule(2*time.Second+sim.randomDuration(6*time.Second), func() {
-			coordinate(coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: fmt.Sprint("other ", k), LeaseMS: 1000})(ids[k], func(outcome) {})
+			sendCommand(coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: fmt.Sprint("other ", k), LeaseMS: 1000})(ids[k], func(outcome) {})
 		})
 	}
 	sim.run(sim.randomDuration(250 * time.Millisecond))
@@ -86,8 +86,8 @@
 	sim.cluster.Heal()
 	sim.cluster.Restart(leader)
 	sim.run(6 * time.Second)
-	if open != 0 {
-		t.Errorf("%d orders were never answered", open)
+	if unanswered != 0 {
+		t.Errorf("%d orders were never answered", unanswered)
 	}
 	sim.checkHistory()
 	newest, token := uint64(0), uint64(0)
@@ -103,7 +103,7 @@
 	}
 	writes := map[uint64]uint64{} // versions, by revision
 	for _, x := range sim.calls {
-		if e, took := sim.effects[x.tag]; took && x.command.Txn != nil && !e.result.Conflict {
+		if e, tookEffect := sim.effects[x.tag]; tookEffect && x.command.Txn != nil && !e.result.Conflict {
 			writes[e.result.Revision], _, _ = registry.DecodeConfig(registry.Object{Value: []byte(x.value)})
 		}
 	}
@@ -117,8 +117,8 @@
 	if newest != 8 {
 		t.Errorf("version %d is in force in the end", newest)
 	}
-	tab := sim.cluster.Nodes[ids[0]].StateMachine.(*replica).store.Coordination()
-	if a, b := tab.GroupRevision("g."), tab.GroupRevision("e."); a != 8 || b != 1 {
+	table := sim.cluster.Nodes[ids[0]].StateMachine.(*replica).store.Coordination()
+	if a, b := table.GroupRevision("g."), table.GroupRevision("e."); a != 8 || b != 1 {
 		t.Errorf("%d puts of 8 were taken, and %d of those that expected none", a, b)
 	}
 }
@@ -126,7 +126,7 @@
 // replaceConfig carries out the order to replace the configuration as a control-plane
 // node does.
 func (sim *simulation) replaceConfig(id, version uint64, done func(o outcome)) {
-	sim.submitOrder(id, false, registry.ConfigKey, func(_ *replica, current registry.Object) []byte {
+	sim.submitRequest(id, false, registry.ConfigKey, func(_ *replica, current registry.Object) []byte {
 		if v, _, ok := registry.DecodeConfig(current); ok && v >= version {
 			return nil
 		}
@@ -134,8 +134,8 @@
 	}, done)
 }
 
-// order is an order on one object that a node carries out.
-type order struct {
+// request is an request on one object that a node carries out.
+type request struct {
 	nodeID      uint64
 	incarnation rafttest.StateMachine
 	key         string
@@ -147,75 +147,75 @@
 	done         func(o outcome)
 }
 
-// submitOrder lets a node carry out an order on one object, on the condition that its
+// submitRequest lets a node carry out an order on one object, on the condition that its
 // replica is up to date, and otherwise once more behind a read index. For derive see
 // order.
-func (sim *simulation) submitOrder(id uint64, needsReadIndex bool, key string, derive func(r *replica, current registry.Object) []byte, done func(o outcome)) {
-	over := false
-	once := func(o outcome) {
-		if !over {
-			over = true
+func (sim *simulation) submitRequest(id uint64, needsReadIndex bool, key string, derive func(r *replica, current registry.Object) []byte, done func(o outcome)) {
+	isDone := false
+	finish := func(o outcome) {
+		if !isDone {
+			isDone = true
 			done(o)
 		}
 	}
-	sim.schedule(callerTimeout, func() { once(unknown) })
+	sim.schedule(callerTimeout, func() { finish(unknown) })
 	sim.schedule(sim.randomDuration(10*time.Millisecond), func() {
 		if !sim.cluster.IsUp(id) {
-			once(rejected)
+			finish(rejected)
 			return
 		}
 		incarnation := sim.cluster.Nodes[id].StateMachine
 		sim.inIncarnation(id, incarnation, func() {
-			sim.transact(order{
+			sim.attemptTxn(request{
 				nodeID:       id,
 				incarnation:  incarnation,
 				key:          key,
 				derive:       derive,
 				deadline:     sim.now() + outcomeTimeout,
 				attemptsLeft: 6,
-				done:         once,
+				done:         finish,
 			}, needsReadIndex)
 		})
 	})
 }
 
-// transact makes an attempt of an order, behind a read index if need be, and further ones
+// attemptTxn makes an attempt of an order, behind a read index if need be, and further ones
 // as long as the transaction conflicts.
-func (sim *simulation) transact(o order, needsReadIndex bool) {
+func (sim *simulation) attemptTxn(req request, needsReadIndex bool) {
 	if needsReadIndex {
-		sim.awaitReadIndex(o.nodeID, o.incarnation, o.deadline, func(ok bool) {
+		sim.awaitReadIndex(req.nodeID, req.incarnation, req.deadline, func(ok bool) {
 			if !ok {
-				o.done(rejected)
+				req.done(rejected)
 				return
 			}
-			sim.transact(o, false)
+			sim.attemptTxn(req, false)
 		})
 		return
 	}
-	r := o.incarnation.(*replica)
-	current, _ := r.store.Get(o.key)
-	value := o.derive(r, current)
+	r := req.incarnation.(*replica)
+	current, _ := r.store.Get(req.key)
+	value := req.derive(r, current)
 	switch {
 	case value == nil:
-		o.done(answered)
+		req.done(answered)
 		return
-	case o.attemptsLeft == 0:
-		o.done(rejected)
+	case req.attemptsLeft == 0:
+		req.done(rejected)
 		return
 	}
-	x := &call{object: o.key, value: string(value), command: registry.Command{Txn: &registry.Txn{
-		If:   []registry.Compare{{Key: o.key, ModRevision: current.ModRevision}},
-		Then: []registry.Write{{Key: o.key, Value: value}},
+	x := &call{object: req.key, value: string(value), command: registry.Command{Txn: &registry.Txn{
+		If:   []registry.Compare{{Key: req.key, ModRevision: current.ModRevision}},
+		Then: []registry.Write{{Key: req.key, Value: value}},
 	}}}
 	sim.startCall(x, func() {
 		if x.outcome != answered || !x.result.Conflict {
-			o.done(x.outcome)
+			req.done(x.outcome)
 			return
 		}
-		o.attemptsLeft--
-		sim.inIncarnation(o.nodeID, o.incarnation, func() { sim.transact(o, true) })
+		req.attemptsLeft--
+		sim.inIncarnation(req.nodeID, req.incarnation, func() { sim.attemptTxn(req, true) })
 	})
-	sim.executeCommand(o.nodeID, o.incarnation, x, o.deadline)
+	sim.executeCommand(req.nodeID, req.incarnation, x, req.deadline)
 }
 
 // submitEvacuation carries out an evacuation order as a control-plane node does, and
@@ -227,19 +227,19 @@
 		}
 		return nil
 	}
-	asked := sim.now()
-	sim.submitOrder(id, true, evacuationKey, func(r *replica, current registry.Object) []byte {
-		if sim.now()-asked > callerTimeout {
+	sentAt := sim.now()
+	sim.submitRequest(id, true, evacuationKey, func(r *replica, current registry.Object) []byte {
+		if sim.now()-sentAt > callerTimeout {
 			return nil // its caller has closed the connection and gone on to another node
 		}
 		e := registry.DecodeEvacuation(current)
-		if now := e.ApplyOrder(begin, sim.now()-r.lastOrderAt[begin], repeatWindow); now != e {
-			return now.Encode()
+		if next := e.ApplyRequest(begin, sim.now()-r.lastRequestAt[begin], repeatWindow); next != e {
+			return next.Encode()
 		}
 		return nil
 	}, func(o outcome) {
 		if o == answered {
-			sim.schedule(20*time.Millisecond, func() { sim.submitOrder(id, false, evacuationKey, acknowledge, func(outcome) {}) })
+			sim.schedule(20*time.Millisecond, func() { sim.submitRequest(id, false, evacuationKey, acknowledge, func(outcome) {}) })
 		}
 	})
 }
@@ -260,7 +260,7 @@
 	for seed := int64(1); seed <= 12; seed++ {
 		sim := newSimulation(t, seed, 8)
 		ids := sim.cluster.IDs()
-		often := func(begin bool) {
+		submitRepeatedly := func(begin bool) {
 			for k := range 8 {
 				sim.submitEvacuation(ids[k], begin)
 				sim.schedule(callerTimeout+sim.randomDuration(200*time.Millisecond), func() { sim.submitEvacuation(ids[(k+3)%8], begin) })
@@ -287,17 +287,17 @@
 				}
 			}
 		}
-		often(true)
+		submitRepeatedly(true)
 		sim.run(repeatWindow.Unacknowledged)
-		often(false)
+		submitRepeatedly(false)
 		sim.checkHistory()
 	}
 }
 
-// TestDelayedEvacuationOrder delays an order to finish in a frozen node's socket while it
+// TestDelayedEvacuationRequest delays an order to finish in a frozen node's socket while it
 // is repeated and answered elsewhere. It must not finish the evacuation that another
 // operator began since.
-func TestDelayedEvacuationOrder(t *testing.T) {
+func TestDelayedEvacuationRequest(t *testing.T) {
 	sim := newSimulation(t, 1, 5)
 	leader := sim.cluster.Leader().ID
 	frozen, other := leader%5+1, leader
--- a/registry/simulation_test.go
+++ b/registry/simulation_test.go
@@ -39,16 +39,16 @@
 	object  string
 	command registry.Command // zero for a read
 
-	outcome                outcome
-	result                 registry.Result
-	revision               uint64 // of the object read
-	value                  string
-	sentAt, returnedAt     time.Duration
-	callOrder, returnOrder int64 // positions in the order of all calls and returns
-	done                   func()
-	// withheldOrder is the position at which a release was answered without freeing its lock,
+	outcome            outcome
+	result             registry.Result
+	revision           uint64 // of the object read
+	value              string
+	sentAt, returnedAt time.Duration
+	callSeq, returnSeq int64 // positions in the order of all calls and returns
+	done               func()
+	// withheldSeq is the position at which a release was answered without freeing its lock,
 	// or zero.
-	withheldOrder int64
+	withheldSeq int64
 }
 
 // replica is a node's store with its lease timers.
@@ -58,8 +58,8 @@
 	leases coordination.LeaseTimers
 	// The evacuation of the only zone, and when this replica applied its newest order
 	// to begin (true) and to finish (false).
-	evacuation  registry.Evacuation
-	lastOrderAt map[bool]time.Duration
+	evacuation    registry.Evacuation
+	lastRequestAt map[bool]time.Duration
 }
 
 func (r *replica) Apply(index uint64, data []byte) any {
@@ -94,20 +94,20 @@
 
 func (r *replica) observeEvacuation() {
 	o, _ := r.store.Get(evacuationKey)
-	was := r.evacuation
-	if r.evacuation = registry.DecodeEvacuation(o); r.evacuation.BeginCount != was.BeginCount {
-		r.lastOrderAt[true] = r.sim.now()
+	previous := r.evacuation
+	if r.evacuation = registry.DecodeEvacuation(o); r.evacuation.BeginCount != previous.BeginCount {
+		r.lastRequestAt[true] = r.sim.now()
 	}
-	if r.evacuation.FinishCount != was.FinishCount {
-		r.lastOrderAt[false] = r.sim.now()
+	if r.evacuation.FinishCount != previous.FinishCount {
+		r.lastRequestAt[false] = r.sim.now()
 	}
 }
 
 // effect is what a logged command did.
 type effect struct {
-	index        uint64
-	result       registry.Result
-	appliedOrder int64 // position at which a replica first applied it
+	index      uint64
+	result     registry.Result
+	appliedSeq int64 // position at which a replica first applied it
 }
 
 // scheduledEvent runs at a moment of simulated time.
@@ -123,7 +123,7 @@
 	cluster           *rafttest.Cluster
 	scheduled         []scheduledEvent
 	eventSeq          int
-	lastOrder         int64
+	lastSeq           int64
 	calls             []*call
 	effects           map[uint64]effect // by tag
 	results           map[uint64]registry.Result
@@ -131,7 +131,7 @@
 	nextNodeID        uint64         // of the next member
 	lostNodeID        uint64         // voter that lost its disk and is not replaced yet, or 0
 	faultyNodeID      uint64         // node that the present fault is at
-	isOver            bool
+	isStopping        bool
 	keepsHolderNames  bool // callers acquire locks under one name each
 	probePuts         int
 	watchedEvents     int
@@ -140,14 +140,14 @@
 	ackedRevisions    map[string]uint64                        // newest revision acknowledged, by group
 }
 
-func newSimulation(t *testing.T, seed int64, n int) *simulation {
+func newSimulation(t *testing.T, seed int64, nodeCount int) *simulation {
 	sim := &simulation{
 		t: t, effects: map[uint64]effect{}, results: map[uint64]registry.Result{}, sendCounts: map[string]int{},
 		watchedByRevision: map[string]map[uint64]coordination.Event{}, ackedRevisions: map[string]uint64{},
 	}
-	sim.nextNodeID = uint64(n + 1)
-	sim.cluster = rafttest.NewCluster(seed, n, func() rafttest.StateMachine {
-		r := &replica{sim: sim, store: registry.NewStore(), lastOrderAt: map[bool]time.Duration{}}
+	sim.nextNodeID = uint64(nodeCount + 1)
+	sim.cluster = rafttest.NewCluster(seed, nodeCount, func() rafttest.StateMachine {
+		r := &replica{sim: sim, store: registry.NewStore(), lastRequestAt: map[bool]time.Duration{}}
 		r.leases.Restart(sim.now(), nil)
 		return r
 	})
@@ -164,33 +164,33 @@
 
 // recordEffect records the effect of a call, which must be the same at every replica.
 func (sim *simulation) recordEffect(tag, index uint64, res registry.Result) {
-	if was, ok := sim.results[index]; ok && !reflect.DeepEqual(was, res) {
-		sim.t.Errorf("index %d gave %+v at one replica and %+v at another", index, was, res)
+	if previous, ok := sim.results[index]; ok && !reflect.DeepEqual(previous, res) {
+		sim.t.Errorf("index %d gave %+v at one replica and %+v at another", index, previous, res)
 	}
 	sim.results[index] = res
-	if was, ok := sim.effects[tag]; ok && was.index != index {
-		sim.t.Errorf("one call was committed at index %d and %d", was.index, index)
+	if previous, ok := sim.effects[tag]; ok && previous.index != index {
+		sim.t.Errorf("one call was committed at index %d and %d", previous.index, index)
 	}
 	if _, ok := sim.effects[tag]; !ok {
-		sim.lastOrder++
-		sim.effects[tag] = effect{index, res, sim.lastOrder}
+		sim.lastSeq++
+		sim.effects[tag] = effect{index, res, sim.lastSeq}
 	}
 }
 
 // schedule runs do after a span of simulated time.
-func (sim *simulation) schedule(span time.Duration, do func()) {
+func (sim *simulation) schedule(delay time.Duration, run func()) {
 	sim.eventSeq++
-	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now() + span, do, sim.eventSeq})
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now() + delay, run, sim.eventSeq})
 }
 
 // randomDuration returns a duration below most.
-func (sim *simulation) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(sim.cluster.Rand.Int63n(int64(most)))
+func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(sim.cluster.Rand.Int63n(int64(limit)))
 }
 
 // run advances simulated time for the cluster and the scheduled events.
-func (sim *simulation) run(span time.Duration) {
-	for end := sim.cluster.Now + span; sim.cluster.Now < end; {
+func (sim *simulation) run(duration time.Duration) {
+	for end := sim.cluster.Now + duration; sim.cluster.Now < end; {
 		sim.cluster.Run(sim.cluster.StepInterval)
 		sim.runDueEvents()
 	}
@@ -198,10 +198,10 @@
 
 // runDueEvents runs the events that are due, in the order of their time.
 func (sim *simulation) runDueEvents() {
-	all := sim.scheduled
+	pending := sim.scheduled
 	sim.scheduled = nil
 	var due []scheduledEvent
-	for _, e := range all {
+	for _, e := range pending {
 		if e.dueAt <= sim.cluster.Now {
 			due = append(due, e)
 		} else {
@@ -218,42 +218,42 @@
 
 // onNode runs do at a node in its present incarnation, once the node is not frozen:
 // what is sent to a frozen process waits in its socket and is lost if the process ends.
-func (sim *simulation) onNode(id uint64, do func()) {
+func (sim *simulation) onNode(id uint64, run func()) {
 	n := sim.cluster.Nodes[id]
 	if n == nil || !sim.cluster.IsUp(id) {
 		return
 	}
-	sim.inIncarnation(id, n.StateMachine, do)
+	sim.inIncarnation(id, n.StateMachine, run)
 }
 
 // inIncarnation is onNode for a given incarnation, which is identified by its state
 // machine.
-func (sim *simulation) inIncarnation(id uint64, incarnation rafttest.StateMachine, do func()) {
+func (sim *simulation) inIncarnation(id uint64, incarnation rafttest.StateMachine, run func()) {
 	switch n := sim.cluster.Nodes[id]; {
 	case n == nil || !sim.cluster.IsUp(id) || n.StateMachine != incarnation:
 	case sim.cluster.IsFrozen(id):
-		sim.schedule(0, func() { sim.inIncarnation(id, incarnation, do) })
+		sim.schedule(0, func() { sim.inIncarnation(id, incarnation, run) })
 	default:
-		do()
+		run()
 	}
 }
 
 // sendMessage runs do at a node after a delay, unless the message is lost.
-func (sim *simulation) sendMessage(from, to uint64, do func()) {
+func (sim *simulation) sendMessage(from, to uint64, deliver func()) {
 	if sim.cluster.Rand.Intn(50) == 0 {
 		return
 	}
 	sim.schedule(sim.randomDuration(30*time.Millisecond), func() {
 		if !sim.cluster.IsLinkCut(from, to) {
-			sim.onNode(to, do)
+			sim.onNode(to, deliver)
 		}
 	})
 }
 
 // startCall records a call that is sent. done runs when it has its outcome.
 func (sim *simulation) startCall(x *call, done func()) {
-	sim.lastOrder++
-	x.tag, x.sentAt, x.callOrder, x.done = uint64(len(sim.calls)+1), sim.now(), sim.lastOrder, done
+	sim.lastSeq++
+	x.tag, x.sentAt, x.callSeq, x.done = uint64(len(sim.calls)+1), sim.now(), sim.lastSeq, done
 	sim.calls = append(sim.calls, x)
 	sim.schedule(callerTimeout, func() { sim.finishCall(x, unknown) })
 }
@@ -268,11 +268,11 @@
 		}
 		incarnation := sim.cluster.Nodes[id].StateMachine
 		sim.inIncarnation(id, incarnation, func() {
-			end := sim.now() + outcomeTimeout
+			deadline := sim.now() + outcomeTimeout
 			if x.command.Txn == nil && x.command.Coordination == nil {
-				sim.executeRead(id, incarnation, x, end)
+				sim.executeRead(id, incarnation, x, deadline)
 			} else {
-				sim.executeCommand(id, incarnation, x, end)
+				sim.executeCommand(id, incarnation, x, deadline)
 			}
 		})
 	})
@@ -283,8 +283,8 @@
 	if x.returnedAt != 0 {
 		return
 	}
-	sim.lastOrder++
-	x.outcome, x.returnedAt, x.returnOrder = o, sim.now(), sim.lastOrder
+	sim.lastSeq++
+	x.outcome, x.returnedAt, x.returnSeq = o, sim.now(), sim.lastSeq
 	if o == answered && x.command.Coordination != nil && x.command.Coordination.Operation == coordination.PutCell && x.result.Latch.Code == coordination.OK {
 		g := coordination.GroupOf(x.command.Coordination.Name)
 		sim.ackedRevisions[g] = max(sim.ackedRevisions[g], x.result.Latch.Revision)
@@ -303,13 +303,15 @@
 }
 
 // executeCommand logs a call's command, at this node or through the leader.
-func (sim *simulation) executeCommand(id uint64, incarnation rafttest.StateMachine, x *call, end time.Duration) {
+func (sim *simulation) executeCommand(id uint64, incarnation rafttest.StateMachine, x *call, deadline time.Duration) {
 	retry := func() {
-		if end-sim.now() < outcomeTimeout/2 {
+		if deadline-sim.now() < outcomeTimeout/2 {
 			sim.sendReply(x, rejected, registry.Result{})
 			return
 		}
-		sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { sim.executeCommand(id, incarnation, x, end) }) })
+		sim.schedule(sim.cluster.StepInterval, func() {
+			sim.inIncarnation(id, incarnation, func() { sim.executeCommand(id, incarnation, x, deadline) })
+		})
 	}
 	node := sim.cluster.Nodes[id].Raft
 	switch leader := node.LeaderID(); {
@@ -321,7 +323,7 @@
 		retry()
 	default:
 		sim.sendMessage(id, leader, func() {
-			back := func(o outcome, res registry.Result) {
+			forwardReply := func(o outcome, res registry.Result) {
 				sim.sendMessage(leader, id, func() {
 					sim.inIncarnation(id, incarnation, func() {
 						if o == rejected {
@@ -332,8 +334,8 @@
 					})
 				})
 			}
-			if !sim.propose(leader, x, back) {
-				back(rejected, registry.Result{})
+			if !sim.propose(leader, x, forwardReply) {
+				forwardReply(rejected, registry.Result{})
 			}
 		})
 	}
@@ -352,15 +354,15 @@
 		case decision == coordination.Defer, isRelease && !sim.cluster.Nodes[id].Raft.HasAppliedInTerm():
 			return false
 		case decision == coordination.AnswerOK:
-			sim.lastOrder += 2
-			x.callOrder, x.withheldOrder = sim.lastOrder-1, sim.lastOrder
+			sim.lastSeq += 2
+			x.callSeq, x.withheldSeq = sim.lastSeq-1, sim.lastSeq
 			done(answered, registry.Result{})
 			return true
 		}
 	}
 	data := append(binary.BigEndian.AppendUint64(nil, x.tag), registry.EncodeCommand(cmd)...)
-	sim.lastOrder++
-	x.callOrder = sim.lastOrder // it cannot take effect before
+	sim.lastSeq++
+	x.callSeq = sim.lastSeq // it cannot take effect before
 	isProposed := sim.cluster.Propose(id, data, func(result any, ok bool) {
 		switch res, is := result.(registry.Result); {
 		case ok && is:
@@ -377,48 +379,50 @@
 
 // awaitReadIndex gets a read index from the leader (Raft thesis, section 6.4) and calls
 // done once the node has applied up to it.
-func (sim *simulation) awaitReadIndex(id uint64, incarnation rafttest.StateMachine, end time.Duration, done func(ok bool)) {
-	var reached func(index uint64)
-	reached = func(index uint64) {
+func (sim *simulation) awaitReadIndex(id uint64, incarnation rafttest.StateMachine, deadline time.Duration, done func(ok bool)) {
+	var awaitApplied func(index uint64)
+	awaitApplied = func(index uint64) {
 		switch {
 		case sim.cluster.Nodes[id].Raft.AppliedIndex() >= index:
 			done(true)
-		case sim.now() >= end:
+		case sim.now() >= deadline:
 			done(false)
 		default:
-			sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { reached(index) }) })
+			sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { awaitApplied(index) }) })
 		}
 	}
-	got := func(index uint64, ok bool) {
+	onReadIndex := func(index uint64, ok bool) {
 		switch {
 		case ok:
-			reached(index)
-		case end-sim.now() < outcomeTimeout/2:
+			awaitApplied(index)
+		case deadline-sim.now() < outcomeTimeout/2:
 			done(false)
 		default:
-			sim.schedule(sim.cluster.StepInterval, func() { sim.inIncarnation(id, incarnation, func() { sim.awaitReadIndex(id, incarnation, end, done) }) })
+			sim.schedule(sim.cluster.StepInterval, func() {
+				sim.inIncarnation(id, incarnation, func() { sim.awaitReadIndex(id, incarnation, deadline, done) })
+			})
 		}
 	}
 	node := sim.cluster.Nodes[id].Raft
 	switch leader := node.LeaderID(); {
 	case node.Role() == raft.Leader:
 		sim.cluster.ReadIndex(id, func(index uint64, ok bool) {
-			sim.schedule(0, func() { sim.inIncarnation(id, incarnation, func() { got(index, ok) }) })
+			sim.schedule(0, func() { sim.inIncarnation(id, incarnation, func() { onReadIndex(index, ok) }) })
 		})
 	case leader == 0:
-		got(0, false)
+		onReadIndex(0, false)
 	default:
 		sim.sendMessage(id, leader, func() {
 			sim.cluster.ReadIndex(leader, func(index uint64, ok bool) {
-				sim.sendMessage(leader, id, func() { sim.inIncarnation(id, incarnation, func() { got(index, ok) }) })
+				sim.sendMessage(leader, id, func() { sim.inIncarnation(id, incarnation, func() { onReadIndex(index, ok) }) })
 			})
 		})
 	}
 }
 
 // executeRead answers a call that reads, behind a read index.
-func (sim *simulation) executeRead(id uint64, incarnation rafttest.StateMachine, x *call, end time.Duration) {
-	sim.awaitReadIndex(id, incarnation, end, func(ok bool) {
+func (sim *simulation) executeRead(id uint64, incarnation rafttest.StateMachine, x *call, deadline time.Duration) {
+	sim.awaitReadIndex(id, incarnation, deadline, func(ok bool) {
 		if !ok {
 			sim.sendReply(x, rejected, registry.Result{})
 			return
@@ -446,17 +450,17 @@
 				done(nil, 0, false)
 				return
 			}
-			end := sim.now() + outcomeTimeout
+			deadline := sim.now() + outcomeTimeout
 			var poll func()
 			poll = func() {
-				events, rev, kept := incarnation.(*replica).store.Coordination().EventsSince(group, after)
+				events, revision, kept := incarnation.(*replica).store.Coordination().EventsSince(group, after)
 				node := sim.cluster.Nodes[id].Raft
 				switch {
-				case !kept || rev < floor || after > rev:
-					sim.t.Errorf("node %d: watch of %s after %d, with %d acknowledged before: revision %d, kept %v", id, group, after, floor, rev, kept)
+				case !kept || revision < floor || after > revision:
+					sim.t.Errorf("node %d: watch of %s after %d, with %d acknowledged before: revision %d, kept %v", id, group, after, floor, revision, kept)
 					done(nil, 0, false)
-				case len(events) > 0 || sim.now() >= end:
-					done(events, rev, true)
+				case len(events) > 0 || sim.now() >= deadline:
+					done(events, revision, true)
 				case node.LeaderID() == 0:
 					done(nil, 0, false)
 				default:
@@ -470,41 +474,41 @@
 
 // runWatcher watches a group from one node after the other.
 func (sim *simulation) runWatcher(group string, after uint64) {
-	heard := false
-	again := func(after uint64) {
-		if !heard && !sim.isOver {
-			heard = true
+	isAnswered := false
+	watchAgain := func(after uint64) {
+		if !isAnswered && !sim.isStopping {
+			isAnswered = true
 			sim.schedule(sim.randomDuration(300*time.Millisecond), func() { sim.runWatcher(group, after) })
 		}
 	}
 	sim.watchGroup(sim.pickNode(), group, after, func(events []coordination.Event, revision uint64, ok bool) {
-		if !ok || heard {
-			again(after)
+		if !ok || isAnswered {
+			watchAgain(after)
 			return
 		}
 		sim.checkWatchedEvents(group, after, events, revision)
-		again(revision)
+		watchAgain(revision)
 	})
-	sim.schedule(3*callerTimeout, func() { again(after) })
+	sim.schedule(3*callerTimeout, func() { watchAgain(after) })
 }
 
 // checkWatchedEvents checks the answer to a watch: it holds all puts after one revision
 // and up to another, each as every other watcher got it.
 func (sim *simulation) checkWatchedEvents(group string, after uint64, events []coordination.Event, revision uint64) {
-	all := sim.watchedByRevision[group]
-	if all == nil {
-		all = map[uint64]coordination.Event{}
-		sim.watchedByRevision[group] = all
+	watched := sim.watchedByRevision[group]
+	if watched == nil {
+		watched = map[uint64]coordination.Event{}
+		sim.watchedByRevision[group] = watched
 	}
 	for _, e := range events {
 		if after++; e.Revision != after {
 			sim.t.Errorf("watch of %s: %d follows on %d", group, e.Revision, after-1)
 			after = e.Revision
 		}
-		if was, ok := all[after]; ok && was != e {
-			sim.t.Errorf("revision %d of %s was %+v and is %+v", after, group, was, e)
+		if previous, ok := watched[after]; ok && previous != e {
+			sim.t.Errorf("revision %d of %s was %+v and is %+v", after, group, previous, e)
 		}
-		all[after] = e
+		watched[after] = e
 		sim.watchedEvents++
 	}
 	if after != revision {
--- a/registry/snapshot.go
+++ b/registry/snapshot.go
@@ -9,9 +9,9 @@
 	"lichentray/coordination"
 )
 
-// snapshotImage is the stored form of a Store. Gob writes the names of its fields
-// and of everything reachable from them, so they are part of the stored data: a
-// renamed field would be read as zero. Type names are not stored.
+// snapshotImage is the stored representation of a Store. Gob matches fields by name, also
+// in nested types, so the field names are part of the stored data: a renamed field would be
+// decoded as zero. Type names are stored as well but ignored by the decoder.
 type snapshotImage struct {
 	Revision uint64
 	Objects  []Object
@@ -19,7 +19,7 @@
 	Account  *audit.Log          // Store.auditLog
 }
 
-// Snapshot returns the complete state in a form that Restore reads.
+// Snapshot returns the complete state, encoded for Restore.
 func (s *Store) Snapshot() ([]byte, error) {
 	s.auditLog.PrepareEncode()
 	image := snapshotImage{
@@ -35,7 +35,7 @@
 	return b.Bytes(), nil
 }
 
-// Restore replaces the state by that of a snapshot. On an error the state is
+// Restore replaces the state by that of a snapshot. If it returns an error, the state is
 // unchanged.
 func (s *Store) Restore(snapshot []byte) error {
 	image := snapshotImage{Latches: coordination.NewTable(), Account: audit.NewLog()}
--- a/registry/store.go
+++ b/registry/store.go
@@ -1,19 +1,19 @@
-// Package registry is the replicated object store of the control plane: a
-// deterministic state machine over a multi-version key-value map.
+// Package registry implements the replicated object store of the control plane, a
+// deterministic state machine over a key-value map with revisions.
 //
-// An object is stored under a key of the form "kind/name" and carries the global
-// revision of its last write (etcd's ModRevision, Kubernetes' resource version). A
-// transaction compares revisions and then writes, all or nothing. Beside the objects,
-// and under the same revision, the store holds the locks, sequences and cells of
-// package coordination and the log of package audit. The package also holds the forms
-// of what it stores: the command codec of the replicated log, the delta between two
-// values, the snapshot, and the values of the object kinds.
+// An object is stored under a key of the form "kind/name" with the global revision of
+// its last write (ModRevision in etcd, the resource version in Kubernetes). A
+// transaction compares revisions and then performs all of its writes or none. The store
+// also holds the locks, sequences and cells of package coordination and the log of
+// package audit, under the same global revision. The package further defines the
+// encodings: the command codec of the replicated log, the delta between two values, the
+// snapshot, and the values of the object kinds.
 //
-// The package does no input or output, reads no clock and starts no goroutine.
-// It does not replicate: package raft orders the commands, and internal/controlplane
-// applies them and passes the events on to package watchcache. A replica that
-// applies the same commands in the same order holds the same state, so every
-// function that Apply reaches must depend on its arguments and the state alone.
+// The package performs no I/O, reads no clock and starts no goroutines. It does not
+// replicate: package raft orders the commands, and internal/controlplane applies them
+// and forwards the events to package watchcache. Replicas that apply the same commands
+// in the same order must hold the same state, so every function called by Apply must
+// depend only on its arguments and on the state.
 package registry
 
 import (
@@ -24,21 +24,21 @@
 	"lichentray/coordination"
 )
 
-// Object is one entry of the store. It is stored in snapshots and sent to proxies
-// by gob, so its field names are part of those formats.
+// Object is an entry of the store. Snapshots store it and proxies receive it in gob
+// encoding, so its field names are part of both formats.
 type Object struct {
 	Key   string
 	Value []byte
-	// CreateRevision and ModRevision are the global revisions of the write that
-	// created the object and of the newest write to it.
+	// CreateRevision and ModRevision are the global revisions of the write that created
+	// the object and of the newest write to it.
 	CreateRevision uint64
 	ModRevision    uint64
 }
 
-// EventType says what happened to an object.
+// EventType is the kind of change to an object.
 type EventType uint8
 
-// The kinds of event on a watch. Their values are part of the internal protocol.
+// The event types. Their values are part of the internal protocol.
 const (
 	Added EventType = iota + 1
 	Modified
@@ -58,21 +58,20 @@
 	return "unknown"
 }
 
-// Event is one change to one object at one global revision. It is sent to proxies
-// by gob, so its field names are part of the internal protocol.
+// Event is a change to one object at one global revision. Proxies receive it in gob
+// encoding, so its field names are part of the internal protocol.
 type Event struct {
 	Type     EventType
 	Object   Object
 	Revision uint64
-	// Patch, where it is not nil, is the delta (see ComputeDelta) that makes the
-	// object's value from the one that it had at revision Base. A sender may then
-	// leave Object.Value out.
+	// Patch, if not nil, is the delta (see ComputeDelta) from the object's value at
+	// revision Base to the new value. A sender may then omit Object.Value.
 	Patch []byte
 	Base  uint64
 }
 
-// Command is one entry of the replicated log. Exactly one field is set.
-// EncodeCommand and DecodeCommand are its codec.
+// Command is an entry of the replicated log. Exactly one field is set. EncodeCommand and
+// DecodeCommand are its codec.
 type Command struct {
 	Txn          *Txn
 	Coordination *coordination.Command
@@ -80,27 +79,27 @@
 	Audit *audit.Batch
 }
 
-// Result is the outcome of a command. It is sent between control-plane nodes by
-// gob, so its field names are part of the internal protocol.
+// Result is the outcome of a command. Control-plane nodes exchange it in gob encoding, so
+// its field names are part of the internal protocol.
 type Result struct {
 	// Revision is the global revision after the command.
 	Revision uint64
-	// Conflict says that a transaction wrote nothing because a comparison failed or
-	// a delta did not fit.
+	// Conflict reports whether a transaction wrote nothing because a comparison failed or
+	// a delta did not match the old value.
 	Conflict bool
-	// Current holds the objects whose comparison failed, without their values.
+	// Current holds the existing objects whose comparison failed, without their values.
 	Current []Object
-	// Latch is the outcome of a coordination command, under its name in the internal
-	// protocol.
+	// Latch is the outcome of a coordination command. The internal protocol fixes its
+	// name.
 	Latch coordination.Result
-	// Account is, for a batch of audit records, the sequence number up to which the
-	// audit log holds all records of the sending incarnation, see audit.Log.Ingest.
+	// Account is the audit log's acknowledgement of a batch: the sequence number up to
+	// which the log holds all records of the sending incarnation, see audit.Log.Ingest.
+	// The internal protocol fixes its name.
 	Account uint64
 }
 
-// Store is the state machine. It is not safe for concurrent use; its owner
-// serialises all calls. What it returns shares memory with the store and must not
-// be modified.
+// Store is the state machine. It is not safe for concurrent use: its owner must serialise
+// all calls. Returned values share memory with the store and must not be modified.
 type Store struct {
 	revision     uint64
 	objects      map[string]Object
@@ -117,24 +116,24 @@
 	}
 }
 
-// Revision returns the global revision, which rises by one with every command that
-// succeeds, whether or not it changes an object.
+// Revision returns the global revision, which increases by one with every successful
+// command, whether or not the command changes an object.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// Coordination returns the locks, sequences and cells for reading.
+// Coordination returns the locks, sequences and cells. The caller must only read them.
 func (s *Store) Coordination() *coordination.Table { return s.coordination }
 
-// AuditLog returns the audit log for reading.
+// AuditLog returns the audit log. The caller must only read it.
 func (s *Store) AuditLog() *audit.Log { return s.auditLog }
 
-// Get returns the object under key and whether there is one.
+// Get returns the object under key and whether it exists.
 func (s *Store) Get(key string) (Object, bool) {
 	o, ok := s.objects[key]
 	return o, ok
 }
 
-// List returns all objects whose key begins with prefix, in the order of their
-// keys, as they are at the store's revision.
+// List returns the objects whose key begins with prefix, sorted by key, as of the store's
+// revision.
 func (s *Store) List(prefix string) []Object {
 	var objects []Object
 	for key, o := range s.objects {
@@ -146,9 +145,9 @@
 	return objects
 }
 
-// Apply carries out one command and returns its outcome and the changes to objects
-// in the order of the command's writes. Commands must come in the order of the
-// replicated log, each once.
+// Apply executes a command and returns its outcome and the changes to objects in the order
+// of the command's writes. Each command of the replicated log must be applied once, in log
+// order.
 func (s *Store) Apply(c Command) (Result, []Event) {
 	switch {
 	case c.Audit != nil:
@@ -172,7 +171,8 @@
 	if outcome.Code == coordination.OK {
 		s.revision++
 	}
-	// One command bounds both histories, as their retention is the same.
+	// The event history and the audit log share one retention, so one command compacts
+	// both.
 	if c.Operation == coordination.CompactHistory {
 		s.auditLog.Compact(c.CompactBefore)
 	}
--- a/registry/store_test.go
+++ b/registry/store_test.go
@@ -19,7 +19,7 @@
 		r := rand.New(rand.NewSource(seed))
 		s := registry.NewStore()
 		model := map[string]registry.Object{}
-		rev := uint64(0)
+		revision := uint64(0)
 		for step := range 500 {
 			txn := &registry.Txn{}
 			for range r.Intn(3) {
@@ -40,20 +40,20 @@
 			}
 			want := 0
 			if ok {
-				rev++
+				revision++
 				next := map[string]registry.Object{}
 				for k, o := range model {
 					next[k] = o
 				}
 				for _, w := range txn.Then {
-					old, had := model[w.Key]
+					old, exists := model[w.Key]
 					switch {
-					case w.IsDelete && had:
+					case w.IsDelete && exists:
 						delete(next, w.Key)
 						want++
 					case !w.IsDelete:
-						o := registry.Object{Key: w.Key, Value: w.Value, CreateRevision: rev, ModRevision: rev}
-						if had {
+						o := registry.Object{Key: w.Key, Value: w.Value, CreateRevision: revision, ModRevision: revision}
+						if exists {
 							o.CreateRevision = old.CreateRevision
 						}
 						next[w.Key] = o
@@ -67,8 +67,8 @@
 				t.Fatal(err)
 			}
 			res, events := s.Apply(cmd)
-			if res.Conflict == ok || res.Revision != rev || len(events) != want {
-				t.Fatalf("seed %d step %d: %+v with %d events; the model says success %v at %d with %d", seed, step, res, len(events), ok, rev, want)
+			if res.Conflict == ok || res.Revision != revision || len(events) != want {
+				t.Fatalf("seed %d step %d: %+v with %d events; the model says success %v at %d with %d", seed, step, res, len(events), ok, revision, want)
 			}
 			if step%97 == 0 {
 				data, err := s.Snapshot()
@@ -81,8 +81,8 @@
 				}
 			}
 			for k := range used {
-				got, had := s.Get(k)
-				if w, ok := model[k]; had != ok || (ok && !reflect.DeepEqual(got, w)) {
+				got, exists := s.Get(k)
+				if w, ok := model[k]; exists != ok || (ok && !reflect.DeepEqual(got, w)) {
 					t.Fatalf("seed %d step %d: %s is %+v, the model says %+v", seed, step, k, got, w)
 				}
 			}
@@ -179,17 +179,17 @@
 		})
 	})
 	c.Run(time.Second)
-	var topNumber, topToken uint64  // the greatest answered so far
-	ackedPut := map[string]uint64{} // newest revision acknowledged, by key
-	valueAt := map[string]string{}  // group/revision to value
+	var highestNumber, highestToken uint64 // the greatest answered so far
+	ackedRevision := map[string]uint64{}   // newest revision acknowledged, by key
+	valueAt := map[string]string{}         // group/revision to value
 	type holding struct {
 		holder    string
 		token     uint64
 		expiresAt time.Duration
 	}
 	holders := map[string]holding{}
-	owner := map[uint64]string{}
-	do := func(cmd *coordination.Command, done func(coordination.Result)) {
+	holderByToken := map[uint64]string{}
+	propose := func(cmd *coordination.Command, done func(coordination.Result)) {
 		for _, id := range c.IDs() { // any node that believes that it leads
 			n := c.Nodes[id]
 			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
@@ -213,52 +213,52 @@
 			key := fmt.Sprintf("g.%d", c.Rand.Intn(3))
 			switch c.Rand.Intn(4) {
 			case 0:
-				floor := topNumber
-				do(&coordination.Command{Operation: coordination.NextNumber, Name: "n"}, func(r coordination.Result) {
+				floor := highestNumber
+				propose(&coordination.Command{Operation: coordination.NextNumber, Name: "n"}, func(r coordination.Result) {
 					if r.Value <= floor {
 						t.Errorf("number %d was given although %d had been given before the call", r.Value, floor)
 					}
-					topNumber = max(topNumber, r.Value)
+					highestNumber = max(highestNumber, r.Value)
 				})
 			case 1:
 				who := fmt.Sprint("h", c.Rand.Intn(4))
-				floor := topToken
-				do(&coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: who, LeaseMS: 200}, func(r coordination.Result) {
+				floor := highestToken
+				propose(&coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: who, LeaseMS: 200}, func(r coordination.Result) {
 					if r.Code != coordination.OK {
 						return
 					}
-					end := sentAt + 200*time.Millisecond
+					expiresAt := sentAt + 200*time.Millisecond
 					// An old leader may report a grant late. There is a second holder only if
 					// that grant is no older than the present one, or its lease still runs.
 					h := holders["l"]
-					late := r.Fence < h.token && end <= c.Now
-					if h.holder != who && h.holder != "" && c.Now < h.expiresAt && !late {
+					isLateAnswer := r.Fence < h.token && expiresAt <= c.Now
+					if h.holder != who && h.holder != "" && c.Now < h.expiresAt && !isLateAnswer {
 						t.Errorf("%s has the lock until %v, %s got it at %v", h.holder, h.expiresAt, who, c.Now)
-					} else if o, given := owner[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
+					} else if o, given := holderByToken[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
 						t.Errorf("fencing token %d does not exceed %d", r.Fence, floor)
 					}
-					owner[r.Fence] = who
-					topToken = max(topToken, r.Fence)
-					if end > c.Now {
-						holders["l"] = holding{who, r.Fence, end}
+					holderByToken[r.Fence] = who
+					highestToken = max(highestToken, r.Fence)
+					if expiresAt > c.Now {
+						holders["l"] = holding{who, r.Fence, expiresAt}
 					}
 				})
 			case 2:
 				v := fmt.Sprint(round, "-", k)
-				floor := ackedPut[key]
-				do(&coordination.Command{Operation: coordination.PutCell, Name: key, Value: v}, func(r coordination.Result) {
+				floor := ackedRevision[key]
+				propose(&coordination.Command{Operation: coordination.PutCell, Name: key, Value: v}, func(r coordination.Result) {
 					if r.Revision <= floor {
 						t.Errorf("put got revision %d, not above %d", r.Revision, floor)
 					}
 					at := fmt.Sprint("g/", r.Revision)
-					if was, ok := valueAt[at]; ok && was != v {
+					if previous, ok := valueAt[at]; ok && previous != v {
 						t.Errorf("revision %d has two values", r.Revision)
 					}
 					valueAt[at] = v
-					ackedPut[key] = max(ackedPut[key], r.Revision)
+					ackedRevision[key] = max(ackedRevision[key], r.Revision)
 				})
 			case 3:
-				floor := ackedPut[key]
+				floor := ackedRevision[key]
 				n := c.Nodes[id]
 				c.Read(id, func(ok bool) {
 					if cell := n.StateMachine.(*simulatedStore).store.Coordination().Cells[key]; ok && cell.Revision < floor {
@@ -272,8 +272,8 @@
 			t.Fatal(c.Violation)
 		}
 	}
-	if topNumber == 0 || topToken == 0 || len(ackedPut) == 0 {
-		t.Errorf("nothing was answered: number %d, fencing token %d, puts %v", topNumber, topToken, ackedPut)
+	if highestNumber == 0 || highestToken == 0 || len(ackedRevision) == 0 {
+		t.Errorf("nothing was answered: number %d, fencing token %d, puts %v", highestNumber, highestToken, ackedRevision)
 	}
 }
 
--- a/registry/txn.go
+++ b/registry/txn.go
@@ -1,36 +1,35 @@
 package registry
 
-// Compare is one comparison of a transaction: it holds if the object under Key has
-// this ModRevision, or, for 0, if there is no object under Key.
+// Compare is a precondition of a transaction: it holds if the object under Key has this
+// ModRevision or, for 0, if there is no object under Key.
 type Compare struct {
 	Key         string
 	ModRevision uint64
 }
 
-// Write puts or deletes the object under Key. A put replaces the complete value.
-// Deleting what does not exist changes nothing and makes no event.
+// Write puts or deletes the object under Key. A put replaces the complete value. Deleting
+// an object that does not exist changes nothing and creates no event.
 type Write struct {
 	Key string
-	// Value is the new value or, if IsDelta is set, the delta (see ComputeDelta)
-	// against the object's present value. A transaction with a delta must compare the
-	// revision that the delta was made against.
+	// Value is the new value or, if IsDelta is set, the delta (see ComputeDelta) against
+	// the object's current value. A transaction with a delta must compare the revision
+	// from which the delta was computed.
 	Value    []byte
 	IsDelete bool
 	IsDelta  bool
 }
 
-// Txn is a transaction: if all comparisons in If hold, all writes in Then are
-// carried out at one revision, else none.
+// Txn is a transaction: if all comparisons in If hold, all writes in Then are performed at
+// one revision; otherwise none is.
 type Txn struct {
 	If   []Compare
 	Then []Write
 }
 
-// applyTxn carries out a transaction.
 func (s *Store) applyTxn(txn *Txn) (Result, []Event) {
-	blocking, ok := s.compare(txn.If)
+	conflicting, ok := s.compare(txn.If)
 	if !ok {
-		return Result{Revision: s.revision, Conflict: true, Current: blocking}, nil
+		return Result{Revision: s.revision, Conflict: true, Current: conflicting}, nil
 	}
 	values, err := s.resolveDeltas(txn.Then)
 	if err != nil {
@@ -50,9 +49,9 @@
 	return Result{Revision: s.revision}, events
 }
 
-// compare reports whether all comparisons hold, and otherwise the existing objects
-// that differ, without their values.
-func (s *Store) compare(comparisons []Compare) (blocking []Object, ok bool) {
+// compare reports whether all comparisons hold. If not, it returns the existing objects
+// whose revision differs, without their values.
+func (s *Store) compare(comparisons []Compare) (conflicting []Object, ok bool) {
 	ok = true
 	for _, c := range comparisons {
 		o := s.objects[c.Key]
@@ -62,14 +61,15 @@
 		ok = false
 		if o.ModRevision != 0 {
 			o.Value = nil
-			blocking = append(blocking, o)
+			conflicting = append(conflicting, o)
 		}
 	}
-	return blocking, ok
+	return conflicting, ok
 }
 
-// resolveDeltas returns the complete values of the writes that carry a delta, by
-// key. All are made before the first write, as a transaction writes all or nothing.
+// resolveDeltas returns the complete values of the writes that carry a delta, by key. It
+// runs before the first write because a delta that does not match must abort the whole
+// transaction.
 func (s *Store) resolveDeltas(writes []Write) (map[string][]byte, error) {
 	var values map[string][]byte
 	for _, w := range writes {
@@ -98,8 +98,8 @@
 	}
 }
 
-// putObject writes an object at the store's revision; values holds the complete
-// values of the writes that carry a delta.
+// putObject writes an object at the store's revision. values holds the complete values of
+// the writes that carry a delta.
 func (s *Store) putObject(w Write, values map[string][]byte) Event {
 	old, exists := s.objects[w.Key]
 	event := Event{
