--- a/registry/audit_test.go
+++ b/registry/audit_test.go
@@ -12,26 +12,27 @@
 	"lichentray/registry"
 )
 
-// TestAuditLogMatchesCausedFailures lets proxies cause failures of every kind, each
-// attempt of a commitment at another proxy, and send their records to a cluster whose
-// nodes crash, freeze and are partitioned, while acknowledgements are lost, batches come
-// twice and late, and proxies are killed or shut down gracefully. The model is a plain
-// list of what was caused. The audit log must hold that list: every failure under its
-// tenant and request, none twice; and what a killed proxy had not sent must be within
-// the gap that the log reports.
+// TestAuditLogMatchesCausedFailures guards against audit records that are lost, duplicated
+// or filed under the wrong tenant or request. Proxies record failures of every kind and
+// attempts of non-idempotent requests at several proxies. They send their records to a
+// cluster with crashes, freezes and partitions, while acknowledgements are lost, batches
+// arrive twice or late, and proxies are killed or shut down gracefully. The audit log must
+// match a list of everything recorded, and must report a gap for the records that a killed
+// proxy had not sent.
 func TestAuditLogMatchesCausedFailures(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runAuditSimulation(t, seed) })
 	}
 }
 
-// causedAttempt is one attempt as it truly was.
+// causedAttempt is an attempt that the simulation caused.
 type causedAttempt struct {
 	incarnation string
 	audit.Record
 }
 
-// expectedKind is the model of what all attempts of one commitment amount to.
+// expectedKind returns the kind that the audit log must report for all attempts of a
+// non-idempotent request, or the empty string if the request succeeded.
 func expectedKind(attempts []causedAttempt) audit.Kind {
 	executed, maybeExecuted := 0, 0
 	for _, c := range attempts {
@@ -65,7 +66,8 @@
 		recorder    *audit.Recorder
 		incarnation string
 		restarts    int
-		// isKnown says that the log knows the incarnation: before, it takes no requests.
+		// isKnown reports whether the log has acknowledged the incarnation. Until then
+		// the proxy serves no requests.
 		isKnown bool
 	}
 	var proxies [proxyCount]*proxy
@@ -98,12 +100,12 @@
 			}
 		}
 		cluster.Propose(id, data, done)
-		if cluster.Rand.Intn(5) == 0 { // the batch comes twice
+		if cluster.Rand.Intn(5) == 0 { // the batch is sent twice
 			cluster.Propose(id, data, done)
 		}
 	}
 	var caused []causedAttempt
-	unacknowledged := map[string][]causedAttempt{} // by killed incarnation, what was not acknowledged
+	unacknowledged := map[string][]causedAttempt{} // by killed incarnation
 	kinds := []audit.Kind{audit.MissedLatencyTarget, audit.Failed, audit.Truncated}
 	evidence := []audit.Kind{audit.Executed, audit.Executed, audit.MaybeExecuted, audit.NotExecuted}
 	attemptCount := 0
@@ -123,7 +125,7 @@
 		for range cluster.Rand.Intn(3) {
 			record(proxies[cluster.Rand.Intn(proxyCount)], audit.Record{Tenant: tenant, Request: fmt.Sprint("search", round), Kind: kinds[cluster.Rand.Intn(3)], Status: 502})
 		}
-		for range cluster.Rand.Intn(4) { // the attempts of one commitment
+		for range cluster.Rand.Intn(4) { // the attempts of one non-idempotent request
 			record(proxies[cluster.Rand.Intn(proxyCount)], audit.Record{Tenant: tenant, Request: fmt.Sprint("commit", round), Kind: evidence[cluster.Rand.Intn(4)]})
 		}
 		for _, p := range proxies {
@@ -131,7 +133,7 @@
 				send(p, false)
 			}
 		}
-		if cluster.Rand.Intn(12) == 0 { // killed: what is pending is lost with it
+		if cluster.Rand.Intn(12) == 0 { // a proxy is killed and loses its pending records
 			i := cluster.Rand.Intn(proxyCount)
 			pending := proxies[i].recorder.NextBatch(unixMS(), 1<<30).Records
 			for _, r := range pending {
@@ -158,7 +160,7 @@
 	store := cluster.Nodes[1].StateMachine.(*simulatedStore).store
 	for _, id := range cluster.IDs()[1:] {
 		if got := cluster.Nodes[id].StateMachine.(*simulatedStore).store.AuditLog().Query(audit.Filter{}); !reflect.DeepEqual(got, store.AuditLog().Query(audit.Filter{})) {
-			t.Fatalf("node %d holds another audit log", id)
+			t.Fatalf("the audit log of node %d differs from that of node 1", id)
 		}
 	}
 	// A snapshot includes the audit log.
@@ -168,11 +170,11 @@
 	}
 	other := registry.NewStore()
 	if err := other.Restore(image); err != nil || !reflect.DeepEqual(other.AuditLog().Query(audit.Filter{}), store.AuditLog().Query(audit.Filter{})) {
-		t.Fatalf("the audit log does not come back from a snapshot: %v", err)
+		t.Fatalf("the audit log differs after a restore from its snapshot: %v", err)
 	}
 	result := store.AuditLog().Query(audit.Filter{})
-	// The log certainly holds all but what was not acknowledged to killed incarnations,
-	// some of which may have been ingested without an answer.
+	// The log must hold everything except records that were not acknowledged to a killed
+	// incarnation. Some of those may have been ingested although the answer was lost.
 	maybeMissing := map[string]bool{}
 	for incarnation, records := range unacknowledged {
 		for _, r := range records {
@@ -180,7 +182,7 @@
 		}
 		if gap, listed := result.Gaps[incarnation]; !listed || gap.MayMiss < 2 {
 			if len(records) > 0 {
-				t.Errorf("%s ended with %d records pending and the audit log says %+v", incarnation, len(records), gap)
+				t.Errorf("%s was killed with %d pending records, but the audit log reports the gap %+v", incarnation, len(records), gap)
 			}
 		}
 	}
@@ -188,7 +190,7 @@
 	for _, f := range result.Failures {
 		for _, attempt := range f.Attempts {
 			if recorded[attempt.Attempt] {
-				t.Errorf("%s is there twice", attempt.Attempt)
+				t.Errorf("attempt %s is listed twice", attempt.Attempt)
 			}
 			recorded[attempt.Attempt] = true
 		}
@@ -197,7 +199,7 @@
 	want := map[string]bool{}
 	for _, x := range caused {
 		if maybeMissing[x.incarnation+x.Attempt] && !recorded[x.Attempt] {
-			continue // lost with its proxy, within the gap
+			continue // lost with its proxy and covered by the gap
 		}
 		if x.Kind == audit.Executed || x.Kind == audit.MaybeExecuted || x.Kind == audit.NotExecuted {
 			nonIdempotent[x.Tenant+" "+x.Request] = append(nonIdempotent[x.Tenant+" "+x.Request], x)
@@ -205,7 +207,7 @@
 		}
 		want[fmt.Sprint(x.Tenant, " ", x.Request, " ", x.Kind, " ", x.Attempt)] = true
 	}
-	uncertain := map[string]bool{} // commitments with an attempt that may not have been ingested
+	uncertain := map[string]bool{} // non-idempotent requests with an attempt that may be missing
 	for _, records := range unacknowledged {
 		for _, r := range records {
 			uncertain[r.Tenant+" "+r.Request] = true
@@ -229,10 +231,10 @@
 		}
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the audit log differs from what was caused: %v", diffSets(got, want))
+		t.Errorf("the audit log differs from the caused failures: %v", diffSets(got, want))
 	}
 	if len(got) < 50 || len(unacknowledged) == 0 {
-		t.Errorf("too little was tried: %d failures, %d killed incarnations", len(got), len(unacknowledged))
+		t.Errorf("too few events: got %d failures and %d killed incarnations, want at least 50 and 1", len(got), len(unacknowledged))
 	}
 }
 
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -17,8 +17,8 @@
 	s.Apply(registry.Command{Txn: &registry.Txn{If: []registry.Compare{{Key: e.Key()}}, Then: []registry.Write{{Key: e.Key(), Value: e.Encode()}}}})
 }
 
-// BenchmarkEndpoints measures what an endpoint costs the registry: a conditional create,
-// the memory it takes, its part of a snapshot and of a list.
+// BenchmarkEndpoints measures the cost of an endpoint: a conditional create, its memory,
+// and its share of a snapshot and of a list.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, n := range []int{11000, 44000} {
 		s := registry.NewStore()
--- a/registry/caller_test.go
+++ b/registry/caller_test.go
@@ -8,18 +8,19 @@
 	"lichentray/registry"
 )
 
-// caller makes one call after another: it reads and replaces the configuration, reads
-// and puts cells, draws numbers, and acquires, renews and releases locks.
+// caller is a client that makes one call after another: it reads and replaces the
+// configuration, reads and puts cells, requests sequence numbers, and acquires, renews and
+// releases locks.
 type caller struct {
 	sim          *simulation
 	name         string
-	ownLock      string // that it acquires again and again if it keeps its name
-	lockCount    int    // how many locks it has tried to acquire
-	lock         string // that it has or may have
+	ownLock      string // the lock it uses if holder names are reused
+	lockCount    int    // number of locks it has tried to acquire
+	lock         string // the lock that it holds or may hold
 	holder       string
 	fencingToken uint64
 	version      int
-	config       call // as it was last read
+	config       call // the last known configuration
 	cells        map[string]uint64
 }
 
@@ -30,7 +31,7 @@
 	}
 }
 
-// callCoordination sends a coordination command and then goes on.
+// callCoordination sends a coordination command and schedules the next call after it.
 func (p *caller) callCoordination(c coordination.Command, done func(x *call)) {
 	x := &call{object: c.Name, command: registry.Command{Coordination: &c}}
 	p.sim.callNode(p.sim.pickNode(), x, func() {
@@ -47,7 +48,7 @@
 	value := fmt.Sprint(p.name, " ", p.version)
 	choice := r.Intn(12)
 	if sim.keepsHolderNames {
-		choice = 11 // nothing but locks
+		choice = 11 // only locks
 	}
 	switch {
 	case choice < 2:
@@ -77,7 +78,7 @@
 	}
 }
 
-// replaceConfig writes the configuration on the condition that it is the one last read,
+// replaceConfig writes the configuration if it still has the revision that the caller knows,
 // sometimes as a delta.
 func (p *caller) replaceConfig(value string) {
 	w := registry.Write{Key: registry.ConfigKey, Value: []byte(value)}
@@ -99,7 +100,7 @@
 	})
 }
 
-// putCell sends a put, and often repeats it if its outcome is unknown.
+// putCell sends a put and retries it half of the time if its outcome is unknown.
 func (p *caller) putCell(c coordination.Command) {
 	p.sim.sendCounts[c.Value]++
 	x := &call{object: c.Name, command: registry.Command{Coordination: &c}}
@@ -115,9 +116,9 @@
 	})
 }
 
-// useLock makes the next step with a lock: it acquires, renews, releases or abandons
-// it. Each acquisition is under a holder's name of its own, unless the callers of the
-// simulation keep theirs, as applications do that come back after an end or a failed call.
+// useLock acquires, renews, releases or abandons a lock. Each acquisition uses a new holder
+// name unless the simulation reuses holder names, as an application does after a restart or
+// a failed call.
 func (p *caller) useLock() {
 	r := p.sim.cluster.Rand
 	if p.lock == "" {
--- a/registry/configuration_test.go
+++ b/registry/configuration_test.go
@@ -10,11 +10,11 @@
 	"lichentray/registry"
 )
 
-// TestConfigVersionAcceptsOneContent lets operators submit configurations at random, some
-// with the same version and some repeatedly, through replicas that lag by some commands
-// as one behind a partition does. The model is which content was first under each
-// version: it alone must ever be acknowledged under it, every time that it is submitted,
-// and the highest version must be in force.
+// TestConfigVersionAcceptsOneContent guards against two contents that are acknowledged
+// under one version. Configurations are submitted at random, some with the same version and
+// some repeatedly, through replicas that are behind, as after a partition. Only the first
+// content of a version may be acknowledged, each time that it is submitted, and the highest
+// version must be active.
 func TestConfigVersionAcceptsOneContent(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -36,7 +36,7 @@
 				txn, err := replicas[i].BuildConfigTxn(version, text)
 				if conflict := new(registry.ConfigConflictError); errors.As(err, &conflict) {
 					if conflict.Version != version || bytes.Equal(conflict.AcceptedDigest, conflict.ProposedDigest) {
-						t.Fatalf("seed %d: rejected with %v", seed, err)
+						t.Fatalf("seed %d: BuildConfigTxn returned the wrong conflict: %v", seed, err)
 					}
 					return false
 				}
@@ -49,7 +49,7 @@
 				if !r.Conflict {
 					return true
 				}
-				catchUp(i, len(log)) // as behind a read index
+				catchUp(i, len(log)) // stands for a linearizable read
 			}
 		}
 		first := map[uint64]string{}
@@ -74,12 +74,12 @@
 				first[version] = text
 			}
 			if ok != (first[version] == text) {
-				t.Fatalf("seed %d, step %d: %s acknowledged: %v; first under its number: %s", seed, step, text, ok, first[version])
+				t.Fatalf("seed %d, step %d: submission of %s was acknowledged: %v; first content of its version: %s", seed, step, text, ok, first[version])
 			}
 			highest = max(highest, version)
 			o, _ := newest.Get(registry.ConfigKey)
 			if current, text, _ := registry.DecodeConfig(o); current != highest || string(text) != first[highest] {
-				t.Fatalf("seed %d, step %d: version %d is in force, %s; the highest is %d, %s", seed, step, current, text, highest, first[highest])
+				t.Fatalf("seed %d, step %d: active configuration is version %d, %s; want version %d, %s", seed, step, current, text, highest, first[highest])
 			}
 		}
 	}
--- a/registry/delta_test.go
+++ b/registry/delta_test.go
@@ -10,8 +10,8 @@
 	"lichentray/registry"
 )
 
-// TestDeltaRoundTrip checks that the delta between two configurations makes the second
-// from the first, and that it is short where little changed.
+// TestDeltaRoundTrip checks that applying the delta between two configurations to the first
+// yields the second, and that the delta is short if little changed.
 func TestDeltaRoundTrip(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -38,10 +38,10 @@
 		d := registry.ComputeDelta(old, value)
 		got, err := registry.ApplyDelta(old, d)
 		if err != nil || !bytes.Equal(got, value) {
-			t.Fatalf("seed %d: %v, %q became %q", seed, err, value, got)
+			t.Fatalf("seed %d: ApplyDelta returned error %v; want value %q, got %q", seed, err, value, got)
 		}
 		if len(value) > 8000 && len(d) > len(value)/4 {
-			t.Errorf("seed %d: a delta of %d bytes for a value of %d", seed, len(d), len(value))
+			t.Errorf("seed %d: delta has %d bytes for a value of %d bytes, want at most a quarter", seed, len(d), len(value))
 		}
 	}
 }
@@ -50,6 +50,6 @@
 	f.Add([]byte("abc"), registry.ComputeDelta([]byte("abc"), []byte("abd")))
 	f.Add([]byte("abc"), []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 9, 0})
 	f.Fuzz(func(_ *testing.T, old, delta []byte) {
-		_, _ = registry.ApplyDelta(old, delta) // any outcome but a panic
+		_, _ = registry.ApplyDelta(old, delta) // must not panic
 	})
 }
--- a/registry/evacuation_test.go
+++ b/registry/evacuation_test.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// TestEvacuationRequestInterleavings lets two operators evacuate the same zone, in every
-// short interleaving of their orders, of lost answers and of repeated orders. The model
-// is what each operator knows: the zone must be evacuated from the first answer to an
-// operator's order until that operator finishes, and must return in the end.
+// TestEvacuationRequestInterleavings guards against a zone that returns while an operator
+// still has it evacuated, and against one that never returns. Two operators evacuate the
+// same zone in every short interleaving of their requests, lost responses and retries. The
+// zone must stay evacuated from the first response to an operator until that operator
+// finishes, and must return in the end.
 func TestEvacuationRequestInterleavings(t *testing.T) {
 	window := RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
 	type request struct {
 		at           int
 		operator     int
 		begin, first bool
-		lost         bool // the node that carried it out crashes before its answer
+		lost         bool // the node that executed it crashes before it responds
 	}
 	interleavings := 0
-	// An order whose answer is lost is repeated one or three seconds later.
+	// A request whose response is lost is retried one or three seconds later.
 	for begin2 := 3; begin2 <= 7; begin2++ {
 		for finish1 := 4; finish1 <= 12; finish1++ {
 			for finish2 := begin2 + 4; finish2 <= 16; finish2++ {
 				if d := finish1 - finish2; d > -6 && d < 6 {
-					continue // orders to finish this near to each other may count as repeats
+					continue // finish requests this close together may count as retries
 				}
 				for lostMask := range 16 {
 					for _, repeatDelay := range []int{1, 3} {
@@ -57,11 +58,11 @@
 								evacuated[o.operator] = false
 							}
 							if (evacuated[0] || evacuated[1]) && e.State() != Evacuated {
-								t.Fatalf("%s: at %d the zone is %q while an operator has it evacuated", name, o.at, e.State())
+								t.Fatalf("%s: at %d s the state is %q, want it evacuated until every operator has finished", name, o.at, e.State())
 							}
 						}
 						if e.State() != Returning {
-							t.Fatalf("%s: all orders are finished, the zone is %+v", name, e)
+							t.Fatalf("%s: after all finish requests the zone is %+v, want it returning", name, e)
 						}
 						interleavings++
 					}
@@ -70,7 +71,7 @@
 		}
 	}
 	if interleavings < 1000 {
-		t.Fatalf("only %d interleavings were run", interleavings)
+		t.Fatalf("ran only %d interleavings, want at least 1000", interleavings)
 	}
 }
 
@@ -82,11 +83,11 @@
 		"{}":        {BeginCount: 1, BeginAcknowledged: true},
 	} {
 		if got := DecodeEvacuation(Object{Value: []byte(value)}); got != want {
-			t.Errorf("%q: %+v, want %+v", value, got, want)
+			t.Errorf("DecodeEvacuation(%q) = %+v, want %+v", value, got, want)
 		}
 	}
 	e := Evacuation{BeginCount: 3, FinishCount: 1, FinishAcknowledged: true}
 	if got := DecodeEvacuation(Object{Value: e.Encode()}); got != e {
-		t.Errorf("%+v comes back as %+v", e, got)
+		t.Errorf("evacuation %+v decoded as %+v", e, got)
 	}
 }
--- a/registry/fault_test.go
+++ b/registry/fault_test.go
@@ -9,8 +9,8 @@
 	"lichentray/registry"
 )
 
-// freezeNodes starts callers and freezes one node after the other, the leader or another
-// one, for longer than callers wait. What was sent to it is read when it thaws.
+// freezeNodes starts callers and freezes random nodes one after another, each for longer
+// than callerTimeout. A frozen node reads the messages sent to it once it resumes.
 func (sim *simulation) freezeNodes() {
 	sim.startCallers()
 	for range 12 {
@@ -24,7 +24,6 @@
 	sim.cluster.Heal()
 }
 
-// startCallers starts the callers.
 func (sim *simulation) startCallers() {
 	for i := range 12 {
 		p := &caller{sim: sim, name: fmt.Sprint("c", i), ownLock: fmt.Sprint("l", i%4), cells: map[string]uint64{}}
@@ -60,7 +59,7 @@
 			if l := sim.cluster.Leader(); l != nil {
 				sim.faultyNodeID = l.ID
 			}
-			for _, o := range ids { // in one of the two cases the node thaws while partitioned
+			for _, o := range ids { // in case 4 the node resumes while it is partitioned
 				sim.cluster.SetLinkCut(sim.faultyNodeID, o, fault == 4)
 				sim.cluster.SetLinkCut(o, sim.faultyNodeID, fault == 4)
 			}
@@ -69,14 +68,14 @@
 			sim.probeFaultyNode()
 			sim.run(time.Second)
 			sim.cluster.SetFrozen(sim.faultyNodeID, false)
-			sim.runDueEvents() // what waits in its socket may be read before its timers run
+			sim.runDueEvents() // a resumed process may read its socket before its timers run
 		case 5:
 			for range 10 {
 				sim.cluster.HangDisk(ids[sim.cluster.Rand.Intn(len(ids))], sim.randomDuration(time.Second))
 				sim.run(300 * time.Millisecond)
 			}
 		case 6:
-			if l := sim.cluster.Leader(); l != nil { // it and half of the others cannot sync for a while
+			if l := sim.cluster.Leader(); l != nil { // the disks of the leader and of half of the others hang
 				sim.cluster.HangDisk(l.ID, time.Second)
 				for i, left := 0, len(ids)/2; left > 0; i++ {
 					if ids[i] != l.ID {
@@ -102,7 +101,8 @@
 	}
 }
 
-// probeFaultyNode reads from the faulty node at a high rate while others are put to.
+// probeFaultyNode reads a cell from the faulty node at a high rate while puts to the cell
+// are sent to random nodes.
 func (sim *simulation) probeFaultyNode() {
 	object := fmt.Sprintf("g0.%d", sim.cluster.Rand.Intn(3))
 	for k := range 120 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// loseDisk ends a voter for good; a new member is to take its place.
+// loseDisk removes a voter permanently and adds a new member to replace it.
 func (sim *simulation) loseDisk(id uint64) {
 	l := sim.cluster.Leader()
 	if l == nil || !l.Raft.Membership().IsVoter(id) {
@@ -153,16 +153,16 @@
 	sim.schedule(50*time.Millisecond, sim.admitReplacement)
 }
 
-// healAndReadAll ends all faults, crashes all nodes once more, and then asks every node
-// for every object: each must answer, and no lock stays with a holder whose lease has
-// run out.
+// healAndReadAll ends all faults, restarts all nodes, and then reads every object from every
+// node: each read must be answered, and a lock whose lease has expired must be available.
 func (sim *simulation) healAndReadAll() {
 	sim.isStopping = true
 	sim.run(5 * time.Second)
 	if sim.lostNodeID != 0 {
 		sim.t.Error("the new member never became a voter")
 	}
-	// Four holders never release their locks, whose grants are then in snapshots only.
+	// The locks acquired here are never released. The sequence numbers that follow fill the
+	// log, so that the grants are only in snapshots when the nodes restart.
 	const leaseDuration = 4 * time.Second
 	acquire := func(k int, holder string, lease time.Duration) {
 		c := coordination.Command{Operation: coordination.AcquireLock, Name: fmt.Sprint("l", k), Holder: holder, LeaseMS: uint64(lease.Milliseconds())}
@@ -197,7 +197,7 @@
 				return
 			}
 			if attempt == 3 {
-				sim.t.Errorf("node %d: %s does not answer after all faults: %+v", id, object, x)
+				sim.t.Errorf("node %d: call on %s was not answered after all faults ended: %+v", id, object, x)
 				return
 			}
 		}
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -14,8 +14,8 @@
 	"lichentray/internal/goldentest"
 )
 
-// The golden forms are the serialised types of a snapshot's image as they were when
-// the golden files were made. Their field names are data: gob writes them.
+// The golden types are the serialised types of a snapshot image at the time when the golden
+// files were written. Gob writes their field names, so the names must not change.
 type (
 	goldenImage struct {
 		Revision uint64
@@ -107,7 +107,7 @@
 	}
 )
 
-// The values that stand in the golden image.
+// Values of objects in the golden image.
 const (
 	goldenConfigText     = `{"config_version":"12","clusters":["payments","invoices"]}`
 	goldenEndpointText   = `{"id":"e1","service":"payments","version":"v1","address":"127.0.0.1:9001","zone":"zone-a","capacity":8,"draining":true,"sequence":21,"cold_s":2.5,"cold":true}`
@@ -116,7 +116,7 @@
 	goldenRolloutText    = `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`
 )
 
-// goldenStore builds, by commands, the state that the golden image holds.
+// goldenStore applies the commands that produce the state of the golden image.
 func goldenStore(t *testing.T) *Store {
 	t.Helper()
 	s := NewStore()
@@ -152,7 +152,7 @@
 		{Operation: coordination.CompactHistory, CompactBefore: 14},                                                // 18
 	} {
 		if r, _ := s.Apply(Command{Coordination: &c}); r.Latch.Code != coordination.OK {
-			t.Fatalf("%+v gave %+v", c, r)
+			t.Fatalf("Apply(%+v) = %+v, want the code OK", c, r)
 		}
 	}
 	record := func(seq uint64, kind audit.Kind) audit.Record {
@@ -256,8 +256,8 @@
 	}
 }
 
-// goldenLegacyGroupsImage is an image with the histories by group, as versions before the
-// feed wrote them.
+// goldenLegacyGroupsImage returns an image with one history per group, as versions without
+// the event log wrote it.
 func goldenLegacyGroupsImage() snapshotImage {
 	return snapshotImage{
 		Revision: 31,
@@ -314,9 +314,8 @@
 	return b
 }
 
-// TestGoldenImage compares the image of a snapshot with a golden file in both
-// directions: the present code reads what was written before, and a reader of before
-// reads what the present code writes.
+// TestGoldenImage guards against changes of the snapshot format. The current code must
+// decode the golden file, and the golden types must decode what the current code writes.
 func TestGoldenImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image.gob", func() []byte { return goldenSnapshot(t, goldenStore(t)) })
 	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenStoreImage())
@@ -337,8 +336,8 @@
 	goldentest.Complete(t, goldenStoreImageForm(), goldenLegacyGroupsImageForm())
 }
 
-// TestGoldenLegacyGroupsImage is TestGoldenImage for an image from before the feed, which is
-// only read.
+// TestGoldenLegacyGroupsImage guards against snapshots of versions without the event log
+// that can no longer be restored. The current code only reads that format.
 func TestGoldenLegacyGroupsImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenLegacyGroupsImage()) })
 	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenLegacyGroupsImage())
@@ -350,7 +349,7 @@
 	events, revision, ok := s.Coordination().EventsSince("h.", 5)
 	want := []coordination.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
 	if goldentest.Same(t, "events", events, want); revision != 7 || !ok {
-		t.Errorf("revision %d, reaches back: %t", revision, ok)
+		t.Errorf("EventsSince returned revision %d and ok %t, want 7 and true", revision, ok)
 	}
 }
 
@@ -380,8 +379,8 @@
 	}
 }
 
-// TestGoldenCommands compares the commands of the log with a golden file, byte by byte
-// and field by field.
+// TestGoldenCommands guards against changes of the log encoding: the commands of the golden
+// file must be encoded to the same bytes and decoded to the same fields.
 func TestGoldenCommands(t *testing.T) {
 	want := goldenCommands()
 	golden := goldentest.File(t, "testdata/golden/commands.hex", func() []byte {
@@ -397,7 +396,7 @@
 	}
 	for i, line := range lines {
 		if got := fmt.Sprintf("%x", EncodeCommand(want[i])); got != line {
-			t.Errorf("command %d is written %s, want %s", i, got, line)
+			t.Errorf("command %d is encoded as %s, want %s", i, got, line)
 		}
 		data, err := hex.DecodeString(line)
 		if err != nil {
@@ -412,7 +411,8 @@
 	goldentest.Complete(t, want)
 }
 
-// TestGoldenDelta compares a delta with a golden file, byte by byte.
+// TestGoldenDelta guards against changes of the delta encoding, which the log stores: a
+// delta must equal the golden file byte by byte.
 func TestGoldenDelta(t *testing.T) {
 	item := func(name string) string { return `{"name":"` + name + `","address":"127.0.0.1:9001"}` }
 	before := "[" + item("first") + "," + item("second") + "," + item("third") + "]"
@@ -421,19 +421,19 @@
 		return fmt.Appendf(nil, "%x\n", ComputeDelta([]byte(before), []byte(after)))
 	})
 	if got := fmt.Sprintf("%x\n", ComputeDelta([]byte(before), []byte(after))); got != string(golden) {
-		t.Errorf("written %s, want %s", got, golden)
+		t.Errorf("delta is encoded as %s, want %s", got, golden)
 	}
 	data, err := hex.DecodeString(strings.TrimSpace(string(golden)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := ApplyDelta([]byte(before), data); err != nil || string(got) != after {
-		t.Errorf("patched %s, %v", got, err)
+		t.Errorf("ApplyDelta(golden) = %s, %v; want the new value", got, err)
 	}
 }
 
-// TestGoldenValues compares the values that the registry holds with a golden file,
-// byte by byte and field by field.
+// TestGoldenValues guards against changes of the stored object values: the values of the
+// golden file must be encoded to the same bytes and decoded to the same fields.
 func TestGoldenValues(t *testing.T) {
 	endpoints := []Endpoint{
 		{ID: "e1", Service: "payments", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Sequence: 21},
@@ -472,7 +472,7 @@
 	}
 	for i, line := range lines {
 		if got := fmt.Sprintf("%q", values[i]); got != line {
-			t.Errorf("value %d is written %s, want %s", i, got, line)
+			t.Errorf("value %d is encoded as %s, want %s", i, got, line)
 		}
 		var raw string
 		if _, err := fmt.Sscanf(line, "%q", &raw); err != nil {
@@ -496,13 +496,13 @@
 			goldentest.Same(t, o.Key, DecodeEvacuation(o), evacuations[i-4])
 		case i == 7:
 			if version, text, ok := DecodeConfig(o); version != 0x0102030405060708 || string(text) != goldenConfigText || !ok {
-				t.Errorf("configuration %x %s %t", version, text, ok)
+				t.Errorf("DecodeConfig = %x, %s, %t; want the golden configuration", version, text, ok)
 			}
 		}
 	}
 	goldentest.Complete(t, endpoints, proxies, evacuations, goldenDrainingEndpoint, goldenDeparture)
 
-	// Earlier versions wrote the state of a zone alone.
+	// Earlier versions wrote only the state of a zone.
 	for value, want := range map[string]Evacuation{
 		"":             {},
 		"evacuated":    {BeginCount: 1, BeginAcknowledged: true},
@@ -511,14 +511,14 @@
 	} {
 		goldentest.Same(t, value, DecodeEvacuation(Object{Value: []byte(value)}), want)
 	}
-	// What the golden image holds is what the present code writes.
+	// The values in the golden image must equal what the current code writes.
 	for text, got := range map[string][]byte{
 		goldenEndpointText:   Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, WarmUpSeconds: 2.5, WarmingUp: true}.Encode(),
 		goldenProxyText:      Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
 		goldenEvacuationText: Evacuation{BeginCount: 3, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true}.Encode(),
 	} {
 		if string(got) != text {
-			t.Errorf("written %s, want %s", got, text)
+			t.Errorf("value is encoded as %s, want %s", got, text)
 		}
 	}
 	for name, got := range map[string]string{
@@ -526,23 +526,23 @@
 		"rollouts/": RolloutPrefix, "accepted/": AcceptedConfigPrefix, "configuration/current": ConfigKey,
 	} {
 		if got != name {
-			t.Errorf("key %q, want %q", got, name)
+			t.Errorf("key or prefix is %q, want %q", got, name)
 		}
 	}
 }
 
-// What came later than the other values.
+// Values whose fields are newer than the golden file.
 var (
 	goldenDrainingEndpoint = Endpoint{ID: "e3", Service: "payments", Address: "127.0.0.1:9003", Zone: "zone-a", Capacity: 7, Draining: true, Sequence: 32, RegisteredSequence: 31}
 	goldenDeparture        = Departure{RegisteredSequence: 31}
 )
 
-// TestGoldenDeparture compares the later values with their text. An endpoint and a marker of before have
-// no sequence of the registration.
+// TestGoldenDeparture guards against changes of the values that are newer than the golden
+// file. Endpoints and departures written by earlier versions have no RegisteredSequence.
 func TestGoldenDeparture(t *testing.T) {
 	const endpointText = `{"id":"e3","service":"payments","address":"127.0.0.1:9003","zone":"zone-a","capacity":7,"draining":true,"sequence":32,"registered":31}`
 	if got := string(goldenDrainingEndpoint.Encode()); got != endpointText {
-		t.Errorf("endpoint written %s", got)
+		t.Errorf("endpoint is encoded as %s, want endpointText", got)
 	}
 	got, err := DecodeEndpoint(Object{Value: []byte(endpointText)})
 	if err != nil {
@@ -551,7 +551,7 @@
 	goldentest.Same(t, "endpoint", got, goldenDrainingEndpoint)
 	const departureText = `{"registered":31}`
 	if got := string(goldenDeparture.Encode()); got != departureText {
-		t.Errorf("departure written %s", got)
+		t.Errorf("departure is encoded as %s, want departureText", got)
 	}
 	for text, want := range map[string]Departure{departureText: goldenDeparture, "{}": {}, "": {}} {
 		goldentest.Same(t, "departure "+text, DecodeDeparture(Object{Value: []byte(text)}), want)
--- a/registry/history_test.go
+++ b/registry/history_test.go
@@ -14,13 +14,14 @@
 	"lichentray/registry"
 )
 
-// TestClientHistoriesAreLinearizable runs a cluster under faults for about two minutes
-// of simulated time: partitions of 20 s in both directions and in one, frozen leaders,
-// hanging disks, a power failure of all nodes, a lost disk and its replacement, and
-// snapshots taken while a member is away. Callers use all nodes, faulty ones above all;
-// a follower forwards the call to the leader. What the callers saw of the configuration,
-// the cells, the sequences and the locks must be linearizable, a rejected call must
-// never take effect, and one of unknown outcome at most once.
+// TestClientHistoriesAreLinearizable guards against lost updates, stale reads and calls that
+// take effect twice or after they were rejected. A cluster runs for about two minutes of
+// simulated time with bidirectional and one-way partitions of 20 s, frozen leaders, hanging
+// disks, a power failure of all nodes, a lost disk whose node is replaced, and snapshots
+// taken while a member is unreachable. Callers use all nodes, preferably faulty ones;
+// followers forward calls to the leader. The observed history of the configuration, the
+// cells, the sequences and the locks must be linearizable. A rejected call must never take
+// effect, and a call with an unknown outcome at most once.
 func TestClientHistoriesAreLinearizable(t *testing.T) {
 	for _, seed := range []int64{1, 2, 3, 12, 19, 23} {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -30,15 +31,16 @@
 			sim.healAndReadAll()
 			counts, lateEffects := sim.checkHistory()
 			if counts[answered] < 1500 || counts[rejected] < 50 || lateEffects < 5 || sim.watchedEvents < 500 || sim.snapshotInstalls < 1 {
-				t.Error("too few calls were answered, rejected or of unknown outcome")
+				t.Error("too few answered or rejected calls, late effects, watched events or snapshot installs")
 			}
 		})
 	}
 }
 
-// TestHolderNamesAreReused is TestClientHistoriesAreLinearizable with callers that keep
-// their names when they acquire a lock again, so that calls of an earlier holding may
-// still be on their way. No two callers may rely on a lock at the same moment.
+// TestHolderNamesAreReused guards against a delayed release that frees a lock which its
+// holder has acquired again. Callers reuse their holder names, and nodes freeze, so that
+// calls from an earlier holding arrive late. No two callers may rely on a lock at the same
+// time.
 func TestHolderNamesAreReused(t *testing.T) {
 	for seed := range int64(16) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -58,14 +60,14 @@
 				}
 			}
 			if t.Logf("%d of %d releases withheld", withheld, releases); withheld == 0 {
-				t.Error("no release was withheld, so no lock was acquired again before its release")
+				t.Error("no release was withheld: no release arrived after its lock was acquired again")
 			}
 		})
 	}
 }
 
-// checkHistory checks all that callers saw against what a single copy would allow. It
-// returns the number of calls by outcome, and of those with an unknown outcome that took
+// checkHistory checks that the history seen by all callers is linearizable. It returns the
+// number of calls by outcome, and the number of calls with an unknown outcome that took
 // effect.
 func (sim *simulation) checkHistory() (counts map[outcome]int, lateEffects int) {
 	if sim.cluster.Violation != "" {
@@ -83,7 +85,7 @@
 		}
 		switch {
 		case x.outcome == rejected && tookEffect:
-			sim.t.Errorf("rejected, and yet it took effect at index %d: %+v", e.index, x)
+			sim.t.Errorf("rejected call took effect at index %d: %+v", e.index, x)
 		case x.outcome == unknown && tookEffect:
 			x.result, op.Return = e.result, e.appliedSeq
 			lateEffects++
@@ -92,11 +94,11 @@
 		case x.outcome != answered:
 			continue
 		case x.command != (registry.Command{}) && !reflect.DeepEqual(e.result, x.result):
-			sim.t.Errorf("answered as %+v, committed as %+v: %+v", x.result, e.result, x)
+			sim.t.Errorf("call was answered with %+v, but committed with %+v: %+v", x.result, e.result, x)
 		}
 		if c := x.command.Coordination; c != nil && c.Operation == coordination.PutCell && x.result.Latch.Code == coordination.OK {
 			if first, ok := revisionByValue[c.Value]; ok && first != x.result.Latch.Revision {
-				sim.t.Errorf("%q was given revision %d and %d", c.Value, first, x.result.Latch.Revision)
+				sim.t.Errorf("put of %q returned two revisions: %d and %d", c.Value, first, x.result.Latch.Revision)
 			}
 			revisionByValue[c.Value] = x.result.Latch.Revision
 		}
@@ -109,7 +111,7 @@
 	sort.Strings(objects)
 	for _, o := range objects {
 		if r := porcupine.CheckOperationsTimeout(sim.modelFor(o), byObject[o], 20*time.Second); r != porcupine.Ok {
-			sim.t.Errorf("the history of %s, %d calls: %s", o, len(byObject[o]), r)
+			sim.t.Errorf("linearizability check of %s with %d calls: %s", o, len(byObject[o]), r)
 		}
 		if o[0] == 'l' {
 			sim.checkSingleHolder(o)
@@ -119,7 +121,7 @@
 	return counts, lateEffects
 }
 
-// modelFor returns the sequential model of an object by the form of its name.
+// modelFor returns the sequential model of an object, chosen by the format of its name.
 func (sim *simulation) modelFor(object string) porcupine.Model {
 	switch {
 	case strings.Contains(object, "/"):
@@ -134,8 +136,8 @@
 	return newModel(lockState{}, sim.stepLock)
 }
 
-// newModel returns a model from an initial state and a step that reports whether a call
-// is allowed in a state, and the state after it.
+// newModel returns a model with an initial state and a step function, which reports whether
+// a call is allowed in a state and returns the state after it.
 func newModel[S any](initial S, step func(s S, x *call) (bool, S)) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return initial },
@@ -149,7 +151,7 @@
 	value    string
 }
 
-// stepRegister is the model of an object that is replaced by compare-and-set.
+// stepRegister is the step function of an object that is replaced by compare-and-set.
 func stepRegister(s registerState, x *call) (bool, registerState) {
 	if x.command.Txn == nil {
 		return s == registerState{x.revision, x.value}, s
@@ -165,8 +167,8 @@
 	return s.revision == want && x.result.Revision > want, registerState{x.result.Revision, x.value}
 }
 
-// stepCell is the model of a cell. A put that is repeated returns the revision that it
-// got first, which the cell has reached by then.
+// stepCell is the step function of a cell. A retried put returns the revision of its first
+// execution, which the cell has reached by then.
 func (sim *simulation) stepCell(s registerState, x *call) (bool, registerState) {
 	c, r := x.command.Coordination, x.result.Latch
 	switch {
@@ -180,18 +182,18 @@
 	return !c.HasExpectedRevision || c.ExpectedRevision == s.revision, registerState{r.Revision, c.Value}
 }
 
-// lockState is a lock as its callers may see it. At expiresAt its holder stops to rely on
-// it.
+// lockState is the state of a lock as observed by callers. From expiresAt on, the holder no
+// longer relies on the lock.
 type lockState struct {
 	holder                     string
 	fencingToken, highestToken uint64
 	expiresAt                  time.Duration
 	wasReacquired              bool // by its holder, under the same fencing token
-	wasReleased                bool // by its holder, and that was withheld
+	wasReleased                bool // by its holder, but the release was withheld
 }
 
-// stepLock is the model of a lock. A release of one that its holder has acquired again may be
-// withheld, as may one whose history a snapshot hides.
+// stepLock is the step function of a lock. A release may be withheld if the holder has
+// acquired the lock again, or if this is unknown because a snapshot replaced the log.
 func (sim *simulation) stepLock(s lockState, x *call) (bool, lockState) {
 	c, r := x.command.Coordination, x.result.Latch
 	until := time.Duration(0)
@@ -230,15 +232,15 @@
 	return r.Fence > s.highestToken && (isFree || hasExpired), lockState{holder: c.Holder, fencingToken: r.Fence, highestToken: r.Fence, expiresAt: until}
 }
 
-// checkSingleHolder checks that no two callers rely on a lock at the same moment. A
-// caller relies on it from a successful answer until the lease has run out, counted from
-// when the call was sent, or until it sends a release.
+// checkSingleHolder checks that no two callers rely on a lock at the same time. A caller
+// relies on a lock from a successful answer until the lease, counted from the sending of
+// the call, expires or until the caller sends a release.
 func (sim *simulation) checkSingleHolder(name string) {
 	type holding struct {
 		holder   string
 		from, to time.Duration
 	}
-	until := map[string]time.Duration{} // when the holder's next answer comes or its release is sent
+	until := map[string]time.Duration{} // time of the holder's next answer or of sending its release
 	var holdings []holding
 	for i := len(sim.calls) - 1; i >= 0; i-- { // in the reverse order of sending
 		x := sim.calls[i]
@@ -262,7 +264,7 @@
 	var last holding
 	for _, s := range holdings {
 		if s.holder != last.holder && s.from < last.to {
-			sim.t.Errorf("%s: %s has it until %v, %s from %v", name, last.holder, last.to, s.holder, s.from)
+			sim.t.Errorf("lock %s has two holders: %s until %v and %s from %v", name, last.holder, last.to, s.holder, s.from)
 		}
 		if s.to > last.to || s.holder != last.holder {
 			last = s
--- a/registry/replay_test.go
+++ b/registry/replay_test.go
@@ -12,13 +12,13 @@
 	"lichentray/registry"
 )
 
-// TestEventLogReplaysAlikeOnAllReplicas runs five nodes with freezes, partitions in one
-// direction and both, crashes, hanging disks, a lost disk whose machine joins as a new
-// member, and snapshots, while watchers move from node to node. The model is a plain
-// list of the puts that took effect. No watcher may see a gap, a duplicate or another
-// value, none may find a revision gone that it had within the retention, and in the end
-// every node, also the one that joined from a snapshot, must replay the same from every
-// revision that it holds.
+// TestEventLogReplaysAlikeOnAllReplicas guards against replicas whose event logs differ, so
+// that a watcher that moves to another node misses events. Five nodes run with freezes,
+// bidirectional and one-way partitions, crashes, hanging disks, lost disks whose nodes are
+// replaced, and snapshots, while watchers move between nodes. No watcher may see a gap, a
+// duplicate or a different value, nor find a revision compacted that it reached within the
+// retention. In the end all nodes, including one that joined from a snapshot, must replay
+// the same events from every revision.
 func TestEventLogReplaysAlikeOnAllReplicas(t *testing.T) {
 	for seed := int64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runReplaySimulation(t, seed) })
@@ -61,7 +61,7 @@
 	model := map[string]map[uint64]coordination.Event{"g0.": {}, "g1.": {}}
 	recordEvent := func(group string, e coordination.Event) {
 		if previous, exists := model[group][e.Revision]; exists && previous != e {
-			t.Errorf("revision %d of %s was %+v and is %+v", e.Revision, group, previous, e)
+			t.Errorf("revision %d of %s has two events: %+v and %+v", e.Revision, group, previous, e)
 		}
 		model[group][e.Revision] = e
 	}
@@ -72,8 +72,8 @@
 	var samples []sample
 	eventsSeen, compactedWatches, lostNodeID := 0, 0, uint64(0)
 	nextNodeID := uint64(6)
-	// admitReplacement takes the next step to make the new member a voter in place of the
-	// lost one.
+	// admitReplacement takes the next step of the membership change that replaces the lost
+	// voter by the new member.
 	admitReplacement := func() {
 		if l := c.Leader(); l != nil && lostNodeID != 0 && !l.Raft.HasPendingConfChange() {
 			membership, id := l.Raft.Membership(), nextNodeID-1
@@ -94,7 +94,7 @@
 		ids := c.IDs()
 		id := ids[c.Rand.Intn(len(ids))]
 		injectFault(c, id, 9)
-		// One machine comes back with an empty disk, as another member.
+		// A voter loses its disk and is replaced by a new member.
 		if l := c.Leader(); c.Rand.Intn(12) == 0 && l != nil && lostNodeID == 0 && l.ID != id && l.Raft.Membership().IsVoter(id) {
 			lostNodeID = id
 			c.Crash(id)
@@ -108,7 +108,7 @@
 			e := coordination.Event{Name: name, Value: fmt.Sprint(round, "-", k)}
 			propose(&coordination.Command{Operation: coordination.PutCell, Name: e.Name, Value: e.Value}, func(r coordination.Result) {
 				if previous, exists := model[coordination.GroupOf(name)][r.Revision]; exists && previous.Value != e.Value {
-					t.Errorf("revision %d was given to %+v and %+v", r.Revision, previous, e)
+					t.Errorf("revision %d was assigned to two puts: %+v and %+v", r.Revision, previous, e)
 				}
 			})
 			c.Run(time.Duration(5+c.Rand.Intn(30)) * time.Millisecond)
@@ -131,14 +131,14 @@
 			}
 			store, leaderStore := c.Nodes[id].StateMachine.(*simulatedStore).store, l.StateMachine.(*simulatedStore).store
 			table := store.Coordination()
-			c.Read(l.ID, func(ok bool) { // a read index, behind which any node that has reached it may serve
+			c.Read(l.ID, func(ok bool) { // any node that has applied up to the read index may serve the watch
 				if !ok || *current != previous || store.Revision() < leaderStore.Revision() {
 					return
 				}
 				events, revision, kept := table.EventsSince(current.group, current.after)
 				if !kept {
 					if c.Now-current.reachedAt < retention {
-						t.Errorf("node %d: revision %d, had %v ago, is gone", id, current.after, c.Now-current.reachedAt)
+						t.Errorf("node %d: revision %d is compacted, although the watcher reached it %v ago", id, current.after, c.Now-current.reachedAt)
 					}
 					compactedWatches++
 					*current = watcher{current.group, revision, c.Now}
@@ -146,14 +146,14 @@
 				}
 				for _, e := range events {
 					if e.Revision != current.after+1 {
-						t.Errorf("node %d: after %d comes %d", id, current.after, e.Revision)
+						t.Errorf("node %d: revision %d is followed by %d", id, current.after, e.Revision)
 					}
 					current.after = e.Revision
 					recordEvent(current.group, e)
 					eventsSeen++
 				}
 				if current.after != revision {
-					t.Errorf("node %d: replayed to %d of %d", id, current.after, revision)
+					t.Errorf("node %d: replay ended at revision %d, want %d", id, current.after, revision)
 				}
 				current.reachedAt = c.Now
 			})
@@ -186,12 +186,12 @@
 				a, ra, ka := first.EventsSince(group, after)
 				b, rb, kb := table.EventsSince(group, after)
 				if ra != rb || ka != kb || !reflect.DeepEqual(a, b) {
-					t.Fatalf("node %d replays %s after %d as %v at %d (%v), the first as %v at %d (%v)", id, group, after, b, rb, kb, a, ra, ka)
+					t.Fatalf("node %d: EventsSince(%q, %d) = %v, %d, %v; on the first node %v, %d, %v", id, group, after, b, rb, kb, a, ra, ka)
 				}
 			}
 		}
 	}
 	if eventsSeen < 100 {
-		t.Errorf("watchers saw %d events, %d times compacted", eventsSeen, compactedWatches)
+		t.Errorf("watchers saw only %d events and %d compacted revisions", eventsSeen, compactedWatches)
 	}
 }
--- a/registry/retry_test.go
+++ b/registry/retry_test.go
@@ -12,20 +12,21 @@
 	"lichentray/registry"
 )
 
-// TestConcurrentRetriedRequests sends eight orders of each kind at once, to eight nodes,
-// while the leader crashes, freezes, is partitioned or nothing happens. Each answer is
-// lost at first, and each order is sent to one node after another until it is answered
-// twice.
+// TestConcurrentRetriedRequests guards against retries that take effect twice or get
+// contradictory answers. Eight requests of each kind are sent to eight nodes at once, while
+// the leader crashes, freezes, is partitioned or nothing happens. The first answer to each
+// request is discarded, and the request is retried at one node after another.
 //
-//   - Configurations 1 to 8: each is written at most once, in rising order, and the
-//     newest is in force in the end. Whether an older one ever was cannot be told from
-//     its answer, as one that is not newer than the present one is acknowledged too.
-//   - Locks under one holder's name: there is one fencing token, and nobody else gets the
-//     lock meanwhile. Two programs under one name cannot be told apart, nor can an
-//     acquisition that arrives after the release be told from a new one: it keeps the lock
-//     until the lease runs out.
-//   - Puts: both answers have the same revision; of eight that expect an empty cell
-//     exactly one is carried out. A repeat is recognised as long as the history is kept.
+//   - Configurations 1 to 8: each is written at most once, in ascending order, and the
+//     newest is active in the end. The answer does not tell whether an older version was
+//     ever active, because a version that is not newer than the current one is
+//     acknowledged too.
+//   - Locks with one holder name: all answers have the same fencing token, and no other
+//     holder gets the lock meanwhile. Two programs with the same holder name are
+//     indistinguishable, as are a new acquisition and a delayed one that arrives after the
+//     release: it holds the lock until the lease expires.
+//   - Puts: all answers have the same revision. Of eight puts that expect an empty cell,
+//     exactly one succeeds. A retry is recognised as long as the history is retained.
 func TestConcurrentRetriedRequests(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -39,7 +40,8 @@
 	sim := newSimulation(t, seed, 8)
 	ids := sim.cluster.IDs()
 	unanswered := 0
-	// retry sends one order until an answer after the second comes back.
+	// retry sends a request to one node after another. It ignores the outcome of the first
+	// attempt and stops at the first answer to a later one.
 	retry := func(k int, send func(id uint64, done func(o outcome))) {
 		unanswered++
 		attempt := 0
@@ -87,7 +89,7 @@
 	sim.cluster.Restart(leader)
 	sim.run(6 * time.Second)
 	if unanswered != 0 {
-		t.Errorf("%d orders were never answered", unanswered)
+		t.Errorf("%d requests were never answered", unanswered)
 	}
 	sim.checkHistory()
 	newest, token := uint64(0), uint64(0)
@@ -97,7 +99,7 @@
 				token = x.result.Latch.Fence
 			}
 			if x.result.Latch.Code != coordination.OK || x.result.Latch.Fence != token {
-				t.Errorf("one holder got %+v and fencing token %d", x.result.Latch, token)
+				t.Errorf("acquisition by the same holder returned %+v, want fencing token %d", x.result.Latch, token)
 			}
 		}
 	}
@@ -109,22 +111,22 @@
 	}
 	for _, revision := range slices.Sorted(maps.Keys(writes)) {
 		if v := writes[revision]; v <= newest {
-			t.Errorf("version %d was written after %d", v, newest)
+			t.Errorf("version %d was written after version %d", v, newest)
 		}
 		newest = writes[revision]
 	}
 	t.Logf("%d calls, %d configurations written", len(sim.calls), len(writes))
 	if newest != 8 {
-		t.Errorf("version %d is in force in the end", newest)
+		t.Errorf("active version is %d, want 8", newest)
 	}
 	table := sim.cluster.Nodes[ids[0]].StateMachine.(*replica).store.Coordination()
 	if a, b := table.GroupRevision("g."), table.GroupRevision("e."); a != 8 || b != 1 {
-		t.Errorf("%d puts of 8 were taken, and %d of those that expected none", a, b)
+		t.Errorf("%d of 8 unconditional puts and %d of 8 conditional puts succeeded, want 8 and 1", a, b)
 	}
 }
 
-// replaceConfig carries out the order to replace the configuration as a control-plane
-// node does.
+// replaceConfig simulates how a control-plane node executes a request to replace the
+// configuration.
 func (sim *simulation) replaceConfig(id, version uint64, done func(o outcome)) {
 	sim.submitRequest(id, false, registry.ConfigKey, func(_ *replica, current registry.Object) []byte {
 		if v, _, ok := registry.DecodeConfig(current); ok && v >= version {
@@ -134,12 +136,12 @@
 	}, done)
 }
 
-// request is an request on one object that a node carries out.
+// request asks a node to change one object.
 type request struct {
 	nodeID      uint64
 	incarnation rafttest.StateMachine
 	key         string
-	// derive returns the new value from the present object, or nil if there is nothing to
+	// derive returns the new value for the current object, or nil if there is nothing to
 	// write.
 	derive       func(r *replica, current registry.Object) []byte
 	deadline     time.Duration
@@ -147,9 +149,9 @@
 	done         func(o outcome)
 }
 
-// submitRequest lets a node carry out an order on one object, on the condition that its
-// replica is up to date, and otherwise once more behind a read index. For derive see
-// order.
+// submitRequest makes a node execute a request to change one object. The first attempt
+// assumes that the replica is up to date unless needsReadIndex is set; attempts after a
+// conflict wait for a read index. For derive see request.
 func (sim *simulation) submitRequest(id uint64, needsReadIndex bool, key string, derive func(r *replica, current registry.Object) []byte, done func(o outcome)) {
 	isDone := false
 	finish := func(o outcome) {
@@ -179,8 +181,8 @@
 	})
 }
 
-// attemptTxn makes an attempt of an order, behind a read index if need be, and further ones
-// as long as the transaction conflicts.
+// attemptTxn makes one attempt at a request, after a read index if needsReadIndex is set,
+// and retries it while the transaction conflicts.
 func (sim *simulation) attemptTxn(req request, needsReadIndex bool) {
 	if needsReadIndex {
 		sim.awaitReadIndex(req.nodeID, req.incarnation, req.deadline, func(ok bool) {
@@ -218,8 +220,8 @@
 	sim.executeCommand(req.nodeID, req.incarnation, x, req.deadline)
 }
 
-// submitEvacuation carries out an evacuation order as a control-plane node does, and
-// acknowledges it shortly after its answer if the node is still alive.
+// submitEvacuation simulates how a control-plane node executes an evacuation request and
+// records the acknowledgement shortly after its answer if it is still alive.
 func (sim *simulation) submitEvacuation(id uint64, begin bool) {
 	acknowledge := func(_ *replica, current registry.Object) []byte {
 		if e := registry.DecodeEvacuation(current); e != e.Acknowledge(begin) {
@@ -230,7 +232,7 @@
 	sentAt := sim.now()
 	sim.submitRequest(id, true, evacuationKey, func(r *replica, current registry.Object) []byte {
 		if sim.now()-sentAt > callerTimeout {
-			return nil // its caller has closed the connection and gone on to another node
+			return nil // the caller has closed the connection and tried another node
 		}
 		e := registry.DecodeEvacuation(current)
 		if next := e.ApplyRequest(begin, sim.now()-r.lastRequestAt[begin], repeatWindow); next != e {
@@ -246,16 +248,15 @@
 
 var repeatWindow = registry.RepeatWindow{Acknowledged: 2 * time.Second, Unacknowledged: 10 * time.Second}
 
-// TestRetriedEvacuationAppliesOnce sends one order to evacuate a zone to eight nodes at
-// once, and to eight again within the repeat window: it must count once, and so must the
-// order to finish, sent in the same way.
+// TestRetriedEvacuationAppliesOnce guards against a retried evacuation request that counts
+// twice. A begin request is sent to eight nodes at once and to eight nodes again within the
+// repeat window: it must count once. The same holds for the finish request.
 //
-// Orders carry no identity. The orders of eight operators within that window cannot be
-// told from one order sent eight times: they count as one, and the first to finish
-// finishes for all. An order that is repeated after the window counts as new, also one
-// that waited in a frozen node's socket: the zone then stays evacuated until as many
-// orders to finish have come, and a late order to finish ends whatever evacuation began
-// since.
+// Requests have no ID. Requests of eight operators within the window are indistinguishable
+// from one request sent eight times: they count as one, and the first finish request ends
+// the evacuation for all. A request repeated after the window counts as new, also if it was
+// delayed in the socket of a frozen node: the zone then stays evacuated until as many
+// finish requests have arrived, and a late finish request ends any evacuation begun since.
 func TestRetriedEvacuationAppliesOnce(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		sim := newSimulation(t, seed, 8)
@@ -283,7 +284,7 @@
 			}
 			for _, id := range ids {
 				if got := sim.cluster.Nodes[id].StateMachine.(*replica).evacuation; got != want {
-					t.Errorf("seed %d, node %d: %+v, want %+v", seed, id, got, want)
+					t.Errorf("seed %d, node %d: evacuation is %+v, want %+v", seed, id, got, want)
 				}
 			}
 		}
@@ -294,9 +295,9 @@
 	}
 }
 
-// TestDelayedEvacuationRequest delays an order to finish in a frozen node's socket while it
-// is repeated and answered elsewhere. It must not finish the evacuation that another
-// operator began since.
+// TestDelayedEvacuationRequest guards against a delayed finish request that ends another
+// operator's evacuation. A finish request waits in the socket of a frozen node while it is
+// retried and answered elsewhere. It must not end an evacuation that began in the meantime.
 func TestDelayedEvacuationRequest(t *testing.T) {
 	sim := newSimulation(t, 1, 5)
 	leader := sim.cluster.Leader().ID
@@ -305,7 +306,7 @@
 	sim.run(repeatWindow.Unacknowledged)
 	sim.submitEvacuation(frozen, false)
 	sim.run(300 * time.Millisecond)
-	sim.cluster.SetFrozen(frozen, true) // its answer is lost, and the order is repeated
+	sim.cluster.SetFrozen(frozen, true) // its answer is lost, so the request is retried
 	sim.submitEvacuation(frozen, false)
 	sim.run(500 * time.Millisecond)
 	sim.submitEvacuation(other, false)
@@ -313,12 +314,12 @@
 	sim.submitEvacuation(other, true) // by another operator
 	sim.run(300 * time.Millisecond)
 	if e := sim.cluster.Nodes[other].StateMachine.(*replica).evacuation; e.State() != registry.Evacuated {
-		t.Fatalf("before the late order: %+v", e)
+		t.Fatalf("evacuation before the delayed request is %+v, want it evacuated", e)
 	}
 	sim.cluster.SetFrozen(frozen, false)
 	sim.runDueEvents()
 	sim.run(time.Second)
 	if e := sim.cluster.Nodes[other].StateMachine.(*replica).evacuation; e.State() != registry.Evacuated {
-		t.Errorf("after the late order: %+v, %s", e, e.State())
+		t.Errorf("evacuation after the delayed request is %+v, state %q, want it evacuated", e, e.State())
 	}
 }
--- a/registry/simulation_test.go
+++ b/registry/simulation_test.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	outcomeTimeout    = 900 * time.Millisecond  // how long a node waits for an outcome
-	callerTimeout     = 1200 * time.Millisecond // how long a caller waits for an answer
-	maxLeaseMS        = 2000                    // of the locks that callers acquire
-	longLeaseMS       = 4000                    // of those that callers acquire again and again
+	outcomeTimeout    = 900 * time.Millisecond  // a node's timeout for an outcome
+	callerTimeout     = 1200 * time.Millisecond // a caller's timeout for an answer
+	maxLeaseMS        = 2000                    // if each acquisition has its own holder name
+	longLeaseMS       = 4000                    // if holder names are reused
 	partitionDuration = 20 * time.Second
 
 	evacuationKey = registry.EvacuationPrefix + "z"
 )
 
-// outcome is how a call ended for its caller.
+// outcome is the result of a call as seen by its caller.
 type outcome uint8
 
 const (
-	unknown  outcome = iota // timed out: it may take effect at any later time
-	rejected                // it has no effect and never will
-	answered                // the caller has the result
+	unknown  outcome = iota // timed out: the call may take effect at any later time
+	rejected                // the call has no effect and never will
+	answered                // the caller got the result
 )
 
-// call is one call of one caller. Its command is logged under a tag that the store
-// does not see, which shows afterwards whether the call took effect.
+// call is a call made by a caller. Its log entry starts with a tag that the store does not
+// see and by which the simulation determines whether the call took effect.
 type call struct {
 	tag     uint64
 	object  string
@@ -47,17 +47,17 @@
 	callSeq, returnSeq int64 // positions in the order of all calls and returns
 	done               func()
 	// withheldSeq is the position at which a release was answered without freeing its lock,
-	// or zero.
+	// or 0.
 	withheldSeq int64
 }
 
-// replica is a node's store with its lease timers.
+// replica is the store of a node with its lease timers.
 type replica struct {
 	sim    *simulation
 	store  *registry.Store
 	leases coordination.LeaseTimers
-	// The evacuation of the only zone, and when this replica applied its newest order
-	// to begin (true) and to finish (false).
+	// evacuation is that of the only zone. lastRequestAt holds the times at which this
+	// replica applied the newest begin request (true) and finish request (false).
 	evacuation    registry.Evacuation
 	lastRequestAt map[bool]time.Duration
 }
@@ -71,7 +71,7 @@
 	res, _ := r.store.Apply(cmd)
 	if l := cmd.Coordination; l != nil {
 		if !r.leases.Update(r.sim.now(), index, l, res.Latch, r.store.Coordination().Locks) {
-			r.sim.t.Errorf("index %d releases a lock that its holder has acquired again: %+v", index, *l)
+			r.sim.t.Errorf("index %d: release of a lock that its holder has acquired again: %+v", index, *l)
 		}
 	}
 	r.observeEvacuation()
@@ -83,7 +83,7 @@
 
 func (r *replica) Restore(data []byte) {
 	if r.store.Revision() > 0 {
-		r.sim.snapshotInstalls++ // the log no longer reached back far enough
+		r.sim.snapshotInstalls++ // the leader had compacted the entries that this node lacked
 	}
 	if err := r.store.Restore(data); err != nil {
 		r.sim.t.Error(err)
@@ -103,21 +103,22 @@
 	}
 }
 
-// effect is what a logged command did.
+// effect is the outcome of a committed command.
 type effect struct {
 	index      uint64
 	result     registry.Result
 	appliedSeq int64 // position at which a replica first applied it
 }
 
-// scheduledEvent runs at a moment of simulated time.
+// scheduledEvent is a function that runs at a point in simulated time.
 type scheduledEvent struct {
 	dueAt time.Duration
 	run   func()
 	seq   int
 }
 
-// simulation is a cluster of replicas, the callers that use it, and all that they saw.
+// simulation is a cluster of replicas, its callers, and the history of everything that the
+// callers observed.
 type simulation struct {
 	t                 *testing.T
 	cluster           *rafttest.Cluster
@@ -127,17 +128,17 @@
 	calls             []*call
 	effects           map[uint64]effect // by tag
 	results           map[uint64]registry.Result
-	sendCounts        map[string]int // how often each value was sent in a put
-	nextNodeID        uint64         // of the next member
+	sendCounts        map[string]int // number of puts sent by value
+	nextNodeID        uint64         // ID of the next member to be added
 	lostNodeID        uint64         // voter that lost its disk and is not replaced yet, or 0
-	faultyNodeID      uint64         // node that the present fault is at
+	faultyNodeID      uint64         // node affected by the current fault
 	isStopping        bool
-	keepsHolderNames  bool // callers acquire locks under one name each
+	keepsHolderNames  bool // each caller acquires all locks with one holder name
 	probePuts         int
 	watchedEvents     int
 	snapshotInstalls  int
-	watchedByRevision map[string]map[uint64]coordination.Event // events that watchers got, by group
-	ackedRevisions    map[string]uint64                        // newest revision acknowledged, by group
+	watchedByRevision map[string]map[uint64]coordination.Event // events received by watchers, by group
+	ackedRevisions    map[string]uint64                        // newest acknowledged revision by group
 }
 
 func newSimulation(t *testing.T, seed int64, nodeCount int) *simulation {
@@ -162,14 +163,14 @@
 	return sim.cluster.Now
 }
 
-// recordEffect records the effect of a call, which must be the same at every replica.
+// recordEffect records the effect of a call, which must be the same on every replica.
 func (sim *simulation) recordEffect(tag, index uint64, res registry.Result) {
 	if previous, ok := sim.results[index]; ok && !reflect.DeepEqual(previous, res) {
-		sim.t.Errorf("index %d gave %+v at one replica and %+v at another", index, previous, res)
+		sim.t.Errorf("index %d returned %+v on one replica and %+v on another", index, previous, res)
 	}
 	sim.results[index] = res
 	if previous, ok := sim.effects[tag]; ok && previous.index != index {
-		sim.t.Errorf("one call was committed at index %d and %d", previous.index, index)
+		sim.t.Errorf("a call was committed twice, at index %d and %d", previous.index, index)
 	}
 	if _, ok := sim.effects[tag]; !ok {
 		sim.lastSeq++
@@ -177,7 +178,7 @@
 	}
 }
 
-// schedule runs do after a span of simulated time.
+// schedule runs a function after a delay in simulated time.
 func (sim *simulation) schedule(delay time.Duration, run func()) {
 	sim.eventSeq++
 	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now() + delay, run, sim.eventSeq})
@@ -196,7 +197,7 @@
 	}
 }
 
-// runDueEvents runs the events that are due, in the order of their time.
+// runDueEvents runs the events that are due in the order of their times.
 func (sim *simulation) runDueEvents() {
 	pending := sim.scheduled
 	sim.scheduled = nil
@@ -216,8 +217,8 @@
 	}
 }
 
-// onNode runs do at a node in its present incarnation, once the node is not frozen:
-// what is sent to a frozen process waits in its socket and is lost if the process ends.
+// onNode runs a function on the current incarnation of a node once the node is not frozen. A
+// message to a frozen process waits in its socket and is lost if the process ends.
 func (sim *simulation) onNode(id uint64, run func()) {
 	n := sim.cluster.Nodes[id]
 	if n == nil || !sim.cluster.IsUp(id) {
@@ -226,7 +227,7 @@
 	sim.inIncarnation(id, n.StateMachine, run)
 }
 
-// inIncarnation is onNode for a given incarnation, which is identified by its state
+// inIncarnation is like onNode for a given incarnation, which is identified by its state
 // machine.
 func (sim *simulation) inIncarnation(id uint64, incarnation rafttest.StateMachine, run func()) {
 	switch n := sim.cluster.Nodes[id]; {
@@ -238,7 +239,7 @@
 	}
 }
 
-// sendMessage runs do at a node after a delay, unless the message is lost.
+// sendMessage runs deliver on a node after a delay unless the message is lost.
 func (sim *simulation) sendMessage(from, to uint64, deliver func()) {
 	if sim.cluster.Rand.Intn(50) == 0 {
 		return
@@ -250,7 +251,7 @@
 	})
 }
 
-// startCall records a call that is sent. done runs when it has its outcome.
+// startCall records a call as sent. done runs when the outcome is set.
 func (sim *simulation) startCall(x *call, done func()) {
 	sim.lastSeq++
 	x.tag, x.sentAt, x.callSeq, x.done = uint64(len(sim.calls)+1), sim.now(), sim.lastSeq, done
@@ -278,7 +279,7 @@
 	})
 }
 
-// finishCall sets the outcome of a call; a later one is ignored.
+// finishCall sets the outcome of a call. Later outcomes are ignored.
 func (sim *simulation) finishCall(x *call, o outcome) {
 	if x.returnedAt != 0 {
 		return
@@ -302,7 +303,8 @@
 	})
 }
 
-// executeCommand logs a call's command, at this node or through the leader.
+// executeCommand proposes a call's command on this node if it leads, and otherwise forwards
+// it to the leader.
 func (sim *simulation) executeCommand(id uint64, incarnation rafttest.StateMachine, x *call, deadline time.Duration) {
 	retry := func() {
 		if deadline-sim.now() < outcomeTimeout/2 {
@@ -341,7 +343,8 @@
 	}
 }
 
-// propose appends a command at a node that leads, and reports whether it did.
+// propose appends a command to the log of a node that leads, or answers it without a log
+// entry, and reports whether the node did either.
 func (sim *simulation) propose(id uint64, x *call, done func(outcome, registry.Result)) bool {
 	cmd := x.command
 	r := sim.cluster.Nodes[id].StateMachine.(*replica)
@@ -362,13 +365,13 @@
 	}
 	data := append(binary.BigEndian.AppendUint64(nil, x.tag), registry.EncodeCommand(cmd)...)
 	sim.lastSeq++
-	x.callSeq = sim.lastSeq // it cannot take effect before
+	x.callSeq = sim.lastSeq // the call cannot take effect earlier
 	isProposed := sim.cluster.Propose(id, data, func(result any, ok bool) {
 		switch res, is := result.(registry.Result); {
 		case ok && is:
 			done(answered, res)
 		case !ok && sim.cluster.IsUp(id):
-			done(rejected, registry.Result{}) // another entry was committed at its index
+			done(rejected, registry.Result{}) // a different entry was committed at its index
 		}
 	})
 	if isProposed && cmd.Coordination != nil {
@@ -377,8 +380,9 @@
 	return isProposed
 }
 
-// awaitReadIndex gets a read index from the leader (Raft thesis, section 6.4) and calls
-// done once the node has applied up to it.
+// awaitReadIndex requests a read index from the leader (Raft thesis, section 6.4) and calls
+// done with true once the node has applied the log up to it, or with false if that fails by
+// the deadline.
 func (sim *simulation) awaitReadIndex(id uint64, incarnation rafttest.StateMachine, deadline time.Duration, done func(ok bool)) {
 	var awaitApplied func(index uint64)
 	awaitApplied = func(index uint64) {
@@ -420,7 +424,7 @@
 	}
 }
 
-// executeRead answers a call that reads, behind a read index.
+// executeRead answers a read once the node has reached a read index.
 func (sim *simulation) executeRead(id uint64, incarnation rafttest.StateMachine, x *call, deadline time.Duration) {
 	sim.awaitReadIndex(id, incarnation, deadline, func(ok bool) {
 		if !ok {
@@ -439,8 +443,8 @@
 	})
 }
 
-// watchGroup asks a node for the puts to a group after a revision. It waits for one up
-// to outcomeTimeout, and fails at a node that knows no leader.
+// watchGroup requests the puts to a group after a revision from a node. It waits up to
+// outcomeTimeout for the first put and fails on a node that knows no leader.
 func (sim *simulation) watchGroup(id uint64, group string, after uint64, done func(events []coordination.Event, revision uint64, ok bool)) {
 	floor := sim.ackedRevisions[group]
 	sim.onNode(id, func() {
@@ -457,7 +461,7 @@
 				node := sim.cluster.Nodes[id].Raft
 				switch {
 				case !kept || revision < floor || after > revision:
-					sim.t.Errorf("node %d: watch of %s after %d, with %d acknowledged before: revision %d, kept %v", id, group, after, floor, revision, kept)
+					sim.t.Errorf("node %d: watch of %s after revision %d, with revision %d acknowledged before it, got revision %d and kept %v", id, group, after, floor, revision, kept)
 					done(nil, 0, false)
 				case len(events) > 0 || sim.now() >= deadline:
 					done(events, revision, true)
@@ -472,7 +476,7 @@
 	})
 }
 
-// runWatcher watches a group from one node after the other.
+// runWatcher watches a group from one node after another.
 func (sim *simulation) runWatcher(group string, after uint64) {
 	isAnswered := false
 	watchAgain := func(after uint64) {
@@ -492,8 +496,8 @@
 	sim.schedule(3*callerTimeout, func() { watchAgain(after) })
 }
 
-// checkWatchedEvents checks the answer to a watch: it holds all puts after one revision
-// and up to another, each as every other watcher got it.
+// checkWatchedEvents checks that the answer to a watch has every put after one revision and
+// up to another, each equal to what the other watchers received.
 func (sim *simulation) checkWatchedEvents(group string, after uint64, events []coordination.Event, revision uint64) {
 	watched := sim.watchedByRevision[group]
 	if watched == nil {
@@ -502,21 +506,21 @@
 	}
 	for _, e := range events {
 		if after++; e.Revision != after {
-			sim.t.Errorf("watch of %s: %d follows on %d", group, e.Revision, after-1)
+			sim.t.Errorf("watch of %s: revision %d follows revision %d", group, e.Revision, after-1)
 			after = e.Revision
 		}
 		if previous, ok := watched[after]; ok && previous != e {
-			sim.t.Errorf("revision %d of %s was %+v and is %+v", after, group, previous, e)
+			sim.t.Errorf("revision %d of %s has two events: %+v and %+v", after, group, previous, e)
 		}
 		watched[after] = e
 		sim.watchedEvents++
 	}
 	if after != revision {
-		sim.t.Errorf("watch of %s ends with %d, its revision is %d", group, after, revision)
+		sim.t.Errorf("watch of %s ended at revision %d, want %d", group, after, revision)
 	}
 }
 
-// pickNode returns a random node, preferably the one at which the present fault is.
+// pickNode returns a random node, preferably the one affected by the current fault.
 func (sim *simulation) pickNode() uint64 {
 	ids := sim.cluster.IDs()
 	if sim.cluster.Nodes[sim.faultyNodeID] != nil && sim.cluster.Rand.Intn(3) == 0 {
--- a/registry/snapshot_test.go
+++ b/registry/snapshot_test.go
@@ -8,8 +8,8 @@
 	"lichentray/registry"
 )
 
-// FuzzRestore checks that any bytes given as a snapshot are either rejected and change
-// nothing, or restore a state that can be written and read again.
+// FuzzRestore checks that Restore either rejects arbitrary bytes without changing the state,
+// or restores a state that can be encoded and restored again.
 func FuzzRestore(f *testing.F) {
 	full := registry.NewStore()
 	for _, c := range []registry.Command{
@@ -35,13 +35,13 @@
 		rejected := s.Restore(b) != nil
 		out, err := s.Snapshot()
 		if err != nil {
-			t.Fatalf("%q was accepted, and cannot be written: %v", b, err)
+			t.Fatalf("Restore accepted %q, but Snapshot failed: %v", b, err)
 		}
 		if rejected && (s.Revision() != full.Revision() || !reflect.DeepEqual(s.List(""), full.List("")) || s.Coordination() != table) {
-			t.Fatalf("%q was rejected, and changed the state", b)
+			t.Fatalf("Restore rejected %q, but changed the state", b)
 		}
 		if err := registry.NewStore().Restore(out); err != nil {
-			t.Fatalf("%q was accepted, and cannot be read again: %v", b, err)
+			t.Fatalf("Restore accepted %q, but the snapshot of the result cannot be restored: %v", b, err)
 		}
 	})
 }
--- a/registry/store_test.go
+++ b/registry/store_test.go
@@ -12,8 +12,8 @@
 	"lichentray/registry"
 )
 
-// TestStoreMatchesMapModel compares the store with a map that is copied whole for
-// every transaction.
+// TestStoreMatchesMapModel guards against partially applied transactions and wrong
+// revisions. It compares the store with a map that is copied for every transaction.
 func TestStoreMatchesMapModel(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -68,7 +68,7 @@
 			}
 			res, events := s.Apply(cmd)
 			if res.Conflict == ok || res.Revision != revision || len(events) != want {
-				t.Fatalf("seed %d step %d: %+v with %d events; the model says success %v at %d with %d", seed, step, res, len(events), ok, revision, want)
+				t.Fatalf("seed %d, step %d: Apply = %+v with %d events; want success %v at revision %d with %d events", seed, step, res, len(events), ok, revision, want)
 			}
 			if step%97 == 0 {
 				data, err := s.Snapshot()
@@ -83,7 +83,7 @@
 			for k := range used {
 				got, exists := s.Get(k)
 				if w, ok := model[k]; exists != ok || (ok && !reflect.DeepEqual(got, w)) {
-					t.Fatalf("seed %d step %d: %s is %+v, the model says %+v", seed, step, k, got, w)
+					t.Fatalf("seed %d, step %d: Get(%q) = %+v, want %+v", seed, step, k, got, w)
 				}
 			}
 		}
@@ -102,14 +102,14 @@
 		}
 		again, err := registry.DecodeCommand(registry.EncodeCommand(c))
 		if err != nil || !reflect.DeepEqual(formatCommand(c), formatCommand(again)) {
-			t.Fatalf("%+v became %+v, %v", c, again, err)
+			t.Fatalf("command %+v was decoded as %+v, %v after encoding", c, again, err)
 		}
 	})
 }
 
 func formatCommand(c registry.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Coordination) }
 
-// simulatedStore is the state machine of a simulated node: a store and its lease timers.
+// simulatedStore is the state machine of a simulated node: a store with its lease timers.
 type simulatedStore struct {
 	store  *registry.Store
 	clock  func() time.Duration
@@ -139,16 +139,17 @@
 	g.leases.Restart(g.clock(), g.store.Coordination().Locks)
 }
 
-// TestCoordinationIsLinearizable records what callers of locks, sequences and cells see
-// while faults are injected, and checks it against what a single copy would allow.
+// TestCoordinationIsLinearizable guards against stale reads, reused sequence numbers or
+// fencing tokens, and locks with two holders while faults are injected. It checks each
+// answer against the answers that were given before the call was sent.
 func TestCoordinationIsLinearizable(t *testing.T) {
 	for seed := int64(1); seed <= 25; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runHistory(t, seed) })
 	}
 }
 
-// injectFault does one of several things to a node with one draw out of draws, which may
-// also do nothing.
+// injectFault injects one of several faults at a node, heals the cluster or does nothing,
+// depending on a random number below draws.
 func injectFault(c *rafttest.Cluster, id uint64, draws int) {
 	switch c.Rand.Intn(draws) {
 	case 0:
@@ -179,9 +180,9 @@
 		})
 	})
 	c.Run(time.Second)
-	var highestNumber, highestToken uint64 // the greatest answered so far
-	ackedRevision := map[string]uint64{}   // newest revision acknowledged, by key
-	valueAt := map[string]string{}         // group/revision to value
+	var highestNumber, highestToken uint64 // in the answers so far
+	ackedRevision := map[string]uint64{}   // newest acknowledged revision by key
+	valueAt := map[string]string{}         // value by group/revision
 	type holding struct {
 		holder    string
 		token     uint64
@@ -190,7 +191,7 @@
 	holders := map[string]holding{}
 	holderByToken := map[uint64]string{}
 	propose := func(cmd *coordination.Command, done func(coordination.Result)) {
-		for _, id := range c.IDs() { // any node that believes that it leads
+		for _, id := range c.IDs() { // any node that considers itself the leader
 			n := c.Nodes[id]
 			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
@@ -216,7 +217,7 @@
 				floor := highestNumber
 				propose(&coordination.Command{Operation: coordination.NextNumber, Name: "n"}, func(r coordination.Result) {
 					if r.Value <= floor {
-						t.Errorf("number %d was given although %d had been given before the call", r.Value, floor)
+						t.Errorf("NextNumber returned %d although %d was returned before the call", r.Value, floor)
 					}
 					highestNumber = max(highestNumber, r.Value)
 				})
@@ -228,14 +229,14 @@
 						return
 					}
 					expiresAt := sentAt + 200*time.Millisecond
-					// An old leader may report a grant late. There is a second holder only if
-					// that grant is no older than the present one, or its lease still runs.
+					// A former leader may report a grant late. There are two holders only if
+					// that grant is not older than the current one or its lease has not expired.
 					h := holders["l"]
 					isLateAnswer := r.Fence < h.token && expiresAt <= c.Now
 					if h.holder != who && h.holder != "" && c.Now < h.expiresAt && !isLateAnswer {
-						t.Errorf("%s has the lock until %v, %s got it at %v", h.holder, h.expiresAt, who, c.Now)
+						t.Errorf("%s holds the lock until %v, but %s acquired it at %v", h.holder, h.expiresAt, who, c.Now)
 					} else if o, given := holderByToken[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
-						t.Errorf("fencing token %d does not exceed %d", r.Fence, floor)
+						t.Errorf("fencing token %d does not exceed %d or was issued to another holder", r.Fence, floor)
 					}
 					holderByToken[r.Fence] = who
 					highestToken = max(highestToken, r.Fence)
@@ -248,11 +249,11 @@
 				floor := ackedRevision[key]
 				propose(&coordination.Command{Operation: coordination.PutCell, Name: key, Value: v}, func(r coordination.Result) {
 					if r.Revision <= floor {
-						t.Errorf("put got revision %d, not above %d", r.Revision, floor)
+						t.Errorf("put returned revision %d, want more than %d", r.Revision, floor)
 					}
 					at := fmt.Sprint("g/", r.Revision)
 					if previous, ok := valueAt[at]; ok && previous != v {
-						t.Errorf("revision %d has two values", r.Revision)
+						t.Errorf("revision %d was assigned to two values", r.Revision)
 					}
 					valueAt[at] = v
 					ackedRevision[key] = max(ackedRevision[key], r.Revision)
@@ -262,7 +263,7 @@
 				n := c.Nodes[id]
 				c.Read(id, func(ok bool) {
 					if cell := n.StateMachine.(*simulatedStore).store.Coordination().Cells[key]; ok && cell.Revision < floor {
-						t.Errorf("read of %s at revision %d, although %d was acknowledged before it", key, cell.Revision, floor)
+						t.Errorf("read of %s returned revision %d, although revision %d was acknowledged before", key, cell.Revision, floor)
 					}
 				})
 			}
@@ -273,7 +274,7 @@
 		}
 	}
 	if highestNumber == 0 || highestToken == 0 || len(ackedRevision) == 0 {
-		t.Errorf("nothing was answered: number %d, fencing token %d, puts %v", highestNumber, highestToken, ackedRevision)
+		t.Errorf("calls of some kind were never answered: highest number %d, highest fencing token %d, acknowledged puts %v", highestNumber, highestToken, ackedRevision)
 	}
 }
 
