--- a/registry/audit_test.go
+++ b/registry/audit_test.go
@@ -94,7 +94,7 @@
 		}
 		isAckLost := cluster.Rand.Intn(4) == 0
 		done := func(res any, ok bool) {
-			if r, is := res.(registry.Result); ok && is && !isAckLost {
+			if r, isResult := res.(registry.Result); ok && isResult && !isAckLost {
 				p.recorder.Acknowledge(p.incarnation, r.Account)
 				p.isKnown = true
 			}
--- a/registry/replay_test.go
+++ b/registry/replay_test.go
@@ -43,7 +43,7 @@
 	propose := func(l *coordination.Command, done func(coordination.Result)) {
 		if n := c.Leader(); n != nil {
 			c.Propose(n.ID, registry.EncodeCommand(registry.Command{Coordination: l}), func(res any, ok bool) {
-				if r, is := res.(registry.Result); ok && is {
+				if r, isResult := res.(registry.Result); ok && isResult {
 					done(r.Latch)
 				}
 			})
@@ -52,7 +52,7 @@
 	type watcher struct {
 		group     string
 		after     uint64
-		reachedAt time.Duration // when it got to revision after
+		reachedAt time.Duration // when the watcher reached that revision
 	}
 	watchers := make([]watcher, 6)
 	for i := range watchers {
@@ -183,10 +183,10 @@
 		}
 		for group := range model {
 			for after := uint64(0); after <= first.GroupRevision(group); after++ {
-				a, ra, ka := first.EventsSince(group, after)
-				b, rb, kb := table.EventsSince(group, after)
-				if ra != rb || ka != kb || !reflect.DeepEqual(a, b) {
-					t.Fatalf("node %d: EventsSince(%q, %d) = %v, %d, %v; on the first node %v, %d, %v", id, group, after, b, rb, kb, a, ra, ka)
+				want, wantRevision, wantKept := first.EventsSince(group, after)
+				got, gotRevision, gotKept := table.EventsSince(group, after)
+				if wantRevision != gotRevision || wantKept != gotKept || !reflect.DeepEqual(want, got) {
+					t.Fatalf("node %d: EventsSince(%q, %d) = %v, %d, %v; on the first node %v, %d, %v", id, group, after, got, gotRevision, gotKept, want, wantRevision, wantKept)
 				}
 			}
 		}
--- a/registry/simulation_test.go
+++ b/registry/simulation_test.go
@@ -184,7 +184,7 @@
 	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now() + delay, run, sim.eventSeq})
 }
 
-// randomDuration returns a duration below most.
+// randomDuration returns a random duration below limit.
 func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(sim.cluster.Rand.Int63n(int64(limit)))
 }
@@ -367,8 +367,8 @@
 	sim.lastSeq++
 	x.callSeq = sim.lastSeq // the call cannot take effect earlier
 	isProposed := sim.cluster.Propose(id, data, func(result any, ok bool) {
-		switch res, is := result.(registry.Result); {
-		case ok && is:
+		switch res, isResult := result.(registry.Result); {
+		case ok && isResult:
 			done(answered, res)
 		case !ok && sim.cluster.IsUp(id):
 			done(rejected, registry.Result{}) // a different entry was committed at its index
--- a/registry/store_test.go
+++ b/registry/store_test.go
@@ -117,26 +117,26 @@
 }
 
 func newSimulatedStore(clock func() time.Duration) *simulatedStore {
-	g := &simulatedStore{store: registry.NewStore(), clock: clock}
-	g.leases.Restart(clock(), nil)
-	return g
+	s := &simulatedStore{store: registry.NewStore(), clock: clock}
+	s.leases.Restart(clock(), nil)
+	return s
 }
 
-func (g *simulatedStore) Apply(index uint64, data []byte) any {
+func (s *simulatedStore) Apply(index uint64, data []byte) any {
 	c, err := registry.DecodeCommand(data)
 	if err != nil {
 		return nil
 	}
-	res, _ := g.store.Apply(c)
+	res, _ := s.store.Apply(c)
 	if l := c.Coordination; l != nil {
-		g.leases.Update(g.clock(), index, l, res.Latch, g.store.Coordination().Locks)
+		s.leases.Update(s.clock(), index, l, res.Latch, s.store.Coordination().Locks)
 	}
 	return res
 }
-func (g *simulatedStore) Snapshot() []byte { b, _ := g.store.Snapshot(); return b }
-func (g *simulatedStore) Restore(b []byte) {
-	_ = g.store.Restore(b)
-	g.leases.Restart(g.clock(), g.store.Coordination().Locks)
+func (s *simulatedStore) Snapshot() []byte { b, _ := s.store.Snapshot(); return b }
+func (s *simulatedStore) Restore(b []byte) {
+	_ = s.store.Restore(b)
+	s.leases.Restart(s.clock(), s.store.Coordination().Locks)
 }
 
 // TestCoordinationIsLinearizable guards against stale reads, reused sequence numbers or
@@ -196,10 +196,10 @@
 			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
 			}
-			g := n.StateMachine.(*simulatedStore)
-			prepared, _ := g.leases.Prepare(c.Now, cmd, g.store.Coordination().Locks)
+			state := n.StateMachine.(*simulatedStore)
+			prepared, _ := state.leases.Prepare(c.Now, cmd, state.store.Coordination().Locks)
 			c.Propose(id, registry.EncodeCommand(registry.Command{Coordination: prepared}), func(res any, ok bool) {
-				if r, is := res.(registry.Result); ok && is {
+				if r, isResult := res.(registry.Result); ok && isResult {
 					done(r.Latch)
 				}
 			})
