--- a/registry/caller_test.go
+++ b/registry/caller_test.go
@@ -8,29 +8,30 @@
 	"lichentray/registry"
 )
 
-// caller makes one call after another: it reads and replaces the configuration, reads
-// and puts cells, draws numbers, and acquires, renews and releases locks.
+// caller is a client that makes one call after another: it reads and replaces the
+// configuration, reads and puts cells, requests sequence numbers, and acquires, renews and
+// releases locks.
 type caller struct {
 	sim          *simulation
 	name         string
-	ownLock      string // that it acquires again and again if it keeps its name
-	lockCount    int    // how many locks it has tried to acquire
-	lock         string // that it has or may have
+	ownLock      string // the lock it uses if holder names are reused
+	lockCount    int    // number of locks it has tried to acquire
+	lock         string // the lock that it holds or may hold
 	holder       string
 	fencingToken uint64
 	version      int
-	config       call // as it was last read
+	config       call // the last known configuration
 	cells        map[string]uint64
 }
 
 // scheduleNextCall makes the next call after a random delay.
 func (p *caller) scheduleNextCall() {
-	if !p.sim.isOver {
+	if !p.sim.isStopping {
 		p.sim.schedule(p.sim.randomDuration(300*time.Millisecond), p.makeNextCall)
 	}
 }
 
-// callCoordination sends a coordination command and then goes on.
+// callCoordination sends a coordination command and schedules the next call after it.
 func (p *caller) callCoordination(c coordination.Command, done func(x *call)) {
 	x := &call{object: c.Name, command: registry.Command{Coordination: &c}}
 	p.sim.callNode(p.sim.pickNode(), x, func() {
@@ -45,12 +46,12 @@
 	cell := fmt.Sprintf("g%d.%d", r.Intn(2), r.Intn(3))
 	p.version++
 	value := fmt.Sprint(p.name, " ", p.version)
-	k := r.Intn(12)
+	choice := r.Intn(12)
 	if sim.keepsHolderNames {
-		k = 11 // nothing but locks
+		choice = 11 // only locks
 	}
 	switch {
-	case k < 2:
+	case choice < 2:
 		x := &call{object: registry.ConfigKey}
 		sim.callNode(sim.pickNode(), x, func() {
 			if x.outcome == answered {
@@ -58,9 +59,9 @@
 			}
 			p.scheduleNextCall()
 		})
-	case k < 4:
+	case choice < 4:
 		p.replaceConfig("configuration of some length that stays as it is, and of " + value)
-	case k < 6:
+	case choice < 6:
 		x := &call{object: cell}
 		sim.callNode(sim.pickNode(), x, func() {
 			if x.outcome == answered {
@@ -68,16 +69,16 @@
 			}
 			p.scheduleNextCall()
 		})
-	case k < 8:
+	case choice < 8:
 		p.putCell(coordination.Command{Operation: coordination.PutCell, Name: cell, Value: value, HasExpectedRevision: r.Intn(2) == 0, ExpectedRevision: p.cells[cell]})
-	case k < 9:
+	case choice < 9:
 		p.callCoordination(coordination.Command{Operation: coordination.NextNumber, Name: fmt.Sprint("n", r.Intn(2))}, func(*call) {})
 	default:
-		p.advanceLock()
+		p.useLock()
 	}
 }
 
-// replaceConfig writes the configuration on the condition that it is the one last read,
+// replaceConfig writes the configuration if it still has the revision that the caller knows,
 // sometimes as a delta.
 func (p *caller) replaceConfig(value string) {
 	w := registry.Write{Key: registry.ConfigKey, Value: []byte(value)}
@@ -99,7 +100,7 @@
 	})
 }
 
-// putCell sends a put, and often repeats it if its outcome is unknown.
+// putCell sends a put and retries it half of the time if its outcome is unknown.
 func (p *caller) putCell(c coordination.Command) {
 	p.sim.sendCounts[c.Value]++
 	x := &call{object: c.Name, command: registry.Command{Coordination: &c}}
@@ -115,10 +116,10 @@
 	})
 }
 
-// advanceLock makes the next step with a lock: it acquires, renews, releases or abandons
-// it. Each acquisition is under a holder's name of its own, unless the callers of the
-// simulation keep theirs, as applications do that come back after an end or a failed call.
-func (p *caller) advanceLock() {
+// useLock acquires, renews, releases or abandons a lock. Each acquisition uses a new holder
+// name unless the simulation reuses holder names, as an application does after a restart or
+// a failed call.
+func (p *caller) useLock() {
 	r := p.sim.cluster.Rand
 	if p.lock == "" {
 		p.lockCount++
@@ -131,8 +132,8 @@
 	if p.sim.keepsHolderNames {
 		l.LeaseMS = longLeaseMS
 	}
-	switch k := r.Intn(10); {
-	case p.fencingToken == 0 || k < 1:
+	switch choice := r.Intn(10); {
+	case p.fencingToken == 0 || choice < 1:
 		l.Operation, l.FencingToken = coordination.AcquireLock, 0
 		p.callCoordination(l, func(x *call) {
 			if x.outcome == answered && x.result.Latch.Code == coordination.OK {
@@ -141,14 +142,14 @@
 				p.lock = ""
 			}
 		})
-	case k < 6:
+	case choice < 6:
 		l.Operation = coordination.RenewLock
 		p.callCoordination(l, func(x *call) {
 			if x.outcome == answered && x.result.Latch.Code == coordination.LockLost {
 				p.lock = ""
 			}
 		})
-	case k < 8:
+	case choice < 8:
 		p.lock = ""
 		l.Operation = coordination.ReleaseLock
 		p.callCoordination(l, func(*call) {})
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -14,14 +14,14 @@
 	"lichentray/internal/goldentest"
 )
 
-// The golden forms are the serialised types of a snapshot's image as they were when
-// the golden files were made. Their field names are data: gob writes them.
+// The golden types are the serialised types of a snapshot image at the time when the golden
+// files were written. Gob writes their field names, so the names must not change.
 type (
 	goldenImage struct {
 		Revision uint64
 		Objects  []goldenObject
 		Latches  *goldenTable
-		Account  *goldenBook
+		Account  *goldenAuditLog
 	}
 	goldenObject struct {
 		Key            string
@@ -32,8 +32,8 @@
 	goldenTable struct {
 		Locks  map[string]goldenLock
 		Cells  map[string]goldenCell
-		Feed   *goldenFeed
-		Groups map[string]*goldenGroup
+		Feed   *goldenEventLog
+		Groups map[string]*goldenLegacyGroup
 	}
 	goldenLock struct {
 		Holder string
@@ -45,18 +45,18 @@
 		Value    string
 		Revision uint64
 	}
-	goldenFeed struct {
-		Entries     []goldenFeedEntry
+	goldenEventLog struct {
+		Entries     []goldenEventLogEntry
 		Last, Floor map[string]uint64
 	}
-	goldenFeedEntry struct {
+	goldenEventLogEntry struct {
 		At     uint64
 		Topic  string
 		Number uint64
-		Value  goldenChange
+		Value  goldenCellChange
 	}
-	goldenChange struct{ Name, Value string }
-	goldenGroup  struct {
+	goldenCellChange  struct{ Name, Value string }
+	goldenLegacyGroup struct {
 		Revision uint64
 		Floor    uint64
 		Events   []goldenCellEvent
@@ -67,13 +67,13 @@
 		Revision uint64
 		At       uint64
 	}
-	goldenBook struct {
-		Lives   map[string]*goldenLife
+	goldenAuditLog struct {
+		Lives   map[string]*goldenIncarnation
 		Entries map[string]*goldenEntry
 		Dropped map[string]uint64
 		Ats     map[string]uint64
 	}
-	goldenLife struct {
+	goldenIncarnation struct {
 		Node    string
 		Last    uint64
 		LastMS  int64
@@ -88,9 +88,9 @@
 	goldenEntry struct {
 		Tenant  string
 		Request string
-		Tries   []goldenTry
+		Tries   []goldenAttempt
 	}
-	goldenTry struct {
+	goldenAttempt struct {
 		Node   string
 		Record goldenRecord
 	}
@@ -107,36 +107,36 @@
 	}
 )
 
-// The values that stand in the golden image.
+// Values of objects in the golden image.
 const (
-	goldenConfigText   = `{"config_version":"12","clusters":["payments","invoices"]}`
-	goldenEndpointText = `{"id":"e1","service":"payments","version":"v1","address":"127.0.0.1:9001","zone":"zone-a","capacity":8,"draining":true,"sequence":21,"cold_s":2.5,"cold":true}`
-	goldenProxyText    = `{"name":"p1","address":"127.0.0.1:9101","zone":"zone-a","leaving":true,"weight":1.5}`
-	goldenEvacText     = `{"begins":3,"finishes":1,"begin_told":true,"finish_told":true}`
-	goldenRolloutText  = `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`
+	goldenConfigText     = `{"config_version":"12","clusters":["payments","invoices"]}`
+	goldenEndpointText   = `{"id":"e1","service":"payments","version":"v1","address":"127.0.0.1:9001","zone":"zone-a","capacity":8,"draining":true,"sequence":21,"cold_s":2.5,"cold":true}`
+	goldenProxyText      = `{"name":"p1","address":"127.0.0.1:9101","zone":"zone-a","leaving":true,"weight":1.5}`
+	goldenEvacuationText = `{"begins":3,"finishes":1,"begin_told":true,"finish_told":true}`
+	goldenRolloutText    = `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`
 )
 
-// goldenStore builds, by commands, the state that the golden image holds.
+// goldenStore applies the commands that produce the state of the golden image.
 func goldenStore(t *testing.T) *Store {
 	t.Helper()
 	s := NewStore()
 	put := func(key, value string) {
 		s.Apply(Command{Txn: &Txn{Then: []Write{{Key: key, Value: []byte(value)}}}})
 	}
-	account := func(b audit.Batch) { s.Apply(Command{Audit: &b}) }
-	accept := func(version uint64, text string) {
+	applyAuditBatch := func(b audit.Batch) { s.Apply(Command{Audit: &b}) }
+	acceptConfig := func(version uint64, text string) {
 		txn, err := s.BuildConfigTxn(version, []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Apply(Command{Txn: txn})
 	}
-	accept(11, `{"config_version":"11"}`) // 1
-	accept(12, goldenConfigText)          // 2
+	acceptConfig(11, `{"config_version":"11"}`) // 1
+	acceptConfig(12, goldenConfigText)          // 2
 	put("endpoints/e1", goldenEndpointText)
 	put("departed/e0", "")
 	put("proxies/p1", goldenProxyText)
-	put("evacuations/zone-b", goldenEvacText)
+	put("evacuations/zone-b", goldenEvacuationText)
 	put("rollouts/payments", `{"base":"v1"}`)
 	put("rollouts/payments", goldenRolloutText) // 8
 	for _, c := range []coordination.Command{
@@ -152,15 +152,15 @@
 		{Operation: coordination.CompactHistory, CompactBefore: 14},                                                // 18
 	} {
 		if r, _ := s.Apply(Command{Coordination: &c}); r.Latch.Code != coordination.OK {
-			t.Fatalf("%+v gave %+v", c, r)
+			t.Fatalf("Apply(%+v) = %+v, want the code OK", c, r)
 		}
 	}
 	record := func(seq uint64, kind audit.Kind) audit.Record {
 		return audit.Record{Seq: seq, AtMS: 1700000000000 + int64(seq), Tenant: fmt.Sprint("tenant-", seq), Route: "pay", Request: fmt.Sprint("request-", seq), Attempt: fmt.Sprint("attempt-", seq), Kind: kind, Status: 500 + int(seq), TookMS: 30 + int64(seq)}
 	}
-	account(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.MissedLatencyTarget), record(2, audit.MaybeExecuted), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
-	account(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                                      // 20; ends life-1
-	account(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                                        // 21
+	applyAuditBatch(audit.Batch{Life: "life-1", Node: "p1", AtMS: 1700000001000, Records: []audit.Record{record(1, audit.MissedLatencyTarget), record(2, audit.MaybeExecuted), record(3, audit.Failed)}, Dropped: 6, PerS: 2, Out: 7, Most: 2}) // 19
+	applyAuditBatch(audit.Batch{Life: "life-2", Node: "p1", AtMS: 1700000003000, Most: 2})                                                                                                                                                      // 20; ends life-1
+	applyAuditBatch(audit.Batch{Life: "life-3", Node: "p2", AtMS: 1700000004000, Closed: true, Most: 2})                                                                                                                                        // 21
 	return s
 }
 
@@ -171,7 +171,7 @@
 		{Key: "configuration/current", Value: []byte("\x00\x00\x00\x00\x00\x00\x00\x0c" + goldenConfigText), CreateRevision: 1, ModRevision: 2},
 		{Key: "departed/e0", CreateRevision: 4, ModRevision: 4},
 		{Key: "endpoints/e1", Value: []byte(goldenEndpointText), CreateRevision: 3, ModRevision: 3},
-		{Key: "evacuations/zone-b", Value: []byte(goldenEvacText), CreateRevision: 6, ModRevision: 6},
+		{Key: "evacuations/zone-b", Value: []byte(goldenEvacuationText), CreateRevision: 6, ModRevision: 6},
 		{Key: "proxies/p1", Value: []byte(goldenProxyText), CreateRevision: 5, ModRevision: 5},
 		{Key: "rollouts/payments", Value: []byte(goldenRolloutText), CreateRevision: 7, ModRevision: 8},
 	}
@@ -221,33 +221,33 @@
 			{Key: "configuration/current", Value: []byte("\x00\x00\x00\x00\x00\x00\x00\x0c" + goldenConfigText), CreateRevision: 1, ModRevision: 2},
 			{Key: "departed/e0", CreateRevision: 4, ModRevision: 4},
 			{Key: "endpoints/e1", Value: []byte(goldenEndpointText), CreateRevision: 3, ModRevision: 3},
-			{Key: "evacuations/zone-b", Value: []byte(goldenEvacText), CreateRevision: 6, ModRevision: 6},
+			{Key: "evacuations/zone-b", Value: []byte(goldenEvacuationText), CreateRevision: 6, ModRevision: 6},
 			{Key: "proxies/p1", Value: []byte(goldenProxyText), CreateRevision: 5, ModRevision: 5},
 			{Key: "rollouts/payments", Value: []byte(goldenRolloutText), CreateRevision: 7, ModRevision: 8},
 		},
 		Latches: &goldenTable{
 			Locks: map[string]goldenLock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}},
 			Cells: map[string]goldenCell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}},
-			Feed: &goldenFeed{
-				Entries: []goldenFeedEntry{
-					{At: 15, Topic: "g.", Number: 2, Value: goldenChange{Name: "g.b", Value: "2"}},
-					{At: 16, Topic: "g.", Number: 3, Value: goldenChange{Name: "g.a", Value: "3"}},
-					{At: 17, Topic: "single", Number: 1, Value: goldenChange{Name: "single", Value: "4"}},
+			Feed: &goldenEventLog{
+				Entries: []goldenEventLogEntry{
+					{At: 15, Topic: "g.", Number: 2, Value: goldenCellChange{Name: "g.b", Value: "2"}},
+					{At: 16, Topic: "g.", Number: 3, Value: goldenCellChange{Name: "g.a", Value: "3"}},
+					{At: 17, Topic: "single", Number: 1, Value: goldenCellChange{Name: "single", Value: "4"}},
 				},
 				Last:  map[string]uint64{"g.": 3, "single": 1},
 				Floor: map[string]uint64{"g.": 1},
 			},
 		},
-		Account: &goldenBook{
-			Lives: map[string]*goldenLife{
+		Account: &goldenAuditLog{
+			Lives: map[string]*goldenIncarnation{
 				"life-1": {Node: "p1", Last: 3, LastMS: 1700000001000, Dropped: 6, PerS: 2, Out: 7, Gap: true, MayMiss: 11, At: 19},
 				"life-2": {Node: "p1", LastMS: 1700000003000, At: 20},
 				"life-3": {Node: "p2", LastMS: 1700000004000, Closed: true, At: 21},
 			},
 			Entries: map[string]*goldenEntry{
-				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []goldenTry{
+				"tenant-2\x00request-2": {Tenant: "tenant-2", Request: "request-2", Tries: []goldenAttempt{
 					{Node: "p1", Record: goldenRecord{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: "unsure", Status: 502, TookMS: 32}}}},
-				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []goldenTry{
+				"tenant-3\x00request-3\x00life-1\x00attempt-3\x00failed": {Tenant: "tenant-3", Request: "request-3", Tries: []goldenAttempt{
 					{Node: "p1", Record: goldenRecord{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: "failed", Status: 503, TookMS: 33}}}},
 			},
 			Dropped: map[string]uint64{"tenant-1": 1},
@@ -256,9 +256,9 @@
 	}
 }
 
-// goldenGroupsImage is an image with the histories by group, as versions before the
-// feed wrote them.
-func goldenGroupsImage() snapshotImage {
+// goldenLegacyGroupsImage returns an image with one history per group, as versions without
+// the event log wrote it.
+func goldenLegacyGroupsImage() snapshotImage {
 	return snapshotImage{
 		Revision: 31,
 		Objects:  []Object{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
@@ -273,14 +273,14 @@
 	}
 }
 
-func goldenGroupsImageForm() goldenImage {
+func goldenLegacyGroupsImageForm() goldenImage {
 	return goldenImage{
 		Revision: 31,
 		Objects:  []goldenObject{{Key: "proxies/p2", Value: []byte(goldenProxyText), CreateRevision: 30, ModRevision: 31}},
 		Latches: &goldenTable{
 			Locks: map[string]goldenLock{"press": {Holder: "holder-3", Fence: 24, Grant: 25, HoldMS: 5000}},
 			Cells: map[string]goldenCell{"h.a": {Value: "6", Revision: 7}},
-			Groups: map[string]*goldenGroup{"h.": {Revision: 7, Floor: 5, Events: []goldenCellEvent{
+			Groups: map[string]*goldenLegacyGroup{"h.": {Revision: 7, Floor: 5, Events: []goldenCellEvent{
 				{Name: "h.b", Value: "5", Revision: 6, At: 26},
 				{Name: "h.a", Value: "6", Revision: 7, At: 27},
 			}}},
@@ -314,9 +314,8 @@
 	return b
 }
 
-// TestGoldenImage compares the image of a snapshot with a golden file in both
-// directions: the present code reads what was written before, and a reader of before
-// reads what the present code writes.
+// TestGoldenImage guards against changes of the snapshot format. The current code must
+// decode the golden file, and the golden types must decode what the current code writes.
 func TestGoldenImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image.gob", func() []byte { return goldenSnapshot(t, goldenStore(t)) })
 	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenStoreImage())
@@ -333,16 +332,16 @@
 	} {
 		goldentest.Same(t, what+", read as before", goldenDecode[goldenImage](t, data), goldenStoreImageForm())
 	}
-	goldentest.Complete(t, goldenStoreImage(), goldenGroupsImage())
-	goldentest.Complete(t, goldenStoreImageForm(), goldenGroupsImageForm())
+	goldentest.Complete(t, goldenStoreImage(), goldenLegacyGroupsImage())
+	goldentest.Complete(t, goldenStoreImageForm(), goldenLegacyGroupsImageForm())
 }
 
-// TestGoldenGroupsImage is TestGoldenImage for an image from before the feed, which is
-// only read.
-func TestGoldenGroupsImage(t *testing.T) {
-	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenGroupsImage()) })
-	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenGroupsImage())
-	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenGroupsImageForm())
+// TestGoldenLegacyGroupsImage guards against snapshots of versions without the event log
+// that can no longer be restored. The current code only reads that format.
+func TestGoldenLegacyGroupsImage(t *testing.T) {
+	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenLegacyGroupsImage()) })
+	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenLegacyGroupsImage())
+	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenLegacyGroupsImageForm())
 	s := NewStore()
 	if err := s.Restore(golden); err != nil {
 		t.Fatal(err)
@@ -350,12 +349,12 @@
 	events, revision, ok := s.Coordination().EventsSince("h.", 5)
 	want := []coordination.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
 	if goldentest.Same(t, "events", events, want); revision != 7 || !ok {
-		t.Errorf("revision %d, reaches back: %t", revision, ok)
+		t.Errorf("EventsSince returned revision %d and ok %t, want 7 and true", revision, ok)
 	}
 }
 
 func goldenCommands() []Command {
-	latched := func(c coordination.Command) Command { return Command{Coordination: &c} }
+	coordinationCommand := func(c coordination.Command) Command { return Command{Coordination: &c} }
 	return []Command{
 		{Txn: &Txn{}},
 		{Txn: &Txn{
@@ -366,13 +365,13 @@
 				{Key: "configuration/current", Value: []byte("\x00\x03\x01x"), IsDelta: true},
 			},
 		}},
-		latched(coordination.Command{Operation: coordination.AcquireLock, Name: "press", Holder: "holder-1", LeaseMS: 3000, ExpiredToken: 41, ExpiredGrant: 42}),
-		latched(coordination.Command{Operation: coordination.RenewLock, Name: "press", Holder: "holder-1", FencingToken: 43, LeaseMS: 3001}),
-		latched(coordination.Command{Operation: coordination.ReleaseLock, Name: "press", Holder: "holder-1", FencingToken: 44}),
-		latched(coordination.Command{Operation: coordination.NextNumber, Name: "orders"}),
-		latched(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "value-1", ExpectedRevision: 45, HasExpectedRevision: true}),
-		latched(coordination.Command{Operation: coordination.CompactHistory, CompactBefore: 460000}),
-		latched(coordination.Command{Operation: coordination.PutCell, Name: "name", Holder: "holder", Value: "value", FencingToken: 1, LeaseMS: 2, ExpiredToken: 3, ExpiredGrant: 4, ExpectedRevision: 5, HasExpectedRevision: true, CompactBefore: 6}),
+		coordinationCommand(coordination.Command{Operation: coordination.AcquireLock, Name: "press", Holder: "holder-1", LeaseMS: 3000, ExpiredToken: 41, ExpiredGrant: 42}),
+		coordinationCommand(coordination.Command{Operation: coordination.RenewLock, Name: "press", Holder: "holder-1", FencingToken: 43, LeaseMS: 3001}),
+		coordinationCommand(coordination.Command{Operation: coordination.ReleaseLock, Name: "press", Holder: "holder-1", FencingToken: 44}),
+		coordinationCommand(coordination.Command{Operation: coordination.NextNumber, Name: "orders"}),
+		coordinationCommand(coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "value-1", ExpectedRevision: 45, HasExpectedRevision: true}),
+		coordinationCommand(coordination.Command{Operation: coordination.CompactHistory, CompactBefore: 460000}),
+		coordinationCommand(coordination.Command{Operation: coordination.PutCell, Name: "name", Holder: "holder", Value: "value", FencingToken: 1, LeaseMS: 2, ExpiredToken: 3, ExpiredGrant: 4, ExpectedRevision: 5, HasExpectedRevision: true, CompactBefore: 6}),
 		{Audit: &audit.Batch{
 			Life: "life-1", Node: "p1", AtMS: 1700000000001, Dropped: 51, PerS: 52.5, Out: 53, Closed: true, Most: 54,
 			Records: []audit.Record{{Seq: 55, AtMS: 1700000000002, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: audit.Truncated, Status: 200, TookMS: 56}},
@@ -380,8 +379,8 @@
 	}
 }
 
-// TestGoldenCommands compares the commands of the log with a golden file, byte by byte
-// and field by field.
+// TestGoldenCommands guards against changes of the log encoding: the commands of the golden
+// file must be encoded to the same bytes and decoded to the same fields.
 func TestGoldenCommands(t *testing.T) {
 	want := goldenCommands()
 	golden := goldentest.File(t, "testdata/golden/commands.hex", func() []byte {
@@ -397,7 +396,7 @@
 	}
 	for i, line := range lines {
 		if got := fmt.Sprintf("%x", EncodeCommand(want[i])); got != line {
-			t.Errorf("command %d is written %s, want %s", i, got, line)
+			t.Errorf("command %d is encoded as %s, want %s", i, got, line)
 		}
 		data, err := hex.DecodeString(line)
 		if err != nil {
@@ -412,7 +411,8 @@
 	goldentest.Complete(t, want)
 }
 
-// TestGoldenDelta compares a delta with a golden file, byte by byte.
+// TestGoldenDelta guards against changes of the delta encoding, which the log stores: a
+// delta must equal the golden file byte by byte.
 func TestGoldenDelta(t *testing.T) {
 	item := func(name string) string { return `{"name":"` + name + `","address":"127.0.0.1:9001"}` }
 	before := "[" + item("first") + "," + item("second") + "," + item("third") + "]"
@@ -421,19 +421,19 @@
 		return fmt.Appendf(nil, "%x\n", ComputeDelta([]byte(before), []byte(after)))
 	})
 	if got := fmt.Sprintf("%x\n", ComputeDelta([]byte(before), []byte(after))); got != string(golden) {
-		t.Errorf("written %s, want %s", got, golden)
+		t.Errorf("delta is encoded as %s, want %s", got, golden)
 	}
 	data, err := hex.DecodeString(strings.TrimSpace(string(golden)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := ApplyDelta([]byte(before), data); err != nil || string(got) != after {
-		t.Errorf("patched %s, %v", got, err)
+		t.Errorf("ApplyDelta(golden) = %s, %v; want the new value", got, err)
 	}
 }
 
-// TestGoldenValues compares the values that the registry holds with a golden file,
-// byte by byte and field by field.
+// TestGoldenValues guards against changes of the stored object values: the values of the
+// golden file must be encoded to the same bytes and decoded to the same fields.
 func TestGoldenValues(t *testing.T) {
 	endpoints := []Endpoint{
 		{ID: "e1", Service: "payments", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Sequence: 21},
@@ -472,7 +472,7 @@
 	}
 	for i, line := range lines {
 		if got := fmt.Sprintf("%q", values[i]); got != line {
-			t.Errorf("value %d is written %s, want %s", i, got, line)
+			t.Errorf("value %d is encoded as %s, want %s", i, got, line)
 		}
 		var raw string
 		if _, err := fmt.Sscanf(line, "%q", &raw); err != nil {
@@ -496,13 +496,13 @@
 			goldentest.Same(t, o.Key, DecodeEvacuation(o), evacuations[i-4])
 		case i == 7:
 			if version, text, ok := DecodeConfig(o); version != 0x0102030405060708 || string(text) != goldenConfigText || !ok {
-				t.Errorf("configuration %x %s %t", version, text, ok)
+				t.Errorf("DecodeConfig = %x, %s, %t; want the golden configuration", version, text, ok)
 			}
 		}
 	}
 	goldentest.Complete(t, endpoints, proxies, evacuations, goldenDrainingEndpoint, goldenDeparture)
 
-	// Earlier versions wrote the state of a zone alone.
+	// Earlier versions wrote only the state of a zone.
 	for value, want := range map[string]Evacuation{
 		"":             {},
 		"evacuated":    {BeginCount: 1, BeginAcknowledged: true},
@@ -511,14 +511,14 @@
 	} {
 		goldentest.Same(t, value, DecodeEvacuation(Object{Value: []byte(value)}), want)
 	}
-	// What the golden image holds is what the present code writes.
+	// The values in the golden image must equal what the current code writes.
 	for text, got := range map[string][]byte{
-		goldenEndpointText: Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, WarmUpSeconds: 2.5, WarmingUp: true}.Encode(),
-		goldenProxyText:    Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
-		goldenEvacText:     Evacuation{BeginCount: 3, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true}.Encode(),
+		goldenEndpointText:   Endpoint{ID: "e1", Service: "payments", Version: "v1", Address: "127.0.0.1:9001", Zone: "zone-a", Capacity: 8, Draining: true, Sequence: 21, WarmUpSeconds: 2.5, WarmingUp: true}.Encode(),
+		goldenProxyText:      Proxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-a", Leaving: true, Weight: 1.5}.Encode(),
+		goldenEvacuationText: Evacuation{BeginCount: 3, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true}.Encode(),
 	} {
 		if string(got) != text {
-			t.Errorf("written %s, want %s", got, text)
+			t.Errorf("value is encoded as %s, want %s", got, text)
 		}
 	}
 	for name, got := range map[string]string{
@@ -526,23 +526,23 @@
 		"rollouts/": RolloutPrefix, "accepted/": AcceptedConfigPrefix, "configuration/current": ConfigKey,
 	} {
 		if got != name {
-			t.Errorf("key %q, want %q", got, name)
+			t.Errorf("key or prefix is %q, want %q", got, name)
 		}
 	}
 }
 
-// What came later than the other values.
+// Values whose fields are newer than the golden file.
 var (
 	goldenDrainingEndpoint = Endpoint{ID: "e3", Service: "payments", Address: "127.0.0.1:9003", Zone: "zone-a", Capacity: 7, Draining: true, Sequence: 32, RegisteredSequence: 31}
 	goldenDeparture        = Departure{RegisteredSequence: 31}
 )
 
-// TestGoldenDeparture compares the later values with their text. An endpoint and a marker of before have
-// no sequence of the registration.
+// TestGoldenDeparture guards against changes of the values that are newer than the golden
+// file. Endpoints and departures written by earlier versions have no RegisteredSequence.
 func TestGoldenDeparture(t *testing.T) {
 	const endpointText = `{"id":"e3","service":"payments","address":"127.0.0.1:9003","zone":"zone-a","capacity":7,"draining":true,"sequence":32,"registered":31}`
 	if got := string(goldenDrainingEndpoint.Encode()); got != endpointText {
-		t.Errorf("endpoint written %s", got)
+		t.Errorf("endpoint is encoded as %s, want endpointText", got)
 	}
 	got, err := DecodeEndpoint(Object{Value: []byte(endpointText)})
 	if err != nil {
@@ -551,7 +551,7 @@
 	goldentest.Same(t, "endpoint", got, goldenDrainingEndpoint)
 	const departureText = `{"registered":31}`
 	if got := string(goldenDeparture.Encode()); got != departureText {
-		t.Errorf("departure written %s", got)
+		t.Errorf("departure is encoded as %s, want departureText", got)
 	}
 	for text, want := range map[string]Departure{departureText: goldenDeparture, "{}": {}, "": {}} {
 		goldentest.Same(t, "departure "+text, DecodeDeparture(Object{Value: []byte(text)}), want)
--- a/registry/store_test.go
+++ b/registry/store_test.go
@@ -12,14 +12,14 @@
 	"lichentray/registry"
 )
 
-// TestStoreMatchesMapModel compares the store with a map that is copied whole for
-// every transaction.
+// TestStoreMatchesMapModel guards against partially applied transactions and wrong
+// revisions. It compares the store with a map that is copied for every transaction.
 func TestStoreMatchesMapModel(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		s := registry.NewStore()
 		model := map[string]registry.Object{}
-		rev := uint64(0)
+		revision := uint64(0)
 		for step := range 500 {
 			txn := &registry.Txn{}
 			for range r.Intn(3) {
@@ -40,20 +40,20 @@
 			}
 			want := 0
 			if ok {
-				rev++
+				revision++
 				next := map[string]registry.Object{}
 				for k, o := range model {
 					next[k] = o
 				}
 				for _, w := range txn.Then {
-					old, had := model[w.Key]
+					old, exists := model[w.Key]
 					switch {
-					case w.IsDelete && had:
+					case w.IsDelete && exists:
 						delete(next, w.Key)
 						want++
 					case !w.IsDelete:
-						o := registry.Object{Key: w.Key, Value: w.Value, CreateRevision: rev, ModRevision: rev}
-						if had {
+						o := registry.Object{Key: w.Key, Value: w.Value, CreateRevision: revision, ModRevision: revision}
+						if exists {
 							o.CreateRevision = old.CreateRevision
 						}
 						next[w.Key] = o
@@ -67,8 +67,8 @@
 				t.Fatal(err)
 			}
 			res, events := s.Apply(cmd)
-			if res.Conflict == ok || res.Revision != rev || len(events) != want {
-				t.Fatalf("seed %d step %d: %+v with %d events; the model says success %v at %d with %d", seed, step, res, len(events), ok, rev, want)
+			if res.Conflict == ok || res.Revision != revision || len(events) != want {
+				t.Fatalf("seed %d, step %d: Apply = %+v with %d events; want success %v at revision %d with %d events", seed, step, res, len(events), ok, revision, want)
 			}
 			if step%97 == 0 {
 				data, err := s.Snapshot()
@@ -81,9 +81,9 @@
 				}
 			}
 			for k := range used {
-				got, had := s.Get(k)
-				if w, ok := model[k]; had != ok || (ok && !reflect.DeepEqual(got, w)) {
-					t.Fatalf("seed %d step %d: %s is %+v, the model says %+v", seed, step, k, got, w)
+				got, exists := s.Get(k)
+				if w, ok := model[k]; exists != ok || (ok && !reflect.DeepEqual(got, w)) {
+					t.Fatalf("seed %d, step %d: Get(%q) = %+v, want %+v", seed, step, k, got, w)
 				}
 			}
 		}
@@ -102,14 +102,14 @@
 		}
 		again, err := registry.DecodeCommand(registry.EncodeCommand(c))
 		if err != nil || !reflect.DeepEqual(formatCommand(c), formatCommand(again)) {
-			t.Fatalf("%+v became %+v, %v", c, again, err)
+			t.Fatalf("command %+v was decoded as %+v, %v after encoding", c, again, err)
 		}
 	})
 }
 
 func formatCommand(c registry.Command) string { return fmt.Sprintf("%+v %+v", c.Txn, c.Coordination) }
 
-// simulatedStore is the state machine of a simulated node: a store and its lease timers.
+// simulatedStore is the state machine of a simulated node: a store with its lease timers.
 type simulatedStore struct {
 	store  *registry.Store
 	clock  func() time.Duration
@@ -117,38 +117,39 @@
 }
 
 func newSimulatedStore(clock func() time.Duration) *simulatedStore {
-	g := &simulatedStore{store: registry.NewStore(), clock: clock}
-	g.leases.Restart(clock(), nil)
-	return g
+	s := &simulatedStore{store: registry.NewStore(), clock: clock}
+	s.leases.Restart(clock(), nil)
+	return s
 }
 
-func (g *simulatedStore) Apply(index uint64, data []byte) any {
+func (s *simulatedStore) Apply(index uint64, data []byte) any {
 	c, err := registry.DecodeCommand(data)
 	if err != nil {
 		return nil
 	}
-	res, _ := g.store.Apply(c)
+	res, _ := s.store.Apply(c)
 	if l := c.Coordination; l != nil {
-		g.leases.Update(g.clock(), index, l, res.Latch, g.store.Coordination().Locks)
+		s.leases.Update(s.clock(), index, l, res.Latch, s.store.Coordination().Locks)
 	}
 	return res
 }
-func (g *simulatedStore) Snapshot() []byte { b, _ := g.store.Snapshot(); return b }
-func (g *simulatedStore) Restore(b []byte) {
-	_ = g.store.Restore(b)
-	g.leases.Restart(g.clock(), g.store.Coordination().Locks)
+func (s *simulatedStore) Snapshot() []byte { b, _ := s.store.Snapshot(); return b }
+func (s *simulatedStore) Restore(b []byte) {
+	_ = s.store.Restore(b)
+	s.leases.Restart(s.clock(), s.store.Coordination().Locks)
 }
 
-// TestCoordinationIsLinearizable records what callers of locks, sequences and cells see
-// while faults are injected, and checks it against what a single copy would allow.
+// TestCoordinationIsLinearizable guards against stale reads, reused sequence numbers or
+// fencing tokens, and locks with two holders while faults are injected. It checks each
+// answer against the answers that were given before the call was sent.
 func TestCoordinationIsLinearizable(t *testing.T) {
 	for seed := int64(1); seed <= 25; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runHistory(t, seed) })
 	}
 }
 
-// injectFault does one of several things to a node with one draw out of draws, which may
-// also do nothing.
+// injectFault injects one of several faults at a node, heals the cluster or does nothing,
+// depending on a random number below draws.
 func injectFault(c *rafttest.Cluster, id uint64, draws int) {
 	switch c.Rand.Intn(draws) {
 	case 0:
@@ -179,26 +180,26 @@
 		})
 	})
 	c.Run(time.Second)
-	var topNumber, topToken uint64  // the greatest answered so far
-	ackedPut := map[string]uint64{} // newest revision acknowledged, by key
-	valueAt := map[string]string{}  // group/revision to value
+	var highestNumber, highestToken uint64 // in the answers so far
+	ackedRevision := map[string]uint64{}   // newest acknowledged revision by key
+	valueAt := map[string]string{}         // value by group/revision
 	type holding struct {
 		holder    string
 		token     uint64
 		expiresAt time.Duration
 	}
 	holders := map[string]holding{}
-	owner := map[uint64]string{}
-	do := func(cmd *coordination.Command, done func(coordination.Result)) {
-		for _, id := range c.IDs() { // any node that believes that it leads
+	holderByToken := map[uint64]string{}
+	propose := func(cmd *coordination.Command, done func(coordination.Result)) {
+		for _, id := range c.IDs() { // any node that considers itself the leader
 			n := c.Nodes[id]
 			if !c.IsUp(id) || n.Raft.Role().String() != "leader" || c.Rand.Intn(3) == 0 {
 				continue
 			}
-			g := n.StateMachine.(*simulatedStore)
-			prepared, _ := g.leases.Prepare(c.Now, cmd, g.store.Coordination().Locks)
+			state := n.StateMachine.(*simulatedStore)
+			prepared, _ := state.leases.Prepare(c.Now, cmd, state.store.Coordination().Locks)
 			c.Propose(id, registry.EncodeCommand(registry.Command{Coordination: prepared}), func(res any, ok bool) {
-				if r, is := res.(registry.Result); ok && is {
+				if r, isResult := res.(registry.Result); ok && isResult {
 					done(r.Latch)
 				}
 			})
@@ -213,56 +214,56 @@
 			key := fmt.Sprintf("g.%d", c.Rand.Intn(3))
 			switch c.Rand.Intn(4) {
 			case 0:
-				floor := topNumber
-				do(&coordination.Command{Operation: coordination.NextNumber, Name: "n"}, func(r coordination.Result) {
+				floor := highestNumber
+				propose(&coordination.Command{Operation: coordination.NextNumber, Name: "n"}, func(r coordination.Result) {
 					if r.Value <= floor {
-						t.Errorf("number %d was given although %d had been given before the call", r.Value, floor)
+						t.Errorf("NextNumber returned %d although %d was returned before the call", r.Value, floor)
 					}
-					topNumber = max(topNumber, r.Value)
+					highestNumber = max(highestNumber, r.Value)
 				})
 			case 1:
 				who := fmt.Sprint("h", c.Rand.Intn(4))
-				floor := topToken
-				do(&coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: who, LeaseMS: 200}, func(r coordination.Result) {
+				floor := highestToken
+				propose(&coordination.Command{Operation: coordination.AcquireLock, Name: "l", Holder: who, LeaseMS: 200}, func(r coordination.Result) {
 					if r.Code != coordination.OK {
 						return
 					}
-					end := sentAt + 200*time.Millisecond
-					// An old leader may report a grant late. There is a second holder only if
-					// that grant is no older than the present one, or its lease still runs.
+					expiresAt := sentAt + 200*time.Millisecond
+					// A former leader may report a grant late. There are two holders only if
+					// that grant is not older than the current one or its lease has not expired.
 					h := holders["l"]
-					late := r.Fence < h.token && end <= c.Now
-					if h.holder != who && h.holder != "" && c.Now < h.expiresAt && !late {
-						t.Errorf("%s has the lock until %v, %s got it at %v", h.holder, h.expiresAt, who, c.Now)
-					} else if o, given := owner[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
-						t.Errorf("fencing token %d does not exceed %d", r.Fence, floor)
+					isLateAnswer := r.Fence < h.token && expiresAt <= c.Now
+					if h.holder != who && h.holder != "" && c.Now < h.expiresAt && !isLateAnswer {
+						t.Errorf("%s holds the lock until %v, but %s acquired it at %v", h.holder, h.expiresAt, who, c.Now)
+					} else if o, given := holderByToken[r.Fence]; (given && o != who) || (!given && r.Fence <= floor) {
+						t.Errorf("fencing token %d does not exceed %d or was issued to another holder", r.Fence, floor)
 					}
-					owner[r.Fence] = who
-					topToken = max(topToken, r.Fence)
-					if end > c.Now {
-						holders["l"] = holding{who, r.Fence, end}
+					holderByToken[r.Fence] = who
+					highestToken = max(highestToken, r.Fence)
+					if expiresAt > c.Now {
+						holders["l"] = holding{who, r.Fence, expiresAt}
 					}
 				})
 			case 2:
 				v := fmt.Sprint(round, "-", k)
-				floor := ackedPut[key]
-				do(&coordination.Command{Operation: coordination.PutCell, Name: key, Value: v}, func(r coordination.Result) {
+				floor := ackedRevision[key]
+				propose(&coordination.Command{Operation: coordination.PutCell, Name: key, Value: v}, func(r coordination.Result) {
 					if r.Revision <= floor {
-						t.Errorf("put got revision %d, not above %d", r.Revision, floor)
+						t.Errorf("put returned revision %d, want more than %d", r.Revision, floor)
 					}
 					at := fmt.Sprint("g/", r.Revision)
-					if was, ok := valueAt[at]; ok && was != v {
-						t.Errorf("revision %d has two values", r.Revision)
+					if previous, ok := valueAt[at]; ok && previous != v {
+						t.Errorf("revision %d was assigned to two values", r.Revision)
 					}
 					valueAt[at] = v
-					ackedPut[key] = max(ackedPut[key], r.Revision)
+					ackedRevision[key] = max(ackedRevision[key], r.Revision)
 				})
 			case 3:
-				floor := ackedPut[key]
+				floor := ackedRevision[key]
 				n := c.Nodes[id]
 				c.Read(id, func(ok bool) {
 					if cell := n.StateMachine.(*simulatedStore).store.Coordination().Cells[key]; ok && cell.Revision < floor {
-						t.Errorf("read of %s at revision %d, although %d was acknowledged before it", key, cell.Revision, floor)
+						t.Errorf("read of %s returned revision %d, although revision %d was acknowledged before", key, cell.Revision, floor)
 					}
 				})
 			}
@@ -272,8 +273,8 @@
 			t.Fatal(c.Violation)
 		}
 	}
-	if topNumber == 0 || topToken == 0 || len(ackedPut) == 0 {
-		t.Errorf("nothing was answered: number %d, fencing token %d, puts %v", topNumber, topToken, ackedPut)
+	if highestNumber == 0 || highestToken == 0 || len(ackedRevision) == 0 {
+		t.Errorf("calls of some kind were never answered: highest number %d, highest fencing token %d, acknowledged puts %v", highestNumber, highestToken, ackedRevision)
 	}
 }
 
