--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -11,7 +11,7 @@
 	"lichentray/routing"
 )
 
-// resync applies every object of the mirror, as after a list.
+// resync applies every object of the mirror. It is called after a list.
 func (p *Proxy) resync() {
 	objects := p.mirror.Objects()
 	for key, o := range objects {
@@ -19,9 +19,9 @@
 			p.applyObject(o, false)
 		}
 	}
-	p.forgetZoneStates(objects)
-	p.forgetRollouts(objects)
-	// After the endpoints, so that no request meets routes without them.
+	p.reactivateZones(objects)
+	p.clearRollouts(objects)
+	// Applied after the endpoints, so that no route is visible before its endpoints.
 	if o, ok := objects[registry.ConfigKey]; ok {
 		p.applyConfig(o)
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-// forgetZoneStates makes active the zones for which the registry holds no evacuation.
-func (p *Proxy) forgetZoneStates(objects map[string]registry.Object) {
+// reactivateZones sets the zones without an evacuation in the registry to active.
+func (p *Proxy) reactivateZones(objects map[string]registry.Object) {
 	for zone := range p.zoneStates {
 		if _, ok := objects[registry.EvacuationPrefix+zone]; !ok {
 			p.setZoneState(zone, loadbalance.ZoneActive)
@@ -42,8 +42,8 @@
 	}
 }
 
-// forgetRollouts resets the services for which the registry holds no roll-out.
-func (p *Proxy) forgetRollouts(objects map[string]registry.Object) {
+// clearRollouts clears the roll-out of services that have none in the registry.
+func (p *Proxy) clearRollouts(objects map[string]registry.Object) {
 	for name, s := range p.services {
 		if _, ok := objects[registry.RolloutPrefix+name]; !ok && s.rollout.Base != "" {
 			p.setRollout(s, rollout.Rollout{})
@@ -51,8 +51,8 @@
 	}
 }
 
-// applyEvents applies changes in order. If one does not continue the mirror's revision, the
-// mirror is invalidated, so that the registry is listed again.
+// applyEvents applies events in order. If an event does not follow the mirror's revision,
+// applyEvents invalidates the mirror, so that the registry is listed again.
 func (p *Proxy) applyEvents(events []registry.Event) error {
 	for _, e := range events {
 		if err := p.applyEvent(e); err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// applyEvent applies one change.
+// applyEvent applies one event to the mirror and to the services or routes.
 func (p *Proxy) applyEvent(e registry.Event) error {
 	changed, err := p.mirror.ApplyEvent(e)
 	if err != nil || !changed {
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// applyObject applies an object's new state. isLive is true if the change has just
-// happened, and false if the object comes from a list.
-func (p *Proxy) applyObject(o registry.Object, isLive bool) {
+// applyObject applies an object's new state. isWatchEvent is true if the object comes from a
+// watch event, so the change is recent, and false if it comes from a list.
+func (p *Proxy) applyObject(o registry.Object, isWatchEvent bool) {
 	if o.Key == registry.ConfigKey {
 		p.applyConfig(o)
 		return
@@ -92,7 +92,7 @@
 		p.applyRollout(name, o)
 		return
 	}
-	p.applyEndpoint(o, isLive)
+	p.applyEndpoint(o, isWatchEvent)
 }
 
 // deleteObject applies the deletion of an object.
@@ -116,7 +116,7 @@
 	p.setZoneState(zone, state)
 }
 
-// setZoneState sets how a zone is used.
+// setZoneState sets a zone's state, also for all services.
 func (p *Proxy) setZoneState(zone string, state loadbalance.ZoneState) {
 	if p.zoneStates[zone] == state {
 		return
@@ -132,16 +132,16 @@
 	p.log.Info("zone state changed", "zone", zone, "state", state)
 }
 
-// applyEndpoint applies an endpoint's state. Only one that has just changed may be warming
-// up: of others it is not known for how long.
-func (p *Proxy) applyEndpoint(o registry.Object, isLive bool) {
+// applyEndpoint applies an endpoint's state. Only an endpoint from a watch event gets a
+// warm-up time: for one from a list, the remaining time is not known.
+func (p *Proxy) applyEndpoint(o registry.Object, isWatchEvent bool) {
 	e, err := registry.DecodeEndpoint(o)
 	if err != nil {
-		p.log.Error("endpoint is unreadable", "key", o.Key, "error", err)
+		p.log.Error("cannot decode endpoint", "key", o.Key, "error", err)
 		return
 	}
 	warmUp := time.Duration(0)
-	if isLive {
+	if isWatchEvent {
 		warmUp = time.Duration(e.WarmUpSeconds * float64(time.Second))
 	}
 	p.ensureService(e.Service).upsertEndpoint(p.now(), loadbalance.EndpointSpec{
@@ -156,8 +156,8 @@
 	}, warmUp)
 }
 
-// applyConfig compiles a configuration and replaces the routing snapshot. An older version
-// than that in force is ignored.
+// applyConfig compiles a configuration and replaces the routing snapshot. It ignores a version
+// that is not newer than the current one.
 func (p *Proxy) applyConfig(o registry.Object) {
 	_, text, ok := registry.DecodeConfig(o)
 	if !ok {
@@ -165,7 +165,7 @@
 	}
 	c, err := config.DecodeValidated(text)
 	if err != nil {
-		p.log.Error("configuration is unreadable, the present one is kept", "error", err)
+		p.log.Error("cannot decode configuration; keeping the current one", "error", err)
 		return
 	}
 	old := p.snapshot.Load()
@@ -177,11 +177,11 @@
 		close(p.firstConfig)
 	}
 	p.counters.configVersion.Set(int64(c.Version))
-	p.log.Info("configuration in force", "version", c.Version)
+	p.log.Info("configuration applied", "version", c.Version)
 }
 
-// newSnapshot returns the snapshot of a route table. It sets the table's limits at the
-// services, and keeps the statistics of routes that old has too. old may be nil.
+// newSnapshot returns the snapshot of a route table. It applies the table's limits to the
+// services and reuses the statistics of routes that exist in old. old may be nil.
 func (p *Proxy) newSnapshot(table *routing.Table, old *routingSnapshot) *routingSnapshot {
 	stats := map[string]*routeStats{}
 	if old != nil {
@@ -207,8 +207,8 @@
 	return snapshot
 }
 
-// setProxyCount sets how many proxy nodes there are, which share the slack of the retry
-// budgets and the connections.
+// setProxyCount sets the number of proxy nodes, which share the slack of the retry budgets
+// and the connections. It ignores counts below 1.
 func (p *Proxy) setProxyCount(n int) {
 	if n < 1 || p.proxyCount.Swap(int64(n)) == int64(n) {
 		return
@@ -218,7 +218,7 @@
 	}
 }
 
-// applyProxyCount sets the number of proxy nodes at a service, once it is known.
+// applyProxyCount sets the number of proxy nodes on a service, if that number is known.
 func (p *Proxy) applyProxyCount(s *service) {
 	if n := int(p.proxyCount.Load()); n >= 1 {
 		s.setProxyCount(n, p.settings.Bounds.RetryBudgetSlack)
--- a/internal/proxy/apply_test.go
+++ b/internal/proxy/apply_test.go
@@ -9,8 +9,8 @@
 	"lichentray/registry"
 )
 
-// TestDrainingEndpointGetsNoRequests: neither first attempts nor retries go to a draining endpoint,
-// and an older configuration does not replace a newer one.
+// TestDrainingEndpointGetsNoRequests checks that a draining endpoint receives no requests, and that
+// an older configuration does not replace a newer one.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	a, b := newStubEndpoint(t, func(int, string) string { return okResponse("x") }), newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 	p, addr := startProxy(t, a, b)
@@ -20,17 +20,17 @@
 		sendRaw(t, addr, getRequest("/safe/a"), 1)
 	}
 	if len(a.requests()) != 0 || len(b.requests()) != 30 {
-		t.Errorf("draining endpoint got %d requests, the other %d", len(a.requests()), len(b.requests()))
+		t.Errorf("draining endpoint received %d requests, the other one %d; want 0 and 30", len(a.requests()), len(b.requests()))
 	}
 	old := strings.Replace(strings.Replace(testConfig, `"config_version":3`, `"config_version":2`, 1), "/safe/", "/other/", 1)
 	p.applyObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), old...)}, true)
 	if s := statusOf(sendRaw(t, addr, getRequest("/safe/a"), 1)); s != 200 {
-		t.Errorf("an older configuration is in force: %d", s)
+		t.Errorf("status after applying an older configuration = %d, want 200", s)
 	}
 }
 
-// TestAllowedRegionsAndEvacuatedZones: a request goes to allowed regions only, and to no evacuated
-// zone. Where that leaves no endpoint it is rejected as not executed.
+// TestAllowedRegionsAndEvacuatedZones checks that requests are sent only to allowed regions and not
+// to evacuated zones, and are rejected as not executed if that leaves no endpoint.
 func TestAllowedRegionsAndEvacuatedZones(t *testing.T) {
 	near := newStubEndpoint(t, func(int, string) string { return okResponse("near") })
 	far := newStubEndpoint(t, func(int, string) string { return okResponse("far") })
@@ -51,11 +51,11 @@
 		for range 5 {
 			rs := sendRaw(t, addr, postRequest("/once/a"), 1)
 			if len(rs) != 1 {
-				t.Fatal("no answer")
+				t.Fatal("no response")
 			}
 			body, _ := io.ReadAll(rs[0].Body)
 			if got := fmt.Sprint(rs[0].StatusCode, " ", string(body)); !strings.HasPrefix(got, want) {
-				t.Fatalf("homes %q: %s, want %s", regions, got, want)
+				t.Fatalf("allowed regions %q: response %q, want prefix %q", regions, got, want)
 			}
 		}
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,24 +8,24 @@
 	"lichentray/loadbalance"
 )
 
-// maxBufferedResponse is the longest body of a response in bytes that is buffered, so that
-// it can be requested again if it breaks off. Longer ones are relayed as they arrive: on a
-// slow link, receiving the body before sending it would double the latency.
-const maxBufferedResponse = 32 << 10
+// maxBufferedResponseBytes is the size of the longest response body that is buffered before it
+// is relayed, so that the request can be retried if the body is truncated. Longer bodies are
+// streamed: on a slow link, receiving the whole body before sending it would double the latency.
+const maxBufferedResponseBytes = 32 << 10
 
-// errDeadlineExceeded means that the deadline expired before anything was sent.
+// errDeadlineExceeded means that the deadline expired before any byte of the request was sent.
 var errDeadlineExceeded = errors.New("proxy: deadline exceeded")
 
-// target is where an attempt goes.
-type target struct {
+// attemptTarget is the endpoint that an attempt uses, with its connection pool and recorder.
+type attemptTarget struct {
 	endpoint *loadbalance.Endpoint
 	conns    *connPool
 	group    loadbalance.VersionGroup
-	watch    *attemptWatch
+	recorder *rolloutRecorder
 }
 
-// attempt sends the request to an endpoint and reads its response.
-func (f *forwarding) attempt(t target) outcome {
+// attempt sends the request to an endpoint, reads the response and measures the duration.
+func (f *forwarding) attempt(t attemptTarget) outcome {
 	startedAt := time.Now()
 	o := f.exchange(t, startedAt)
 	o.took = time.Since(startedAt)
@@ -33,9 +33,9 @@
 	return o
 }
 
-// exchange sends the request on a connection to the endpoint and reads its response, and
-// then keeps the connection for another request or closes it.
-func (f *forwarding) exchange(t target, now time.Time) outcome {
+// exchange sends the request on a connection to the endpoint and reads the response. It then
+// returns the connection to the pool or closes it.
+func (f *forwarding) exchange(t attemptTarget, now time.Time) outcome {
 	deadline := f.request.deadline
 	if !now.Before(deadline) {
 		return outcome{phase: phaseDialing, err: errDeadlineExceeded}
@@ -45,7 +45,7 @@
 		return outcome{phase: phaseDialing, err: err}
 	}
 	if !conn.isReused() {
-		now = conn.idleSince // it took time to connect
+		now = conn.idleSince // dialing took time
 	}
 	if !now.Before(deadline) {
 		t.conns.put(conn) // nothing was sent on it
@@ -58,7 +58,7 @@
 	}
 	o := f.roundTrip(conn, t.endpoint.ID, now)
 	if o.phase == phaseStreaming {
-		client.allowBreakOff()
+		client.makeCancelable()
 	} else if client.detach() {
 		conn.close()
 		return outcome{phase: max(phasePartlySent, min(o.phase, phaseSent)), err: errClientAborted}
@@ -76,10 +76,10 @@
 	return o
 }
 
-// connect takes an idle connection to an endpoint, or dials one. A request without an id
-// needs a new connection: on a reused one its response could not be told from an
-// excess response to an earlier request.
-func (f *forwarding) connect(t target, now time.Time) (*upstreamConn, error) {
+// connect takes an idle connection to an endpoint from the pool, or dials a new one. A request
+// without an id needs a new connection: on a reused one, its response could not be
+// distinguished from an excess response to an earlier request.
+func (f *forwarding) connect(t attemptTarget, now time.Time) (*upstreamConn, error) {
 	p := f.proxy
 	if len(f.request.attemptID) > 0 {
 		if conn := t.conns.get(now, f.service.idleLimit(p.now())); conn != nil {
@@ -97,24 +97,24 @@
 	return conn, nil
 }
 
-// roundTrip sends the request on a connection and reads the response, up to its end or to
-// a long body.
-func (f *forwarding) roundTrip(conn *upstreamConn, endpoint string, now time.Time) outcome {
-	sent, err := f.send(conn, endpoint, now)
+// roundTrip sends the request on a connection and reads the response. If the body is long, it
+// reads only the head and leaves the body to be streamed.
+func (f *forwarding) roundTrip(conn *upstreamConn, endpointID string, now time.Time) outcome {
+	sent, err := f.send(conn, endpointID, now)
 	if sent == phaseUnsent || err != nil && !isConnectionClosed(err) {
 		return outcome{phase: sent, err: err}
 	}
-	// An endpoint that responds early may close the connection before it has read all. Its
-	// response can still be read.
+	// An endpoint that responds early may close the connection before it has read the whole
+	// request. Its response can still be read.
 	return f.receive(conn, sent, err)
 }
 
 // send sends the request. The phase is phaseSent if there is no error.
-func (f *forwarding) send(conn *upstreamConn, endpoint string, now time.Time) (phase, error) {
+func (f *forwarding) send(conn *upstreamConn, endpointID string, now time.Time) (phase, error) {
 	q, pacer := f.request, f.proxy.pacer
 	buf := headBuffers.Get().(*[]byte)
 	defer headBuffers.Put(buf)
-	b := q.appendHead((*buf)[:0], endpoint, q.deadline.Sub(now))
+	b := q.appendHead((*buf)[:0], endpointID, q.deadline.Sub(now))
 	isPaced := len(q.body) >= minPacedSize && pacer.isEnabled()
 	if !isPaced {
 		b = append(b, q.body...)
@@ -141,7 +141,8 @@
 	return phaseSent, nil
 }
 
-// receive reads the response to a request that was sent, or sent in part with an error.
+// receive reads the response to a request. sendErr is the error that interrupted sending it,
+// if any.
 func (f *forwarding) receive(conn *upstreamConn, sent phase, sendErr error) outcome {
 	if _, err := conn.reader.Peek(1); err != nil {
 		if sendErr != nil {
@@ -149,7 +150,7 @@
 		}
 		return outcome{phase: sent, err: err}
 	}
-	resp, err := readResponse(conn.reader, f.request.isHead, maxBufferedResponse)
+	resp, err := readResponse(conn.reader, f.request.isHead, maxBufferedResponseBytes)
 	if err != nil {
 		return outcome{phase: incompletePhase(resp, err), err: err}
 	}
@@ -161,8 +162,8 @@
 	return o
 }
 
-// recycleConnection keeps a connection for the next request, if it can be used again
-// after a response.
+// recycleConnection returns a connection to the pool if it can be reused after resp, and
+// closes it otherwise.
 func (p *Proxy) recycleConnection(conns *connPool, conn *upstreamConn, resp *response) {
 	if !resp.isReusable || conn.reader.Buffered() > 0 {
 		conn.close()
@@ -170,7 +171,7 @@
 	}
 	keepAlive := p.timeouts.defaultKeepAlive
 	if resp.keepAlive > 0 {
-		// It must not be used at the moment at which the endpoint closes it.
+		// The connection expires early, so that it is not reused just as the endpoint closes it.
 		keepAlive = resp.keepAlive - min(resp.keepAlive/2, time.Second)
 	}
 	conn.idleSince = time.Now()
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// maxAuditBatch bounds how many records are sent in one batch.
-	maxAuditBatch = 200
-	// auditIdleInterval is how often a batch is sent when there are no records.
+	// maxAuditBatchRecords is the maximum number of records in a batch.
+	maxAuditBatchRecords = 200
+	// auditIdleInterval is the interval between batches while there are no records.
 	auditIdleInterval = 5 * time.Second
-	// maxAuditText bounds in bytes what a record holds of a client's header.
-	maxAuditText = 128
-	// requestRateDecay is what is left of the highest rate of requests after one batch.
-	requestRateDecay = 0.9
-	// minRateSeconds is the shortest time over which the rate of requests is measured.
-	minRateSeconds = 0.1
+	// maxAuditTextBytes is the maximum length of a client's header value in a record.
+	maxAuditTextBytes = 128
+	// requestRateDecayFactor is the factor by which the peak request rate decays with each batch.
+	requestRateDecayFactor = 0.9
+	// minRatePeriodSeconds is the shortest period over which the request rate is computed.
+	minRatePeriodSeconds = 0.1
 )
 
-// auditRecorder keeps this node's records for the audit log until the control plane has
-// acknowledged them. It is safe for concurrent use. A nil auditRecorder records nothing.
+// auditRecorder buffers this node's audit records until the control plane acknowledges them.
+// It is safe for concurrent use. A nil auditRecorder records nothing.
 type auditRecorder struct {
 	settings *settings.Audit
-	// incarnation names this start of the node.
+	// incarnation identifies this run of the process.
 	incarnation string
-	// isRegistered: the audit log knows this incarnation. Until then the node takes no
-	// requests, so that no incarnation can forward some that the log does not know of.
+	// isRegistered is set once the audit log has acknowledged this incarnation. Until then the
+	// node is not ready, so that no requests are forwarded by an incarnation that the log does
+	// not know.
 	isRegistered atomic.Bool
 
 	mu                sync.Mutex
@@ -45,14 +46,14 @@
 	requestsSinceSent int64
 	requestsPerSecond float64
 	inFlight          int
-	// isClosed: the control plane has acknowledged every record and the end of this
+	// isClosed is set once the control plane has acknowledged every record and the end of this
 	// incarnation.
 	isClosed bool
 
 	recordsTotal, recordsPending, recordsDropped *metrics.Counter
 }
 
-// newAuditRecorder returns a recorder; nil if the settings ask for no audit log.
+// newAuditRecorder returns a recorder, or nil if the settings configure no audit log.
 func newAuditRecorder(set *settings.Settings, registry *metrics.Registry) *auditRecorder {
 	if set.Audit == nil {
 		return nil
@@ -70,10 +71,10 @@
 	}
 }
 
-// isReady reports whether requests may be taken as far as the audit log is concerned.
+// isReady reports whether the audit log permits this node to accept requests.
 func (a *auditRecorder) isReady() bool { return a == nil || a.isRegistered.Load() }
 
-// requestStarted counts a request.
+// requestStarted counts a request as in flight.
 func (a *auditRecorder) requestStarted() {
 	if a == nil {
 		return
@@ -84,7 +85,7 @@
 	a.inFlight++
 }
 
-// requestFinished counts a request as handled.
+// requestFinished counts a request as no longer in flight.
 func (a *auditRecorder) requestFinished() {
 	if a == nil {
 		return
@@ -94,7 +95,7 @@
 	a.inFlight--
 }
 
-// record keeps one record of a client's attempt. route is empty where none was matched.
+// record appends a record of a client's attempt. route is empty if no route was matched.
 func (a *auditRecorder) record(h *fasthttp.RequestHeader, route string, kind audit.Kind, status int, startedAt time.Time) {
 	if a == nil {
 		return
@@ -105,9 +106,9 @@
 	defer a.mu.Unlock()
 	a.buffer.Append(audit.Record{
 		AtMS:    now.UnixMilli(),
-		Tenant:  a.tenantOf(h),
+		Tenant:  a.tenant(h),
 		Route:   route,
-		Request: truncate(a.requestOf(h, attempt)),
+		Request: truncate(a.requestID(h, attempt)),
 		Attempt: truncate(attempt),
 		Kind:    kind,
 		Status:  status,
@@ -116,9 +117,9 @@
 	a.recordsTotal.Inc()
 }
 
-// requestOf is the id of the request that an attempt belongs to: from the header that the
-// settings name, else the attempt's own.
-func (a *auditRecorder) requestOf(h *fasthttp.RequestHeader, attempt string) string {
+// requestID returns the id of the request that an attempt belongs to: the value of the header
+// named in the settings, or else the attempt's id.
+func (a *auditRecorder) requestID(h *fasthttp.RequestHeader, attempt string) string {
 	if a.settings.RequestHeader == "" {
 		return attempt
 	}
@@ -128,9 +129,9 @@
 	return attempt
 }
 
-// tenantOf is whose a request is: by its host, as the settings name it, else by the header
-// that they name, else settings.Audit.UnknownTenant.
-func (a *auditRecorder) tenantOf(h *fasthttp.RequestHeader) string {
+// tenant returns the tenant of a request: by its host if the settings list it, else the value of
+// the tenant header named in the settings, else settings.Audit.UnknownTenant.
+func (a *auditRecorder) tenant(h *fasthttp.RequestHeader) string {
 	if t, ok := a.settings.TenantByHost[strings.ToLower(string(h.Host()))]; ok {
 		return t
 	}
@@ -142,29 +143,29 @@
 	return a.settings.UnknownTenant
 }
 
-// truncate bounds what a client wrote.
-func truncate(s string) string { return s[:min(len(s), maxAuditText)] }
+// truncate truncates a client's text to maxAuditTextBytes.
+func truncate(s string) string { return s[:min(len(s), maxAuditTextBytes)] }
 
-// isBatchDue reports whether a batch is to be sent when span has passed since the last.
-// Records wait for a quarter of the interval, their absence for all of it. The caller has
-// the lock.
-func (a *auditRecorder) isBatchDue(span, interval time.Duration) bool {
-	if span >= interval || !a.isRegistered.Load() {
+// shouldSendBatch reports whether a batch is due when elapsed has passed since the last one.
+// Pending records are sent after a quarter of the interval, an empty batch after all of it. The
+// caller must hold a.mu.
+func (a *auditRecorder) shouldSendBatch(elapsed, interval time.Duration) bool {
+	if elapsed >= interval || !a.isRegistered.Load() {
 		return true
 	}
-	return a.buffer.Pending() > 0 && span >= interval/4
+	return a.buffer.Pending() > 0 && elapsed >= interval/4
 }
 
-// nextBatch returns the batch to send now. isClosing is true once no request can come
-// any more. The caller has the lock.
+// nextBatch returns the batch to send now. isClosing is true once no more requests can arrive.
+// The caller must hold a.mu.
 func (a *auditRecorder) nextBatch(now time.Time, isClosing bool) *audit.Batch {
-	if span := now.Sub(a.lastSentAt); span > time.Millisecond {
-		rate := float64(a.requestsSinceSent) / max(minRateSeconds, span.Seconds())
-		a.requestsPerSecond = max(a.requestsPerSecond*requestRateDecay, rate)
+	if elapsed := now.Sub(a.lastSentAt); elapsed > time.Millisecond {
+		rate := float64(a.requestsSinceSent) / max(minRatePeriodSeconds, elapsed.Seconds())
+		a.requestsPerSecond = max(a.requestsPerSecond*requestRateDecayFactor, rate)
 	}
 	a.lastSentAt = now
 	a.requestsSinceSent = 0
-	b := a.buffer.NextBatch(now.UnixMilli(), maxAuditBatch)
+	b := a.buffer.NextBatch(now.UnixMilli(), maxAuditBatchRecords)
 	b.PerS = a.requestsPerSecond
 	b.Out = a.inFlight
 	b.Closed = isClosing && a.buffer.Pending() == len(b.Records)
@@ -173,7 +174,7 @@
 	return &b
 }
 
-// reportBatch returns the batch that goes with a report; nil if none is due.
+// reportBatch returns the batch to include in a report, or nil if none is due.
 func (a *auditRecorder) reportBatch() *audit.Batch {
 	if a == nil {
 		return nil
@@ -181,15 +182,14 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if !a.isBatchDue(now.Sub(a.lastSentAt), auditIdleInterval) {
+	if !a.shouldSendBatch(now.Sub(a.lastSentAt), auditIdleInterval) {
 		return nil
 	}
 	return a.nextBatch(now, false)
 }
 
-// closingBatch returns the batch to send at the end of the node; nil once everything
-// was acknowledged.
-func (a *auditRecorder) closingBatch() *audit.Batch {
+// finalBatch returns the batch to send at shutdown, or nil once everything is acknowledged.
+func (a *auditRecorder) finalBatch() *audit.Batch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.isClosed {
@@ -198,7 +198,7 @@
 	return a.nextBatch(time.Now(), true)
 }
 
-// acknowledge drops the records that the audit log has.
+// acknowledge drops the acknowledged records from the buffer.
 func (a *auditRecorder) acknowledge(ack *transport.AuditAck) {
 	if a == nil || ack.Life != a.incarnation {
 		return
@@ -211,14 +211,14 @@
 	a.recordsPending.Set(int64(a.buffer.Pending()))
 }
 
-// closeAudit sends the records that are left and the end of this incarnation, again and
-// again until both are acknowledged or the time until is reached.
-func (p *Proxy) closeAudit(until time.Time) {
+// closeAudit sends the remaining records and the end of this incarnation repeatedly, until both
+// are acknowledged or the deadline has passed.
+func (p *Proxy) closeAudit(deadline time.Time) {
 	if p.audit == nil {
 		return
 	}
-	for time.Now().Before(until) {
-		batch := p.audit.closingBatch()
+	for time.Now().Before(deadline) {
+		batch := p.audit.finalBatch()
 		if batch == nil {
 			return
 		}
--- a/internal/proxy/bench_request_test.go
+++ b/internal/proxy/bench_request_test.go
@@ -21,7 +21,7 @@
 
 const benchmarkRequest = "POST /once/a?b=c HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline: 4000\r\nAccept: */*\r\nUser-Agent: bench\r\nContent-Length: 3\r\n\r\nabc"
 
-// BenchmarkReadRequest measures reading and checking one request and finding its route.
+// BenchmarkReadRequest measures reading and validating one request and matching its route.
 func BenchmarkReadRequest(b *testing.B) {
 	c, err := config.DecodeValidated([]byte(testConfig))
 	if err != nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkReadResponse measures reading one response, with a body of a stated length and
-// in chunks.
+// BenchmarkReadResponse measures reading one response with a Content-Length and one with a chunked
+// body.
 func BenchmarkReadResponse(b *testing.B) {
 	for name, text := range map[string]string{
 		"length": strings.Replace(okResponse("body of the response"), "ID", "a2", 1),
@@ -56,7 +56,7 @@
 			for b.Loop() {
 				in.Reset(text)
 				br.Reset(in)
-				if _, err := readResponse(br, false, maxBufferedResponse); err != nil {
+				if _, err := readResponse(br, false, maxBufferedResponseBytes); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkForward measures one request from a client over the loopback to an endpoint and
-// back. The client and the endpoint allocate nothing.
+// BenchmarkForward measures one request over the loopback interface from a client to an endpoint
+// and back. The client and the endpoint do not allocate per request.
 func BenchmarkForward(b *testing.B) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// serveBenchmarkEndpoint answers every request that it reads at once with the same bytes.
+// serveBenchmarkEndpoint responds to every read with the same response.
 func serveBenchmarkEndpoint(ln net.Listener) {
 	answer := []byte(strings.Replace(okResponse("x"), "ID", "a2", 1))
 	for {
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -13,8 +13,8 @@
 	"lichentray/registry"
 )
 
-// BenchmarkApplyState measures what a proxy's copy of the registry costs: memory for each
-// endpoint and route, and the work of one change.
+// BenchmarkApplyState measures the cost of a proxy's copy of the registry: the memory for each
+// endpoint and route, and the time to apply one change.
 func BenchmarkApplyState(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -12,25 +12,25 @@
 	"lichentray/internal/transport"
 )
 
-// upstreamBufferSize is the size in bytes of the read buffer of a connection.
-const upstreamBufferSize = 4096
+// upstreamReadBufferBytes is the size of a connection's read buffer.
+const upstreamReadBufferBytes = 4096
 
-// upstreamConn is one connection to an endpoint. One goroutine at a time uses it: that
-// of the attempt that took it from its pool.
+// upstreamConn is a connection to an endpoint. It is used by one goroutine at a time: that of
+// the attempt that took it from the pool.
 type upstreamConn struct {
 	tcp     *net.TCPConn
 	rawConn syscall.RawConn
 	reader  *bufio.Reader
-	// expiresAt is when the connection is too old to be used again, while it is idle.
+	// expiresAt is when an idle connection becomes too old to be reused.
 	expiresAt time.Time
-	// idleSince is when the connection became idle; of a new one, when it was established.
+	// idleSince is when the connection became idle, or was established if it is new.
 	idleSince time.Time
-	// idleFor is how long the connection was idle before its present use; 0 if it is new.
+	// idleFor is how long the connection was idle before its current use; 0 if it is new.
 	idleFor time.Duration
 }
 
-// dialUpstream connects to an endpoint. The connection fails when bytes sent on it are not
-// acknowledged within userTimeout (TCP_USER_TIMEOUT).
+// dialUpstream connects to an endpoint. The connection fails if sent bytes are not acknowledged
+// within userTimeout (TCP_USER_TIMEOUT).
 func dialUpstream(addr string, timeout, userTimeout time.Duration) (*upstreamConn, error) {
 	dialer := net.Dialer{
 		Timeout: timeout,
@@ -55,35 +55,36 @@
 	return &upstreamConn{
 		tcp:     tcp,
 		rawConn: rawConn,
-		reader:  bufio.NewReaderSize(tcp, upstreamBufferSize),
+		reader:  bufio.NewReaderSize(tcp, upstreamReadBufferBytes),
 	}, nil
 }
 
-// isReused reports whether the connection has served another request.
+// isReused reports whether the connection has served an earlier request.
 func (c *upstreamConn) isReused() bool { return c.idleFor > 0 }
 
-// isQuiet reports whether an idle connection can be used: the endpoint has neither sent
-// bytes on it nor closed it.
-func (c *upstreamConn) isQuiet() bool {
+// isReusable reports whether an idle connection can be reused: the endpoint has neither closed
+// it nor sent unexpected bytes on it.
+func (c *upstreamConn) isReusable() bool {
 	return c.reader.Buffered() == 0 && transport.IsIdle(c.rawConn)
 }
 
 // close closes the connection.
 func (c *upstreamConn) close() { c.tcp.Close() }
 
-// isConnectionClosed reports whether an error means that the peer closed or reset the
-// connection, in contrast to a time-out.
+// isConnectionClosed reports whether err means that the peer closed or reset the connection,
+// as opposed to a time-out.
 func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// writerOnly hides all methods but Write, so that io.Copy writes piece by piece.
+// writerOnly hides all methods but Write, so that io.Copy copies through a buffer instead of
+// calling ReadFrom.
 type writerOnly struct{ io.Writer }
 
-// errClientAborted means that the client, not the endpoint, ended a request early.
+// errClientAborted means that the client, not the endpoint, aborted the request.
 var errClientAborted = errors.New("proxy: client aborted its request")
 
-// clientBody reads the client's side of a body and marks its errors.
+// clientBody reads a request body from the client and wraps errors with errClientAborted.
 type clientBody struct{ reader io.Reader }
 
 // Read implements io.Reader.
@@ -95,8 +96,8 @@
 	return n, err
 }
 
-// sendBodyStream sends a body as it arrives from the client: size bytes of it, or, if
-// size is less than 0, all of it in chunks.
+// sendBodyStream sends a body as it arrives from the client: exactly size bytes, or all of it
+// with chunked transfer encoding if size is negative.
 func (c *upstreamConn) sendBodyStream(body io.Reader, size int) error {
 	if size < 0 {
 		return c.sendChunked(clientBody{body})
@@ -108,9 +109,9 @@
 	return err
 }
 
-// sendChunked sends a body in chunks (RFC 9112, section 7.1).
+// sendChunked sends a body with chunked transfer encoding (RFC 9112, section 7.1).
 func (c *upstreamConn) sendChunked(body io.Reader) error {
-	buf := make([]byte, maxChunkSent)
+	buf := make([]byte, maxSentChunkBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
@@ -128,5 +129,5 @@
 	}
 }
 
-// maxChunkSent is the size in bytes of the longest chunk that is sent to an endpoint.
-const maxChunkSent = 32 << 10
+// maxSentChunkBytes is the size of the longest chunk that is sent to an endpoint.
+const maxSentChunkBytes = 32 << 10
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestIdleConnectionOutlivesDeadline: the deadline of the last request says nothing about an idle
-// connection; unexpected bytes do.
+// TestIdleConnectionOutlivesDeadline checks that an idle connection remains reusable after the
+// deadline of its last request, and not after unexpected bytes.
 func TestIdleConnectionOutlivesDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -26,14 +26,14 @@
 	if err := u.tcp.SetDeadline(time.Now().Add(-time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if !u.isQuiet() {
-		t.Error("a sound idle connection was given up")
+	if !u.isReusable() {
+		t.Error("idle connection is not reusable after the last deadline")
 	}
 	if _, err := io.WriteString(other, "x"); err != nil {
 		t.Fatal(err)
 	}
 	_ = u.tcp.SetDeadline(time.Time{})
-	if _, err := u.reader.Peek(1); err != nil || u.isQuiet() {
-		t.Errorf("unasked bytes were not seen: %v", err)
+	if _, err := u.reader.Peek(1); err != nil || u.isReusable() {
+		t.Errorf("connection is reusable despite unexpected bytes (Peek error: %v)", err)
 	}
 }
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -8,13 +8,14 @@
 // connPool holds the idle connections to one endpoint. It is safe for concurrent use.
 type connPool struct {
 	mu sync.Mutex
-	// idle has the connection used last at its end.
+	// idle is ordered by last use; the most recently used connection is last.
 	idle     []*upstreamConn
 	isClosed bool
 }
 
-// get takes the most recently used idle connection that is quiet and has been idle for no longer
-// than maxIdle. It returns nil if there is none. It closes those that it passes over.
+// get removes and returns the most recently used connection that is reusable, has not expired
+// and has been idle for at most maxIdle. It closes the connections that it skips, and returns
+// nil if none is left.
 func (p *connPool) get(now time.Time, maxIdle time.Duration) *upstreamConn {
 	for {
 		c := p.pop()
@@ -22,14 +23,15 @@
 			return nil
 		}
 		c.idleFor = max(1, now.Sub(c.idleSince))
-		if now.Before(c.expiresAt) && c.idleFor <= maxIdle && c.isQuiet() {
+		if now.Before(c.expiresAt) && c.idleFor <= maxIdle && c.isReusable() {
 			return c
 		}
 		c.close()
 	}
 }
 
-// pop takes the idle connection used last, without a check of its state; nil if there is none.
+// pop removes and returns the most recently used idle connection without checking its state, or
+// returns nil if there is none.
 func (p *connPool) pop() *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +44,7 @@
 	return c
 }
 
-// put keeps a connection for another request, or closes it if the pool is closed.
+// put adds a connection to the pool, or closes it if the pool is closed.
 func (p *connPool) put(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,21 +55,21 @@
 	p.idle = append(p.idle, c)
 }
 
-// idleCount is how many connections are idle.
-func (p *connPool) idleCount() int {
+// countIdle returns the number of idle connections.
+func (p *connPool) countIdle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle)
 }
 
-// closeIdle closes all idle connections. The pool stays in use.
+// closeIdle closes all idle connections. The pool remains usable.
 func (p *connPool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdleLocked()
 }
 
-// closeIdleLocked is closeIdle for a caller that holds the lock.
+// closeIdleLocked is closeIdle for callers that hold p.mu.
 func (p *connPool) closeIdleLocked() {
 	for _, c := range p.idle {
 		c.close()
@@ -90,7 +92,7 @@
 	p.idle = kept
 }
 
-// close closes all idle connections and from now on every one that is put back.
+// close closes the pool: all idle connections now, and others when they are put back.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -2,7 +2,7 @@
 
 import "lichentray/internal/metrics"
 
-// counters are the node's counters that have no labels.
+// counters holds the node's counters and gauges without labels.
 type counters struct {
 	requests             *metrics.Counter
 	rejections           *metrics.Counter
--- a/internal/proxy/bytefault_test.go
+++ b/internal/proxy/endpointfault_test.go
@@ -22,34 +22,35 @@
 	"lichentray/registry"
 )
 
-// exchangeModel is the plain model: what endpoints did with each request, by its id.
+// exchangeModel is the reference model: it records by request id what endpoints did with each
+// request and what the client received.
 type exchangeModel struct {
-	mu         sync.Mutex
-	deliveries map[string]map[int]int // id -> endpoint -> arrivals
-	executions map[string]int         // arrivals that the endpoint did not turn away
-	statuses   map[string]int         // status that the client was given
-	behaviors  map[string]int
+	mu             sync.Mutex
+	deliveries     map[string]map[int]int // id -> endpoint -> arrivals
+	executions     map[string]int         // deliveries that the endpoint did not reject as not executed
+	statuses       map[string]int         // status that the client received
+	behaviorCounts map[string]int         // faulty or valid behavior -> requests
 }
 
-// faultyEndpoint is an endpoint that misbehaves by a seeded script at any byte.
+// faultyEndpoint is an endpoint that injects faults at any byte, chosen by a seed.
 type faultyEndpoint struct {
 	t      *testing.T
 	index  int
 	seed   int64
 	model  *exchangeModel
 	mu     sync.Mutex
-	lastID string // the id of the request read last, on any connection
+	lastID string // id of the last request read on any connection
 }
 
-// expectedBody is the body of an endpoint's answer to a request.
-func expectedBody(id, who string) string { return "the answer to " + id + " by " + who }
+// expectedBody returns the body of an endpoint's response to a request.
+func expectedBody(id, endpoint string) string { return "the answer to " + id + " by " + endpoint }
 
-// rawResponse is one response. named is the id that it names, empty for none; isUnprocessed says
-// that it states that the request was not executed.
-func rawResponse(status int, named, body string, isUnprocessed bool) string {
+// rawResponse returns a response in wire format. namedID is its X-Attempt-Id, or empty for none;
+// isUnprocessed makes it state that the request was not executed.
+func rawResponse(status int, namedID, body string, isUnprocessed bool) string {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\n", status)
-	if named != "" {
-		head += "X-Attempt-Id: " + named + "\r\n"
+	if namedID != "" {
+		head += "X-Attempt-Id: " + namedID + "\r\n"
 	}
 	if isUnprocessed {
 		head += "X-Not-Executed: 1\r\n"
@@ -59,26 +60,26 @@
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// poisonBytes is what poisoned buffers contain.
+// poisonBytes overwrites the content of pooled buffers.
 var poisonBytes = bytes.Repeat([]byte{'Z'}, 16<<10)
 
-// poisonHeadBuffers overwrites buffers that were returned to their pool: whoever still reads one
-// shows it.
+// poisonHeadBuffers overwrites buffers that were returned to the pool, so that a use after the
+// return corrupts a request and fails the test.
 func poisonHeadBuffers() {
-	var held [2]*[]byte
-	for i := range held {
-		held[i] = headBuffers.Get().(*[]byte)
-		copy((*held[i])[:cap(*held[i])], poisonBytes)
+	var buffers [2]*[]byte
+	for i := range buffers {
+		buffers[i] = headBuffers.Get().(*[]byte)
+		copy((*buffers[i])[:cap(*buffers[i])], poisonBytes)
 	}
-	for _, b := range held {
+	for _, b := range buffers {
 		headBuffers.Put(b)
 	}
 }
 
-// serve misbehaves on one connection.
+// serve handles one connection and injects faults.
 func (e *faultyEndpoint) serve(c *net.TCPConn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // a test that hangs ends
+	_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // ends a test that hangs
 	br := bufio.NewReader(c)
 	prev := ""
 	for served := 0; ; served++ {
@@ -99,94 +100,94 @@
 		other := e.lastID
 		e.lastID = id
 		e.mu.Unlock()
-		rng := rand.New(rand.NewSource(e.seed ^ int64(len(id))<<32 ^ int64(e.index)<<40 ^ int64(hash(id))))
-		act := [...]string{"good", "good", "good", "good", "good", "interim", "word", "word early", "early", "failed", "foreign", "unnamed", "late", "late word", "double", "double later", "cut", "mute", "long", "chunks", "leave"}[rng.Intn(21)]
-		if prev == "" && strings.HasPrefix(act, "late") { // no answer of before to be late
-			act = "good"
+		rng := rand.New(rand.NewSource(e.seed ^ int64(len(id))<<32 ^ int64(e.index)<<40 ^ int64(hashID(id))))
+		behavior := [...]string{"valid", "valid", "valid", "valid", "valid", "interim", "not executed", "not executed early", "early", "server error", "other id", "no id", "late", "late not executed", "duplicate", "duplicate later", "truncated", "no response", "long", "chunked", "close"}[rng.Intn(21)]
+		if prev == "" && strings.HasPrefix(behavior, "late") { // there is no earlier response
+			behavior = "valid"
 		}
 		e.model.mu.Lock()
-		e.model.behaviors[act]++
-		if !strings.HasPrefix(act, "word") {
+		e.model.behaviorCounts[behavior]++
+		if !strings.HasPrefix(behavior, "not executed") {
 			e.model.executions[id]++
 		}
 		e.model.mu.Unlock()
 		end := func() {
 			if rng.Intn(2) == 0 {
-				_ = c.SetLinger(0) // a reset
+				_ = c.SetLinger(0) // Close resets the connection
 			}
 		}
-		who := strconv.Itoa(e.index)
-		body := expectedBody(id, who)
-		if act == "long" {
-			body += strings.Repeat(".", maxBufferedResponse)
+		endpoint := strconv.Itoa(e.index)
+		body := expectedBody(id, endpoint)
+		if behavior == "long" {
+			body += strings.Repeat(".", maxBufferedResponseBytes)
 		}
 		a := rawResponse(200, id, body, false)
-		switch act {
-		case "chunks":
+		switch behavior {
+		case "chunked":
 			at := 1 + rng.Intn(len(body)-1)
 			a = strings.Replace(rawResponse(200, id, "", false), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 			a += fmt.Sprintf("%x;x=y\r\n%s\r\n%x\r\n%s\r\n0\r\nX-T: v\r\n\r\n", at, body[:at], len(body)-at, body[at:])
-		case "word", "word early":
+		case "not executed", "not executed early":
 			a = rawResponse([]int{503, 429, 421, 400}[rng.Intn(4)], id, "", true)
-		case "failed":
+		case "server error":
 			a = rawResponse([]int{500, 502, 503, 429, 408, 504}[rng.Intn(6)], id, "f", false)
-		case "foreign":
+		case "other id":
 			if other == "" || other == id {
 				other = "nobody"
 			}
-			a = rawResponse(200, other, expectedBody(other, who), false)
-		case "unnamed":
+			a = rawResponse(200, other, expectedBody(other, endpoint), false)
+		case "no id":
 			a = rawResponse(200, "", body, false)
-		case "late": // the answer of before stands where this one is due
-			a = rawResponse(200, []string{prev, ""}[rng.Intn(2)], expectedBody(prev, who), false) + a
-		case "late word":
+		case "late": // the response to the previous request precedes this one
+			a = rawResponse(200, []string{prev, ""}[rng.Intn(2)], expectedBody(prev, endpoint), false) + a
+		case "late not executed":
 			a = rawResponse(503, []string{prev, ""}[rng.Intn(2)], "", true) + a
 		case "interim":
 			a = strings.Repeat("HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n", rng.Intn(4)) + "HTTP/1.1 100 Continue\r\n\r\n" + a
-		case "double":
-			a += rawResponse([]int{200, 503}[rng.Intn(2)], []string{id, "", "next"}[rng.Intn(3)], expectedBody(id, who), rng.Intn(2) == 0)
+		case "duplicate":
+			a += rawResponse([]int{200, 503}[rng.Intn(2)], []string{id, "", "next"}[rng.Intn(3)], expectedBody(id, endpoint), rng.Intn(2) == 0)
 		}
-		if strings.HasSuffix(act, "early") { // before the body, perhaps before the head is read
+		if strings.HasSuffix(behavior, "early") { // before the body and possibly the rest of the head is read
 			end()
 			_, _ = io.WriteString(c, a)
 			return
 		}
-		if act == "leave" && rng.Intn(2) == 0 {
+		if behavior == "close" && rng.Intn(2) == 0 {
 			end()
 			return
 		}
 		if !discardRequest(br) {
 			return
 		}
-		switch act {
-		case "leave":
+		switch behavior {
+		case "close":
 			end()
 			return
-		case "mute":
+		case "no response":
 			_, _ = io.Copy(io.Discard, br)
 			return
-		case "cut":
+		case "truncated":
 			a = a[:rng.Intn(len(a))]
 			end()
 		}
-		for len(a) > 0 { // in pieces, split at any byte
+		for len(a) > 0 { // in pieces split at random positions
 			n := min(len(a), 1+rng.Intn(max(1, 2*len(a)/3)))
 			if _, err := io.WriteString(c, a[:n]); err != nil {
 				return
 			}
 			a = a[n:]
 		}
-		switch act {
-		case "cut":
+		switch behavior {
+		case "truncated":
 			return
-		case "double later": // on a connection that rests, or that was just taken again
+		case "duplicate later": // the connection is idle, or has just been reused
 			_, _ = io.WriteString(c, rawResponse(200, []string{id, ""}[rng.Intn(2)], body, false))
 		}
 		prev = id
 	}
 }
 
-// discardRequest reads the rest of a request and no further.
+// discardRequest reads the rest of a request, and no bytes after it.
 func discardRequest(br *bufio.Reader) bool {
 	length, chunked := 0, false
 	for {
@@ -212,19 +213,20 @@
 	if _, err := io.Copy(io.Discard, httputil.NewChunkedReader(br)); err != nil {
 		return false
 	}
-	_, err := br.ReadString('\n') // after the last chunk
+	_, err := br.ReadString('\n') // the empty line after the last chunk
 	return err == nil
 }
 
-// hash derives a seed from an id.
-func hash(s string) (h uint32) {
+// hashID returns a hash of an id for use as a seed.
+func hashID(s string) (h uint32) {
 	for i := range len(s) {
 		h = h*16777619 ^ uint32(s[i])
 	}
 	return h
 }
 
-// runClient is a client that splits what it sends at any byte, pipelines and hangs up.
+// runClient sends requests split at random positions, sometimes pipelined, and sometimes disconnects
+// within a request.
 func runClient(t *testing.T, addr string, rng *rand.Rand, ids []string, model *exchangeModel) {
 	for len(ids) > 0 {
 		c, err := net.Dial("tcp4", addr)
@@ -241,8 +243,8 @@
 			for _, id := range now {
 				raw = append(raw, rawRequest(rng, id)...)
 			}
-			leaves := rng.Intn(12) == 0
-			if leaves {
+			isAborted := rng.Intn(12) == 0
+			if isAborted {
 				raw = raw[:1+rng.Intn(len(raw))]
 			}
 			var pieces [][]byte
@@ -251,7 +253,7 @@
 				pieces, raw = append(pieces, raw[:n]), raw[n:]
 			}
 			wrote := make(chan struct{})
-			go func() { // the node may answer before it has read all
+			go func() { // the proxy may respond before it has read everything
 				defer close(wrote)
 				for _, x := range pieces {
 					if _, err := c.Write(x); err != nil {
@@ -259,13 +261,13 @@
 					}
 				}
 			}()
-			if leaves {
+			if isAborted {
 				<-wrote
 				break
 			}
 			for _, id := range now {
 				if open = open && checkResponse(t, br, id, model); !open {
-					break // what was pipelined behind it is not answered
+					break // requests pipelined behind it are not answered
 				}
 			}
 			if open {
@@ -276,21 +278,21 @@
 	}
 }
 
-// rawRequest is a request as it is on the wire.
+// rawRequest returns a request in wire format.
 func rawRequest(rng *rand.Rand, id string) []byte {
 	var body []byte
-	how, route := "POST", "once"
+	method, route := "POST", "once"
 	if id[0] == 's' {
 		route = "safe"
 	}
 	if route == "safe" && rng.Intn(2) == 0 {
-		how = "GET"
+		method = "GET"
 	} else {
 		body = bytes.Repeat([]byte{'b'}, []int{0, 10, 5000, 40000, maxBufferedRequest + 20000}[rng.Intn(50)/12])
 	}
-	head := fmt.Sprintf("%s /%s/%s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline: 300\r\n", how, route, id, id)
+	head := fmt.Sprintf("%s /%s/%s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline: 300\r\n", method, route, id, id)
 	switch {
-	case how == "GET":
+	case method == "GET":
 		return []byte(head + "\r\n")
 	case rng.Intn(3) == 0 && len(body) > 0:
 		return fmt.Appendf(nil, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", head, len(body), body)
@@ -298,21 +300,22 @@
 	return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-// checkResponse reads one response and checks it against the request that it is due to.
+// checkResponse reads one response and checks that it belongs to the request. It reports whether the
+// connection remains open.
 func checkResponse(t *testing.T, br *bufio.Reader, id string, model *exchangeModel) (open bool) {
 	r, err := http.ReadResponse(br, nil)
 	if err != nil {
 		return false
 	}
 	body, err := io.ReadAll(r.Body)
-	if named := r.Header.Get("X-Attempt-Id"); named != "" && named != id {
-		t.Errorf("%s got the answer to %s", id, named)
+	if namedID := r.Header.Get("X-Attempt-Id"); namedID != "" && namedID != id {
+		t.Errorf("request %s received the response to %s", id, namedID)
 	}
 	if want := expectedBody(id, ""); r.StatusCode < 300 && (r.Header.Get("X-Server-Signature") == "" || err == nil && !strings.HasPrefix(string(body), want)) {
-		t.Errorf("%s got %q", id, body)
+		t.Errorf("request %s received body %q or no signature", id, body)
 	}
 	if r.StatusCode == 503 && r.Header.Get("Retry-After") == "" && id[0] == 'o' {
-		t.Errorf("%s was refused without a time to come back", id)
+		t.Errorf("request %s: response with status 503 has no Retry-After header", id)
 	}
 	model.mu.Lock()
 	model.statuses[id] = r.StatusCode
@@ -320,53 +323,53 @@
 	return err == nil && !r.Close
 }
 
-// TestByteFaultsAgainstModel plays seeds of clients and endpoints that misbehave at any byte and checks
-// all of it against the model: no response to another request, no request twice at one endpoint
-// or more often than its route allows, one that is not idempotent executed at most once, and a
-// promise that it was not executed kept.
-func TestByteFaultsAgainstModel(t *testing.T) {
+// TestEndpointFaultsAgainstModel runs clients and endpoints that inject faults at any byte, by seed,
+// and checks the results against the model: no client receives the response to another request, no
+// request is delivered twice to one endpoint or more often than its route allows, a non-idempotent
+// request is executed at most once, and never if the client was told that it was not executed.
+func TestEndpointFaultsAgainstModel(t *testing.T) {
 	seeds := 120
 	if testing.Short() {
 		seeds = 40
 	}
 	var mu sync.Mutex
-	statuses, acts := map[int]int{}, map[string]int{}
+	statuses, behaviorTotals := map[int]int{}, map[string]int{}
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range seeds {
 			t.Run(strconv.Itoa(seed), func(t *testing.T) {
 				t.Parallel()
-				model := playByteSeed(t, int64(seed))
+				model := runFaultSeed(t, int64(seed))
 				mu.Lock()
 				defer mu.Unlock()
 				for _, s := range model.statuses {
 					statuses[s]++
 				}
-				for a, n := range model.behaviors {
-					acts[a] += n
+				for a, n := range model.behaviorCounts {
+					behaviorTotals[a] += n
 				}
 			})
 		}
 	})
-	t.Logf("answers by status: %v; by what endpoints did: %v", statuses, acts)
-	for _, s := range []int{200, 502, 503, 504} { // or the model was held against nothing
+	t.Logf("responses by status: %v; requests by endpoint behavior: %v", statuses, behaviorTotals)
+	for _, s := range []int{200, 502, 503, 504} { // otherwise the seeds do not exercise the model
 		if statuses[s] == 0 {
-			t.Errorf("no answer was %d", s)
+			t.Errorf("no response had status %d", s)
 		}
 	}
 }
 
-// playByteSeed plays one seed.
-func playByteSeed(t *testing.T, seed int64) *exchangeModel {
-	const endpoints, callers, each = 4, 6, 8
-	model := &exchangeModel{deliveries: map[string]map[int]int{}, executions: map[string]int{}, statuses: map[string]int{}, behaviors: map[string]int{}}
+// runFaultSeed runs the clients and endpoints of one seed and checks the deliveries.
+func runFaultSeed(t *testing.T, seed int64) *exchangeModel {
+	const endpointCount, clientCount, requestsPerClient = 4, 6, 8
+	model := &exchangeModel{deliveries: map[string]map[int]int{}, executions: map[string]int{}, statuses: map[string]int{}, behaviorCounts: map[string]int{}}
 	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
-	p.timeouts.ejectionBase, p.timeouts.ejectionMax = 1, 1 // or the worst would soon be left alone
+	p.timeouts.ejectionBase, p.timeouts.ejectionMax = 1, 1 // otherwise faulty endpoints would soon be ejected
 	p.applyObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), testConfig...)}, false)
 	p.services["s"].retryBudget = loadbalance.NewRetryBudget(5, 1000)
 	var serving sync.WaitGroup
 	var listeners []net.Listener
-	for i := range endpoints {
+	for i := range endpointCount {
 		ln, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -392,21 +395,21 @@
 		listeners = append(listeners, ln)
 	}
 	f := serveFrontend(t, p)
-	var calling sync.WaitGroup
-	for c := range callers {
+	var clients sync.WaitGroup
+	for c := range clientCount {
 		rng := rand.New(rand.NewSource(seed<<8 + int64(c)))
 		var ids []string
-		for i := range each {
+		for i := range requestsPerClient {
 			ids = append(ids, fmt.Sprintf("%c%d-%d-%d", "os"[rng.Intn(2)], seed, c, i))
 		}
-		calling.Add(1)
+		clients.Add(1)
 		go func() {
-			defer calling.Done()
+			defer clients.Done()
 			runClient(t, f.listener.Addr().String(), rng, ids, model)
 		}()
 	}
-	calling.Wait()
-	// Nothing more comes: the node is stopped, and its last connections with it.
+	clients.Wait()
+	// Stop the proxy and close its remaining connections, so that the model no longer changes.
 	f.listener.Close()
 	for f.closeIdle() > 0 {
 		time.Sleep(time.Millisecond)
@@ -417,25 +420,25 @@
 	}
 	serving.Wait()
 	for id, at := range model.deliveries {
-		times := 0
+		total := 0
 		for e, n := range at {
-			if times += n; n > 1 {
-				t.Errorf("%s came %d times to endpoint %d", id, n, e)
+			if total += n; n > 1 {
+				t.Errorf("%s was delivered %d times to endpoint %d, want at most 1", id, n, e)
 			}
 		}
-		if times > 2 {
-			t.Errorf("%s came %d times", id, times)
+		if total > 2 {
+			t.Errorf("%s was delivered %d times, want at most 2", id, total)
 		}
 		if id[0] != 'o' {
 			continue
 		}
 		if model.executions[id] > 1 {
-			t.Errorf("%s was taken %d times", id, model.executions[id])
+			t.Errorf("%s was executed %d times, want at most 1", id, model.executions[id])
 		}
 		switch s := model.statuses[id]; s {
 		case 408, 421, 429, 503:
 			if model.executions[id] > 0 {
-				t.Errorf("%s was answered %d and was taken", id, s)
+				t.Errorf("%s was executed despite status %d", id, s)
 			}
 		}
 	}
--- a/internal/proxy/finder.go
+++ b/internal/proxy/finder.go
@@ -10,67 +10,68 @@
 )
 
 const (
-	// maxConcurrentOpens is how many control-plane nodes are asked at a time.
+	// maxConcurrentOpens is the maximum number of concurrent attempts to open a stream.
 	maxConcurrentOpens = 4
-	// listBackoffDivisor shortens the longest backoff between rounds while the mirror has
-	// not synced: until then the node cannot serve.
-	listBackoffDivisor = 8
+	// listMaxBackoffDivisor divides the maximum backoff between rounds for a list. A list is
+	// requested while the mirror has not synced, and until then the node cannot serve requests.
+	listMaxBackoffDivisor = 8
 )
 
-// streamFinder asks control-plane nodes until one opens a stream. A next one is asked when
-// one has failed or is slow to answer; those asked before may still answer.
+// streamFinder tries control-plane nodes until one opens a stream. It tries the next node when
+// one has failed or is slow to respond (hedging); earlier attempts remain pending.
 type streamFinder struct {
 	proxy   *Proxy
 	request transport.Request
 	// connectTimeout bounds connecting to one node.
 	connectTimeout time.Duration
-	// hedgeDelay is how long one node is waited for before the next is asked.
+	// hedgeDelay is how long to wait for one node before the next is tried.
 	hedgeDelay time.Duration
 	// maxBackoff bounds the backoff between two rounds over all candidates.
 	maxBackoff time.Duration
 
 	results chan openResult
-	// pending is how many nodes have been asked and not answered.
+	// pending is the number of attempts whose result has not been received.
 	pending int
-	// relays are those that referred to the core. They may be nearer than any core
-	// node, even on this machine, and would otherwise be asked first in every round.
+	// relays holds the addresses of relays that referred to a core node. They are skipped for
+	// the rest of the round: a relay may be nearer than any core node, even on this machine,
+	// and would otherwise always be tried first.
 	relays map[string]bool
 }
 
-// openResult is the end of one attempt to open a stream.
+// openResult is the result of one attempt to open a stream.
 type openResult struct {
 	addr   string
 	stream *watchStream
 	err    error
 }
 
-// findStream opens a stream of whichever control-plane node answers first. The node of the
-// address avoid is asked last. It returns nil when the context ends.
+// findStream opens a stream from the control-plane node that responds first. The node at the
+// address avoid is tried last. findStream returns nil when the context ends.
 //
-// It does not wait for the attempts at other nodes that it cancels: after a power failure
-// an attempt to connect may hang for a while, and the stream is needed at once. The
-// reflector waits for them when it stops.
+// It does not wait for the pending attempts that it cancels: after a power failure, an attempt
+// to connect may hang for a while, and the stream is needed immediately. The reflector waits
+// for them when it stops.
 func (p *Proxy) findStream(ctx context.Context, avoid string, request transport.Request) *watchStream {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f := newStreamFinder(p, request)
 	backoff := p.timeouts.dial / 4
 	for isFirstRound := true; ctx.Err() == nil; {
-		s, hasLearned := f.askCandidates(ctx, avoid)
+		s, hasNewCandidates := f.tryCandidates(ctx, avoid)
 		if s != nil {
 			return s
 		}
-		if hasLearned {
+		if hasNewCandidates {
 			continue
 		}
 		p.counters.searchesFailed.Inc()
 		if isFirstRound {
 			isFirstRound = false
-			p.log.Info("no control-plane node answered, searching on",
+			p.log.Info("no control-plane node responded; retrying",
 				"candidates", p.controlNodes.Candidates(avoid), "members_known", len(p.controlNodes.Nodes()))
 		}
 		avoid = ""
-		clear(f.relays) // a relay may know of a working core node by now
+		clear(f.relays) // by now, a relay may have found a working core node
 		if s := f.backOff(ctx, backoff); s != nil {
 			return s
 		}
@@ -79,9 +80,9 @@
 	return nil
 }
 
-// newStreamFinder returns a finder for a request. For a list, the attempts to connect
-// are short: after a power failure most nodes are still down, and an attempt to connect to
-// one hangs. For a watch they are long, as the link to the nodes may be saturated.
+// newStreamFinder returns a finder for a request. The connect time-out is short for a list:
+// after a power failure most nodes are still down, and an attempt to connect to one of them
+// hangs. It is long for a watch, because the link to the nodes may be saturated.
 func newStreamFinder(p *Proxy, request transport.Request) *streamFinder {
 	f := &streamFinder{
 		proxy:          p,
@@ -94,16 +95,16 @@
 	}
 	if request.List {
 		f.connectTimeout = p.timeouts.openHedgeDelay / 2
-		// A list takes work to answer, and after a power failure all proxies ask for one.
+		// A list is expensive to serve, and after a power failure all proxies request one.
 		f.hedgeDelay = p.timeouts.openHedgeDelay
-		f.maxBackoff = p.timeouts.openHedgeDelay / listBackoffDivisor
+		f.maxBackoff = p.timeouts.openHedgeDelay / listMaxBackoffDivisor
 	}
 	return f
 }
 
-// askCandidates asks the candidates in order until a stream is open. hasLearned is true
-// if more candidates are known now.
-func (f *streamFinder) askCandidates(ctx context.Context, avoid string) (s *watchStream, hasLearned bool) {
+// tryCandidates tries the candidates in order until a stream is open. hasNewCandidates is true
+// if a node has referred to others, so that more candidates are known.
+func (f *streamFinder) tryCandidates(ctx context.Context, avoid string) (s *watchStream, hasNewCandidates bool) {
 	for _, addr := range f.proxy.controlNodes.Candidates(avoid) {
 		if f.relays[addr] {
 			continue
@@ -118,7 +119,7 @@
 			return s, false
 		}
 		if errors.Is(err, errNearerNode) {
-			f.request.Zone = "" // a node is asked for a nearer one only once
+			f.request.Zone = "" // a referral to a nearer node is requested only once
 			return nil, true
 		}
 		if errors.Is(err, errReferred) {
@@ -131,7 +132,7 @@
 	return nil, false
 }
 
-// open opens a stream and sends it to results, or closes it if the search has ended.
+// open opens a stream and sends it to results, or closes it if the context has ended.
 func (f *streamFinder) open(ctx context.Context, addr string, request transport.Request) {
 	s, err := f.proxy.openStream(ctx, addr, request, f.connectTimeout)
 	select {
@@ -143,8 +144,8 @@
 	}
 }
 
-// await waits for the end of one attempt to open a stream, and returns nil and nil if none
-// ends in time.
+// await waits for the result of one attempt to open a stream. It returns nil and nil on a
+// time-out.
 func (f *streamFinder) await(ctx context.Context, timeout time.Duration) (*watchStream, error) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
@@ -161,7 +162,8 @@
 	return nil, nil
 }
 
-// backOff waits for a time around backoff, or until a node that was asked opens a stream.
+// backOff waits for a random time between half and one and a half times backoff. If a pending
+// attempt opens a stream meanwhile, backOff returns it.
 func (f *streamFinder) backOff(ctx context.Context, backoff time.Duration) *watchStream {
 	remaining := backoff/2 + time.Duration(rand.Int63n(int64(backoff)))
 	for at := time.Now(); remaining > 0 && ctx.Err() == nil; {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// findNearerStream asks the nodes that are nearer than one, each once. It returns nil if
+// findNearerStream tries each node that is nearer than the given one once. It returns nil if
 // none opens a stream.
 func (p *Proxy) findNearerStream(ctx context.Context, than string, request transport.Request) *watchStream {
 	for _, addr := range p.controlNodes.NodesNearerThan(than) {
--- a/internal/proxy/forwarding.go
+++ b/internal/proxy/forwarding.go
@@ -11,39 +11,38 @@
 )
 
 const (
-	// maxUnsentAttempts bounds the attempts of a request of which nothing was sent.
+	// maxUnsentAttempts is the maximum number of attempts that end before any of the request is sent.
 	maxUnsentAttempts = 4
-	// remainingWaitDivisor is the part of its remaining time that a request waits in the
-	// queue for an endpoint at most, as a divisor.
-	remainingWaitDivisor = 4
-	// targetWaitDivisor is the same of the route's latency target.
-	targetWaitDivisor = 6
+	// queueWaitRemainingDivisor and queueWaitTargetDivisor bound the wait in the queue for an
+	// endpoint, as divisors of the request's remaining time and of the route's latency target.
+	queueWaitRemainingDivisor = 4
+	queueWaitTargetDivisor    = 6
 )
 
-// forwarding is the state of one request over all its attempts. Only the goroutine that
-// handles the request uses it.
+// forwarding is the state of one request across its attempts. It is used only by the goroutine
+// that handles the request.
 type forwarding struct {
 	proxy   *Proxy
 	request *request
 	service *service
 	rank    queueRank
-	// group is the versions that the next attempt goes to.
+	// group is the version group that the next attempt uses.
 	group loadbalance.VersionGroup
 
-	// triedEndpoints are those of the attempts so far; no endpoint is attempted twice.
+	// triedEndpoints holds the endpoints attempted so far; no endpoint is attempted twice.
 	triedEndpoints []*loadbalance.Endpoint
-	// sentAttempts and unsentAttempts count the attempts in which some of the request was
-	// sent, and nothing.
+	// sentAttempts and unsentAttempts count the attempts in which some and none of the request
+	// was sent.
 	sentAttempts, unsentAttempts int
-	// mayHaveArrived: an endpoint may have received the request.
+	// mayHaveArrived is set once an endpoint may have received some of the request.
 	mayHaveArrived bool
-	// decision is what followed from the last attempt.
+	// decision is the decision after the last attempt.
 	decision decision
-	// reason is why the last attempt failed, for the error to the client.
+	// reason is why the last attempt failed; it becomes the detail of the error.
 	reason string
 }
 
-// admit counts a request at its service and draws the versions that it goes to.
+// admit counts a request at its service and draws its version group.
 func (p *Proxy) admit(q *request) forwarding {
 	rank := q.service.recordArrival(string(q.ctx.RemoteIP()), q.route.Priority)
 	return forwarding{
@@ -56,47 +55,50 @@
 	}
 }
 
-// isSkipped reports whether no attempt can go to an endpoint (any more).
-func (f *forwarding) isSkipped(e *loadbalance.Endpoint) bool {
+// isExcluded reports whether the request must not be sent to an endpoint: its region is not
+// allowed, or it was attempted already.
+func (f *forwarding) isExcluded(e *loadbalance.Endpoint) bool {
 	return !mayServe(f.request.regionMask, e.RegionIndex) || slices.Contains(f.triedEndpoints, e)
 }
 
-// pick reserves an endpoint for the next attempt, and withdraws from the retry budget if
-// that is a retry. Without an endpoint the request fails with the decision that pick sets.
-func (f *forwarding) pick() target {
+// pick reserves an endpoint for the next attempt, and withdraws from the retry budget if an
+// earlier attempt may have reached an endpoint. If there is no endpoint or no budget, pick sets
+// the decision with which the request fails, and returns a zero attemptTarget.
+func (f *forwarding) pick() attemptTarget {
 	t := f.reserveEndpoint()
 	if t.endpoint == nil {
 		f.setDecision(phaseQueued)
-		return target{}
+		return attemptTarget{}
 	}
-	t.watch = f.service.watchAttempt(f.proxy, f.request, t.endpoint, t.group)
+	t.recorder = f.service.newRolloutRecorder(f.proxy, f.request, t.endpoint, t.group)
 	if !f.mayHaveArrived {
 		return t
 	}
 	if !f.service.withdrawRetry() {
 		f.proxy.counters.retryBudgetExhausted.Inc()
 		f.service.releaseEndpoint(f.proxy, t.endpoint, true, 0)
-		t.watch.stop()
+		t.recorder.stop()
 		f.setDecision(phaseQueued)
-		return target{}
+		return attemptTarget{}
 	}
 	f.proxy.counters.retries.Inc()
 	return t
 }
 
-// reserveEndpoint waits for an endpoint for a part of the time that the request has left.
-func (f *forwarding) reserveEndpoint() target {
+// reserveEndpoint reserves an endpoint. It waits for one for at most a fraction of the request's
+// remaining time and of the route's latency target.
+func (f *forwarding) reserveEndpoint() attemptTarget {
 	remaining := time.Until(f.request.deadline)
 	if remaining <= 0 {
-		return target{}
+		return attemptTarget{}
 	}
-	wait := min(f.request.route.TargetLatency/targetWaitDivisor, remaining/remainingWaitDivisor)
-	t := f.service.acquireForGroup(f.proxy, f.rank, queueWait{limit: wait, client: &f.request.client}, f.group, f.isSkipped)
+	wait := min(f.request.route.TargetLatency/queueWaitTargetDivisor, remaining/queueWaitRemainingDivisor)
+	t := f.service.acquireForGroup(f.proxy, f.rank, queueWait{limit: wait, client: &f.request.client}, f.group, f.isExcluded)
 	f.group = t.group
 	return t
 }
 
-// setDecision decides what follows from an attempt that ended in a phase.
+// setDecision sets the decision after an attempt that ended in the given phase.
 func (f *forwarding) setDecision(at phase) {
 	if at >= phasePartlySent {
 		f.mayHaveArrived = true
@@ -115,14 +117,14 @@
 		mayHaveExecuted: f.decision.mayHaveExecuted,
 		beforeDeadline:  time.Now().Before(q.deadline),
 		attemptsLeft:    f.sentAttempts < q.route.MaxAttempts && f.unsentAttempts < maxUnsentAttempts,
-		// Only where there is a response to fall back on does the budget matter here.
+		// The budget matters here only if there is a response to relay instead of a retry.
 		budgetLeft: at != phaseFailed || f.service.hasRetryBudget(),
 	})
 }
 
-// decide decides what follows from an outcome, and records it for the endpoint.
-// The endpoint is released, unless its response is to be relayed.
-func (f *forwarding) decide(o *outcome, t target) action {
+// decide records an outcome for the endpoint and returns the next action. It releases the
+// endpoint, unless the endpoint's response is to be relayed.
+func (f *forwarding) decide(o *outcome, t attemptTarget) action {
 	f.setDecision(o.phase)
 	switch {
 	case o.err != nil:
@@ -136,42 +138,42 @@
 }
 
 // recordError records an attempt without a valid response.
-func (f *forwarding) recordError(o *outcome, t target) {
+func (f *forwarding) recordError(o *outcome, t attemptTarget) {
 	p := f.proxy
 	f.reason = o.err.Error()
-	hasClientAborted := errors.Is(o.err, errClientAborted)
-	if hasClientAborted {
-		t.watch.stop()
+	isClientAborted := errors.Is(o.err, errClientAborted)
+	if isClientAborted {
+		t.recorder.stop()
 	} else {
-		t.watch.recordBroken(o, time.Now().Before(f.request.deadline))
+		t.recorder.recordBroken(o, time.Now().Before(f.request.deadline))
 	}
 	if o.isStale {
-		// Whether the endpoint itself has ended shows at the next connection.
+		// Whether the endpoint itself has failed is determined by the next new connection.
 		p.counters.staleConnections.Inc()
 		f.service.noteStaleConnection(p.now(), o.idleFor, p.timeouts.ejectionMax)
 		t.conns.closeIdle()
 	}
-	isBlameless := o.isStale || errors.Is(o.err, errDeadlineExceeded) || hasClientAborted
-	f.service.releaseEndpoint(p, t.endpoint, isBlameless, 0)
+	isEndpointNotAtFault := o.isStale || errors.Is(o.err, errDeadlineExceeded) || isClientAborted
+	f.service.releaseEndpoint(p, t.endpoint, isEndpointNotAtFault, 0)
 	if errors.Is(o.err, errInvalidResponse) {
 		p.counters.invalidResponses.Inc()
 	}
 	f.group = f.service.retryVersionGroup(f.group, o.phase >= phasePartlySent)
 }
 
-// recordUnprocessed records a response which states that the request was not processed.
-func (f *forwarding) recordUnprocessed(o *outcome, t target) {
+// recordUnprocessed records a response stating that the request was not processed.
+func (f *forwarding) recordUnprocessed(o *outcome, t attemptTarget) {
 	f.reason = "endpoints rejected the request"
 	f.service.recordRejection(f.proxy, t.endpoint, o.response.status)
-	t.watch.stop()
+	t.recorder.stop()
 	f.group = f.service.retryVersionGroup(f.group, true)
 }
 
-// recordResponse records a complete response. If it is to be relayed, the endpoint is not
-// released.
-func (f *forwarding) recordResponse(o *outcome, t target) {
+// recordResponse records a valid response. It releases the endpoint, unless the response is to
+// be relayed.
+func (f *forwarding) recordResponse(o *outcome, t attemptTarget) {
 	isSuccess := o.response.status < 500
-	t.watch.recordResponse(o.took, isSuccess)
+	t.recorder.recordResponse(o.took, isSuccess)
 	if isSuccess {
 		o.latencyRatio = f.request.stats.observe(o.took.Seconds(), t.group == loadbalance.BaseVersion)
 	} else {
@@ -185,11 +187,11 @@
 	f.group = f.service.retryVersionGroup(f.group, true)
 }
 
-// statusClientClosedRequest is recorded for a request whose client has left. No client receives it.
+// statusClientClosedRequest is recorded for a request whose client has disconnected. It is never sent.
 const statusClientClosedRequest = 499
 
-// abandon ends a request whose client has left. There is nobody to answer. What may have been
-// executed once is recorded, as the client cannot know it.
+// abandon ends a request whose client has disconnected, without a response. A non-idempotent
+// request is recorded for audit, as the client cannot know whether it was executed.
 func (f *forwarding) abandon() {
 	q := f.request
 	if !q.route.Idempotent {
@@ -199,10 +201,10 @@
 	q.ctx.SetConnectionClose()
 }
 
-// fail answers the client with the error of the last decision.
+// fail responds to the client with the error of the last decision.
 func (f *forwarding) fail() {
 	q := f.request
-	if q.client.hasLeft() {
+	if q.client.hasDisconnected() {
 		f.abandon()
 		return
 	}
@@ -212,7 +214,7 @@
 	f.proxy.writeError(q.ctx, apierror.New(kind, "%s", f.reason))
 }
 
-// auditKind is what the audit log is to hold of a request that is given up.
+// auditKind returns the audit kind of a request that failed.
 func (f *forwarding) auditKind() audit.Kind {
 	switch {
 	case f.request.route.Idempotent:
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	// minReadBuffer and maxReadBuffer bound in bytes the buffer for the head of a request,
-	// and readBufferReserve is added to what the configuration permits.
-	minReadBuffer     = 4 << 10
-	maxReadBuffer     = 256 << 10
-	readBufferReserve = 1 << 10
-	// bodyTimeoutFactor is how many times the time for a head a body may take.
+	// minReadBufferBytes and maxReadBufferBytes bound the configured header limit, from which the
+	// size of the buffer for a request's head is derived; readBufferReserveBytes is added to it.
+	minReadBufferBytes     = 4 << 10
+	maxReadBufferBytes     = 256 << 10
+	readBufferReserveBytes = 1 << 10
+	// bodyTimeoutFactor is the time-out for reading a body, in multiples of that for a head.
 	bodyTimeoutFactor = 4
-	// idleTimeoutFactor is how many contact windows an idle client connection is kept where
-	// the configuration sets no time.
+	// idleTimeoutFactor is the default idle time-out of client connections in contact windows,
+	// used if the configuration sets none.
 	idleTimeoutFactor = 5
-	// metricsContentType is that of the counters (Prometheus text format).
+	// metricsContentType is the content type of the Prometheus text format.
 	metricsContentType = "text/plain; version=0.0.4"
 )
 
-// Frontend serves clients. The limits of the configuration in force when a connection is
-// accepted hold for all its life.
+// Frontend serves client connections. A connection keeps the limits of the configuration that
+// was current when it was accepted.
 type Frontend struct {
 	proxy    *Proxy
 	listener net.Listener
-	// done is closed when no connection is accepted any more.
+	// done is closed when Run has stopped accepting connections.
 	done chan struct{}
 
 	mu            sync.Mutex
-	current       *fasthttp.Server
+	currentServer *fasthttp.Server
 	currentLimits config.Limits
-	// connections holds every client connection; true while it carries a request.
+	// connections holds the open client connections; the value is true while a request is active.
 	connections map[net.Conn]bool
 }
 
-// NewFrontend returns the server of a listener that api.Listen made.
+// NewFrontend returns a Frontend for a listener created by api.Listen.
 func NewFrontend(p *Proxy, listener net.Listener) *Frontend {
 	return &Frontend{
 		proxy:       p,
@@ -56,25 +56,25 @@
 	}
 }
 
-// Run accepts connections until Shutdown.
+// Run accepts connections until Shutdown is called.
 func (f *Frontend) Run() {
 	defer close(f.done)
 	for {
 		conn, err := f.listener.Accept()
 		if err != nil {
-			return // an error of a listener of api.Listen is that it was closed
+			return // a listener of api.Listen returns an error only when it is closed
 		}
 		go f.serveConn(f.serverForLimits(), newClientConn(conn))
 	}
 }
 
-// Shutdown ends the service in order: at once this node is not ready, then it accepts no
-// connections, and it returns once all requests that were read are answered, or shortly
-// before the grace period is over.
+// Shutdown shuts down gracefully. It makes the node not ready immediately, later stops accepting
+// connections, and returns once all requests that were read have been answered, or shortly before
+// the end of the grace period.
 func (f *Frontend) Shutdown(gracePeriod time.Duration) {
 	f.proxy.announceShutdown()
 	deadline := time.Now().Add(gracePeriod * 9 / 10)
-	time.Sleep(f.acceptPeriod(gracePeriod))
+	time.Sleep(f.acceptDuration(gracePeriod))
 	f.listener.Close()
 	<-f.done
 	for f.closeIdle() > 0 && time.Now().Before(deadline) {
@@ -83,17 +83,17 @@
 	f.proxy.closeAudit(deadline.Add(gracePeriod / 20))
 }
 
-// acceptPeriod is how long connections are still accepted in a shutdown. The platform
-// needs two failed checks of readiness to send no new ones; clients whom the directory
-// sent here may use its answer for three times its lifetime.
-func (f *Frontend) acceptPeriod(gracePeriod time.Duration) time.Duration {
+// acceptDuration returns how long connections are still accepted during shutdown. The platform
+// needs two failed readiness checks before it stops sending new connections; clients that
+// resolved this node through the directory may use the answer for three times its TTL.
+func (f *Frontend) acceptDuration(gracePeriod time.Duration) time.Duration {
 	if f.proxy.settings.EntryType == settings.EntryTypeDirectory {
 		return gracePeriod * 3 / 5
 	}
 	return gracePeriod * 2 / 5
 }
 
-// serverForLimits returns the server for the limits in force.
+// serverForLimits returns the server for the current limits.
 func (f *Frontend) serverForLimits() *fasthttp.Server {
 	var limits config.Limits
 	if s := f.proxy.snapshot.Load(); s != nil {
@@ -101,19 +101,19 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.current == nil || f.currentLimits != limits {
-		f.current = f.newServer(limits)
+	if f.currentServer == nil || f.currentLimits != limits {
+		f.currentServer = f.newServer(limits)
 		f.currentLimits = limits
 	}
-	return f.current
+	return f.currentServer
 }
 
-// newServer returns a server for limits.
+// newServer returns a server with the given limits.
 func (f *Frontend) newServer(limits config.Limits) *fasthttp.Server {
 	contact := f.proxy.settings.Bounds.ContactWindow.Duration()
 	s := api.NewServer(f.proxy.HandleRequest, maxBufferedRequest)
 	s.StreamRequestBody = true
-	s.ReadBufferSize = int(max(minReadBuffer, min(limits.MaxHeaderBytes, maxReadBuffer))) + readBufferReserve
+	s.ReadBufferSize = int(max(minReadBufferBytes, min(limits.MaxHeaderBytes, maxReadBufferBytes))) + readBufferReserveBytes
 	s.ReadTimeout = secondsOr(limits.HeaderTimeoutSeconds, contact)
 	s.IdleTimeout = secondsOr(limits.IdleTimeoutSeconds, idleTimeoutFactor*contact)
 	s.HeaderReceived = func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
@@ -124,26 +124,26 @@
 	return s
 }
 
-// secondsOr returns a number of seconds, or the other duration if it is not positive.
-func secondsOr(seconds float64, other time.Duration) time.Duration {
+// secondsOr converts seconds to a duration. It returns fallback if seconds is not positive.
+func secondsOr(seconds float64, fallback time.Duration) time.Duration {
 	if seconds <= 0 {
-		return other
+		return fallback
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// serveConn serves one connection until its end.
+// serveConn serves one connection until it ends.
 func (f *Frontend) serveConn(s *fasthttp.Server, conn net.Conn) {
 	f.mu.Lock()
 	f.connections[conn] = false
 	f.mu.Unlock()
-	_ = s.ServeConn(conn) // that a client disconnects is not a fault of the proxy
+	_ = s.ServeConn(conn) // a client's disconnect is not a fault of the proxy
 	f.mu.Lock()
 	delete(f.connections, conn)
 	f.mu.Unlock()
 }
 
-// trackState notes whether a connection carries a request.
+// trackState tracks whether a connection has an active request.
 func (f *Frontend) trackState(conn net.Conn, state fasthttp.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,21 +152,21 @@
 	}
 }
 
-// closeIdle ends the connections that carry no request, and returns how many connections
-// there still are. A deadline in the past ends only a read that has nothing: what was read
-// is answered.
+// closeIdle ends the connections without an active request, and returns the number of open
+// connections. It sets a read deadline in the past, which ends only a read without data: a
+// request that was read is still answered.
 func (f *Frontend) closeIdle() (open int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn, isBusy := range f.connections {
 		if !isBusy {
-			_ = conn.SetReadDeadline(longAgo) // a closed connection needs none
+			_ = conn.SetReadDeadline(pastDeadline) // fails only if the connection is closed
 		}
 	}
 	return len(f.connections)
 }
 
-// handleReadError answers a request that the server could not read.
+// handleReadError responds to a request that the server could not read.
 func (f *Frontend) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	status := readErrorStatus(err)
 	f.proxy.metrics.Counter("requests_malformed_total", "status", fasthttp.StatusMessage(status)).Inc()
@@ -174,12 +174,12 @@
 	ctx.SetStatusCode(status)
 }
 
-// readErrorStatus is the status for an error of reading a request.
+// readErrorStatus returns the status code for an error in reading a request.
 func readErrorStatus(err error) int {
-	var small *fasthttp.ErrSmallBuffer
+	var smallBufferErr *fasthttp.ErrSmallBuffer
 	var netErr net.Error
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &smallBufferErr):
 		return fasthttp.StatusRequestHeaderFieldsTooLarge
 	case errors.As(err, &netErr) && netErr.Timeout():
 		return fasthttp.StatusRequestTimeout
@@ -190,11 +190,11 @@
 	}
 }
 
-// clientConn is a client's connection. One that never sent a byte ends without an answer,
-// as no request waits for one.
+// clientConn is a client connection. If it fails before the client has sent any byte, reads
+// return io.EOF, so that it is closed without a response: no request is waiting for one.
 type clientConn struct {
 	net.Conn
-	// probe looks whether the client has left; nil if the connection is no socket.
+	// probe checks whether the client has disconnected; nil if the connection is not a socket.
 	probe       *transport.PeerProbe
 	hasSentData bool
 }
@@ -221,7 +221,7 @@
 	return n, err
 }
 
-// HandleReadiness answers the platform's checks of readiness, and serves the counters.
+// HandleReadiness serves the platform's readiness checks and the metrics.
 func (p *Proxy) HandleReadiness(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/api/readiness":
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestShutdownCompletesReadRequests: a node that shuts down is not ready at once, answers what it
-// has read, ends idle connections, and waits no longer than it must.
+// TestShutdownCompletesReadRequests checks that a node that shuts down is not ready immediately,
+// answers the requests that it has read, closes idle connections and then returns.
 func TestShutdownCompletesReadRequests(t *testing.T) {
 	started, finish := make(chan struct{}), make(chan struct{})
 	e := newStubEndpoint(t, func(int, string) string {
@@ -36,28 +36,28 @@
 		f.Shutdown(4 * time.Second)
 		close(stopped)
 	}()
-	<-f.done // it no longer accepts, and the request is still at the endpoint
+	<-f.done // the listener is closed, and the request is still in progress
 	if p.Ready() {
-		t.Error("a node that shuts down is ready")
+		t.Error("node is ready during shutdown")
 	}
 	select {
 	case <-stopped:
-		t.Fatal("it ended with a request in flight")
+		t.Fatal("Shutdown returned with a request in flight")
 	default:
 	}
 	close(finish)
 	rs := <-answered
 	if statusOf(rs) != 200 || !rs[0].Close {
-		t.Errorf("answered %d, kept open %v", statusOf(rs), len(rs) == 1 && !rs[0].Close)
+		t.Errorf("status %d, connection kept open %v; want 200, false", statusOf(rs), len(rs) == 1 && !rs[0].Close)
 	}
 	<-stopped
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
-		t.Error("the idle connection got bytes")
+		t.Error("idle connection received bytes")
 	}
 }
 
-// TestResponseIsNotHeldByPipelinedRequest: a response is sent when it is there, also if the next
-// request of its connection has arrived by then and takes its time (head-of-line blocking).
+// TestResponseIsNotHeldByPipelinedRequest guards against delaying a complete response until a slow
+// pipelined request behind it on the same connection has been answered.
 func TestResponseIsNotHeldByPipelinedRequest(t *testing.T) {
 	next := make(chan struct{})
 	e := newStubEndpoint(t, func(int, string) string {
@@ -78,10 +78,10 @@
 	r, err := http.ReadResponse(br, nil)
 	close(next)
 	if err != nil || r.StatusCode != 404 {
-		t.Fatalf("the first answer waits for the second: %v", err)
+		t.Fatalf("first response was not received before the second request completed: %v", err)
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r, err := http.ReadResponse(br, nil); err != nil || r.StatusCode != 200 {
-		t.Errorf("the second answer: %v", err)
+		t.Errorf("second response: %v, want status 200", err)
 	}
 }
--- a/internal/proxy/handle.go
+++ b/internal/proxy/handle.go
@@ -12,16 +12,15 @@
 )
 
 const (
-	// configWaitDivisor is the part of its deadline that a request waits for the first
-	// configuration at most, as a divisor.
-	configWaitDivisor = 10
-	// configWaitDivisorAtStart is the same right after the start of the node.
-	configWaitDivisorAtStart = 4
+	// configWaitDeadlineDivisor bounds the wait for the first configuration, as a divisor of the
+	// request's deadline.
+	configWaitDeadlineDivisor = 10
+	// startupConfigWaitDeadlineDivisor is the same shortly after the node has started.
+	startupConfigWaitDeadlineDivisor = 4
 )
 
-// HandleRequest handles one request of a client. It takes these steps: read the request
-// (with it the route is matched), forward it, which picks endpoints and attempts it there,
-// and relay the response.
+// HandleRequest handles one client request: it reads the request and matches its route, attempts
+// it at one or more endpoints, and relays the response.
 func (p *Proxy) HandleRequest(ctx *fasthttp.RequestCtx) {
 	p.counters.requests.Inc()
 	p.audit.requestStarted()
@@ -37,39 +36,39 @@
 	defer headBuffers.Put(buf)
 	q := request{ctx: ctx, startedAt: ctx.Time(), isHead: ctx.IsHead()}
 	if err := q.read(snapshot, (*buf)[:0]); err != nil {
-		p.rejectUnreadable(ctx, err)
+		p.rejectInvalid(ctx, err)
 		return
 	}
-	*buf = q.head // which may have grown
+	*buf = q.head // it may have been reallocated
 
 	q.service = snapshot.services[q.route.PickService(p.random())]
 	q.stats = snapshot.routeStats[q.route.Index]
 	q.regionMask = snapshot.regionMasks[q.route.Index]
 	p.watchClient(&q)
 	if !p.forward(&q) {
-		q.client.end()
+		q.client.finish()
 	}
 }
 
-// watchClient begins to watch whether the client leaves.
+// watchClient starts watching for a disconnect of the client.
 func (p *Proxy) watchClient(q *request) {
 	conn, ok := q.ctx.Conn().(*clientConn)
 	if !ok || conn.probe == nil {
 		return
 	}
-	q.client.client, q.client.conn = conn, conn.probe
+	q.client.client, q.client.probe = conn, conn.probe
 	p.departures.watch(&q.client)
 }
 
-// forward attempts a request at one endpoint after the other until one answers, nothing more
-// may be attempted, or the client has left. It reports whether the response streams: the request
-// then ends with the stream.
+// forward attempts a request at one endpoint after another until a response can be relayed, no
+// further attempt is permitted, or the client has disconnected. It reports whether the response is
+// being streamed; the request then ends with the stream.
 func (p *Proxy) forward(q *request) (isStreaming bool) {
 	f := p.admit(q)
 	for {
-		// The client may have left while the request waited to be read.
+		// The client may have disconnected while the request waited to be read.
 		q.client.check()
-		if q.client.hasLeft() {
+		if q.client.hasDisconnected() {
 			f.abandon()
 			return false
 		}
@@ -91,8 +90,8 @@
 	}
 }
 
-// finishRequest counts a request as handled, and lets the client's connection end with it
-// if the node is shutting down.
+// finishRequest counts a request as handled, and closes the client's connection after the
+// response if the node is shutting down.
 func (p *Proxy) finishRequest(ctx *fasthttp.RequestCtx) {
 	p.audit.requestFinished()
 	if p.isDraining.Load() {
@@ -100,19 +99,19 @@
 	}
 }
 
-// awaitConfig returns the routing snapshot in force. A request that came before the first
-// one waits for it; awaitConfig returns nil if it does not come in time.
+// awaitConfig returns the current routing snapshot. If there is none yet, it waits for the first
+// one, and returns nil if that does not arrive in time.
 //
-// The first configuration comes soon after a start, so a request that came right after
-// the start waits for a larger part of its deadline: a client that was rejected may not
-// come back. Later there is none to come soon, and the request is rejected at once.
+// The first configuration usually arrives shortly after the start of the node, so a request in
+// that period waits for a larger part of its deadline: a rejected client may not retry. Later, a
+// configuration is not expected soon, and the wait is short.
 func (p *Proxy) awaitConfig(ctx *fasthttp.RequestCtx) *routingSnapshot {
 	if s := p.snapshot.Load(); s != nil {
 		return s
 	}
-	wait, divisor := p.timeouts.dial, time.Duration(configWaitDivisor)
+	wait, divisor := p.timeouts.dial, time.Duration(configWaitDeadlineDivisor)
 	if untilHedge := p.timeouts.openHedgeDelay - p.now(); untilHedge > wait {
-		wait, divisor = untilHedge, configWaitDivisorAtStart
+		wait, divisor = untilHedge, startupConfigWaitDeadlineDivisor
 	}
 	if ms, err := strconv.Atoi(string(ctx.Request.Header.Peek("X-Deadline"))); err == nil {
 		wait = min(wait, time.Duration(ms)*time.Millisecond/divisor)
@@ -126,7 +125,7 @@
 	return p.snapshot.Load()
 }
 
-// rejectWithoutConfig answers a request for which there is no configuration.
+// rejectWithoutConfig rejects a request because there is no configuration yet.
 func (p *Proxy) rejectWithoutConfig(ctx *fasthttp.RequestCtx) {
 	p.writeError(ctx, apierror.New(apierror.Unavailable, "no configuration yet"))
 	kind := audit.NotExecuted
@@ -134,19 +133,19 @@
 		kind = audit.Failed
 	}
 	p.audit.record(&ctx.Request.Header, "", kind, fasthttp.StatusServiceUnavailable, ctx.Time())
-	// The first configuration comes soon after a start, or not for long.
+	// The first configuration arrives soon after the start, or not for a long time.
 	ctx.Response.Header.Set("Retry-After", formatSeconds(withJitter(p.timeouts.dial)))
 }
 
-// rejectUnreadable answers a request that could not be read or that no route matches.
-func (p *Proxy) rejectUnreadable(ctx *fasthttp.RequestCtx, err error) {
+// rejectInvalid rejects a request that is invalid or matches no route.
+func (p *Proxy) rejectInvalid(ctx *fasthttp.RequestCtx, err error) {
 	if apierror.KindOf(err) != apierror.NoRoute {
 		ctx.SetConnectionClose()
 	}
 	p.writeError(ctx, err)
 }
 
-// writeError answers with an error of the proxy.
+// writeError responds with an error generated by the proxy.
 func (p *Proxy) writeError(ctx *fasthttp.RequestCtx, err error) {
 	kind := apierror.KindOf(err)
 	status := kind.Status()
@@ -160,10 +159,10 @@
 	ctx.SetBodyString(`{"error":"` + kind.String() + `"}`)
 }
 
-// withJitter returns a duration between d and almost twice of it.
+// withJitter returns a random duration from d to just under twice d.
 func withJitter(d time.Duration) time.Duration {
 	return d + d*time.Duration(rand.Intn(100))/100
 }
 
-// formatSeconds formats a duration in seconds, as in a Retry-After header.
+// formatSeconds formats a duration as seconds for the Retry-After header.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- a/internal/proxy/handle_test.go
+++ b/internal/proxy/handle_test.go
@@ -12,20 +12,20 @@
 	"lichentray/registry"
 )
 
-// TestRequestWaitsForFirstConfig: a request that comes right after the start waits for the first
-// configuration and is served. One that comes when none is to come soon is rejected with a
-// Retry-After.
+// TestRequestWaitsForFirstConfig checks that a request shortly after the start waits for the first
+// configuration and is served, and that a request long after the start, or with a short deadline,
+// is rejected with status 503.
 func TestRequestWaitsForFirstConfig(t *testing.T) {
 	e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
-	set.Bounds.ContactWindow, set.Bounds.ConfigPropagation, set.Bounds.DrainPropagation = 6, 40, 40 // a view within 10 s of the start
-	open := func(began time.Duration) (*Proxy, string) {
+	set.Bounds.ContactWindow, set.Bounds.ConfigPropagation, set.Bounds.DrainPropagation = 6, 40, 40 // the first configuration is expected within 10 s of the start
+	open := func(uptime time.Duration) (*Proxy, string) {
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
-		p.startedAt = p.startedAt.Add(-began)
+		p.startedAt = p.startedAt.Add(-uptime)
 		return p, serveFrontend(t, p).listener.Addr().String()
 	}
 	p, addr := open(0)
-	_, longAgo := open(time.Hour)
+	_, longRunningAddr := open(time.Hour)
 
 	get := "GET /safe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nX-Deadline: %d\r\n\r\n"
 	got := make(chan int, 1)
@@ -36,17 +36,17 @@
 	for _, deadline := range []int{4, 400} {
 		r := sendRaw(t, addr, fmt.Sprintf(get, deadline), 1)[0]
 		if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
-			t.Errorf("deadline of %d ms without a view: %d, Retry-After %q", deadline, r.StatusCode, r.Header.Get("Retry-After"))
+			t.Errorf("deadline of %d ms without a configuration: status %d with Retry-After %q, want 503 with a value", deadline, r.StatusCode, r.Header.Get("Retry-After"))
 		}
 	}
-	if r := sendRaw(t, longAgo, fmt.Sprintf(get, 60000), 1)[0]; r.StatusCode != 503 {
-		t.Errorf("long after the start: %d", r.StatusCode)
+	if r := sendRaw(t, longRunningAddr, fmt.Sprintf(get, 60000), 1)[0]; r.StatusCode != 503 {
+		t.Errorf("long after the start: status = %d, want 503", r.StatusCode)
 	}
-	// By now the first request has waited for longer than a late one would.
+	// The first request has now waited longer than a request long after the start would.
 	x := registry.Endpoint{ID: "i-0", Service: "s", Address: e.listener.Addr().String(), Zone: "a", Capacity: 4}
 	p.applyObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
 	p.applyObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), testConfig...)}, false)
 	if code := <-got; code != 200 {
-		t.Errorf("the request that came right after the start: %d", code)
+		t.Errorf("request shortly after the start: status = %d, want 200", code)
 	}
 }
--- a/internal/proxy/header.go
+++ b/internal/proxy/header.go
@@ -4,7 +4,7 @@
 	"bytes"
 )
 
-// equalFold reports whether a header name or token equals an ASCII string, in any case.
+// equalFold reports whether a header name or token equals an ASCII string, ignoring case.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -18,7 +18,7 @@
 	return true
 }
 
-// isDigits reports whether there is nothing but decimal digits.
+// isDigits reports whether b contains only decimal digits.
 func isDigits(b []byte) bool {
 	for _, c := range b {
 		if c < '0' || c > '9' {
@@ -28,11 +28,11 @@
 	return true
 }
 
-// tokenDelimiters are the visible characters that no token contains (RFC 9110, section
+// tokenDelimiters are the visible characters that are not allowed in a token (RFC 9110, section
 // 5.6.2).
 var tokenDelimiters = []byte(`"(),/:;<=>?@[\]{}`)
 
-// isToken reports whether all characters may stand in a token, as in a header's name.
+// isToken reports whether all characters are allowed in a token, such as a header name.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 127 || bytes.IndexByte(tokenDelimiters, c) >= 0 {
@@ -52,8 +52,8 @@
 	return false
 }
 
-// isHopByHop reports whether a request header concerns one connection only (RFC 9110,
-// section 7.6.1) or is one that the proxy sets itself. Those are not forwarded.
+// isHopByHop reports whether a request header applies to a single connection (RFC 9110, section
+// 7.6.1) or is set by the proxy itself. Such headers are not forwarded.
 func isHopByHop(name []byte) bool {
 	for _, s := range [...]string{"keep-alive", "proxy-connection", "te", "trailer", "upgrade", "expect", "x-target-instance"} {
 		if equalFold(name, s) {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// isResponseFraming reports whether a response header concerns the endpoint's connection
-// or the framing on it. The proxy's server sets its own.
+// isResponseFraming reports whether a response header describes the endpoint's connection or the
+// message framing on it. It is not relayed: the proxy's server sets its own.
 func isResponseFraming(name []byte) bool {
 	for _, s := range [...]string{"connection", "keep-alive", "proxy-connection", "transfer-encoding", "content-length", "trailer", "upgrade"} {
 		if equalFold(name, s) {
@@ -74,12 +74,12 @@
 	return false
 }
 
-// removeConnectionHeaders removes the headers that a Connection header names, but those
-// that every request needs.
+// removeConnectionHeaders removes the headers that the Connection header lists, except protected
+// ones.
 func removeConnectionHeaders(head, connection []byte) []byte {
 	for _, token := range bytes.Split(connection, []byte{','}) {
 		token = bytes.TrimSpace(token)
-		if len(token) == 0 || isKeptConnectionOption(token) {
+		if len(token) == 0 || isProtectedConnectionOption(token) {
 			continue
 		}
 		head = removeHeader(head, string(token))
@@ -87,9 +87,9 @@
 	return head
 }
 
-// isKeptConnectionOption reports whether a token in a Connection header names no header
-// that may be removed.
-func isKeptConnectionOption(token []byte) bool {
+// isProtectedConnectionOption reports whether a token in a Connection header must not cause a
+// header of that name to be removed.
+func isProtectedConnectionOption(token []byte) bool {
 	for _, s := range [...]string{"close", "keep-alive", "host", "x-attempt-id"} {
 		if equalFold(token, s) {
 			return true
@@ -98,8 +98,8 @@
 	return false
 }
 
-// removeHeader returns a copy of a request's head without the headers of a name. The
-// request line stays.
+// removeHeader returns a copy of a request's head without the header lines of the given name.
+// The request line is always kept.
 func removeHeader(head []byte, name string) []byte {
 	lines := bytes.SplitAfter(head, []byte{'\n'})
 	out := append([]byte(nil), lines[0]...)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,7 +33,7 @@
 	random       func() float64
 	controlNodes *discovery.Locator
 	pacer        *pacer
-	departures   *departureWatcher
+	departures   *disconnectWatcher
 	// audit is nil if the settings ask for no audit log.
 	audit *auditRecorder
 
@@ -87,7 +87,7 @@
 		random:       rand.Float64,
 		controlNodes: discovery.NewLocator(set),
 		pacer:        newPacer(set.Limits.BandwidthMbps),
-		departures:   newDepartureWatcher(registry),
+		departures:   newDisconnectWatcher(registry),
 		audit:        newAuditRecorder(set, registry),
 		firstConfig:  make(chan struct{}),
 		regionIndex:  indexRegions(set.RegionByZone),
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -104,7 +104,7 @@
 	// limit is the longest wait; 0 for none.
 	limit time.Duration
 	// client ends the wait when it leaves.
-	client *departure
+	client *clientWatch
 }
 
 // acquireEndpoint reserves an endpoint, for which it waits in the order of ranks. A wait that
@@ -136,7 +136,7 @@
 func (s *service) awaitEndpoint(p *Proxy, w *waiter, wait queueWait, skip func(*loadbalance.Endpoint) bool) *loadbalance.Endpoint {
 	timer := time.NewTimer(wait.limit)
 	defer timer.Stop()
-	left := wait.client.whenLeft()
+	left := wait.client.disconnected()
 	for {
 		s.mu.Unlock()
 		isOver, hasLeft := false, false
--- a/internal/proxy/queue_test.go
+++ b/internal/proxy/queue_test.go
@@ -24,7 +24,7 @@
 	order := make(chan string, 3)
 	enter := func(name string, r queueRank, queued int) {
 		go func() {
-			got, _ := s.acquireEndpoint(p, r, queueWait{limit: 20 * time.Second, client: &departure{}}, nil)
+			got, _ := s.acquireEndpoint(p, r, queueWait{limit: 20 * time.Second, client: &clientWatch{}}, nil)
 			order <- name
 			s.releaseEndpoint(p, got, true, 0)
 		}()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -55,7 +55,7 @@
 	deadline  time.Time
 	isHead    bool
 	// client is whether the client has left.
-	client departure
+	client clientWatch
 }
 
 // read reads and checks a request and finds its route. It appends the head to forward to
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -9,7 +9,7 @@
 )
 
 // relayResponse relays an endpoint's response to the client and releases the endpoint.
-func (p *Proxy) relayResponse(q *request, t target, o outcome) {
+func (p *Proxy) relayResponse(q *request, t attemptTarget, o outcome) {
 	resp := o.response
 	status := relayedStatus(resp.status, q.route.Idempotent)
 	q.stats.countResponse(status)
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -23,7 +23,7 @@
 	endpointFailed bool
 }
 
-func newResponseStream(p *Proxy, q *request, t target, o outcome) *responseStream {
+func newResponseStream(p *Proxy, q *request, t attemptTarget, o outcome) *responseStream {
 	return &responseStream{
 		proxy:    p,
 		request:  q,
@@ -42,7 +42,7 @@
 		err = io.ErrUnexpectedEOF // the client must not take a truncated body as complete
 	}
 	s.endpointFailed = err != nil && !errors.Is(err, io.EOF) &&
-		time.Until(s.request.deadline) > 0 && !s.request.client.hasLeft()
+		time.Until(s.request.deadline) > 0 && !s.request.client.hasDisconnected()
 	s.proxy.pacer.wait(n, s.response.contentLength-s.received, s.request.deadline)
 	return n, err
 }
@@ -52,7 +52,7 @@
 
 // Close ends the exchange, complete or not. It implements io.Closer.
 func (s *responseStream) Close() error {
-	defer s.request.client.end()
+	defer s.request.client.finish()
 	wasBrokenOff := s.request.client.detach()
 	if s.isComplete() && !wasBrokenOff {
 		s.proxy.recordResponse(s.request, s.response.status)
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -142,13 +142,13 @@
 // acquireForGroup reserves an endpoint of a version group for which skip returns false;
 // see acquireEndpoint. No request waits for the target version while the base version is
 // available, so the target returned may be of another group. It may have no endpoint.
-func (s *service) acquireForGroup(p *Proxy, rank queueRank, wait queueWait, group loadbalance.VersionGroup, skip func(*loadbalance.Endpoint) bool) target {
+func (s *service) acquireForGroup(p *Proxy, rank queueRank, wait queueWait, group loadbalance.VersionGroup, skip func(*loadbalance.Endpoint) bool) attemptTarget {
 	skipForGroup := func(e *loadbalance.Endpoint) bool { return !s.accepts(e, group) || skip(e) }
 	if group == loadbalance.TargetVersion {
 		isFinal, isInProgress := s.rolloutStage()
 		if !isFinal && isInProgress {
 			if e, conns := s.acquireEndpoint(p, rank, queueWait{}, skipForGroup); e != nil {
-				return target{endpoint: e, conns: conns, group: group}
+				return attemptTarget{endpoint: e, conns: conns, group: group}
 			}
 		}
 		if !isFinal {
@@ -159,7 +159,7 @@
 	if e != nil && group == loadbalance.TargetVersion {
 		group = s.versionGroupOf(e) // the roll-out may have ended meanwhile
 	}
-	return target{endpoint: e, conns: conns, group: group}
+	return attemptTarget{endpoint: e, conns: conns, group: group}
 }
 
 // rolloutStage reports whether the roll-out is in progress and in its final stage.
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -159,7 +159,7 @@
 	defer s.mu.Unlock()
 	for e, conns := range s.connPools {
 		conns.closeExpired(now)
-		e.IdleConnections = conns.idleCount()
+		e.IdleConnections = conns.countIdle()
 	}
 }
 
@@ -203,7 +203,7 @@
 func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, isSuccess bool, latencyRatio float64) {
 	s.mu.Lock()
 	if conns := s.connPools[e]; conns != nil {
-		e.IdleConnections = conns.idleCount()
+		e.IdleConnections = conns.countIdle()
 	}
 	s.pool.Finish(p.now(), e, isSuccess, latencyRatio)
 	s.queue.wakeFirst()
