--- a/internal/storage/checksum.go
+++ b/internal/storage/checksum.go
@@ -8,20 +8,20 @@
 )
 
 // ErrChecksum is the DiscardReason of a store in which the content of a row does not match its
-// checksum. It is damage that SQLite does not notice.
+// checksum. SQLite does not detect such damage.
 var ErrChecksum = errors.New("storage: checksum does not match")
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// rowChecksum returns the CRC-32 (Castagnoli) of a row: of its other columns, as fmt.Sprint
-// prints them, followed by its data.
+// rowChecksum returns the CRC-32 (Castagnoli) of the given columns, as fmt.Sprint formats them,
+// followed by the data column.
 func rowChecksum(data []byte, columns ...any) int64 {
-	sum := crc32.Checksum([]byte(fmt.Sprint(columns...)), castagnoliTable)
-	return int64(crc32.Update(sum, castagnoliTable, data))
+	checksum := crc32.Checksum([]byte(fmt.Sprint(columns...)), castagnoliTable)
+	return int64(crc32.Update(checksum, castagnoliTable, data))
 }
 
-// verifyChecksum compares a stored checksum with that of the row. Rows that were written by a
-// version without checksums have none and are accepted.
+// verifyChecksum compares a stored checksum with the computed one. Rows without a checksum, as
+// versions before checksums wrote them, are accepted.
 func verifyChecksum(stored driver.Value, checksum int64) error {
 	if stored != nil && stored != checksum {
 		return ErrChecksum
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -20,8 +20,8 @@
 	"lichentray/registry"
 )
 
-// The golden forms are the serialised types of the store as they were when the golden
-// file was made. Their field names are data: gob writes them.
+// The golden types are the serialized types of the store as they were when the golden file was
+// created. Their field names are part of the format, as gob writes them.
 type (
 	goldenHardState struct {
 		Term uint64
@@ -45,10 +45,10 @@
 	}
 )
 
-// goldenIdentity is the identity that the golden store was made under.
+// goldenIdentity is the identity in the golden store.
 const goldenIdentity = 0x0102030405060708
 
-func goldenHard() raft.HardState { return raft.HardState{Term: 5, Vote: 12} }
+func goldenHardStateValue() raft.HardState { return raft.HardState{Term: 5, Vote: 12} }
 
 func goldenMembers() raft.Membership {
 	return raft.Membership{
@@ -60,8 +60,8 @@
 	}
 }
 
-// goldenMembersLater is the membership in the log after the snapshot.
-func goldenMembersLater() raft.Membership {
+// goldenLogMembers is the membership in the log entry that follows the snapshot.
+func goldenLogMembers() raft.Membership {
 	return raft.Membership{
 		Voters: []raft.Member{
 			{ID: 11, Addr: "127.0.0.1:7001", API: "127.0.0.1:8001"},
@@ -72,9 +72,9 @@
 	}
 }
 
-// goldenMembersForm is goldenMembers, and goldenMembersLaterForm goldenMembersLater, as
-// a reader of before has them.
-func goldenMembersForm() goldenMembership {
+// goldenTypedMembers is goldenMembers in the golden types, and goldenTypedLogMembers is
+// goldenLogMembers.
+func goldenTypedMembers() goldenMembership {
 	return goldenMembership{
 		Voters: []goldenMember{
 			{ID: 11, Addr: "127.0.0.1:7001", API: "127.0.0.1:8001"},
@@ -84,7 +84,7 @@
 	}
 }
 
-func goldenMembersLaterForm() goldenMembership {
+func goldenTypedLogMembers() goldenMembership {
 	return goldenMembership{
 		Voters: []goldenMember{
 			{ID: 11, Addr: "127.0.0.1:7001", API: "127.0.0.1:8001"},
@@ -95,8 +95,9 @@
 	}
 }
 
-// goldenStateText holds the objects of the snapshot's state, key by key.
-var goldenStateText = map[string]string{
+// goldenStateObjects holds the objects in the snapshot's state by key. The values of accepted/,
+// which are digests, are empty here.
+var goldenStateObjects = map[string]string{
 	"accepted/00000000000000000011": "",
 	"accepted/00000000000000000012": "",
 	"configuration/current":         "\x00\x00\x00\x00\x00\x00\x00\x0c" + `{"config_version":"12","clusters":["payments","invoices"]}`,
@@ -107,10 +108,10 @@
 	"rollouts/payments":             `{"base":"v1","order":1,"target":"v2","state":"in_progress","stage":1,"deadline_s":600,"spent_s":330}`,
 }
 
-// goldenLogTexts are the entries of the log after the snapshot; the membership's, whose
-// bytes are not the same in every process, is empty here.
-var goldenLogTexts = []string{
-	"", // the entry that opens a leader's term
+// goldenLogData is the data of the log entries after the snapshot. That of the membership, whose
+// bytes differ between processes, is empty here.
+var goldenLogData = []string{
+	"", // the empty entry at the start of a leader's term
 	"\x01\x01\x0cendpoints/e1\x03\x01\x0cendpoints/e1\x00\x05value",
 	"\x02\x04\x06orders\x00\x00\x00\x00\x00\x00\x00\x00\x00",
 	"",
@@ -121,37 +122,37 @@
 		{Index: 41, Term: 5},
 		{Index: 42, Term: 5, Data: registry.EncodeCommand(registry.Command{Txn: &registry.Txn{If: []registry.Compare{{Key: "endpoints/e1", ModRevision: 3}}, Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}}}})},
 		{Index: 43, Term: 5, Data: registry.EncodeCommand(registry.Command{Coordination: &coordination.Command{Operation: coordination.NextNumber, Name: "orders"}})},
-		{Index: 44, Term: 5, Type: raft.EntryConfChange, Data: goldenMembersLater().Encode()},
+		{Index: 44, Term: 5, Type: raft.EntryConfChange, Data: goldenLogMembers().Encode()},
 	}
 }
 
-// writeGoldenStore makes a store with this code, closes it and returns its path.
+// writeGoldenStore writes a store with the current code, closes it and returns its path.
 func writeGoldenStore(t *testing.T, state []byte) string {
 	t.Helper()
 	dir := t.TempDir()
-	c, id, _, err := Open(dir, goldenIdentity, nil)
+	store, id, _, err := Open(dir, goldenIdentity, nil)
 	if err != nil || !id.IsNew || id.ID != goldenIdentity {
 		t.Fatal(id, err)
 	}
-	hard := goldenHard()
+	hardState := goldenHardStateValue()
 	before := []raft.Entry{{Index: 39, Term: 3, Data: []byte("dropped by the snapshot")}, {Index: 40, Term: 4, Data: []byte("this too")}}
-	if err := c.Save(nil, nil, false, before); err != nil {
+	if err := store.Save(nil, nil, false, before); err != nil {
 		t.Fatal(err)
 	}
 	snapshot := raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: state}
-	if err := c.Save(&hard, &snapshot, false, goldenEntries()); err != nil {
+	if err := store.Save(&hardState, &snapshot, false, goldenEntries()); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
-	left, err := os.ReadDir(dir)
-	if err != nil || len(left) != 1 || left[0].Name() != "chest.db" {
-		t.Fatalf("the closed store is %v, %v; want chest.db alone", left, err)
+	store.Close()
+	files, err := os.ReadDir(dir)
+	if err != nil || len(files) != 1 || files[0].Name() != "chest.db" {
+		t.Fatalf("files after Close = %v, %v; want only chest.db", files, err)
 	}
 	return filepath.Join(dir, "chest.db")
 }
 
-// goldenState returns the state that the golden store's snapshot holds: the image that
-// the registry's own golden test compares field by field.
+// goldenState returns the snapshot data of the golden store: the registry image that the golden
+// test of package registry compares field by field.
 func goldenState(t *testing.T) []byte {
 	t.Helper()
 	state, err := os.ReadFile("../../registry/testdata/golden/image.gob")
@@ -161,7 +162,8 @@
 	return state
 }
 
-// TestGoldenStore reads a store that was written before.
+// TestGoldenStore guards against a change of the storage format: the current code reads a store
+// written by an earlier version, and leaves it readable with the golden types.
 func TestGoldenStore(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/chest.db", func() []byte {
 		b, err := os.ReadFile(writeGoldenStore(t, goldenState(t)))
@@ -175,44 +177,45 @@
 	if err := os.WriteFile(path, golden, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Run("read as before", func(t *testing.T) { readStoreAsBefore(t, path) })
-	t.Run("read by this code", func(t *testing.T) { readStoreByThisCode(t, dir) })
-	t.Run("read as before after this code has opened it", func(t *testing.T) { readStoreAsBefore(t, path) })
+	t.Run("read with the golden types", func(t *testing.T) { readStoreWithGoldenTypes(t, path) })
+	t.Run("read with the current code", func(t *testing.T) { readStoreWithCurrentCode(t, dir) })
+	t.Run("read with the golden types after the current code opened it", func(t *testing.T) { readStoreWithGoldenTypes(t, path) })
 }
 
-// TestGoldenStoreWrittenAnew reads, as before, a store that this code writes.
+// TestGoldenStoreWrittenAnew guards against a store that earlier versions cannot read: a store
+// written by the current code is read with the golden types.
 func TestGoldenStoreWrittenAnew(t *testing.T) {
 	path := writeGoldenStore(t, goldenState(t))
-	readStoreAsBefore(t, path)
-	readStoreByThisCode(t, filepath.Dir(path))
+	readStoreWithGoldenTypes(t, path)
+	readStoreWithCurrentCode(t, filepath.Dir(path))
 }
 
-func readStoreByThisCode(t *testing.T, dir string) {
+func readStoreWithCurrentCode(t *testing.T, dir string) {
 	t.Helper()
-	c, id, saved, err := Open(dir, 99, nil)
+	store, id, saved, err := Open(dir, 99, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer store.Close()
 	if id != (Identity{ID: goldenIdentity}) {
-		t.Errorf("identity %+v", id)
+		t.Errorf("Open() identity = %+v, want the golden identity", id)
 	}
-	goldentest.Same(t, "hard state", saved.HardState, goldenHard())
+	goldentest.Same(t, "hard state", saved.HardState, goldenHardStateValue())
 	goldentest.Same(t, "snapshot", saved.Snapshot, raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: goldenState(t)})
-	goldentest.Complete(t, saved, describedMembers())
+	goldentest.Complete(t, saved, membersWithStorage())
 	if len(saved.Entries) != 4 {
-		t.Fatalf("%d entries, want 4", len(saved.Entries))
+		t.Fatalf("Open() returned %d log entries, want 4", len(saved.Entries))
 	}
 	members, err := raft.DecodeMembership(saved.Entries[3].Data)
 	if err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "membership in the log", members, goldenMembersLater())
+	goldentest.Same(t, "membership in the log", members, goldenLogMembers())
 	saved.Entries[3].Data = nil
 	goldentest.Same(t, "entries", saved.Entries, []raft.Entry{
-		{Index: 41, Term: 5, Data: []byte(goldenLogTexts[0])},
-		{Index: 42, Term: 5, Data: []byte(goldenLogTexts[1])},
-		{Index: 43, Term: 5, Data: []byte(goldenLogTexts[2])},
+		{Index: 41, Term: 5, Data: []byte(goldenLogData[0])},
+		{Index: 42, Term: 5, Data: []byte(goldenLogData[1])},
+		{Index: 43, Term: 5, Data: []byte(goldenLogData[2])},
 		{Index: 44, Term: 5, Type: raft.EntryConfChange},
 	})
 	command, err := registry.DecodeCommand(saved.Entries[1].Data)
@@ -226,38 +229,38 @@
 	checkGoldenState(t, saved.Snapshot.Data)
 }
 
-// checkGoldenState restores the snapshot's state and compares what it holds.
+// checkGoldenState restores a registry from the snapshot data and compares its content.
 func checkGoldenState(t *testing.T, state []byte) {
 	t.Helper()
-	s := registry.NewStore()
-	if err := s.Restore(state); err != nil {
+	restored := registry.NewStore()
+	if err := restored.Restore(state); err != nil {
 		t.Fatal(err)
 	}
 	objects := map[string]string{}
-	for _, o := range s.List("") {
+	for _, o := range restored.List("") {
 		objects[o.Key] = string(o.Value)
-		if digest := strings.HasPrefix(o.Key, "accepted/"); digest && len(o.Value) != 16 {
-			t.Errorf("%s holds %x, want a digest of 16 bytes", o.Key, o.Value)
-		} else if digest {
+		if isDigest := strings.HasPrefix(o.Key, "accepted/"); isDigest && len(o.Value) != 16 {
+			t.Errorf("value of %s = %x, want a digest of 16 bytes", o.Key, o.Value)
+		} else if isDigest {
 			objects[o.Key] = ""
 		}
 	}
-	goldentest.Same(t, "objects", objects, goldenStateText)
-	if s.Revision() != 21 {
-		t.Errorf("revision %d, want 21", s.Revision())
+	goldentest.Same(t, "objects", objects, goldenStateObjects)
+	if restored.Revision() != 21 {
+		t.Errorf("Revision() = %d, want 21", restored.Revision())
 	}
-	goldentest.Same(t, "locks", s.Coordination().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
-	goldentest.Same(t, "cells", s.Coordination().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
-	events, revision, ok := s.Coordination().EventsSince("g.", 1)
+	goldentest.Same(t, "locks", restored.Coordination().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
+	goldentest.Same(t, "cells", restored.Coordination().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
+	events, revision, ok := restored.Coordination().EventsSince("g.", 1)
 	goldentest.Same(t, "events", events, []coordination.Event{{Name: "g.b", Value: "2", Revision: 2, At: 15}, {Name: "g.a", Value: "3", Revision: 3, At: 16}})
 	if revision != 3 || !ok {
-		t.Errorf("group at revision %d, reaches back: %t", revision, ok)
+		t.Errorf(`EventsSince("g.", 1) = revision %d, %t; want 3, true`, revision, ok)
 	}
-	if _, _, ok := s.Coordination().EventsSince("g.", 0); ok {
-		t.Error("events that were trimmed are there")
+	if _, _, ok := restored.Coordination().EventsSince("g.", 0); ok {
+		t.Error(`EventsSince("g.", 0) succeeded although earlier events were trimmed`)
 	}
-	account := s.AuditLog().Query(audit.Filter{})
-	goldentest.Same(t, "account", account, audit.QueryResult{
+	auditResult := restored.AuditLog().Query(audit.Filter{})
+	goldentest.Same(t, "audit log", auditResult, audit.QueryResult{
 		Failures: []audit.Failure{
 			{Tenant: "tenant-2", Request: "request-2", Kind: audit.Indeterminate, AtMS: 1700000000002, Attempts: []audit.Attempt{{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.MaybeExecuted, Status: 502, TookMS: 32}}}},
 			{Tenant: "tenant-3", Request: "request-3", Kind: audit.Failed, AtMS: 1700000000003, Attempts: []audit.Attempt{{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
@@ -268,8 +271,9 @@
 	})
 }
 
-// readStoreAsBefore reads a store by SQL, column names and golden forms of its own.
-func readStoreAsBefore(t *testing.T, path string) {
+// readStoreWithGoldenTypes reads a store with SQL, column names and types that do not depend on
+// the code under test.
+func readStoreWithGoldenTypes(t *testing.T, path string) {
 	t.Helper()
 	db, err := sql.Open("sqlite3", "file:"+path+"?mode=ro&immutable=1")
 	if err != nil {
@@ -291,8 +295,8 @@
 		if err := rows.Scan(&name, &value, &sum); err != nil {
 			t.Fatal(err)
 		}
-		if want := goldenSum(name, value); sum != want {
-			t.Errorf("meta %s has the checksum %d, want %d", name, sum, want)
+		if want := goldenChecksum(name, value); sum != want {
+			t.Errorf("checksum of meta row %s = %d, want %d", name, sum, want)
 		}
 		meta[name] = value
 	}
@@ -300,28 +304,28 @@
 		t.Fatal(err)
 	}
 	if len(meta) != 4 {
-		t.Errorf("%d rows in meta, want id, hard, snapshot and state", len(meta))
+		t.Errorf("meta has %d rows, want id, hard, snapshot and state", len(meta))
 	}
 	if want := []byte{1, 2, 3, 4, 5, 6, 7, 8}; !bytes.Equal(meta["id"], want) {
-		t.Errorf("id %x, want %x", meta["id"], want)
+		t.Errorf("identity = %x, want %x", meta["id"], want)
 	}
-	var hard goldenHardState
-	if err := gob.NewDecoder(bytes.NewReader(meta["hard"])).Decode(&hard); err != nil {
+	var hardState goldenHardState
+	if err := gob.NewDecoder(bytes.NewReader(meta["hard"])).Decode(&hardState); err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "hard", hard, goldenHardState{Term: 5, Vote: 12})
+	goldentest.Same(t, "hard", hardState, goldenHardState{Term: 5, Vote: 12})
 	var snapshot goldenSnapshot
 	if err := gob.NewDecoder(bytes.NewReader(meta["snapshot"])).Decode(&snapshot); err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "snapshot", snapshot, goldenSnapshot{Index: 40, Term: 4, Members: goldenMembersForm()})
+	goldentest.Same(t, "snapshot", snapshot, goldenSnapshot{Index: 40, Term: 4, Members: goldenTypedMembers()})
 	if !bytes.Equal(meta["state"], goldenState(t)) {
-		t.Error("the state is not the one that was stored")
+		t.Error("snapshot data differs from the golden state")
 	}
 
 	type row struct {
-		index, term, kind int64
-		data              string
+		index, term, entryType int64
+		data                   string
 	}
 	var got []row
 	logRows, err := db.QueryContext(ctx, "SELECT idx, term, type, data, sum FROM log ORDER BY idx")
@@ -333,18 +337,18 @@
 		var r row
 		var data []byte
 		var sum int64
-		if err := logRows.Scan(&r.index, &r.term, &r.kind, &data, &sum); err != nil {
+		if err := logRows.Scan(&r.index, &r.term, &r.entryType, &data, &sum); err != nil {
 			t.Fatal(err)
 		}
-		if want := goldenSum(fmt.Sprint(r.index, " ", r.term, " ", r.kind), data); sum != want {
-			t.Errorf("entry %d has the checksum %d, want %d", r.index, sum, want)
+		if want := goldenChecksum(fmt.Sprint(r.index, " ", r.term, " ", r.entryType), data); sum != want {
+			t.Errorf("checksum of log entry %d = %d, want %d", r.index, sum, want)
 		}
-		if r.kind == 1 {
+		if r.entryType == 1 {
 			var members goldenMembership
 			if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&members); err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, "membership in the log", members, goldenMembersLaterForm())
+			goldentest.Same(t, "membership in the log", members, goldenTypedLogMembers())
 			data = nil
 		}
 		r.data = string(data)
@@ -353,40 +357,43 @@
 	if err := logRows.Err(); err != nil {
 		t.Fatal(err)
 	}
-	want := []row{{41, 5, 0, goldenLogTexts[0]}, {42, 5, 0, goldenLogTexts[1]}, {43, 5, 0, goldenLogTexts[2]}, {44, 5, 1, goldenLogTexts[3]}}
+	want := []row{{41, 5, 0, goldenLogData[0]}, {42, 5, 0, goldenLogData[1]}, {43, 5, 0, goldenLogData[2]}, {44, 5, 1, goldenLogData[3]}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("log %+v, want %+v", got, want)
+		t.Errorf("log = %+v, want %+v", got, want)
 	}
 }
 
-// goldenSum is the checksum of a row: of what names it, and of its data.
-func goldenSum(names string, data []byte) int64 {
-	return int64(crc32.Checksum(append([]byte(names), data...), crc32.MakeTable(crc32.Castagnoli)))
+// goldenChecksum returns the checksum of a row, independently of the code under test: of its
+// other columns, followed by its data.
+func goldenChecksum(columns string, data []byte) int64 {
+	return int64(crc32.Checksum(append([]byte(columns), data...), crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// describedMembers is goldenMembers with what the members say of their storage, which came later.
-func describedMembers() raft.Membership {
+// membersWithStorage is goldenMembers with the field Storage, which was added after the golden
+// store was written.
+func membersWithStorage() raft.Membership {
 	members := goldenMembers()
 	members.Voters[0].Storage = raft.StorageDisk
 	members.Learners[0].Storage = raft.StorageMemory
 	return members
 }
 
-// TestStoreKeepsMemberStorage reads what members say of their storage from a snapshot of this code.
+// TestStoreKeepsMemberStorage checks that the field Storage of members, which the golden store
+// lacks, is stored with a snapshot.
 func TestStoreKeepsMemberStorage(t *testing.T) {
 	dir := t.TempDir()
-	c, _, _, err := Open(dir, goldenIdentity, nil)
+	store, _, _, err := Open(dir, goldenIdentity, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Save(nil, &raft.Snapshot{Index: 1, Term: 1, Members: describedMembers()}, false, nil); err != nil {
+	if err := store.Save(nil, &raft.Snapshot{Index: 1, Term: 1, Members: membersWithStorage()}, false, nil); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
-	c, _, saved, err := Open(dir, 99, nil)
+	store.Close()
+	store, _, saved, err := Open(dir, 99, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	goldentest.Same(t, "members", saved.Snapshot.Members, describedMembers())
+	defer store.Close()
+	goldentest.Same(t, "members", saved.Snapshot.Members, membersWithStorage())
 }
--- a/internal/storage/power_test.go
+++ b/internal/storage/power_test.go
@@ -14,7 +14,7 @@
 	"lichentray/raft"
 )
 
-// inode is a file with the name that it has in a directory.
+// inode is the name and the content of a file.
 type inode struct {
 	name string
 	data []byte
@@ -22,46 +22,46 @@
 
 func readInodes(t *testing.T, dir string) map[uint64]inode {
 	t.Helper()
-	out := map[uint64]inode{}
-	all, err := os.ReadDir(dir)
+	inodes := map[uint64]inode{}
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range all {
+	for _, e := range entries {
 		data, err := os.ReadFile(filepath.Join(dir, e.Name()))
 		info, err2 := e.Info()
 		if err != nil || err2 != nil {
 			t.Fatal(err, err2)
 		}
-		out[info.Sys().(*syscall.Stat_t).Ino] = inode{e.Name(), data}
+		inodes[info.Sys().(*syscall.Stat_t).Ino] = inode{e.Name(), data}
 	}
-	return out
+	return inodes
 }
 
-// directoryAfterPowerLoss makes a directory in which each file that was created, renamed or
-// removed since the last sync has, at random, its old name or its new one, or is absent if that
-// name is none.
-func directoryAfterPowerLoss(t *testing.T, random *rand.Rand, synced, now map[uint64]inode) string {
+// directoryAfterPowerLoss creates a directory in which each file that was created, renamed or
+// removed since the last sync randomly has its old or its new name, or is absent if it had no
+// name then.
+func directoryAfterPowerLoss(t *testing.T, random *rand.Rand, atSync, current map[uint64]inode) string {
 	t.Helper()
 	dir := t.TempDir()
-	var all []uint64
-	for i := range synced {
-		all = append(all, i)
+	var numbers []uint64
+	for i := range atSync {
+		numbers = append(numbers, i)
 	}
-	for i := range now {
-		if _, ok := synced[i]; !ok {
-			all = append(all, i)
+	for i := range current {
+		if _, ok := atSync[i]; !ok {
+			numbers = append(numbers, i)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
-	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, i := range all {
-		file := now[i]
+	sort.Slice(numbers, func(i, j int) bool { return numbers[i] < numbers[j] })
+	random.Shuffle(len(numbers), func(i, j int) { numbers[i], numbers[j] = numbers[j], numbers[i] })
+	for _, i := range numbers {
+		file := current[i]
 		if random.Intn(2) == 0 {
-			file.name = synced[i].name
+			file.name = atSync[i].name
 		}
 		if file.data == nil {
-			file.data = synced[i].data
+			file.data = atSync[i].data
 		}
 		if file.name != "" {
 			if err := os.WriteFile(filepath.Join(dir, file.name), file.data, 0o600); err != nil {
@@ -72,24 +72,24 @@
 	return dir
 }
 
-// simulatePowerLosses simulates, at each sync of the directory within run and at its end, several
-// losses of power, and calls check with the directory that each leaves behind. hasEnded is set
-// once run has returned.
+// simulatePowerLosses simulates several power losses before each directory sync within run and
+// after run returns, and calls check with each resulting directory. hasEnded is set once run has
+// returned.
 func simulatePowerLosses(t *testing.T, dir string, run func(), check func(dir string, hasEnded bool)) {
 	t.Helper()
 	random := rand.New(rand.NewSource(3))
 	realSync, synced := syncDirectory, readInodes(t, dir)
 	defer func() { syncDirectory = realSync }()
 	losePower := func(hasEnded bool) {
-		now := readInodes(t, dir)
+		current := readInodes(t, dir)
 		for range 24 {
-			left := directoryAfterPowerLoss(t, random, synced, now)
+			remaining := directoryAfterPowerLoss(t, random, synced, current)
 			hook := syncDirectory
 			syncDirectory = realSync
-			check(left, hasEnded)
+			check(remaining, hasEnded)
 			syncDirectory = hook
 		}
-		synced = now
+		synced = current
 	}
 	syncDirectory = func(d string) error {
 		losePower(false)
@@ -100,11 +100,11 @@
 	losePower(true)
 }
 
-var errUnreadable = errors.New("this state cannot be read")
+var errUnreadable = errors.New("unreadable state")
 
-// TestPowerLossDuringQuarantine checks that, whatever names a loss of power keeps while a store
-// is quarantined, its identity never comes back without all of its hard state, and that the new
-// identity is found again once Open has returned it.
+// TestPowerLossDuringQuarantine guards against a power loss between the renames of a quarantine
+// after which a store is found under its old identity without its latest hard state, or under
+// another identity than the new one that Open has returned.
 func TestPowerLossDuringQuarantine(t *testing.T) {
 	dir := t.TempDir()
 	store, _, _, err := Open(dir, 42, nil)
@@ -121,11 +121,11 @@
 	if err := store.Save(nil, &raft.Snapshot{Index: 300, Term: 300, Data: []byte("unreadable")}, false, nil); err != nil {
 		t.Fatal(err)
 	}
-	// As after a kill, the write-ahead log stays: once with the database that it completes,
-	// once alone, as when the database was just renamed.
+	// The files are read before Close, so that the write-ahead log is present as after a kill:
+	// once with its database and once without, as right after the database is renamed.
 	killed := readInodes(t, dir)
 	store.Close()
-	refuse := func(s raft.PersistentState) error {
+	rejectUnreadable := func(s raft.PersistentState) error {
 		if string(s.Snapshot.Data) == "unreadable" {
 			return errUnreadable
 		}
@@ -140,34 +140,34 @@
 				}
 			}
 		}
-		var fresh Identity
+		var replacement Identity
 		simulatePowerLosses(t, dir, func() {
 			var saved raft.PersistentState
-			if store, fresh, saved, err = Open(dir, 42, refuse); err != nil {
+			if store, replacement, saved, err = Open(dir, 42, rejectUnreadable); err != nil {
 				t.Fatal(err)
 			}
-			if hasDatabase != errors.Is(fresh.DiscardReason, errUnreadable) || fresh.ID == 42 || len(saved.Entries) != 0 {
-				t.Errorf("with database %v: opened as %+v with %+v", hasDatabase, fresh, saved.HardState)
+			if hasDatabase != errors.Is(replacement.DiscardReason, errUnreadable) || replacement.ID == 42 || len(saved.Entries) != 0 {
+				t.Errorf("hasDatabase = %v: Open() = %+v with %+v, want an empty store with a new identity", hasDatabase, replacement, saved.HardState)
 			}
-		}, func(left string, hasEnded bool) {
-			reopened, id, saved, err := Open(left, 42, nil)
+		}, func(remaining string, hasEnded bool) {
+			reopened, id, saved, err := Open(remaining, 42, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			reopened.Close()
 			if id.ID == 42 && saved.HardState != hard {
-				t.Errorf("with database %v: the old identity came back with %+v of %+v", hasDatabase, saved.HardState, hard)
+				t.Errorf("hasDatabase = %v: old identity reopened with hard state %+v, want %+v", hasDatabase, saved.HardState, hard)
 			}
-			if hasEnded && id.ID != fresh.ID {
-				t.Errorf("with database %v: the new identity %x was lost: %+v", hasDatabase, fresh.ID, id)
+			if hasEnded && id.ID != replacement.ID {
+				t.Errorf("hasDatabase = %v: new identity %x was lost, reopened as %+v", hasDatabase, replacement.ID, id)
 			}
 		})
 		store.Close()
 	}
 }
 
-// TestPowerLossDuringRestart checks that the database holds everything although the write-ahead
-// log that was removed when it was closed may be back, and the one created since may be gone.
+// TestPowerLossDuringRestart guards against lost entries after a power loss that restores the
+// write-ahead log removed by Close, or removes the one created by the next Open.
 func TestPowerLossDuringRestart(t *testing.T) {
 	dir := t.TempDir()
 	store, _, _, err := Open(dir, 42, nil)
@@ -192,23 +192,23 @@
 		if store, _, _, err = Open(dir, 42, nil); err != nil {
 			t.Fatal(err)
 		}
-	}, func(left string, _ bool) {
-		reopened, id, saved, err := Open(left, 42, nil)
+	}, func(remaining string, _ bool) {
+		reopened, id, saved, err := Open(remaining, 42, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		reopened.Close()
 		if id.ID != 42 || !reflect.DeepEqual(saved, want) {
-			t.Errorf("found %+v with %d entries of %d", id, len(saved.Entries), len(want.Entries))
+			t.Errorf("reopened as %+v with %d entries, want 42 with the saved state of %d entries", id, len(saved.Entries), len(want.Entries))
 		}
 	})
 	store.Close()
 }
 
-// TestBitRotIsDetected checks that a flipped bit, which SQLite does not notice, costs the
-// identity as any damage does.
+// TestBitRotIsDetected guards against the use of a store with a flipped bit, which SQLite does
+// not detect: the store is quarantined like any other damaged one.
 func TestBitRotIsDetected(t *testing.T) {
-	for _, what := range []string{"the vote of a member", "an entry of the log", "a state of the machine"} {
+	for _, damaged := range []string{"the vote of a member", "an entry of the log", "a state of the machine"} {
 		dir := t.TempDir()
 		store, _, _, err := Open(dir, 42, nil)
 		if err != nil {
@@ -220,34 +220,34 @@
 		}
 		store.Close()
 		path := filepath.Join(dir, databaseName)
-		b, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := -1
-		for i := range b {
-			if i+len(what) <= len(b) && string(b[i:i+len(what)]) == what {
-				at = i
+		offset := -1
+		for i := range content {
+			if i+len(damaged) <= len(content) && string(content[i:i+len(damaged)]) == damaged {
+				offset = i
 			}
 		}
-		if at < 0 {
-			t.Fatalf("%q is not in the store", what)
+		if offset < 0 {
+			t.Fatalf("%q is not in the store", damaged)
 		}
-		b[at] ^= 1
-		if err := os.WriteFile(path, b, 0o600); err != nil {
+		content[offset] ^= 1
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		store, id, _, err := Open(dir, 42, nil)
 		if err != nil || id.DiscardReason == nil || id.ID == 42 {
-			t.Errorf("%s: opened as %+v, %v", what, id, err)
+			t.Errorf("bit flipped in %q: Open() = %+v, %v; want a new identity", damaged, id, err)
 		}
 		store.Close()
 	}
 }
 
-// TestDiskUsageIsBounded checks that 600 configurations of 400 KB, complete or as changes of some
-// kilobytes, with the log compacted as a node does it and a quarantine at the end, need far less
-// than 64 MB on the disk, including the write-ahead log.
+// TestDiskUsageIsBounded guards against exceeding a disk of 64 MB. It saves 600 entries of 400 KB
+// or 4 KB, compacts the log with a snapshot of 400 KB after each 4 MB as a node does, quarantines
+// the store at the end, and requires all files together to stay within 20 MB.
 func TestDiskUsageIsBounded(t *testing.T) {
 	for _, size := range []int{400 << 10, 4 << 10} {
 		dir := t.TempDir()
@@ -255,25 +255,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var most, logged int64
+		var maxBytes, bytesSinceSnapshot int64
 		measure := func() {
-			sum := int64(0)
+			total := int64(0)
 			for _, file := range readInodes(t, dir) {
-				sum += int64(len(file.data))
+				total += int64(len(file.data))
 			}
-			most = max(most, sum)
+			maxBytes = max(maxBytes, total)
 		}
 		for i := uint64(1); i <= 600; i++ {
 			if err := store.Save(&raft.HardState{Term: 1}, nil, false, []raft.Entry{{Index: i, Term: 1, Data: make([]byte, size)}}); err != nil {
 				t.Fatal(err)
 			}
-			if logged += int64(size); logged > 4<<20 {
-				logged = 0
+			if bytesSinceSnapshot += int64(size); bytesSinceSnapshot > 4<<20 {
+				bytesSinceSnapshot = 0
 				if err := store.Save(nil, &raft.Snapshot{Index: i, Term: 1, Data: make([]byte, 400<<10)}, false, nil); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if i%8 == 0 || logged == 0 {
+			if i%8 == 0 || bytesSinceSnapshot == 0 {
 				measure()
 			}
 		}
@@ -289,9 +289,9 @@
 		}
 		measure()
 		store.Close()
-		t.Logf("%d changes of %d bytes: at most %.1f MB", 600, size, float64(most)/(1<<20))
-		if most > 20<<20 {
-			t.Errorf("%d bytes on the disk", most)
+		t.Logf("%d entries of %d bytes: peak disk usage %.1f MB", 600, size, float64(maxBytes)/(1<<20))
+		if maxBytes > 20<<20 {
+			t.Errorf("peak disk usage = %d bytes, want at most 20 MiB", maxBytes)
 		}
 	}
 }
--- a/internal/storage/quarantine.go
+++ b/internal/storage/quarantine.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// quarantineSuffix is appended to the name of a file that was quarantined.
+	// quarantineSuffix is appended to the name of a quarantined file.
 	quarantineSuffix = ".bad"
-	// maxQuarantineBytes is how much of a quarantined file is kept for inspection. A full
-	// copy beside the new store may be more than the disk can hold.
-	maxQuarantineBytes = 4 << 20
+	// maxQuarantinedFileBytes bounds what is kept of a quarantined file for inspection. A
+	// complete copy beside the new store may exceed the capacity of the disk.
+	maxQuarantinedFileBytes = 4 << 20
 )
 
 // quarantine renames the database and its journals, so that an empty database can be created.
 // Files that do not exist are skipped.
 //
-// A loss of power may keep or lose each change of a name that was not synced, whatever
-// happened to the others. The database is therefore renamed, and the directory synced, before
-// the journals that complete it: otherwise the database could be found again without them,
-// under its identity but without its last votes. No new file is made before all are gone.
+// After a power loss, each rename that was not synced may or may not have taken effect,
+// independently of the others. Therefore the database is renamed and the directory is synced
+// before its journals are renamed: otherwise the database could reappear without them, with its
+// identity but without its latest votes. No new file is created before all are renamed.
 func (s *Store) quarantine() error {
 	for _, name := range []string{databaseName, databaseName + "-wal", databaseName + "-journal"} {
 		if err := s.quarantineFile(filepath.Join(s.dir, name)); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// quarantineFile renames one file, makes that durable and shortens the file.
+// quarantineFile renames one file, syncs the directory and truncates the file if it is too large.
 func (s *Store) quarantineFile(path string) error {
 	target := path + quarantineSuffix
 	err := os.Rename(path, target)
@@ -44,14 +44,14 @@
 	if err := syncDirectory(s.dir); err != nil {
 		return err
 	}
-	if info, err := os.Stat(target); err == nil && info.Size() > maxQuarantineBytes {
-		return os.Truncate(target, maxQuarantineBytes)
+	if info, err := os.Stat(target); err == nil && info.Size() > maxQuarantinedFileBytes {
+		return os.Truncate(target, maxQuarantinedFileBytes)
 	}
 	return nil
 }
 
-// syncDirectory makes the names in a directory durable. Tests replace it to simulate a loss of
-// power.
+// syncDirectory makes the file names in a directory durable. Tests replace it to simulate power
+// losses.
 var syncDirectory = func(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -17,32 +17,32 @@
 	"lichentray/raft"
 )
 
-// ErrLogGap is the DiscardReason of a store whose log does not continue its snapshot, or itself,
-// without a gap.
+// ErrLogGap is the DiscardReason of a store with missing entries: its log does not start right
+// after its snapshot, or its indexes are not consecutive.
 var ErrLogGap = errors.New("storage: log has a gap")
 
 const (
-	// identityBytes is the length of a stored identity, a big-endian integer.
+	// identityBytes is the size of a stored identity, a big-endian integer.
 	identityBytes = 8
-	// randomIdentityBit is set in each identity that was drawn at random, and in none that
-	// a deployment assigns.
+	// randomIdentityBit is set in every randomly generated identity, and in none that a
+	// deployment assigns.
 	randomIdentityBit = 1 << 63
 )
 
-// recoverOrReplace loads what the directory holds. If that is damaged or rejected by check,
-// it is quarantined and an empty store takes its place.
+// recoverOrReplace loads the store in the directory. If the store is damaged or rejected by
+// check, it is quarantined and replaced by an empty one.
 func (s *Store) recoverOrReplace(initialID uint64, check func(raft.PersistentState) error) (Identity, raft.PersistentState, error) {
 	if s.dir == "" {
-		return s.loadChecked(initialID, check)
+		return s.loadAndCheck(initialID, check)
 	}
 	hasQuarantined, err := s.prepareDirectory()
 	if err != nil {
 		return Identity{}, raft.PersistentState{}, err
 	}
 	if hasQuarantined {
-		initialID = 0 // the group may know this disk under initialID: draw another
+		initialID = 0 // the group may already know this disk under initialID
 	}
-	id, state, err := s.loadChecked(initialID, check)
+	id, state, err := s.loadAndCheck(initialID, check)
 	if err == nil {
 		return id, state, syncDirectory(s.dir)
 	}
@@ -62,10 +62,10 @@
 	return id, state, syncDirectory(s.dir)
 }
 
-// prepareDirectory quarantines journals that were left without their database, as SQLite would
-// play them into a new one. It reports whether the directory holds files that were quarantined,
-// so that an earlier identity of this disk may be known to the group. A directory whose name is
-// no valid pattern for filepath.Glob counts as holding some, which is the safe side.
+// prepareDirectory quarantines journals without a database, as SQLite would replay them into a
+// new one. It reports whether the directory holds quarantined files, in which case the group may
+// know an earlier identity of this disk. If filepath.Glob rejects the name of the directory as a
+// pattern, it conservatively reports true.
 func (s *Store) prepareDirectory() (hasQuarantined bool, err error) {
 	database := filepath.Join(s.dir, databaseName)
 	if _, err := os.Stat(database); errors.Is(err, os.ErrNotExist) {
@@ -77,8 +77,8 @@
 	return err != nil || len(quarantined) > 0, nil
 }
 
-// isDeviceError reports that the disk failed an operation, in contrast to a file whose content is
-// damaged: the same file may be readable later.
+// isDeviceError reports whether err is a failed disk operation and not damaged content: the same
+// file may be readable later.
 func isDeviceError(err error) bool {
 	var sqliteErr sqlite3.Error
 	if !errors.As(err, &sqliteErr) {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// loadChecked loads the store and hands its state to check.
-func (s *Store) loadChecked(initialID uint64, check func(raft.PersistentState) error) (Identity, raft.PersistentState, error) {
+// loadAndCheck loads the store and passes its state to check, unless check is nil.
+func (s *Store) loadAndCheck(initialID uint64, check func(raft.PersistentState) error) (Identity, raft.PersistentState, error) {
 	id, state, err := s.loadState(initialID)
 	if err == nil && check != nil {
 		err = check(state)
@@ -100,8 +100,8 @@
 	return id, state, err
 }
 
-// loadState opens the database and reads the identity and the state. A database without an
-// identity gets one.
+// loadState opens the database and reads the identity and the state. If the database has no
+// identity, one is created.
 func (s *Store) loadState(initialID uint64) (Identity, raft.PersistentState, error) {
 	if err := s.openDatabase(); err != nil {
 		return Identity{}, raft.PersistentState{}, err
@@ -126,7 +126,7 @@
 	var raw [identityBytes]byte
 	if initialID == 0 {
 		if _, err := rand.Read(raw[:]); err != nil {
-			return Identity{}, fmt.Errorf("storage: draw an identity: %w", err)
+			return Identity{}, fmt.Errorf("storage: generate identity: %w", err)
 		}
 		id.ID = binary.BigEndian.Uint64(raw[:]) | randomIdentityBit
 	}
@@ -147,7 +147,7 @@
 		if err := verifyChecksum(row[2], rowChecksum(value, name)); err != nil {
 			return fmt.Errorf("%w: meta %q", err, name)
 		}
-		meta[name] = append([]byte(nil), value...) // the row's memory is SQLite's
+		meta[name] = append([]byte(nil), value...) // SQLite owns the memory of the row
 		return nil
 	})
 	return meta, err
@@ -170,25 +170,25 @@
 	return state, err
 }
 
-// decodeMeta decodes the value with the given name into to, and leaves to as it is if there
-// is none.
-func decodeMeta(meta map[string][]byte, name string, to any) error {
+// decodeMeta decodes the value with the given name into target. If there is no such value,
+// target is unchanged.
+func decodeMeta(meta map[string][]byte, name string, target any) error {
 	raw, ok := meta[name]
 	if !ok {
 		return nil
 	}
-	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(to); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(target); err != nil {
 		return fmt.Errorf("storage: decode meta %q: %w", name, err)
 	}
 	return nil
 }
 
-// readLog returns the entries from index first on. Earlier ones are skipped.
+// readLog returns the log entries from index first on. Earlier ones are skipped.
 func (s *Store) readLog(first uint64) ([]raft.Entry, error) {
 	var entries []raft.Entry
 	next := first
 	err := s.query("SELECT idx, term, type, data, sum FROM log ORDER BY idx", func(row []driver.Value) error {
-		entry, err := entryOf(row)
+		entry, err := decodeEntry(row)
 		if err != nil || entry.Index < next {
 			return err
 		}
@@ -202,8 +202,8 @@
 	return entries, err
 }
 
-// entryOf makes an entry of a row of the log table.
-func entryOf(row []driver.Value) (raft.Entry, error) {
+// decodeEntry decodes a row of the log table.
+func decodeEntry(row []driver.Value) (raft.Entry, error) {
 	index, term, entryType := row[0].(int64), row[1].(int64), row[2].(int64)
 	data, _ := row[3].([]byte)
 	if err := verifyChecksum(row[4], rowChecksum(data, index, term, entryType)); err != nil {
@@ -213,13 +213,13 @@
 		Index: uint64(index),
 		Term:  uint64(term),
 		Type:  raft.EntryType(entryType),
-		Data:  append([]byte(nil), data...), // the row's memory is SQLite's
+		Data:  append([]byte(nil), data...), // SQLite owns the memory of the row
 	}, nil
 }
 
-// query calls each with every row that a statement yields. The row and the memory it refers
-// to are valid until each returns. An error of each ends the query and is returned as it is.
-func (s *Store) query(statement string, each func(row []driver.Value) error) error {
+// query calls handleRow for each row of the result. The row and the memory that it refers to are
+// valid until handleRow returns. An error from handleRow ends the query and is returned unchanged.
+func (s *Store) query(statement string, handleRow func(row []driver.Value) error) error {
 	rows, err := s.conn.Query(statement, nil)
 	if err != nil {
 		return fmt.Errorf("storage: %s: %w", statement, err)
@@ -234,7 +234,7 @@
 		if err != nil {
 			return fmt.Errorf("storage: %s: %w", statement, err)
 		}
-		if err := each(row); err != nil {
+		if err := handleRow(row); err != nil {
 			return err
 		}
 	}
--- a/internal/storage/save.go
+++ b/internal/storage/save.go
@@ -10,15 +10,15 @@
 	"lichentray/raft"
 )
 
-// Save makes one batch durable, all of it or nothing, and returns after the sync. hardState
-// and snapshot may be nil, which leaves the stored ones as they are.
+// Save writes one batch atomically and returns after the sync. If hardState or snapshot is nil,
+// the stored one is kept.
 //
-// Entries replace all entries of the log from the index of the first one on. A snapshot removes
-// the entries up to its index. If replaceLog is set, as it is for a snapshot that the leader
-// sent, the snapshot replaces the complete log and entries follow it.
+// The entries replace all log entries from the index of the first one on. A snapshot removes the
+// entries up to its index. If replaceLog is set, as it is for a snapshot that the leader sent, the
+// snapshot replaces the complete log, and entries follow it.
 //
-// After an error nothing of the batch is in the store, and Save may be called again. It cannot
-// be cancelled: an outcome that is not known would be of no use to Raft.
+// After an error nothing of the batch is in the store, and Save may be called again. Save cannot
+// be cancelled: Raft cannot proceed from an unknown outcome.
 func (s *Store) Save(hardState *raft.HardState, snapshot *raft.Snapshot, replaceLog bool, entries []raft.Entry) error {
 	return s.inTransaction(func() error {
 		if hardState != nil {
@@ -35,10 +35,10 @@
 	})
 }
 
-// saveSnapshot writes a snapshot and removes the entries that it stands for. A snapshot
-// without data leaves the data of the one before.
+// saveSnapshot writes a snapshot and removes the log entries that it covers. If the snapshot has
+// no data, the stored data is kept.
 func (s *Store) saveSnapshot(snapshot *raft.Snapshot) error {
-	// The data is written as it is: an encoded copy may be much of the memory.
+	// The data is written unencoded: an encoded copy could use much of the node's memory.
 	header := *snapshot
 	header.Data = nil
 	if err := s.putMeta(metaSnapshot, encodeGob(header)); err != nil {
@@ -52,22 +52,22 @@
 	return execStatement(s.deleteThrough, int64(snapshot.Index))
 }
 
-// saveEntries removes the entries that conflict with the new ones, or all of them if
+// saveEntries removes the stored entries from the first new index on, or all of them if
 // replaceLog is set, and writes the new ones.
 func (s *Store) saveEntries(replaceLog bool, entries []raft.Entry) error {
 	if !replaceLog && len(entries) == 0 {
 		return nil
 	}
-	from := int64(0)
+	firstReplaced := int64(0)
 	if !replaceLog {
-		from = int64(entries[0].Index)
+		firstReplaced = int64(entries[0].Index)
 	}
-	if err := execStatement(s.deleteFrom, from); err != nil {
+	if err := execStatement(s.deleteFrom, firstReplaced); err != nil {
 		return err
 	}
 	for _, e := range entries {
 		index, term, entryType := int64(e.Index), int64(e.Term), int64(e.Type)
-		data := append([]byte{}, e.Data...) // never nil, the column is NOT NULL
+		data := append([]byte{}, e.Data...) // not nil, as the column is NOT NULL
 		checksum := rowChecksum(data, index, term, entryType)
 		if err := execStatement(s.insertEntry, index, term, entryType, data, checksum); err != nil {
 			return err
@@ -81,12 +81,11 @@
 	return execStatement(s.replaceMeta, name, value, rowChecksum(value, name))
 }
 
-// inTransaction calls body within a transaction and commits it. It opens the database first if
-// an earlier transaction failed.
+// inTransaction runs body in a transaction and commits it. It opens the database first if an
+// earlier transaction failed.
 //
-// After a failed write or sync nothing is trusted that the connection holds in memory, as the
-// disk may have another state. The connection is closed, and the next transaction reads the file
-// anew.
+// After a failed write or sync, the connection's cached pages may differ from the disk. The
+// connection is closed, so that the next transaction reads the file again.
 func (s *Store) inTransaction(body func() error) error {
 	if s.conn == nil {
 		if err := s.openDatabase(); err != nil {
@@ -108,8 +107,8 @@
 	return nil
 }
 
-// execStatement executes a prepared statement with its arguments in order. It takes no context,
-// as a statement is not cancelled apart from its transaction.
+// execStatement executes a prepared statement with positional arguments. It takes no context, as
+// transactions are not cancelled.
 func execStatement(statement driver.Stmt, args ...driver.Value) error {
 	named := make([]driver.NamedValue, len(args))
 	for i, arg := range args {
@@ -119,7 +118,7 @@
 	return err
 }
 
-// encodeGob encodes a plain struct, which cannot fail.
+// encodeGob encodes a struct of plain data; such an encoding cannot fail.
 func encodeGob(v any) []byte {
 	var buffer bytes.Buffer
 	_ = gob.NewEncoder(&buffer).Encode(v)
--- a/internal/storage/schema.go
+++ b/internal/storage/schema.go
@@ -8,21 +8,21 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// The names in this file are stored data: the database's, those of its tables and columns,
-// and the keys of the meta table.
+// The names in this file are part of the storage format: the file name of the database, its
+// tables and columns, and the keys of the meta table.
 const (
 	databaseName = "chest.db"
 
-	metaIdentity     = "id"       // the identity, see identityBytes
-	metaHardState    = "hard"     // gob of raft.HardState
-	metaSnapshot     = "snapshot" // gob of raft.Snapshot without its Data
-	metaSnapshotData = "state"    // the Data of the snapshot
+	metaIdentity     = "id"       // identity, see identityBytes
+	metaHardState    = "hard"     // raft.HardState, gob-encoded
+	metaSnapshot     = "snapshot" // raft.Snapshot without Data, gob-encoded
+	metaSnapshotData = "state"    // Data of the snapshot
 )
 
-// pragmas configure a connection. An exclusive lock keeps SQLite's shared memory file away, and
-// synchronous=FULL syncs the write-ahead log at each commit. The page cache (512 KiB), the
-// write-ahead log (500 pages before a checkpoint) and its file (4 MiB) are bounded, as a node has
-// little memory and little disk.
+// pragmas configure a connection. With an exclusive lock SQLite needs no shared memory file, and
+// synchronous=FULL syncs the write-ahead log on each commit. The page cache (512 KiB), the
+// write-ahead log (500 pages before a checkpoint) and its file (4 MiB) are bounded, as nodes have
+// little memory and disk space.
 var pragmas = []string{
 	"PRAGMA locking_mode=EXCLUSIVE",
 	"PRAGMA journal_mode=WAL",
@@ -32,14 +32,14 @@
 	"PRAGMA journal_size_limit=4194304",
 }
 
-// tables create the schema: the log by index, and single values by name. The column sum holds
-// the checksum of a row, see rowChecksum.
+// tables create the schema: log entries by index, and single values by name. The column sum
+// holds the checksum of the row, see rowChecksum.
 var tables = []string{
 	"CREATE TABLE IF NOT EXISTS log (idx INTEGER PRIMARY KEY, term INTEGER NOT NULL, type INTEGER NOT NULL, data BLOB NOT NULL, sum INTEGER)",
 	"CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value BLOB NOT NULL, sum INTEGER) WITHOUT ROWID",
 }
 
-// openDatabase connects to the database and brings its schema up to date.
+// openDatabase connects to the database and creates or migrates its schema.
 func (s *Store) openDatabase() error {
 	uri := "file::memory:"
 	if s.dir != "" {
@@ -65,7 +65,7 @@
 	return s.prepareStatements()
 }
 
-// addChecksumColumn adds the column sum to a table that was made by a version without it.
+// addChecksumColumn adds the column sum to a table that was created by a version without it.
 func (s *Store) addChecksumColumn(table string) error {
 	hasColumn := false
 	err := s.query("SELECT 1 FROM pragma_table_info('"+table+"') WHERE name = 'sum'", func([]driver.Value) error {
@@ -76,12 +76,12 @@
 		return err
 	}
 	if _, err := s.conn.Exec("ALTER TABLE "+table+" ADD COLUMN sum INTEGER", nil); err != nil {
-		return fmt.Errorf("storage: add checksums: %w", err)
+		return fmt.Errorf("storage: add checksum column: %w", err)
 	}
 	return nil
 }
 
-// prepareStatements prepares what Save executes.
+// prepareStatements prepares the statements that Save executes.
 func (s *Store) prepareStatements() error {
 	for _, p := range []struct {
 		target *driver.Stmt
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,18 +1,18 @@
-// Package storage is the durable store of a Raft node: its log, its hard state, its newest
-// snapshot and its identity, in one SQLite database.
+// Package storage stores the durable state of a Raft node in one SQLite database: its log, its
+// hard state, its latest snapshot and its identity.
 //
-// The package keeps bytes and knows nothing of what is proposed or applied: it is called by
-// the control-plane node alone, which hands over what Raft wants to be durable before it
-// sends the messages that depend on it (Ongaro, "Consensus: Bridging Theory and Practice",
-// section 3.8). It starts no goroutine and keeps no time.
+// The package does not interpret log entries or snapshot data. Its only caller is the
+// control-plane node, which saves what Raft requires to be durable before it sends the messages
+// that depend on it (Ongaro, "Consensus: Bridging Theory and Practice", section 3.8). The package
+// starts no goroutines and uses no timers.
 //
-// One process owns the database: it is opened with an exclusive lock, and the journal is a
-// write-ahead log, so that no shared memory is needed and each Save costs one sync. Every row
-// carries a checksum, as SQLite does not notice a flipped bit in a value.
+// A single process owns the database, which is opened with an exclusive lock and in write-ahead
+// logging mode: no shared memory is needed, and each Save costs one sync. Every row has a
+// checksum, as SQLite does not detect a flipped bit in a value.
 //
-// A store that cannot be read, or that its reader rejects, is quarantined completely and replaced
-// by an empty one under a new identity. The node then joins the group as a new member: under its
-// old identity it could break a vote or an acknowledgement that it gave and has lost.
+// A store that cannot be read, or that the caller's check rejects, is quarantined as a whole and
+// replaced by an empty store with a new identity. The node then joins the group as a new member:
+// under its old identity it could contradict a vote or an acknowledgement that it has lost.
 package storage
 
 import (
@@ -23,14 +23,14 @@
 	"lichentray/raft"
 )
 
-// Store is an open store. It must not be used by two goroutines at once.
+// Store is an open store. It is not safe for concurrent use.
 type Store struct {
 	// dir is the directory of the database, or empty for a database in memory.
 	dir string
 	// conn is nil after Close and after a transaction that failed.
 	conn *sqlite3.SQLiteConn
 
-	// The prepared statements of conn, see prepareStatements.
+	// Prepared statements of conn, see prepareStatements.
 	insertEntry   driver.Stmt
 	deleteFrom    driver.Stmt
 	deleteThrough driver.Stmt
@@ -39,40 +39,40 @@
 
 // Identity is the Raft identity that a store belongs to.
 type Identity struct {
-	// ID is the member's ID. It is never used for another store.
+	// ID is the Raft member ID. It is never used for another store.
 	ID uint64
-	// IsNew reports that this call of Open found no identity and stored ID.
+	// IsNew reports whether this call of Open found no identity and stored ID.
 	IsNew bool
-	// DiscardReason is why an unreadable store was quarantined by this call of Open. It is
-	// nil if none was.
+	// DiscardReason is the error for which this call of Open quarantined a store, or nil if it
+	// quarantined none.
 	DiscardReason error
 }
 
 // Open opens the store in the directory dir and creates it if there is none. If dir is empty,
 // the store is in memory and is lost when it is closed.
 //
-// The state that was saved last is returned, a zero state for a new store. If check is not
-// nil, it is called with a state that was found, and an error from it means that the state is
-// of no use. A store that is damaged or that check rejects is quarantined, and an empty one
-// takes its place; the reason is in the identity that is returned.
+// Open returns the state that was saved last, or a zero state for a new store. If check is not
+// nil, it is called with the state that was read, and rejects it by returning an error. A store
+// that is damaged or rejected by check is quarantined and replaced by an empty one; the returned
+// identity gives the reason.
 //
 // A new store gets initialID as its identity, or a random one if initialID is 0 or if the
-// directory holds a store that was quarantined. Random identities have the highest bit set.
+// directory holds a quarantined store. Random identities have the highest bit set.
 //
 // An error means that the disk failed or that the directory cannot be used. No store is open
 // then, and a later call may succeed. When Open returns without an error, the identity is
-// durable, and no quarantined file can come back under its old name after a loss of power.
+// durable, and a power loss cannot restore a quarantined file under its original name.
 func Open(dir string, initialID uint64, check func(raft.PersistentState) error) (*Store, Identity, raft.PersistentState, error) {
 	s := &Store{dir: dir}
 	id, state, err := s.recoverOrReplace(initialID, check)
 	if err != nil {
-		s.Close() // its exclusive lock would make the next attempt fail
+		s.Close() // the exclusive lock would make the next attempt fail
 		return nil, Identity{}, raft.PersistentState{}, err
 	}
 	return s, id, state, nil
 }
 
-// Close closes the database. What was saved stays durable. A closed store may be closed again.
+// Close closes the database. Saved state stays durable. Closing a closed store has no effect.
 func (s *Store) Close() {
 	if s.conn == nil {
 		return
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -10,14 +10,14 @@
 	"lichentray/raft"
 )
 
-// TestStoreMatchesReferenceLog saves batches, truncations and snapshots, reopens the store now
-// and then, and compares what it finds with a log that is kept in a slice.
+// TestStoreMatchesReferenceLog saves a random sequence of batches, truncations and snapshots,
+// reopens the store every ten steps, and compares the state with a reference log in memory.
 func TestStoreMatchesReferenceLog(t *testing.T) {
 	dir := t.TempDir()
 	random := rand.New(rand.NewSource(5))
 	store, id, _, err := Open(dir, 0, nil)
 	if err != nil || !id.IsNew || id.ID>>63 != 1 {
-		t.Fatalf("fresh store: %+v, %v", id, err)
+		t.Fatalf("Open() of a new store = %+v, %v; want a random identity", id, err)
 	}
 	var want raft.PersistentState
 	for step := range 120 {
@@ -56,14 +56,14 @@
 			var reopened Identity
 			store, reopened, got, err = Open(dir, 0, nil)
 			if err != nil || reopened.IsNew || reopened.ID != id.ID {
-				t.Fatalf("opened again as %+v, %v", reopened, err)
+				t.Fatalf("reopened as %+v, %v; want the same identity", reopened, err)
 			}
 			if !reflect.DeepEqual(got.HardState, want.HardState) || !reflect.DeepEqual(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
-				t.Fatalf("step %d: found %+v, wrote %+v", step, got, want)
+				t.Fatalf("step %d: state = %+v, want %+v", step, got, want)
 			}
 			for i := range got.Entries {
 				if !reflect.DeepEqual(got.Entries[i], want.Entries[i]) {
-					t.Fatalf("step %d: entry %+v, wrote %+v", step, got.Entries[i], want.Entries[i])
+					t.Fatalf("step %d: entry = %+v, want %+v", step, got.Entries[i], want.Entries[i])
 				}
 			}
 		}
@@ -71,12 +71,12 @@
 	store.Close()
 }
 
-// TestDamagedStoreIsQuarantined checks that a damaged database costs the node its identity, so
-// that no vote or entry that was lost is missed under it.
+// TestDamagedStoreIsQuarantined guards against a node that keeps its identity after it has lost
+// votes or entries: a damaged database is replaced by an empty one with a new identity.
 func TestDamagedStoreIsQuarantined(t *testing.T) {
 	for name, damage := range map[string]func([]byte) []byte{
 		"torn":    func(b []byte) []byte { return b[:len(b)/3] },
-		"garbage": func([]byte) []byte { return []byte("this is no database, it is a note on a bench") },
+		"garbage": func([]byte) []byte { return []byte("this content is no valid SQLite database") },
 		"zeroed": func(b []byte) []byte {
 			for i := range b[:len(b)/2] {
 				b[i] = 0
@@ -110,17 +110,17 @@
 			}
 			defer store.Close()
 			if second.DiscardReason == nil || second.ID == 42 || saved.HardState.Term != 0 {
-				t.Errorf("%s: opened as %+v with %+v", name, second, saved.HardState)
+				t.Errorf("%s: Open() = %+v with %+v, want an empty store with a new identity", name, second, saved.HardState)
 			}
 			if err := store.Save(&raft.HardState{Term: 1}, nil, false, nil); err != nil {
-				t.Errorf("%s: the new store takes nothing: %v", name, err)
+				t.Errorf("%s: Save() on the new store = %v, want nil", name, err)
 			}
 		})
 	}
 }
 
-// TestFailedWriteLeavesNothing checks that a batch that the disk refuses leaves nothing behind,
-// and that the next one is saved.
+// TestFailedWriteLeavesNothing guards against a partly saved batch after a failed write, and
+// against a store that fails the batches after it.
 func TestFailedWriteLeavesNothing(t *testing.T) {
 	dir := t.TempDir()
 	store, _, _, err := Open(dir, 0, nil)
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	if err := store.Save(&raft.HardState{Term: 9}, nil, false, entryAt(2)); err == nil {
-		t.Fatal("a refused write was called saved")
+		t.Fatal("Save() = nil for a failed write, want an error")
 	}
 	if err := store.Save(nil, nil, false, nil); err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	store.Close()
 	store, _, saved, err := Open(dir, 0, nil)
 	if err != nil || len(saved.Entries) != 2 || saved.HardState.Term != 0 {
-		t.Errorf("found %+v, %v", saved, err)
+		t.Errorf("reopened state = %+v, %v; want 2 entries and a zero hard state", saved, err)
 	}
 	store.Close()
 }
