--- a/internal/controlplane/shared_encodings.go
+++ b/internal/controlplane/shared_encodings.go
@@ -56,7 +56,7 @@
 // that encodes 400 KB of configuration for itself would hold a megabyte meanwhile.
 func (e *eventsEncoding) pack(frame *transport.Frame, encoded *metrics.Counter) {
 	events := frame.Events
-	if valueBytes(events) < transport.CompressionThreshold {
+	if valueBytes(events) < transport.CompressionThresholdBytes {
 		return
 	}
 	wanted := eventRange{
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,54 +15,53 @@
 	"time"
 )
 
-// ErrHandshake is the error of Accept if the other end does not speak this version of the wire.
-var ErrHandshake = errors.New("transport: no hello of this version")
+// ErrHandshake is returned by Accept if the peer does not use this version of the protocol.
+var ErrHandshake = errors.New("transport: missing hello or unsupported protocol version")
 
-// ErrFrameTooLarge is the error of a frame that exceeds MaxFrame.
+// ErrFrameTooLarge is returned for a frame that exceeds MaxFrameBytes.
 var ErrFrameTooLarge = errors.New("transport: frame is too large")
 
 const (
-	// headerBytes is the length of a frame's header.
+	// headerBytes is the size of a frame header.
 	headerBytes = 4
-	// compressedFlag in the header says that the body is compressed.
+	// compressedFlag is set in the header if the body is compressed.
 	compressedFlag = 1 << 31
 
-	// maxWriteChunk is how many bytes have to be taken by the kernel within WriteTimeout.
-	maxWriteChunk = 16 << 10
-	// readBufferBytes is the size of the buffer for reading, small as there are many
-	// connections.
+	// maxWriteChunkBytes is how much data the kernel must accept within WriteTimeout.
+	maxWriteChunkBytes = 16 << 10
+	// readBufferBytes is the size of a read buffer, small as there are many connections.
 	readBufferBytes = 4096
-	// maxRetainedBytes bounds the buffer for sending that is kept for the next frame. Lists
-	// and large configurations exceed it, and few are sent.
-	maxRetainedBytes = 16 * CompressionThreshold
-	// initialSendBytes is the capacity of a buffer that takes the place of a larger one.
-	initialSendBytes = 1 << 10
+	// maxRetainedBufferBytes bounds the send buffer that is kept for the next frame. Only lists
+	// and large configurations exceed it, which are rarely sent.
+	maxRetainedBufferBytes = 16 * CompressionThresholdBytes
+	// initialSendBufferBytes is the capacity of the buffer that replaces a larger one.
+	initialSendBufferBytes = 1 << 10
 )
 
-// Conn is one connection. Send may be called by any number of goroutines at once, Receive by
-// one at a time. Close may be called at any time.
+// Conn is a connection that carries frames. Send and Close are safe for concurrent use. Receive
+// must be called by one goroutine at a time.
 type Conn struct {
 	raw net.Conn
 
-	// WriteTimeout is how long Send may go without progress. A frame as a whole may take
-	// longer. It must not be changed once Send may be called by another goroutine.
+	// WriteTimeout is how long Send may go without progress. Sending a complete frame may take
+	// longer. It must not be changed while another goroutine may call Send.
 	WriteTimeout time.Duration
 
-	// sendMu guards the fields for sending and keeps frames apart on the wire.
+	// sendMu guards the following fields and keeps concurrent frames from interleaving.
 	sendMu         sync.Mutex
 	encoder        *gob.Encoder // writes to sendBuffer
 	sendBuffer     bytes.Buffer // header and body of a frame
 	compressBuffer bytes.Buffer // header and compressed body of a large frame
 
-	// The fields for receiving belong to the goroutine that calls Receive.
+	// The following fields are used only by the goroutine that calls Receive.
 	reader        *bufio.Reader
 	decoder       *gob.Decoder // reads from receiveBuffer
 	receiveBuffer bytes.Buffer // body of a frame
 }
 
-// NewConn makes a connection of a raw one, which it owns from then on. timeout is how long sent
-// bytes may stay unacknowledged before the kernel breaks the connection, and the initial
-// WriteTimeout.
+// NewConn returns a connection over raw and takes ownership of raw. timeout is the initial
+// WriteTimeout, and how long sent data may stay unacknowledged before the kernel closes the
+// connection.
 func NewConn(raw net.Conn, timeout time.Duration) *Conn {
 	SetTCPUserTimeout(raw, timeout)
 	c := &Conn{
@@ -75,9 +74,9 @@
 	return c
 }
 
-// Dial connects to addr (IP:port), within timeout and until ctx ends, and sends the hello. The
-// timeout is also that of NewConn. Dial does not wait for an answer: a process of another
-// version closes the connection.
+// Dial connects to addr (IP:port) within timeout, unless ctx ends first, and sends the hello. The
+// timeout is also passed to NewConn. Dial does not wait for an answer: a process with another
+// protocol version closes the connection.
 func Dial(ctx context.Context, addr string, timeout time.Duration, hello Hello) (*Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	raw, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -93,9 +92,9 @@
 	return c, nil
 }
 
-// Accept waits, within timeout, for the hello on an incoming connection. The timeout is also
-// that of NewConn. Accept returns ErrHandshake if the first frame is no hello of this version.
-// After an error the raw connection still has to be closed by the caller.
+// Accept waits up to timeout for the hello on an incoming connection. The timeout is also passed
+// to NewConn. Accept returns ErrHandshake if the first frame holds no hello of this protocol
+// version. After an error the caller must close raw.
 func Accept(raw net.Conn, timeout time.Duration) (*Conn, Hello, error) {
 	c := NewConn(raw, timeout)
 	f, err := c.Receive(timeout)
@@ -108,9 +107,9 @@
 	return c, *f.Hello, nil
 }
 
-// Send writes one frame. It waits until the kernel has taken all of it. An error of the network
-// closes the connection. No other error is expected, and the connection is of no use after one,
-// as the type definitions in the frame are lost.
+// Send writes one frame and returns when the kernel has accepted all of it. A failed write closes
+// the connection. After any other error, which is not expected, the connection must not be used
+// either, as the peer may lack gob type definitions that the frame contained.
 func (c *Conn) Send(f *Frame) error {
 	c.sendMu.Lock()
 	defer c.sendMu.Unlock()
@@ -125,23 +124,23 @@
 	return nil
 }
 
-// encode returns header and body of a frame. The memory is valid until the next call.
+// encode returns the header and the body of a frame. The result is valid until the next call.
 func (c *Conn) encode(f *Frame) ([]byte, error) {
-	var noHeader [headerBytes]byte // filled in when the length is known
+	var placeholder [headerBytes]byte // overwritten when the length is known
 	c.sendBuffer.Reset()
-	c.sendBuffer.Write(noHeader[:])
+	c.sendBuffer.Write(placeholder[:])
 	if err := c.encoder.Encode(f); err != nil {
 		return nil, fmt.Errorf("transport: encode: %w", err)
 	}
 	encoded := c.sendBuffer.Bytes()
 	length := len(encoded) - headerBytes
-	if length > MaxFrame {
+	if length > MaxFrameBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, length)
 	}
 	header := uint32(length)
-	if len(encoded) > CompressionThreshold && !f.holdsPackedItems() {
+	if len(encoded) > CompressionThresholdBytes && !f.hasPackedItems() {
 		c.compressBuffer.Reset()
-		c.compressBuffer.Write(noHeader[:])
+		c.compressBuffer.Write(placeholder[:])
 		if err := compress(&c.compressBuffer, encoded[headerBytes:]); err != nil {
 			return nil, err
 		}
@@ -152,11 +151,11 @@
 	return encoded, nil
 }
 
-// compress appends the compressed body to a buffer.
-func compress(to *bytes.Buffer, body []byte) error {
+// compress appends the compressed body to target.
+func compress(target *bytes.Buffer, body []byte) error {
 	w := compressorPool.Get().(*flate.Writer)
 	defer compressorPool.Put(w)
-	w.Reset(to)
+	w.Reset(target)
 	if _, err := w.Write(body); err != nil {
 		return fmt.Errorf("transport: compress: %w", err)
 	}
@@ -166,11 +165,11 @@
 	return nil
 }
 
-// write sends a frame chunk by chunk, each with its own deadline: a large frame on a slow link
-// may take longer than the time-out, while a peer that takes nothing is to be noticed.
+// write sends a frame in chunks, each with its own deadline: a large frame on a slow link may
+// take longer than the timeout, while a peer that accepts no data must be detected.
 func (c *Conn) write(encoded []byte) error {
 	for len(encoded) > 0 {
-		chunk := encoded[:min(len(encoded), maxWriteChunk)]
+		chunk := encoded[:min(len(encoded), maxWriteChunkBytes)]
 		encoded = encoded[len(chunk):]
 		if err := c.raw.SetWriteDeadline(time.Now().Add(c.WriteTimeout)); err != nil {
 			return fmt.Errorf("transport: send: %w", err)
@@ -183,20 +182,19 @@
 	return nil
 }
 
-// releaseLargeBuffers frees the memory that a list or a large configuration needed.
+// releaseLargeBuffers releases send buffers that have grown for a list or a large configuration.
 func (c *Conn) releaseLargeBuffers() {
-	if c.sendBuffer.Cap() <= maxRetainedBytes {
+	if c.sendBuffer.Cap() <= maxRetainedBufferBytes {
 		return
 	}
 	c.sendBuffer = bytes.Buffer{}
-	c.sendBuffer.Grow(initialSendBytes)
+	c.sendBuffer.Grow(initialSendBufferBytes)
 	c.compressBuffer = bytes.Buffer{}
 }
 
-// Receive waits for one frame and returns it. The frame must be complete within timeout; a
-// timeout of 0 waits without a bound, until the connection is closed. After an error the
-// connection is of no use and has to be closed by the caller. At the end of the stream the
-// error wraps io.EOF.
+// Receive waits for one frame and returns it. The complete frame must arrive within timeout; with
+// a timeout of 0 Receive waits until the connection is closed. After an error the connection must
+// not be used, and the caller must close it. At the end of the stream the error wraps io.EOF.
 func (c *Conn) Receive(timeout time.Duration) (*Frame, error) {
 	var deadline time.Time
 	if timeout > 0 {
@@ -215,7 +213,7 @@
 	return f, nil
 }
 
-// readBody reads a header and, into receiveBuffer, the body that follows it.
+// readBody reads a header, and reads the body that follows it into receiveBuffer.
 func (c *Conn) readBody() error {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(c.reader, header[:]); err != nil {
@@ -224,7 +222,7 @@
 	length := binary.BigEndian.Uint32(header[:])
 	isCompressed := length&compressedFlag != 0
 	length &^= compressedFlag
-	if length > MaxFrame {
+	if length > MaxFrameBytes {
 		return fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, length)
 	}
 	c.receiveBuffer.Reset()
@@ -238,18 +236,18 @@
 	return nil
 }
 
-// decompress reads a compressed body into receiveBuffer.
+// decompress decompresses a body into receiveBuffer.
 func (c *Conn) decompress(body io.Reader) error {
 	decompressed := flate.NewReader(bufio.NewReader(body))
-	n, err := io.Copy(&c.receiveBuffer, io.LimitReader(decompressed, MaxFrame+1))
+	n, err := io.Copy(&c.receiveBuffer, io.LimitReader(decompressed, MaxFrameBytes+1))
 	if err != nil {
 		return fmt.Errorf("transport: decompress: %w", err)
 	}
-	if n > MaxFrame {
-		return fmt.Errorf("%w: over %d bytes when decompressed", ErrFrameTooLarge, MaxFrame)
+	if n > MaxFrameBytes {
+		return fmt.Errorf("%w: over %d bytes when decompressed", ErrFrameTooLarge, MaxFrameBytes)
 	}
 	return nil
 }
 
-// Close closes the connection. Calls of Send and Receive that wait return an error.
+// Close closes the connection. Blocked calls of Send and Receive return an error.
 func (c *Conn) Close() { c.raw.Close() }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -23,22 +23,22 @@
 	"lichentray/rollout"
 )
 
-// The golden forms are the types of the wire as they were when the golden file was
-// made. Their field names are data: gob writes them.
+// The golden types are the types of the protocol as they were when the golden file was created.
+// Their field names are part of the format, as gob writes them.
 type (
 	goldenFrame struct {
 		Hello        *goldenHello
 		Raft         []goldenMessage
-		Beats        []goldenBeat
-		Ask          *goldenAsk
-		Answer       *goldenAnswer
+		Beats        []goldenHeartbeat
+		Ask          *goldenRequest
+		Answer       *goldenResponse
 		Events       []goldenEvent
 		Bookmark     *goldenBookmark
 		Gone         bool
-		Proxies      *goldenProxyCount
+		Proxies      *goldenProxyAggregate
 		Ack          uint64
-		Report       *goldenReport
-		Account      *goldenAccountAck
+		Report       *goldenProxyReport
+		Account      *goldenAuditAck
 		PackedEvents []byte
 	}
 	goldenHello struct {
@@ -91,11 +91,11 @@
 		API       string
 		Uncounted bool
 	}
-	goldenBeat struct {
+	goldenHeartbeat struct {
 		ID    string
 		AgoMS uint32
 	}
-	goldenAsk struct {
+	goldenRequest struct {
 		ID      uint64
 		Command []byte
 		Read    bool
@@ -108,7 +108,7 @@
 		Packs   bool
 		Zone    string
 	}
-	goldenAnswer struct {
+	goldenResponse struct {
 		ID       uint64
 		Failed   bool
 		Kind     uint8
@@ -125,10 +125,10 @@
 		Revision uint64
 		Conflict bool
 		Current  []goldenObject
-		Latch    goldenLatchResult
+		Latch    goldenCoordinationResult
 		Account  uint64
 	}
-	goldenLatchResult struct {
+	goldenCoordinationResult struct {
 		Code     uint8
 		Fence    uint64
 		Grant    uint64
@@ -154,7 +154,7 @@
 		Control  []goldenControlNode
 		Proxies  int
 		Loads    map[string]goldenLoad
-		Round    *goldenRound
+		Round    *goldenQuotaGrants
 		Judged   bool
 		Verdicts []goldenVerdict
 		Diskless bool
@@ -163,7 +163,7 @@
 		Rate     float64
 		Inflight float64
 	}
-	goldenRound struct {
+	goldenQuotaGrants struct {
 		Seq    uint64
 		Grants []goldenGrant
 	}
@@ -176,45 +176,45 @@
 		Pace     uint8
 		Sick     bool
 	}
-	goldenSeen struct {
+	goldenObservation struct {
 		Answers int
 		Times   float64
 		Bad     int
 		Nodes   int
 	}
-	goldenProxyCount struct {
+	goldenProxyAggregate struct {
 		Here     map[string]uint64
 		Sum      int
 		Loads    map[string]goldenLoad
-		Seen     map[string]goldenSeen
-		Rounds   map[string]goldenRound
-		Trials   map[string]goldenTrial
+		Seen     map[string]goldenObservation
+		Rounds   map[string]goldenQuotaGrants
+		Trials   map[string]goldenRolloutReport
 		Life     uint64
 		Verdicts []goldenVerdict
 	}
-	goldenTrial struct {
+	goldenRolloutReport struct {
 		Order                  uint64
-		Evidence               map[string]goldenArms
+		Evidence               map[string]goldenRouteCounts
 		Proxies, Stage, AtBase int
 	}
-	goldenArms struct {
-		Base, Target goldenCount
-		Ill          map[string]goldenCount
+	goldenRouteCounts struct {
+		Base, Target goldenCounts
+		Ill          map[string]goldenCounts
 	}
-	goldenCount struct {
+	goldenCounts struct {
 		Answers int
 		Failed  int
 		Broken  int
 		Timed   int
 		Slow    int
 	}
-	goldenReport struct {
+	goldenProxyReport struct {
 		Seq     uint64
 		Loads   map[string]goldenLoad
-		Seen    map[string]goldenSeen
+		Seen    map[string]goldenObservation
 		Self    *goldenProxy
-		Trials  map[string]goldenTrial
-		Account *goldenBatch
+		Trials  map[string]goldenRolloutReport
+		Account *goldenAuditBatch
 	}
 	goldenProxy struct {
 		Name    string
@@ -223,18 +223,18 @@
 		Leaving bool
 		Weight  float64
 	}
-	goldenBatch struct {
+	goldenAuditBatch struct {
 		Life    string
 		Node    string
 		AtMS    int64
-		Records []goldenRecord
+		Records []goldenAuditRecord
 		Dropped uint64
 		PerS    float64
 		Out     int
 		Closed  bool
 		Most    int
 	}
-	goldenRecord struct {
+	goldenAuditRecord struct {
 		Seq     uint64
 		AtMS    int64
 		Tenant  string
@@ -245,17 +245,17 @@
 		Status  int
 		TookMS  int64
 	}
-	goldenAccountAck struct {
+	goldenAuditAck struct {
 		Life   string
 		Seq    uint64
 		Closed bool
 	}
 )
 
-// goldenLargeValue makes a frame large enough to be compressed.
+// goldenLargeValue is large enough for its frame to be compressed.
 var goldenLargeValue = []byte(strings.Repeat("a large value; ", 1000))
 
-// goldenPackedObjects and goldenPackedEvents stand in frames in their packed form.
+// goldenPackedObjects and goldenPackedEvents are sent in packed form.
 func goldenPackedObjects() []registry.Object {
 	return []registry.Object{
 		{Key: "endpoints/e1", Value: []byte("value-1"), CreateRevision: 141, ModRevision: 142},
@@ -263,7 +263,7 @@
 	}
 }
 
-func goldenPackedObjectForms() []goldenObject {
+func goldenTypedPackedObjects() []goldenObject {
 	return []goldenObject{
 		{Key: "endpoints/e1", Value: []byte("value-1"), CreateRevision: 141, ModRevision: 142},
 		{Key: "endpoints/e2", Value: []byte("value-2"), CreateRevision: 143, ModRevision: 144},
@@ -277,16 +277,16 @@
 	}
 }
 
-func goldenPackedEventForms() []goldenEvent {
+func goldenTypedPackedEvents() []goldenEvent {
 	return []goldenEvent{
 		{Type: 2, Object: goldenObject{Key: "endpoints/e3", Value: []byte("value-3"), CreateRevision: 145, ModRevision: 146}, Revision: 147, Patch: []byte("patch"), Base: 148},
 		{Type: 3, Object: goldenObject{Key: "endpoints/e4", ModRevision: 149}, Revision: 149},
 	}
 }
 
-// goldenFrames are the frames of the golden file, one of each kind at least, and each
-// serialised type with every field set. Packed is "packed" where the file has the
-// packed form of the objects or events above.
+// goldenFrames returns the frames of the golden file: at least one of each kind, and each
+// serialized type with every field set. Packed data is the placeholder "packed" where the file
+// holds the packed form of goldenPackedObjects or goldenPackedEvents.
 func goldenFrames() []Frame {
 	frames := []Frame{
 		{Hello: &Hello{Version: 3, Role: RoleProxy, Node: "node-1", ID: 1, Addr: "127.0.0.1:7001", Zone: "zone-a"}},
@@ -378,8 +378,8 @@
 	return frames
 }
 
-// goldenFrameForms are goldenFrames as a reader of before has them.
-func goldenFrameForms() []goldenFrame {
+// goldenTypedFrames returns the values of goldenFrames in the golden types.
+func goldenTypedFrames() []goldenFrame {
 	frames := []goldenFrame{
 		{Hello: &goldenHello{Version: 3, Role: 2, Node: "node-1", ID: 1, Addr: "127.0.0.1:7001", Zone: "zone-a"}},
 		{Hello: &goldenHello{Version: 3, Role: 1, Node: "node-2", ID: 2}},
@@ -400,27 +400,27 @@
 			{Type: 5, From: 45}, {Type: 6, From: 46}, {Type: 7, From: 47}, {Type: 8, From: 48},
 			{Type: 9, From: 49}, {Type: 10, From: 50}, {Type: 11, From: 51},
 		}},
-		{Beats: []goldenBeat{{ID: "e1", AgoMS: 52}, {ID: "e2", AgoMS: 53}}},
-		{Ask: &goldenAsk{ID: 61, Command: []byte("command")}},
-		{Ask: &goldenAsk{ID: 62, Read: true}},
-		{Ask: &goldenAsk{ID: 63, Join: &goldenMember{ID: 64, Addr: "127.0.0.1:7064", API: "127.0.0.1:8064", Uncounted: true}, Passed: true}},
-		{Ask: &goldenAsk{ID: 65, Leave: 66}},
-		{Ask: &goldenAsk{ID: 67, List: true, Least: 68, Packs: true, Zone: "zone-b"}},
-		{Ask: &goldenAsk{ID: 69, Watch: true, Least: 70}},
-		{Answer: &goldenAnswer{
+		{Beats: []goldenHeartbeat{{ID: "e1", AgoMS: 52}, {ID: "e2", AgoMS: 53}}},
+		{Ask: &goldenRequest{ID: 61, Command: []byte("command")}},
+		{Ask: &goldenRequest{ID: 62, Read: true}},
+		{Ask: &goldenRequest{ID: 63, Join: &goldenMember{ID: 64, Addr: "127.0.0.1:7064", API: "127.0.0.1:8064", Uncounted: true}, Passed: true}},
+		{Ask: &goldenRequest{ID: 65, Leave: 66}},
+		{Ask: &goldenRequest{ID: 67, List: true, Least: 68, Packs: true, Zone: "zone-b"}},
+		{Ask: &goldenRequest{ID: 69, Watch: true, Least: 70}},
+		{Answer: &goldenResponse{
 			ID: 81, Failed: true, Kind: 7, Detail: "detail", Index: 82, Revision: 83, Gone: true,
 			Result: goldenResult{
 				Revision: 84, Conflict: true, Account: 85,
 				Current: []goldenObject{{Key: "endpoints/e1", Value: []byte("current"), CreateRevision: 86, ModRevision: 87}},
-				Latch:   goldenLatchResult{Code: 3, Fence: 88, Grant: 89, Value: 90, Revision: 91},
+				Latch:   goldenCoordinationResult{Code: 3, Fence: 88, Grant: 89, Value: 90, Revision: 91},
 			},
 			Objects: []goldenObject{{Key: "endpoints/e2", Value: []byte("object"), CreateRevision: 92, ModRevision: 93}},
 			Nearer:  []goldenControlNode{{Addr: "127.0.0.1:7094", API: "127.0.0.1:8094", Zone: "zone-c"}},
 		}},
-		{Answer: &goldenAnswer{ID: 95, Result: goldenResult{Revision: 96, Latch: goldenLatchResult{Code: 1}}}},
-		{Answer: &goldenAnswer{ID: 97, Result: goldenResult{Revision: 98, Latch: goldenLatchResult{Code: 2}}}},
-		{Answer: &goldenAnswer{ID: 99, Revision: 100, Packed: []byte("packed")}},
-		{Answer: &goldenAnswer{ID: 101, Revision: 102, Objects: []goldenObject{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
+		{Answer: &goldenResponse{ID: 95, Result: goldenResult{Revision: 96, Latch: goldenCoordinationResult{Code: 1}}}},
+		{Answer: &goldenResponse{ID: 97, Result: goldenResult{Revision: 98, Latch: goldenCoordinationResult{Code: 2}}}},
+		{Answer: &goldenResponse{ID: 99, Revision: 100, Packed: []byte("packed")}},
+		{Answer: &goldenResponse{ID: 101, Revision: 102, Objects: []goldenObject{{Key: "configuration/current", Value: goldenLargeValue, CreateRevision: 103, ModRevision: 104}}}},
 		{Events: []goldenEvent{
 			{Type: 1, Object: goldenObject{Key: "endpoints/e1", Value: []byte("added"), CreateRevision: 111, ModRevision: 111}, Revision: 111},
 			{Type: 2, Object: goldenObject{Key: "endpoints/e1", CreateRevision: 111, ModRevision: 112}, Revision: 112, Patch: []byte("patch"), Base: 113},
@@ -430,44 +430,44 @@
 			Revision: 121, Proxies: 122, Judged: true, Diskless: true,
 			Control:  []goldenControlNode{{Addr: "127.0.0.1:7123", API: "127.0.0.1:8123", Zone: "zone-d"}},
 			Loads:    map[string]goldenLoad{"payments": {Rate: 124.5, Inflight: 125.5}, "invoices": {Rate: 126.5, Inflight: 127.5}},
-			Round:    &goldenRound{Seq: 128, Grants: []goldenGrant{{Endpoint: "e1", Rate: 129.5}}},
+			Round:    &goldenQuotaGrants{Seq: 128, Grants: []goldenGrant{{Endpoint: "e1", Rate: 129.5}}},
 			Verdicts: []goldenVerdict{{Endpoint: "e1", Pace: 130, Sick: true}},
 		}},
 		{Gone: true},
-		{Proxies: &goldenProxyCount{
+		{Proxies: &goldenProxyAggregate{
 			Here: map[string]uint64{"p1": 151, "p2": 152}, Sum: 153, Life: 154,
 			Loads:    map[string]goldenLoad{"payments": {Rate: 155.5, Inflight: 156.5}},
-			Seen:     map[string]goldenSeen{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
-			Rounds:   map[string]goldenRound{"p1": {Seq: 161, Grants: []goldenGrant{{Endpoint: "e2", Rate: 162.5}}}},
-			Trials:   map[string]goldenTrial{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: map[string]goldenArms{"pay": {Base: goldenCount{Answers: 167}}}}},
+			Seen:     map[string]goldenObservation{"e1": {Answers: 157, Times: 158.5, Bad: 159, Nodes: 160}},
+			Rounds:   map[string]goldenQuotaGrants{"p1": {Seq: 161, Grants: []goldenGrant{{Endpoint: "e2", Rate: 162.5}}}},
+			Trials:   map[string]goldenRolloutReport{"payments": {Order: 163, Proxies: 164, Stage: 165, AtBase: 166, Evidence: map[string]goldenRouteCounts{"pay": {Base: goldenCounts{Answers: 167}}}}},
 			Verdicts: []goldenVerdict{{Endpoint: "e3", Pace: 168}},
 		}},
 		{Ack: 171},
-		{Report: &goldenReport{
+		{Report: &goldenProxyReport{
 			Seq:   181,
 			Loads: map[string]goldenLoad{"payments": {Rate: 182.5, Inflight: 183.5}},
-			Seen:  map[string]goldenSeen{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
+			Seen:  map[string]goldenObservation{"e1": {Answers: 184, Times: 185.5, Bad: 186, Nodes: 187}},
 			Self:  &goldenProxy{Name: "p1", Address: "127.0.0.1:9101", Zone: "zone-e", Leaving: true, Weight: 188.5},
-			Trials: map[string]goldenTrial{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: map[string]goldenArms{"pay": {
-				Base:   goldenCount{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
-				Target: goldenCount{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
-				Ill:    map[string]goldenCount{"e1": {Failed: 203, Broken: 204, Slow: 205}},
+			Trials: map[string]goldenRolloutReport{"payments": {Order: 189, Proxies: 190, Stage: 191, AtBase: 192, Evidence: map[string]goldenRouteCounts{"pay": {
+				Base:   goldenCounts{Answers: 193, Failed: 194, Broken: 195, Timed: 196, Slow: 197},
+				Target: goldenCounts{Answers: 198, Failed: 199, Broken: 200, Timed: 201, Slow: 202},
+				Ill:    map[string]goldenCounts{"e1": {Failed: 203, Broken: 204, Slow: 205}},
 			}}}},
-			Account: &goldenBatch{
+			Account: &goldenAuditBatch{
 				Life: "life-1", Node: "p1", AtMS: 1700000000206, Dropped: 207, PerS: 208.5, Out: 209, Closed: true, Most: 210,
-				Records: []goldenRecord{{Seq: 211, AtMS: 1700000000212, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: "late", Status: 213, TookMS: 214}},
+				Records: []goldenAuditRecord{{Seq: 211, AtMS: 1700000000212, Tenant: "tenant-1", Route: "pay", Request: "request-1", Attempt: "attempt-1", Kind: "late", Status: 213, TookMS: 214}},
 			},
 		}},
-		{Account: &goldenAccountAck{Life: "life-1", Seq: 221, Closed: true}},
+		{Account: &goldenAuditAck{Life: "life-1", Seq: 221, Closed: true}},
 		{PackedEvents: []byte("packed")},
 	}
 	for kind := range uint8(17) {
-		frames = append(frames, goldenFrame{Answer: &goldenAnswer{ID: 300 + uint64(kind), Failed: true, Kind: kind}})
+		frames = append(frames, goldenFrame{Answer: &goldenResponse{ID: 300 + uint64(kind), Failed: true, Kind: kind}})
 	}
 	return frames
 }
 
-// bytesConn is a connection whose ends are buffers.
+// bytesConn is a connection that reads from in and writes to out.
 type bytesConn struct {
 	net.Conn
 	in  io.Reader
@@ -480,7 +480,7 @@
 func (c *bytesConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *bytesConn) SetWriteDeadline(time.Time) error { return nil }
 
-// writeGoldenFrames sends the golden frames and returns the bytes of the connection.
+// writeGoldenFrames sends the golden frames and returns the data that was written.
 func writeGoldenFrames(t *testing.T) []byte {
 	t.Helper()
 	objects, err := Pack(goldenPackedObjects())
@@ -507,52 +507,52 @@
 	return raw.out.Bytes()
 }
 
-// readFramesAsBefore reads the bytes of a connection with a reader of its own, and
-// returns how many frames were compressed.
-func readFramesAsBefore(t *testing.T, what string, data []byte) (compressed int) {
+// readFramesWithGoldenTypes decodes the data of a connection independently of the code under
+// test, and returns how many frames were compressed.
+func readFramesWithGoldenTypes(t *testing.T, what string, data []byte) (compressed int) {
 	t.Helper()
-	unpackAsBefore := func(b []byte, to any) {
+	unpackTyped := func(b []byte, to any) {
 		if err := gob.NewDecoder(flate.NewReader(bytes.NewReader(b))).Decode(to); err != nil {
 			t.Errorf("%s: unpack: %v", what, err)
 		}
 	}
 	var in bytes.Buffer
-	dec := gob.NewDecoder(&in)
-	want := goldenFrameForms()
+	decoder := gob.NewDecoder(&in)
+	want := goldenTypedFrames()
 	for i := range want {
 		if len(data) < 4 {
-			t.Fatalf("%s: ends before frame %d", what, i)
+			t.Fatalf("%s: data ends before frame %d", what, i)
 		}
-		head := binary.BigEndian.Uint32(data)
-		length := int(head & 0x7fffffff)
+		header := binary.BigEndian.Uint32(data)
+		length := int(header & 0x7fffffff)
 		body := data[4 : 4+length]
 		data = data[4+length:]
-		if head&0x80000000 != 0 {
+		if header&0x80000000 != 0 {
 			compressed++
-			plain, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
+			decompressed, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
 			if err != nil {
 				t.Fatalf("%s: frame %d: %v", what, i, err)
 			}
-			body = plain
+			body = decompressed
 		}
 		in.Write(body)
 		var f goldenFrame
-		if err := dec.Decode(&f); err != nil {
+		if err := decoder.Decode(&f); err != nil {
 			t.Fatalf("%s: frame %d: %v", what, i, err)
 		}
 		if f.Answer != nil && f.Answer.Packed != nil {
 			var objects []goldenObject
-			unpackAsBefore(f.Answer.Packed, &objects)
-			goldentest.Same(t, what+", packed objects, read as before", objects, goldenPackedObjectForms())
+			unpackTyped(f.Answer.Packed, &objects)
+			goldentest.Same(t, what+", packed objects, read with the golden types", objects, goldenTypedPackedObjects())
 			f.Answer.Packed = []byte("packed")
 		}
 		if f.PackedEvents != nil {
 			var events []goldenEvent
-			unpackAsBefore(f.PackedEvents, &events)
-			goldentest.Same(t, what+", packed events, read as before", events, goldenPackedEventForms())
+			unpackTyped(f.PackedEvents, &events)
+			goldentest.Same(t, what+", packed events, read with the golden types", events, goldenTypedPackedEvents())
 			f.PackedEvents = []byte("packed")
 		}
-		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read as before", what, i), f, want[i])
+		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read with the golden types", what, i), f, want[i])
 	}
 	if len(data) != 0 {
 		t.Errorf("%s: %d bytes after the last frame", what, len(data))
@@ -560,7 +560,7 @@
 	return compressed
 }
 
-func readFramesByThisCode(t *testing.T, what string, data []byte) {
+func readFramesWithCurrentCode(t *testing.T, what string, data []byte) {
 	t.Helper()
 	c := NewConn(&bytesConn{in: bytes.NewReader(data)}, time.Second)
 	for i, want := range goldenFrames() {
@@ -573,7 +573,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, what+", packed objects, read by this code", objects, goldenPackedObjects())
+			goldentest.Same(t, what+", packed objects, read with the current code", objects, goldenPackedObjects())
 			f.Answer.Packed = []byte("packed")
 		}
 		if f.PackedEvents != nil {
@@ -581,63 +581,63 @@
 			if err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, what+", packed events, read by this code", events, goldenPackedEvents())
+			goldentest.Same(t, what+", packed events, read with the current code", events, goldenPackedEvents())
 			f.PackedEvents = []byte("packed")
 		}
-		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read by this code", what, i), *f, want)
+		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read with the current code", what, i), *f, want)
 	}
 	if _, err := c.Receive(time.Second); !errors.Is(err, io.EOF) {
-		t.Errorf("%s: after the last frame: %v", what, err)
+		t.Errorf("%s: Receive() after the last frame = %v, want io.EOF", what, err)
 	}
 }
 
-// TestGoldenFrames compares the bytes of a connection with a golden file in both
-// directions: the present code reads what was written before, and a reader of before
-// reads what the present code writes.
+// TestGoldenFrames guards against an incompatible change of the protocol: the current code must
+// read the golden file, and frames that it writes must be readable with the golden types.
 func TestGoldenFrames(t *testing.T) {
-	anew := writeGoldenFrames(t)
-	golden := goldentest.File(t, "testdata/golden/frames.bin", func() []byte { return anew })
-	for what, data := range map[string][]byte{"golden file": golden, "written by this code": anew} {
-		if n := readFramesAsBefore(t, what, data); n != 1 {
-			t.Errorf("%s: %d frames are compressed, want 1", what, n)
+	written := writeGoldenFrames(t)
+	golden := goldentest.File(t, "testdata/golden/frames.bin", func() []byte { return written })
+	for what, data := range map[string][]byte{"golden file": golden, "written by the current code": written} {
+		if n := readFramesWithGoldenTypes(t, what, data); n != 1 {
+			t.Errorf("%s: %d compressed frames, want 1", what, n)
 		}
-		readFramesByThisCode(t, what, data)
+		readFramesWithCurrentCode(t, what, data)
 	}
 	goldentest.Complete(t, goldenFrames(), goldenJoin())
-	goldentest.Complete(t, goldenFrameForms())
+	goldentest.Complete(t, goldenTypedFrames())
 	if Version != 3 {
-		t.Errorf("the wire has the version %d, want 3", Version)
+		t.Errorf("Version = %d, want 3", Version)
 	}
 	if _, hello, err := Accept(&bytesConn{in: bytes.NewReader(golden)}, time.Second); err != nil || hello.Node != "node-1" {
-		t.Errorf("the golden hello gave %+v, %v", hello, err)
+		t.Errorf("Accept() of the golden hello = %+v, %v; want node-1", hello, err)
 	}
 }
 
-// goldenJoin is a request of a node that says where it keeps its log, which came later.
+// goldenJoin is a request with the field Storage of a member, which was added after the golden
+// frames were written.
 func goldenJoin() Frame {
 	return Frame{Ask: &Request{ID: 401, Join: &raft.Member{ID: 402, Addr: "127.0.0.1:7402", API: "127.0.0.1:8402", Storage: raft.StorageMemory}}}
 }
 
-// TestGoldenJoin is TestGoldenFrames for goldenJoin. A reader of before does not see the storage.
+// TestGoldenJoin is TestGoldenFrames for goldenJoin. The golden types ignore the field Storage.
 func TestGoldenJoin(t *testing.T) {
 	raw := &bytesConn{}
 	want := goldenJoin()
 	if err := NewConn(raw, time.Second).Send(&want); err != nil {
 		t.Fatal(err)
 	}
-	anew := raw.out.Bytes()
-	golden := goldentest.File(t, "testdata/golden/join-storage.bin", func() []byte { return anew })
-	wantOld := goldenFrame{Ask: &goldenAsk{ID: 401, Join: &goldenMember{ID: 402, Addr: "127.0.0.1:7402", API: "127.0.0.1:8402"}}}
-	for what, data := range map[string][]byte{"golden file": golden, "written by this code": anew} {
+	written := raw.out.Bytes()
+	golden := goldentest.File(t, "testdata/golden/join-storage.bin", func() []byte { return written })
+	wantTyped := goldenFrame{Ask: &goldenRequest{ID: 401, Join: &goldenMember{ID: 402, Addr: "127.0.0.1:7402", API: "127.0.0.1:8402"}}}
+	for what, data := range map[string][]byte{"golden file": golden, "written by the current code": written} {
 		got, err := NewConn(&bytesConn{in: bytes.NewReader(data)}, time.Second).Receive(time.Second)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		goldentest.Same(t, what+", read by this code", *got, want)
-		var old goldenFrame
-		if err := gob.NewDecoder(bytes.NewReader(data[4:])).Decode(&old); err != nil {
+		goldentest.Same(t, what+", read with the current code", *got, want)
+		var typed goldenFrame
+		if err := gob.NewDecoder(bytes.NewReader(data[4:])).Decode(&typed); err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		goldentest.Same(t, what+", read as before", old, wantOld)
+		goldentest.Same(t, what+", read with the golden types", typed, wantTyped)
 	}
 }
--- a/internal/transport/size_test.go
+++ b/internal/transport/size_test.go
@@ -12,8 +12,8 @@
 	"lichentray/registry"
 )
 
-// largeDeployment returns what a node of a large deployment holds: a thousand endpoints, a
-// configuration of 680 routes, and verdicts on three endpoints of four.
+// largeDeployment returns the state of a large deployment: a thousand endpoints, a configuration
+// of 680 routes, and verdicts on three of four endpoints.
 func largeDeployment() (objects []registry.Object, verdicts []loadbalance.Verdict) {
 	for i := range 1000 {
 		e := registry.Endpoint{
@@ -33,7 +33,7 @@
 	return objects, verdicts
 }
 
-// discardConn is a connection that takes everything and counts the bytes.
+// discardConn is a connection that discards and counts what is written.
 type discardConn struct {
 	net.Conn
 	written int
@@ -47,8 +47,8 @@
 func (c *discardConn) SetWriteDeadline(time.Time) error { return nil }
 func (c *discardConn) Close() error                     { return nil }
 
-// TestFrameSizes bounds what is sent to one proxy in a large deployment, where its link carries
-// some hundred kilobytes a second.
+// TestFrameSizes guards against frames that overload the link of a proxy, which carries a few
+// hundred kilobytes per second: it bounds the frames to one proxy in a large deployment.
 func TestFrameSizes(t *testing.T) {
 	objects, verdicts := largeDeployment()
 	packed, err := Pack(objects)
@@ -59,8 +59,8 @@
 	for range 7 {
 		bookmark.Control = append(bookmark.Control, ControlNode{Addr: "10.1.0.10:7720", API: "10.1.0.10:8166", Zone: "zone-1"})
 	}
-	judged := *bookmark
-	judged.Judged, judged.Verdicts = true, verdicts
+	withVerdicts := *bookmark
+	withVerdicts.Judged, withVerdicts.Verdicts = true, verdicts
 	change := registry.Event{Type: registry.Modified, Object: objects[7], Revision: 5001}
 	raw := &discardConn{}
 	c := NewConn(raw, time.Second)
@@ -69,10 +69,10 @@
 		frame    *Frame
 		maxBytes int
 	}{
-		{"a list of a thousand endpoints and 680 routes", &Frame{Answer: &Response{ID: 1, Revision: 5000, Packed: packed}}, 48 << 10},
-		{"a bookmark", &Frame{Bookmark: bookmark}, 600},
-		{"a bookmark with verdicts on three endpoints of four", &Frame{Bookmark: &judged}, 8 << 10},
-		{"one change", &Frame{Events: []registry.Event{change}, Bookmark: &Bookmark{Revision: 5001}}, 400},
+		{"list of 1000 endpoints and 680 routes", &Frame{Answer: &Response{ID: 1, Revision: 5000, Packed: packed}}, 48 << 10},
+		{"bookmark", &Frame{Bookmark: bookmark}, 600},
+		{"bookmark with verdicts on three of four endpoints", &Frame{Bookmark: &withVerdicts}, 8 << 10},
+		{"event", &Frame{Events: []registry.Event{change}, Bookmark: &Bookmark{Revision: 5001}}, 400},
 	} {
 		raw.written = 0
 		if err := c.Send(test.frame); err != nil {
@@ -80,22 +80,22 @@
 		}
 		t.Logf("%s: %d bytes", test.name, raw.written)
 		if raw.written > test.maxBytes {
-			t.Errorf("%s takes %d bytes, over %d", test.name, raw.written, test.maxBytes)
+			t.Errorf("%s: sent %d bytes, want at most %d", test.name, raw.written, test.maxBytes)
 		}
 	}
 	list, err := (&Response{Packed: packed}).UnpackObjects()
 	if err != nil || !reflect.DeepEqual(list, objects) {
-		t.Errorf("a packed list comes back changed: %d of %d objects, %v", len(list), len(objects), err)
+		t.Errorf("UnpackObjects() differs from the packed list: %d objects, want %d; error %v", len(list), len(objects), err)
 	}
-	for _, cut := range []int{1, len(packed) / 2, len(packed) - 1} {
-		if _, err := (&Response{Packed: packed[:cut]}).UnpackObjects(); err == nil {
-			t.Errorf("a packed list cut to %d bytes was taken", cut)
+	for _, length := range []int{1, len(packed) / 2, len(packed) - 1} {
+		if _, err := (&Response{Packed: packed[:length]}).UnpackObjects(); err == nil {
+			t.Errorf("UnpackObjects() of a list truncated to %d bytes succeeded, want an error", length)
 		}
 	}
 }
 
-// BenchmarkList measures what it takes to send a list: encoded for each proxy, encoded once for all
-// of them, and to read it.
+// BenchmarkList measures sending a list that is encoded for each proxy, sending one that is encoded
+// once for all proxies, and reading it.
 func BenchmarkList(b *testing.B) {
 	objects, _ := largeDeployment()
 	send := func(b *testing.B, f func() *Response) {
@@ -117,7 +117,7 @@
 	})
 }
 
-// BenchmarkVerdicts measures what it takes to send verdicts on a large deployment.
+// BenchmarkVerdicts measures sending the verdicts of a large deployment.
 func BenchmarkVerdicts(b *testing.B) {
 	_, verdicts := largeDeployment()
 	c := NewConn(&discardConn{}, time.Second)
@@ -128,7 +128,7 @@
 	}
 }
 
-// BenchmarkServices measures what a bookmark and a report take by the number of services.
+// BenchmarkServices measures sending a bookmark and a report for different numbers of services.
 func BenchmarkServices(b *testing.B) {
 	for _, n := range []int{2, 150, 1500} {
 		loads := map[string]loadbalance.Load{}
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall does not name.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// SetTCPUserTimeout sets how long sent bytes may stay unacknowledged before the kernel breaks a
-// TCP connection (TCP_USER_TIMEOUT, RFC 5482). Without it, a peer that has lost its power is
-// noticed only after minutes. Connections of other kinds are left as they are, and so is a
-// connection whose kernel does not know the option.
+// SetTCPUserTimeout sets how long sent data may stay unacknowledged before the kernel closes a
+// TCP connection (TCP_USER_TIMEOUT, RFC 5482). Without it, the power loss of a peer is detected
+// only after minutes. It has no effect on other connections, or if the kernel does not support the
+// option.
 func SetTCPUserTimeout(raw net.Conn, timeout time.Duration) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok {
@@ -29,59 +29,59 @@
 	})
 }
 
-// tcpCloseWait is the state of a TCP connection whose peer has closed its side (Linux,
-// TCP_CLOSE_WAIT).
+// tcpCloseWait is the Linux constant TCP_CLOSE_WAIT, the state of a TCP connection whose peer has
+// closed its side.
 const tcpCloseWait = 8
 
-// PeerProbe looks whether the peer of one connection has closed it. It is safe for concurrent use,
-// and looking allocates nothing.
+// PeerProbe checks whether the peer of a connection has closed it. It is safe for concurrent use,
+// and a check does not allocate.
 type PeerProbe struct {
-	conn syscall.RawConn
-	look func(fd uintptr)
+	conn    syscall.RawConn
+	inspect func(fd uintptr)
 
 	mu        sync.Mutex
 	hasClosed bool
 	peeked    [1]byte
 }
 
-// NewPeerProbe returns the probe of a connection.
+// NewPeerProbe returns a probe for conn.
 func NewPeerProbe(conn syscall.RawConn) *PeerProbe {
 	p := &PeerProbe{conn: conn}
-	p.look = p.lookAt
+	p.inspect = p.inspectDescriptor
 	return p
 }
 
-// HasClosed reports whether the peer has closed or reset the connection. It does not wait, and it
-// consumes nothing. Where bytes of the peer are still to be read, only a TCP connection shows that
-// it was closed behind them. For a connection that this end has closed it returns false.
+// HasClosed reports whether the peer has closed or reset the connection. It does not block and
+// consumes no data. While unread data is pending, it detects the close only on TCP connections. It
+// returns false if the local end has closed the connection.
 func (p *PeerProbe) HasClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hasClosed = false
-	// Control is used because Read fails once a deadline of an earlier use has passed.
-	err := p.conn.Control(p.look)
+	// Control is used because Read fails once a previously set deadline has passed.
+	err := p.conn.Control(p.inspect)
 	return err == nil && p.hasClosed
 }
 
-// lookAt looks at the connection's descriptor. The caller has the lock.
-func (p *PeerProbe) lookAt(fd uintptr) {
+// inspectDescriptor checks the descriptor and sets hasClosed. The caller must hold mu.
+func (p *PeerProbe) inspectDescriptor(fd uintptr) {
 	n, _, err := syscall.Recvfrom(int(fd), p.peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR):
 	case err != nil || n == 0:
 		p.hasClosed = true
 	default:
-		// The first byte of TCP_INFO is the state.
+		// The first byte of struct tcp_info is the connection state.
 		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		p.hasClosed = err == nil && info&0xff == tcpCloseWait
 	}
 }
 
-// IsIdle reports whether a connection is open and has nothing to read: neither its end nor bytes
-// that belong to no request. It does not wait, and it consumes nothing.
+// IsIdle reports whether a connection is open and has nothing to read: neither the end of the
+// stream nor unexpected data. It does not block and consumes no data.
 func IsIdle(c syscall.RawConn) bool {
 	hasNothingToRead := false
-	// Control is used because Read fails once a deadline of an earlier use has passed.
+	// Control is used because Read fails once a previously set deadline has passed.
 	err := c.Control(func(fd uintptr) {
 		var peeked [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/transport/socket_test.go
+++ b/internal/transport/socket_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestPeerProbe: what a peer did to its end of a connection, and whether it counts as closed.
+// TestPeerProbe checks that a close or a reset by the peer is detected, also behind unread data,
+// and that open connections and those closed by the local end do not count as closed by the peer.
 func TestPeerProbe(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -24,12 +25,12 @@
 		do   func(*net.TCPConn)
 		want bool
 	}{
-		{"nothing", func(*net.TCPConn) {}, false},
-		{"it has sent bytes", send, false},
-		{"it has closed", func(c *net.TCPConn) { c.Close() }, true},
-		{"it has closed behind bytes", func(c *net.TCPConn) { send(c); c.Close() }, true},
-		{"it has closed its side for writing", func(c *net.TCPConn) { _ = c.CloseWrite() }, true},
-		{"it has reset", func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() }, true},
+		{"open", func(*net.TCPConn) {}, false},
+		{"data sent", send, false},
+		{"closed", func(c *net.TCPConn) { c.Close() }, true},
+		{"closed after data", func(c *net.TCPConn) { send(c); c.Close() }, true},
+		{"closed for writing", func(c *net.TCPConn) { _ = c.CloseWrite() }, true},
+		{"reset", func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() }, true},
 	} {
 		peer, err := net.Dial("tcp4", listener.Addr().String())
 		if err != nil {
@@ -50,12 +51,12 @@
 			got = probe.HasClosed()
 		}
 		if got != test.want {
-			t.Errorf("%s: closed is %v", test.name, got)
+			t.Errorf("%s: HasClosed() = %v", test.name, got)
 		}
 		peer.Close()
 		conn.Close()
 		if probe.HasClosed() {
-			t.Errorf("%s: a connection that this end has closed counts as closed by the peer", test.name)
+			t.Errorf("%s: HasClosed() = true for a connection closed by the local end, want false", test.name)
 		}
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,7 +15,7 @@
 	"lichentray/registry"
 )
 
-// newPipe returns the two ends of a connection in memory, which the test closes at its end.
+// newPipe returns the two ends of an in-memory connection, which are closed when the test ends.
 func newPipe(t testing.TB) (near, far net.Conn) {
 	t.Helper()
 	near, far = net.Pipe()
@@ -26,7 +26,7 @@
 	return near, far
 }
 
-// TestFrameRoundTrip checks that frames arrive as they were sent, compressed ones too.
+// TestFrameRoundTrip checks that frames are received as sent, both compressed and uncompressed.
 func TestFrameRoundTrip(t *testing.T) {
 	a, b := newPipe(t)
 	frames := []*Frame{
@@ -48,42 +48,42 @@
 	for _, want := range frames {
 		got, err := c.Receive(5 * time.Second)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("got %+v, %v", got, err)
+			t.Fatalf("Receive() = %+v, %v; want the sent frame", got, err)
 		}
 	}
 }
 
-// TestAcceptRejectsInvalidHello checks that callers that do not speak this version of the wire are
-// rejected.
+// TestAcceptRejectsInvalidHello checks that peers that use another protocol, or another version of
+// this one, are rejected.
 func TestAcceptRejectsInvalidHello(t *testing.T) {
-	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
+	huge := binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1)
 	for name, sent := range map[string][]byte{
-		"another protocol": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"an endless frame": huge,
-		"garbage":          append([]byte{0, 0, 0, 8}, "\xff\xfe\xfd\xfc\xfb\xfa\xf9\xf8"...),
-		"an empty frame":   {0, 0, 0, 0},
+		"HTTP request":     []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"oversized frame":  huge,
+		"invalid gob data": append([]byte{0, 0, 0, 8}, "\xff\xfe\xfd\xfc\xfb\xfa\xf9\xf8"...),
+		"empty frame":      {0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := newPipe(t)
 			go func() {
-				_, _ = a.Write(sent) // the other end may hang up first
+				_, _ = a.Write(sent) // fails if the other end closes first
 				a.Close()
 			}()
 			if _, _, err := Accept(b, 2*time.Second); err == nil {
-				t.Errorf("%s was taken for a peer", name)
+				t.Errorf("%s: Accept() succeeded, want an error", name)
 			}
 		})
 	}
-	t.Run("a newer version", func(t *testing.T) {
+	t.Run("newer version", func(t *testing.T) {
 		a, b := newPipe(t)
 		go func() { _ = NewConn(a, time.Second).Send(&Frame{Hello: &Hello{Version: Version + 1, Role: RolePeer}}) }()
 		if _, _, err := Accept(b, 2*time.Second); !errors.Is(err, ErrHandshake) {
-			t.Errorf("a newer version got %v", err)
+			t.Errorf("Accept() = %v, want ErrHandshake", err)
 		}
 	})
 }
 
-// replayConn is a connection from which given bytes are read, and then its end.
+// replayConn is a connection that reads from reader.
 type replayConn struct {
 	net.Conn
 	reader io.Reader
@@ -92,7 +92,7 @@
 func (c *replayConn) Read(b []byte) (int, error)      { return c.reader.Read(b) }
 func (c *replayConn) SetReadDeadline(time.Time) error { return nil }
 
-// FuzzReceive checks that no bytes make Receive panic or read on for ever.
+// FuzzReceive checks that Receive neither panics nor reads forever on arbitrary input.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2})
 	f.Add([]byte{255, 255, 255, 255})
@@ -111,8 +111,9 @@
 	})
 }
 
-// TestSendToSlowReader checks that a frame that takes longer than the time-out is sent as long as
-// some of it is taken within each time-out, and that Send fails once nothing is taken.
+// TestSendToSlowReader guards against a timeout for the complete frame, which would break
+// connections over slow links: Send succeeds as long as the reader makes progress within each
+// timeout, and fails once it makes none.
 func TestSendToSlowReader(t *testing.T) {
 	a, b := newPipe(t)
 	c := NewConn(a, 400*time.Millisecond)
@@ -126,17 +127,17 @@
 	}()
 	got, err := NewConn(slowConn{b}, time.Second).Receive(0)
 	if err != nil || !reflect.DeepEqual(got, f) {
-		t.Fatalf("the frame did not come through: %v", err)
+		t.Fatalf("Receive() = %v, want the sent frame", err)
 	}
 	if err := <-sent; err != nil {
 		t.Error(err)
 	}
 	if err := <-sent; err == nil {
-		t.Error("a frame that nobody read was sent")
+		t.Error("Send() without a reader = nil, want an error")
 	}
 }
 
-// slowConn reads a little at a time, a megabyte in a second or more.
+// slowConn reads at most a megabyte per second.
 type slowConn struct{ net.Conn }
 
 func (c slowConn) Read(b []byte) (int, error) {
