--- a/internal/discovery/announcer.go
+++ b/internal/discovery/announcer.go
@@ -13,35 +13,34 @@
 )
 
 const (
-	// announcementIntervalDivisor is the part of the contact window after which an announcement
-	// is repeated, as a divisor.
+	// announcementIntervalDivisor divides the contact window into the interval between two
+	// announcements. The other divisors divide this interval.
 	announcementIntervalDivisor = 3
-	// minAnnouncerBackoffDivisor is the part of that interval after which a seed node that could
-	// not be reached is first tried again, as a divisor.
+	// minAnnouncerBackoffDivisor gives the initial delay before reconnecting to a seed node.
 	minAnnouncerBackoffDivisor = 16
-	// targetCheckDivisor is the part of that interval after which it is looked up whether the core
-	// is known by now and which seed nodes do not belong to it, as a divisor.
+	// targetCheckDivisor gives the interval of checks whether the core is known and which seed
+	// nodes do not belong to it.
 	targetCheckDivisor = 8
-	// announcerDialDivisor is the part of that interval that connecting may take, as a divisor.
+	// announcerDialDivisor gives the timeout for connecting to a seed node.
 	announcerDialDivisor = 2
 )
 
-// AnnouncementInterval returns the time between two announcements to the same seed node, from the
-// contact window of the settings.
+// AnnouncementInterval returns the time between two announcements to the same seed node, given the
+// contact window from the settings.
 func AnnouncementInterval(contactWindow time.Duration) time.Duration {
 	return contactWindow / announcementIntervalDivisor
 }
 
-// Announcer tells the seed nodes where the core is.
+// Announcer announces the members of the core to the seed nodes.
 //
-// The seed nodes may be relays, which know the core only for as long as they run. When all of them
-// start anew at the same time, asking each other tells them nothing, and nobody whose settings name
-// only them finds the core. So whoever knows the core tells it to those seed nodes that do not
-// belong to it, and again whenever one of them has restarted.
+// Seed nodes may be relays, which know the core only while they run. If all of them restart at the
+// same time, they cannot learn the core from each other, and processes that have only them as seed
+// nodes cannot find the core. Therefore nodes that know the core announce it to the seed nodes
+// outside the core, and again whenever one of these has restarted.
 //
-// Between processes that can reach each other, what one of them knows of the core thereby travels
-// both ways along each entry of a seed list: from the seed node to the process that asks, and from
-// the process to the seed node.
+// Between processes that can reach each other, knowledge of the core thus propagates both ways
+// along each entry of a seed list: from the seed node to the process that asks, and from the
+// process to the seed node.
 type Announcer struct {
 	nodeName string
 	ownAddr  string
@@ -49,40 +48,40 @@
 	seeds    func() []string
 	core     func() []transport.ControlNode
 
-	sent         *metrics.Counter
-	acknowledged *metrics.Counter
-	failures     *metrics.Counter
-	violations   *metrics.Counter
+	sent              *metrics.Counter
+	acknowledged      *metrics.Counter
+	connectionsFailed *metrics.Counter
+	violations        *metrics.Counter
 }
 
-// AnnouncerConfig is what an Announcer needs.
+// AnnouncerConfig configures an Announcer.
 type AnnouncerConfig struct {
-	// NodeName is the name of this node in its settings.
+	// NodeName is the node name from the settings.
 	NodeName string
 	// OwnAddr is the internal address (IP:port) of this node.
 	OwnAddr string
-	// ContactWindow is that of the settings.
+	// ContactWindow is the contact window from the settings.
 	ContactWindow time.Duration
-	// SeedAddrs returns the internal addresses of the present seed nodes.
+	// SeedAddrs returns the internal addresses of the current seed nodes.
 	SeedAddrs func() []string
-	// Core returns the members of the core; nothing while this node cannot vouch for them.
+	// Core returns the members of the core, or none while this node does not know them for certain.
 	Core func() []transport.ControlNode
 	// Metrics receives the counters.
 	Metrics *metrics.Registry
 }
 
-// NewAnnouncer returns an announcer, which the caller runs with Run.
+// NewAnnouncer returns an announcer. The caller starts it with Run.
 func NewAnnouncer(c AnnouncerConfig) *Announcer {
 	return &Announcer{
-		nodeName:     c.NodeName,
-		ownAddr:      c.OwnAddr,
-		interval:     AnnouncementInterval(c.ContactWindow),
-		seeds:        c.SeedAddrs,
-		core:         c.Core,
-		sent:         c.Metrics.Counter("core_announcements_sent_total"),
-		acknowledged: c.Metrics.Counter("core_announcements_acknowledged_total"),
-		failures:     c.Metrics.Counter("core_announcement_connections_failed_total"),
-		violations:   c.Metrics.Counter("invariant_violations_total", "invariant", "announced_core_is_known"),
+		nodeName:          c.NodeName,
+		ownAddr:           c.OwnAddr,
+		interval:          AnnouncementInterval(c.ContactWindow),
+		seeds:             c.SeedAddrs,
+		core:              c.Core,
+		sent:              c.Metrics.Counter("core_announcements_sent_total"),
+		acknowledged:      c.Metrics.Counter("core_announcements_acknowledged_total"),
+		connectionsFailed: c.Metrics.Counter("core_announcement_connections_failed_total"),
+		violations:        c.Metrics.Counter("invariant_violations_total", "invariant", "announced_core_is_known"),
 	}
 }
 
@@ -94,7 +93,7 @@
 	ticker := time.NewTicker(a.interval / targetCheckDivisor)
 	defer ticker.Stop()
 	for {
-		// While the core is not known, the connections that there are stay.
+		// While the core is not known, existing connections are kept.
 		if core := a.core(); len(core) > 0 {
 			a.adjustSessions(ctx, a.targets(core), cancelByAddr, &sessions)
 		}
@@ -106,8 +105,8 @@
 	}
 }
 
-// adjustSessions ends the sessions with nodes that are no targets any more, and starts those that
-// are missing.
+// adjustSessions stops the sessions with nodes that are no longer targets, and starts sessions with
+// new targets.
 func (a *Announcer) adjustSessions(ctx context.Context, targets []string, cancelByAddr map[string]context.CancelFunc, sessions *sync.WaitGroup) {
 	for addr, cancel := range cancelByAddr {
 		if !slices.Contains(targets, addr) {
@@ -125,7 +124,7 @@
 	}
 }
 
-// targets returns the internal addresses of the seed nodes that do not belong to the core.
+// targets returns the internal addresses of the seed nodes outside the core, except this node.
 func (a *Announcer) targets(core []transport.ControlNode) []string {
 	isMember := func(addr string) bool {
 		return slices.ContainsFunc(core, func(node transport.ControlNode) bool { return node.Addr == addr })
@@ -139,8 +138,8 @@
 	return targets
 }
 
-// keepAnnouncing announces the core to one seed node until the context ends, and connects anew
-// whenever the connection has ended.
+// keepAnnouncing announces the core to one seed node until the context ends. It reconnects with
+// exponential backoff whenever the connection has ended.
 func (a *Announcer) keepAnnouncing(ctx context.Context, addr string) {
 	minBackoff := a.interval / minAnnouncerBackoffDivisor
 	backoff := minBackoff
@@ -156,13 +155,13 @@
 	}
 }
 
-// announce announces the core over one connection until that ends. It reports whether the seed
-// node acknowledged an announcement.
+// announce announces the core over one connection until the connection ends. It reports whether
+// the seed node acknowledged an announcement.
 func (a *Announcer) announce(ctx context.Context, addr string) (isAcknowledged bool) {
 	hello := transport.Hello{Role: transport.RoleAnnouncer, Node: a.nodeName}
 	conn, err := transport.Dial(ctx, addr, a.interval/announcerDialDivisor, hello)
 	if err != nil {
-		a.failures.Inc()
+		a.connectionsFailed.Inc()
 		return false
 	}
 	defer context.AfterFunc(ctx, conn.Close)()
@@ -178,8 +177,8 @@
 	return acknowledgements.Load() > 0
 }
 
-// sendAnnouncements sends what is known of the core at intervals, until the connection or the
-// context ends.
+// sendAnnouncements sends the members of the core periodically until the connection or the context
+// ends. It skips announcements while they are not known.
 func (a *Announcer) sendAnnouncements(ctx context.Context, conn *transport.Conn, ended <-chan struct{}) {
 	ticker := time.NewTicker(a.interval)
 	defer ticker.Stop()
@@ -200,9 +199,9 @@
 	}
 }
 
-// receiveAcknowledgements counts the acknowledgements until the connection ends. Each names the
-// core as the seed node knows it now. An empty one violates the invariant that a node to which
-// the core was announced can tell others where it is.
+// receiveAcknowledgements counts acknowledgements until the connection ends. Each lists the members
+// of the core that the seed node now knows. An empty list violates the invariant that a node to
+// which the core was announced can refer others to it.
 func (a *Announcer) receiveAcknowledgements(conn *transport.Conn, acknowledgements *atomic.Int64) {
 	for {
 		frame, err := conn.Receive(0)
@@ -221,10 +220,10 @@
 	}
 }
 
-// ReceiveAnnouncements serves the connection of an Announcer until it ends or is silent for the
-// contact window. It passes each announcement to learn, and acknowledges it with what known
-// returns then.
-func ReceiveAnnouncements(conn *transport.Conn, contactWindow time.Duration, learn func([]transport.ControlNode), known func() []transport.ControlNode) {
+// ReceiveAnnouncements serves a connection from an Announcer until it ends or is silent for the
+// contact window. It passes each announcement to update, and acknowledges it with the result of a
+// subsequent call of currentNodes.
+func ReceiveAnnouncements(conn *transport.Conn, contactWindow time.Duration, update func([]transport.ControlNode), currentNodes func() []transport.ControlNode) {
 	for {
 		frame, err := conn.Receive(contactWindow)
 		if err != nil {
@@ -233,8 +232,8 @@
 		if frame.Bookmark == nil || len(frame.Bookmark.Control) == 0 {
 			continue
 		}
-		learn(frame.Bookmark.Control)
-		if conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: known()}}) != nil {
+		update(frame.Bookmark.Control)
+		if conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: currentNodes()}}) != nil {
 			return
 		}
 	}
--- a/internal/discovery/announcer_test.go
+++ b/internal/discovery/announcer_test.go
@@ -12,49 +12,49 @@
 	"lichentray/internal/transport"
 )
 
-// receiveNodes receives what a seed node was told.
-func receiveNodes(t *testing.T, from <-chan []transport.ControlNode) string {
+// awaitAnnouncement returns the next announcement that a seed node receives.
+func awaitAnnouncement(t *testing.T, from <-chan []transport.ControlNode) string {
 	t.Helper()
 	select {
 	case nodes := <-from:
 		return fmt.Sprint(nodes)
 	case <-time.After(20 * time.Second):
-		t.Fatal("the core was not announced")
+		t.Fatal("no announcement within 20 s")
 		return ""
 	}
 }
 
-// TestAnnouncerTellsSeedsThatAreNotOfTheCore: seeds that do not belong to the core are told where
-// it is, as soon as it is known, again when their connection has ended, and with each interval.
-// Members and the node itself are not connected to. An acknowledgement that names nobody counts
-// as a violation.
+// TestAnnouncerTellsSeedsThatAreNotOfTheCore checks that the core is announced to seed nodes outside
+// it as soon as it is known, again after their connection has ended, and then periodically. The
+// announcer does not connect to members of the core or to its own node. An empty acknowledgement
+// counts as a violation.
 func TestAnnouncerTellsSeedsThatAreNotOfTheCore(t *testing.T) {
 	port := controlplanetest.FreePort(t, "127.0.0.71", "127.0.0.72", "127.0.0.73")
 	addr := func(ip string) string { return fmt.Sprintf("%s:%d", ip, port) }
 	seed, member, own := addr("127.0.0.71"), addr("127.0.0.72"), addr("127.0.0.73")
-	told := make(chan []transport.ControlNode, 1)
-	var connections, contacts atomic.Int64
-	var isForgetful atomic.Bool
+	announced := make(chan []transport.ControlNode, 1)
+	var connections, unexpectedConnections atomic.Int64
+	var returnsEmptyAcks atomic.Bool
 	controlplanetest.StartFakeNode(t, seed, func(conn *transport.Conn) {
 		if connections.Add(1) == 1 {
-			return // as a seed that is about to restart
+			return // as a seed node that restarts
 		}
 		ReceiveAnnouncements(conn, 20*time.Second,
 			func(nodes []transport.ControlNode) {
 				select {
-				case told <- nodes:
+				case announced <- nodes:
 				default:
 				}
 			},
 			func() []transport.ControlNode {
-				if isForgetful.Load() {
+				if returnsEmptyAcks.Load() {
 					return nil
 				}
 				return []transport.ControlNode{{Addr: member}}
 			})
 	})
 	for _, other := range []string{member, own} {
-		controlplanetest.StartFakeNode(t, other, func(*transport.Conn) { contacts.Add(1) })
+		controlplanetest.StartFakeNode(t, other, func(*transport.Conn) { unexpectedConnections.Add(1) })
 	}
 	var isKnown atomic.Bool
 	registry := metrics.NewRegistry()
@@ -77,21 +77,21 @@
 		announcer.Run(ctx)
 	}()
 	isKnown.Store(true)
-	for range 3 { // the first is after the connection has ended, the others are repeated
-		if got := receiveNodes(t, told); got != fmt.Sprintf("[{%s api a}]", member) {
-			t.Errorf("announced: %s", got)
+	for range 3 { // the first follows a reconnect, the others are periodic
+		if got := awaitAnnouncement(t, announced); got != fmt.Sprintf("[{%s api a}]", member) {
+			t.Errorf("announcement = %s, want the member of the core", got)
 		}
 	}
 	if announcer.violations.Value() != 0 {
-		t.Error("a violation where each acknowledgement names the core")
+		t.Error("violation counted although no acknowledgement was empty")
 	}
-	isForgetful.Store(true)
+	returnsEmptyAcks.Store(true)
 	for announcer.violations.Value() == 0 {
-		receiveNodes(t, told)
+		awaitAnnouncement(t, announced)
 	}
 	cancel()
 	<-ended
-	if contacts.Load() != 0 || announcer.acknowledged.Value() == 0 {
-		t.Errorf("%d connections to members or the node itself, %d acknowledgements", contacts.Load(), announcer.acknowledged.Value())
+	if unexpectedConnections.Load() != 0 || announcer.acknowledged.Value() == 0 {
+		t.Errorf("%d connections to members or the own node, want 0; %d acknowledgements, want more than 0", unexpectedConnections.Load(), announcer.acknowledged.Value())
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,10 +1,10 @@
-// Package discovery is how processes find the control plane's core.
+// Package discovery lets processes find the core of the control plane.
 //
-// A process that follows the control plane knows the seed nodes of its settings and, once it has
-// followed a node, the members of the core with their zones. A Locator holds both and ranks them
-// by locality. It does not connect to any: the proxy and the relay do, and pass the members that
-// bookmarks list to UpdateNodes. In the other direction an Announcer, at the nodes that know the
-// core, tells it to the seed nodes that do not belong to it.
+// A process that follows the control plane knows the seed nodes from its settings and, once it has
+// followed a node, the members of the core with their zones. A Locator holds both and sorts them by
+// distance. It opens no connections: the proxy and the relay do, and pass the members listed in
+// bookmarks to UpdateNodes. In the other direction, an Announcer on nodes that know the core
+// announces it to the seed nodes outside the core.
 package discovery
 
 import (
@@ -17,23 +17,23 @@
 	"lichentray/internal/transport"
 )
 
-// Locator knows which control-plane nodes there are. It is safe for concurrent use.
+// Locator holds the known control-plane nodes. It is safe for concurrent use.
 type Locator struct {
 	settings *settings.Settings
-	// ownAddr is the internal address that a control-plane node on this machine has.
+	// ownAddr is the internal address that a control-plane node on this machine would have.
 	ownAddr string
 
 	mu    sync.Mutex
 	seeds []string // API addresses
-	// nodes are the members of the core as a node that was followed, or a referral, named them
-	// last, and announced those of the last announcement. Neither is ever modified, only replaced.
+	// nodes are the members of the core last listed by a followed node or a referral, and announced
+	// those listed by the last announcement. The slices are replaced, never modified.
 	nodes, announced []transport.ControlNode
 	// suggested are internal addresses of nodes that may belong to the core, oldest first.
 	suggested []string
 }
 
-// NewLocator returns a locator that knows the seed nodes of the settings only. Its own location is
-// that of the settings.
+// NewLocator returns a locator that initially knows only the seed nodes from the settings. It
+// computes distances from the zone and the address in the settings.
 func NewLocator(s *settings.Settings) *Locator {
 	return &Locator{
 		settings: s,
@@ -42,14 +42,14 @@
 	}
 }
 
-// SetSeeds replaces the seed nodes, given by their API addresses (IP:port).
+// SetSeeds replaces the seed nodes. seeds holds their API addresses (IP:port).
 func (l *Locator) SetSeeds(seeds []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seeds = seeds
 }
 
-// UpdateNodes replaces the members of the core. An empty list changes nothing. The caller must not
+// UpdateNodes replaces the members of the core. An empty list is ignored. The caller must not
 // modify the list afterwards.
 func (l *Locator) UpdateNodes(nodes []transport.ControlNode) {
 	if len(nodes) == 0 {
@@ -60,20 +60,20 @@
 	l.nodes = nodes
 }
 
-// Announce takes the members of the core as an Announcer named them. They are candidates beside
-// all others: what a node named that was followed may be newer. The caller must not modify the
-// list afterwards.
-func (l *Locator) Announce(nodes []transport.ControlNode) {
+// UpdateAnnounced replaces the members of the core listed by an Announcer. They are additional
+// candidates and do not replace the members set by UpdateNodes, which may be newer. The caller must
+// not modify the list afterwards.
+func (l *Locator) UpdateAnnounced(nodes []transport.ControlNode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.announced = nodes
 }
 
-// maxSuggested bounds the suggested addresses that are remembered.
+// maxSuggested bounds the number of stored suggested addresses.
 const maxSuggested = 8
 
-// Suggest takes the internal address of a node that may belong to the core. It is a candidate beside
-// all others. The newest ones are remembered.
+// Suggest adds the internal address of a node that may belong to the core as an additional
+// candidate. The latest maxSuggested addresses are kept.
 func (l *Locator) Suggest(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,15 +86,15 @@
 	}
 }
 
-// suggestedAddrs returns the addresses that were suggested.
+// suggestedAddrs returns the suggested addresses.
 func (l *Locator) suggestedAddrs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.suggested)
 }
 
-// Nodes returns the members of the core, as far as they are known: those that a followed node
-// named or, before the first of these, those that were announced.
+// Nodes returns the known members of the core: those set by UpdateNodes or, if there are none yet,
+// those last announced.
 func (l *Locator) Nodes() []transport.ControlNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,15 +104,15 @@
 	return slices.Clone(l.nodes)
 }
 
-// announcedNodes returns the members of the core of the last announcement.
+// announcedNodes returns the members of the core from the last announcement.
 func (l *Locator) announcedNodes() []transport.ControlNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.announced
 }
 
-// APIAddress returns the API address of the member with an internal address, or "" if no such
-// member is known.
+// APIAddress returns the API address of the member with the given internal address, or "" if no
+// such member is known.
 func (l *Locator) APIAddress(internalAddr string) string {
 	for _, node := range l.Nodes() {
 		if node.Addr == internalAddr {
@@ -122,11 +122,10 @@
 	return ""
 }
 
-// Candidates returns the internal addresses of all known nodes in the order in which to connect:
-// the nearest first, those at the same distance in random order, seed nodes of unknown location
-// after all members. Then comes the address at which a control-plane node on this machine would
-// be, if there is one: it helps where no seed node runs. The address avoid comes last if it is
-// known.
+// Candidates returns the internal addresses of all known nodes in the order in which to try them:
+// the nearest first, nodes at the same distance in random order, nodes of unknown location last.
+// The address of a possible control-plane node on this machine is appended if it is not known, for
+// the case that no seed node is running. The address avoid comes last if it is known.
 func (l *Locator) Candidates(avoid string) []string {
 	var candidates []transport.ControlNode
 	isKnown := map[string]bool{}
@@ -154,8 +153,8 @@
 	return addrs
 }
 
-// NodesNearerThan returns the internal addresses of the members that are nearer than addr, in the
-// order of Candidates.
+// NodesNearerThan returns the internal addresses of the members that are nearer than addr, sorted
+// as by Candidates.
 func (l *Locator) NodesNearerThan(addr string) []string {
 	nodes := l.Nodes()
 	limit := l.distanceOf(nodes, addr)
@@ -171,39 +170,40 @@
 	return slices.ContainsFunc(l.nodes, func(node transport.ControlNode) bool { return l.distance(node) < limit })
 }
 
-// The distances of a node, the nearest first.
+// Distances of a node in increasing order.
 const (
-	onThisMachine = iota
-	inThisZone
-	inThisRegion
-	inAnotherRegion
-	locationUnknown
+	sameMachine = iota
+	sameZone
+	sameRegion
+	otherRegion
+	unknownLocation
 )
 
-// distance returns how far away a node is.
+// distance returns the distance of a node.
 func (l *Locator) distance(node transport.ControlNode) int {
 	region := l.settings.RegionByZone[l.settings.Zone]
 	switch {
 	case node.Addr == l.ownAddr:
-		return onThisMachine
+		return sameMachine
 	case node.Zone == "":
-		return locationUnknown
+		return unknownLocation
 	case node.Zone == l.settings.Zone:
-		return inThisZone
+		return sameZone
 	case region != "" && l.settings.RegionByZone[node.Zone] == region:
-		return inThisRegion
+		return sameRegion
 	}
-	return inAnotherRegion
+	return otherRegion
 }
 
-// distanceOf returns the distance of the node with an address, unknown if it is not in the list.
+// distanceOf returns the distance of the node with the given address, or unknownLocation if it is
+// not in the list.
 func (l *Locator) distanceOf(nodes []transport.ControlNode, addr string) int {
 	for _, node := range nodes {
 		if node.Addr == addr {
 			return l.distance(node)
 		}
 	}
-	return locationUnknown
+	return unknownLocation
 }
 
 // SeedAddrs returns the internal addresses of the seed nodes.
@@ -217,8 +217,8 @@
 	return addrs
 }
 
-// sortByDistance returns the addresses of the nodes, the nearest first and those at the same
-// distance in random order, so that processes spread over them. It changes the order of the list.
+// sortByDistance returns the addresses of the nodes, the nearest first. Nodes at the same distance
+// are in random order, so that processes spread over them. It reorders nodes in place.
 func (l *Locator) sortByDistance(nodes []transport.ControlNode) []string {
 	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	slices.SortStableFunc(nodes, func(a, b transport.ControlNode) int {
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -12,30 +12,30 @@
 	"lichentray/internal/transport"
 )
 
-// followNearest follows one core node after the other until ctx ends.
+// followNearest follows one core node at a time, the nearest that is up to date, until ctx ends.
 func (r *relay) followNearest(ctx context.Context) {
 	lastFollowed := ""
 	isSearchLogged := false
 	for ctx.Err() == nil {
 		candidates := r.locator.Candidates(lastFollowed)
-		hasFollowed := false
+		foundNode := false
 		for _, addr := range candidates {
 			if addr == r.ownAddr {
 				continue
 			}
 			lost := r.followNode(ctx, addr)
 			if r.target.Swap(nil) != nil {
-				hasFollowed = true
+				foundNode = true
 			}
 			if lost {
 				lastFollowed = addr
 				break
 			}
 		}
-		if !hasFollowed {
+		if !foundNode {
 			r.recordFailedSearch(candidates, isSearchLogged)
 		}
-		isSearchLogged = !hasFollowed
+		isSearchLogged = !foundNode
 		select {
 		case <-ctx.Done():
 		case <-time.After(r.timeouts.retry):
@@ -43,8 +43,8 @@
 	}
 }
 
-// recordFailedSearch counts a round over all candidates in which none could be followed, and
-// logs the first one of several.
+// recordFailedSearch counts a pass over all candidates in which none could be followed. It logs
+// only the first of consecutive failures.
 func (r *relay) recordFailedSearch(candidates []string, isLogged bool) {
 	r.searchesFailed.Inc()
 	if !isLogged {
@@ -52,10 +52,9 @@
 	}
 }
 
-// followNode receives the bookmarks of a core node, which prove that it is up to
-// date, and makes it the target of calls. It returns when the node is silent, is no
-// member, or a nearer one is known. lost reports whether the node was the target and is
-// to be avoided.
+// followNode receives the bookmarks of a core node, which prove that it is up to date, and makes
+// it the target of calls. It returns when the node is silent or not a member, or when a nearer
+// node is known. lost reports whether the node was the target and should be avoided.
 func (r *relay) followNode(ctx context.Context, addr string) (lost bool) {
 	silence := r.timeouts.silence
 	conn, err := transport.Dial(ctx, addr, silence/2, transport.Hello{Role: transport.RoleRelay, Node: r.nodeName})
@@ -64,7 +63,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, conn.Close)()
-	began := time.Now()
+	started := time.Now()
 	isTarget := false
 	for ctx.Err() == nil {
 		frame, err := conn.Receive(silence)
@@ -83,7 +82,7 @@
 		r.locator.UpdateNodes(bookmark.Control)
 		apiAddress := r.locator.APIAddress(addr)
 		if apiAddress == "" {
-			return isTarget // the node is not a member, or not yet
+			return isTarget // the node is not a member (yet)
 		}
 		if !isTarget {
 			isTarget = true
@@ -92,7 +91,7 @@
 			defer target.close()
 			r.target.Store(target)
 		}
-		if r.locator.HasNearer(addr) && time.Since(began) > r.timeouts.contact {
+		if r.locator.HasNearer(addr) && time.Since(started) > r.timeouts.contact {
 			return false
 		}
 	}
@@ -100,16 +99,16 @@
 }
 
 const (
-	// maxCoreConnections bounds the connections to a core node, and so the calls in flight.
+	// maxCoreConnections bounds the connections to a core node, and thereby the calls in flight.
 	maxCoreConnections = 1000
-	// maxWatches is how many of them watches may take. Those wait long, and the other calls must
-	// not wait for them.
+	// maxWatches is how many of these connections watches may use. Watches are long-lived and must
+	// not block other calls.
 	maxWatches = maxCoreConnections / 2
 )
 
-// maxStaleConnections bounds how many idle connections that the core node has closed one call may
-// be attempted on.
-const maxStaleConnections = 8
+// maxCallAttempts bounds the attempts of one call. Each attempt after the first follows one on an
+// idle connection that the core node had closed.
+const maxCallAttempts = 8
 
 // newCoreClient returns a client of a core node that forwards calls unchanged.
 func (r *relay) newCoreClient(address string) *fasthttp.HostClient {
@@ -118,7 +117,7 @@
 		Dial:                          r.dialCore,
 		MaxConns:                      maxCoreConnections - maxWatches,
 		ReadTimeout:                   r.timeouts.call,
-		MaxIdemponentCallAttempts:     maxStaleConnections,
+		MaxIdemponentCallAttempts:     maxCallAttempts,
 		RetryIfErr:                    retryIfUnsent,
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: true,
@@ -129,12 +128,12 @@
 var (
 	// errNotConnected means that no connection to the core node could be made.
 	errNotConnected = errors.New("not connected")
-	// errConnectionEnded means that an idle connection had ended, or held bytes that
-	// belong to no call, before one byte of the next call was sent on it.
-	errConnectionEnded = errors.New("kept connection has ended")
+	// errStaleConnection means that an idle connection was closed, or held unexpected data, before
+	// any byte of the next call was sent on it.
+	errStaleConnection = errors.New("idle connection is stale")
 )
 
-// dialCore connects to a core node. The error is errNotConnected.
+// dialCore connects to a core node. Its errors wrap errNotConnected.
 func (r *relay) dialCore(addr string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp4", addr, r.timeouts.silence/2)
 	if err != nil {
@@ -149,33 +148,33 @@
 	return &coreConn{Conn: conn, rawConn: rawConn}, nil
 }
 
-// retryIfUnsent lets a call be sent again only if not one byte of it was sent.
+// retryIfUnsent allows a call to be retried only if no byte of it was sent.
 func retryIfUnsent(_ *fasthttp.Request, _ int, err error) (resetTimeout, retry bool) {
-	return false, errors.Is(err, errConnectionEnded)
+	return false, errors.Is(err, errStaleConnection)
 }
 
-// coreConn is a connection to a core node, which carries one call at a time. The client
-// drops a connection whose call was given up. What coreConn adds is that no call begins
-// on a connection that has ended, or on which unread bytes wait.
+// coreConn is a connection to a core node that carries one call at a time. The HTTP client closes
+// a connection whose call was abandoned. In addition, coreConn prevents a call from starting on a
+// connection that was closed or has unread data.
 type coreConn struct {
 	net.Conn
 	rawConn syscall.RawConn
-	// readSinceWrite reports that an answer was read, so that the next write begins
-	// a call.
+	// readSinceWrite reports whether data was read after the last write, so that the next write
+	// starts a call.
 	readSinceWrite bool
 }
 
-// Read reads a part of an answer.
+// Read reads a part of a response.
 func (c *coreConn) Read(b []byte) (int, error) {
 	c.readSinceWrite = true
 	return c.Conn.Read(b)
 }
 
-// Write writes a part of a call. It fails with errConnectionEnded if a call cannot begin
-// on the connection.
+// Write writes a part of a call. It fails with errStaleConnection if a call cannot start on the
+// connection.
 func (c *coreConn) Write(b []byte) (int, error) {
 	if c.readSinceWrite && !transport.IsIdle(c.rawConn) {
-		return 0, errConnectionEnded
+		return 0, errStaleConnection
 	}
 	c.readSinceWrite = false
 	return c.Conn.Write(b)
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -10,13 +10,12 @@
 	"lichentray/internal/apierror"
 )
 
-// maxForwardedBytes bounds the body of a call that is forwarded. A configuration of
-// 400 KB occupies a link of 4 Mbit/s for about a second when it is forwarded, and delays
-// every small call behind it. So a caller with a larger body, or one that reads the
-// configuration, is redirected to the core.
+// maxForwardedBytes bounds the body of a forwarded call. Forwarding a configuration of 400 KB
+// occupies a link of 4 Mbit/s for about a second and delays every small call behind it. Callers
+// that send a larger body or read the configuration are therefore redirected to the core.
 const maxForwardedBytes = 16 << 10
 
-// handle serves one call.
+// handle serves one HTTP request.
 func (r *relay) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/metrics":
@@ -43,15 +42,16 @@
 	}
 }
 
-// mustRedirect reports whether the call or its answer is too large to be forwarded.
+// mustRedirect reports whether the call or its response is too large to be forwarded.
 func mustRedirect(ctx *fasthttp.RequestCtx) bool {
 	return len(ctx.PostBody()) > maxForwardedBytes || string(ctx.QueryArgs().Peek("call")) == "configuration.read"
 }
 
-// forward sends a call to a core node and answers with its answer. A call that may have
-// arrived is never reported as not processed.
+// forward sends a call to a core node and returns its response to the caller. A call that may have
+// reached the core node is never reported as unprocessed.
 func (r *relay) forward(ctx *fasthttp.RequestCtx, target *coreTarget) {
-	// The buffers of the caller are used, and only until these return.
+	// The buffers of ctx are used for the forwarded call, and only until forwardWatch or DoTimeout
+	// returns.
 	var err error
 	if bytes.HasPrefix(ctx.Path(), []byte("/api/watch/")) {
 		err = r.forwardWatch(ctx, target)
@@ -59,13 +59,13 @@
 		err = target.calls.DoTimeout(&ctx.Request, &ctx.Response, r.timeouts.call)
 	}
 	if err != nil {
-		ctx.Response.Reset() // it may contain a part of a response
+		ctx.Response.Reset() // it may hold a partial response
 	}
 	ctx.Response.Header.Del("Connection")
 	switch {
 	case err == nil:
 		r.forwarded.Inc()
-	case errors.Is(err, errCallerLeft): // nobody is to be answered
+	case errors.Is(err, errCallerDisconnected): // there is no caller to respond to
 	case isUnsent(err):
 		r.unavailable.Inc()
 		api.WriteError(ctx, apierror.New(apierror.Unavailable, "core node cannot be reached"))
@@ -75,7 +75,7 @@
 	}
 }
 
-// isUnsent reports whether an error means that not one byte of the call was sent.
+// isUnsent reports whether err means that no byte of the call was sent.
 func isUnsent(err error) bool {
-	return errors.Is(err, errNotConnected) || errors.Is(err, errConnectionEnded) || errors.Is(err, fasthttp.ErrNoFreeConns)
+	return errors.Is(err, errNotConnected) || errors.Is(err, errStaleConnection) || errors.Is(err, fasthttp.ErrNoFreeConns)
 }
--- a/internal/relay/forward_test.go
+++ b/internal/relay/forward_test.go
@@ -20,13 +20,14 @@
 	"lichentray/internal/settings"
 )
 
-// scriptedCore is the API of a fake core node that answers by script, and records the
-// calls that it received.
+// scriptedCore is the API of a fake core node with scripted responses. It records the calls that
+// it receives.
 type scriptedCore struct {
 	ln       net.Listener
 	mu       sync.Mutex
 	received []string // "connection call"
-	// script returns the answer to a call on a numbered connection; "" closes that.
+	// script returns the response to a call on the connection with the given number; "" closes the
+	// connection.
 	script func(conn int, of string, c net.Conn) string
 }
 
@@ -49,7 +50,7 @@
 	return r
 }
 
-func (r *scriptedCore) serve(n int, c net.Conn) {
+func (r *scriptedCore) serve(connectionNumber int, c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -62,10 +63,10 @@
 		}
 		of := req.URL.Query().Get("of")
 		r.mu.Lock()
-		r.received = append(r.received, fmt.Sprint(n, " ", of))
+		r.received = append(r.received, fmt.Sprint(connectionNumber, " ", of))
 		r.mu.Unlock()
-		a := r.script(n, of, c)
-		if _, err := io.WriteString(c, a); err != nil || a == "" {
+		answer := r.script(connectionNumber, of, c)
+		if _, err := io.WriteString(c, answer); err != nil || answer == "" {
 			return
 		}
 	}
@@ -109,7 +110,7 @@
 			return addr
 		}
 		if time.Now().After(end) {
-			t.Fatal("the relay never forwarded a call")
+			t.Fatal("no call was forwarded by the relay within 20 s")
 		}
 	}
 }
@@ -122,28 +123,28 @@
 	defer r.Body.Close()
 	body, err := io.ReadAll(r.Body)
 	if err != nil || r.Header.Get("X-Part") != "" {
-		return 0, fmt.Sprint("a part of an answer: ", r.Header, err)
+		return 0, fmt.Sprint("partial response: ", r.Header, err)
 	}
 	return r.StatusCode, string(body)
 }
 
-// An answer that is late, duplicated, cut or lost reaches no other caller, and its call
-// is never sent twice. A call that meets an idle connection which has ended is sent on a
-// new one, as not one byte of it was sent.
+// TestRelayAnswersOnlyTheCallersOwnCall guards against a response that reaches another caller, or a
+// call that is sent twice, after the core node sends a late, duplicate, truncated or no response. A
+// call on an idle connection that was closed is sent on a new one, as no byte of it was sent.
 func TestRelayAnswersOnlyTheCallersOwnCall(t *testing.T) {
-	gone, said := make(chan struct{}), make(chan struct{})
+	connectionClosed, stepDone := make(chan struct{}), make(chan struct{})
 	r := newScriptedCore(t, func(_ int, of string, c net.Conn) string {
 		switch of {
-		case "late": // comes when its call has been given up
+		case "late": // sent after the relay has abandoned the call
 			_, _ = io.Copy(io.Discard, c)
 			_, _ = io.WriteString(c, okResponse(of))
-			close(gone)
+			close(connectionClosed)
 			return ""
-		case "doubled": // the second comes a moment later
+		case "doubled": // the second response is sent after the caller has the first
 			_, _ = io.WriteString(c, okResponse(of))
-			<-said
-			_, _ = io.WriteString(c, okResponse("left over"))
-			said <- struct{}{}
+			<-stepDone
+			_, _ = io.WriteString(c, okResponse("second response"))
+			stepDone <- struct{}{}
 			_, _ = io.Copy(io.Discard, c)
 			return ""
 		case "cut":
@@ -154,7 +155,7 @@
 		case "bye":
 			_, _ = io.WriteString(c, okResponse(of))
 			c.Close()
-			said <- struct{}{}
+			stepDone <- struct{}{}
 			return ""
 		}
 		return okResponse(of)
@@ -169,60 +170,61 @@
 			}
 			code, body := postCall(addr, of)
 			switch {
-			case of == "b" && code == 504: // the end of the connection was not there yet
+			case of == "b" && code == 504: // the close had not reached the relay yet
 			case code != want || code == 200 && body != of:
-				t.Fatalf("round %d, %s: %d %s", round, of, code, body)
+				t.Fatalf("round %d, call %s: status %d, body %q", round, of, code, body)
 			case of == "b":
 				succeeded++
 			}
 			switch of {
 			case "doubled":
-				said <- struct{}{}
-				<-said
+				stepDone <- struct{}{}
+				<-stepDone
 			case "bye":
-				<-said
+				<-stepDone
 			}
 		}
 	}
 	for _, of := range []string{"doubled", "a", "bye", "b", "cut", "c", "lost", "d"} {
 		if n := r.count(of); n != 20 && of != "b" || n > 20 {
-			t.Errorf("%s arrived %d times in 20 rounds", of, n)
+			t.Errorf("call %s was received %d times in 20 rounds, want 20 (b: at most 20)", of, n)
 		}
 	}
 	if succeeded < 10 {
-		t.Errorf("%d of 20 calls that met a connection that had ended were clear", succeeded)
+		t.Errorf("%d of 20 calls after a connection close succeeded, want at least 10", succeeded)
 	}
 	if code, _ := postCall(addr, "late"); code != 504 {
-		t.Errorf("a call without an answer in time: %d", code)
+		t.Errorf("call with a late response: status %d, want 504", code)
 	}
-	<-gone // the relay ended that connection
+	<-connectionClosed // the relay has closed that connection
 	if code, body := postCall(addr, "after"); code != 200 || body != "after" {
-		t.Errorf("after it: %d %s", code, body)
+		t.Errorf("call after a late response: status %d, body %q; want 200, after", code, body)
 	}
 }
 
-// A call that is ambiguous in its framing is not forwarded as two calls (request smuggling).
+// TestRelayForwardsNoAmbiguousFraming guards against request smuggling: a request with ambiguous
+// framing must not reach the core node as two calls.
 func TestRelayForwardsNoAmbiguousFraming(t *testing.T) {
 	r := newScriptedCore(t, func(_ int, of string, _ net.Conn) string { return okResponse(of) })
 	addr := startRelayTo(t, r, []string{"127.0.0.35", "127.0.0.36"}, 6)
-	evil := "POST /api/rpc?call=locks.begin&of=evil HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
+	smuggledRequest := "POST /api/rpc?call=locks.begin&of=evil HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 	head := "POST /api/rpc?call=locks.begin&of=a HTTP/1.1\r\nHost: h\r\n"
 	for _, raw := range []string{
-		head + fmt.Sprintf("Content-Length: 3\r\nContent-Length: %d\r\n\r\n", len(evil)),
-		head + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(evil)+5),
-		head + fmt.Sprintf("Content-Length : %d\r\n\r\n", len(evil)),
-		head + fmt.Sprintf("content-length: %d\r\n\r\n", len(evil)),
-		head + fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n\r\n", len(evil)),
-		head + fmt.Sprintf("X-A: b\r\n Content-Length: 0\r\nContent-Length: %d\r\n\r\n", len(evil)),
-		head + fmt.Sprintf("X-A: b\rContent-Length: 0\r\nContent-Length: %d\r\n\r\n", len(evil)),
-		head + fmt.Sprintf("Connection: close, Content-Length\r\nContent-Length: %d\r\n\r\n", len(evil)),
-		strings.Replace(head, "POST", "GET", 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(evil)),
-		strings.Replace(head, "POST", "HEAD", 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(evil)),
-		strings.Replace(head, "HTTP/1.1", "HTTP/1.0", 1) + fmt.Sprintf("Transfer-Encoding: chunked\r\nContent-Length: %d\r\n\r\n", len(evil)),
-		head + "Transfer-Encoding: chunked\r\nTrailer: Content-Length\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\nContent-Length: 0\r\n\r\n", len(evil), evil),
+		head + fmt.Sprintf("Content-Length: 3\r\nContent-Length: %d\r\n\r\n", len(smuggledRequest)),
+		head + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(smuggledRequest)+5),
+		head + fmt.Sprintf("Content-Length : %d\r\n\r\n", len(smuggledRequest)),
+		head + fmt.Sprintf("content-length: %d\r\n\r\n", len(smuggledRequest)),
+		head + fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n\r\n", len(smuggledRequest)),
+		head + fmt.Sprintf("X-A: b\r\n Content-Length: 0\r\nContent-Length: %d\r\n\r\n", len(smuggledRequest)),
+		head + fmt.Sprintf("X-A: b\rContent-Length: 0\r\nContent-Length: %d\r\n\r\n", len(smuggledRequest)),
+		head + fmt.Sprintf("Connection: close, Content-Length\r\nContent-Length: %d\r\n\r\n", len(smuggledRequest)),
+		strings.Replace(head, "POST", "GET", 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)),
+		strings.Replace(head, "POST", "HEAD", 1) + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)),
+		strings.Replace(head, "HTTP/1.1", "HTTP/1.0", 1) + fmt.Sprintf("Transfer-Encoding: chunked\r\nContent-Length: %d\r\n\r\n", len(smuggledRequest)),
+		head + "Transfer-Encoding: chunked\r\nTrailer: Content-Length\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\nContent-Length: 0\r\n\r\n", len(smuggledRequest), smuggledRequest),
 	} {
-		if !strings.Contains(raw, evil) {
-			raw += evil
+		if !strings.Contains(raw, smuggledRequest) {
+			raw += smuggledRequest
 		}
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
@@ -234,10 +236,10 @@
 		answers, _ := io.ReadAll(c)
 		c.Close()
 		if n := r.count("evil"); n > 0 {
-			t.Errorf("%q: its body became %d calls; answered %q", raw, n, answers)
+			t.Errorf("%q: the body was forwarded as %d calls, want 0; response %q", raw, n, answers)
 		}
 		if code, body := postCall(addr, "next"); code != 200 || body != "next" {
-			t.Errorf("after %q: %d %s", raw, code, body)
+			t.Errorf("call after %q: status %d, body %q; want 200, next", raw, code, body)
 		}
 		r.mu.Lock()
 		r.received = nil
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay is a control-plane node on a machine without a disk, beside core nodes
-// that have disks. It stores nothing, and forwards calls to a core node that is up
-// to date, the nearest if possible.
+// Package relay implements a control-plane node on a machine without a disk, in a deployment whose
+// core nodes have disks. It stores nothing and forwards calls to a core node that is up to date,
+// the nearest if possible.
 //
-// It forwards instead of redirecting, as a redirect costs the caller a round trip more to
-// a node that may be far away (measured in docs/notes/placement.md). Only what is too
-// large for that is redirected, see mustRedirect.
+// It forwards instead of redirecting, as a redirect costs the caller an additional round trip to
+// a node that may be far away (see docs/notes/placement.md). Only calls that are too large are
+// redirected, see mustRedirect.
 package relay
 
 import (
@@ -24,12 +24,12 @@
 	"lichentray/internal/transport"
 )
 
-// ErrCoreDiskless is returned by Run when no machine of the core has a disk. A relay
-// is of no use then, and the node should join the core.
+// ErrCoreDiskless is returned by Run when no machine of the core has a disk. The node should then
+// join the core instead of running a relay.
 var ErrCoreDiskless = errors.New("no machine of the core has a disk")
 
-// maxRequestBody bounds the body of a call, in bytes.
-const maxRequestBody = 16 << 20
+// maxRequestBodyBytes bounds the body of a call, in bytes.
+const maxRequestBodyBytes = 16 << 20
 
 // relay is the state of a running relay.
 type relay struct {
@@ -41,41 +41,40 @@
 	locator  *discovery.Locator
 	metrics  *metrics.Registry
 
-	// target is the core node that is followed; nil if none is up to date.
+	// target is the core node that is followed, or nil if none is up to date.
 	target atomic.Pointer[coreTarget]
 	// coreDiskless is closed when a core node reports that no core machine has a disk.
 	coreDiskless chan struct{}
 
 	forwarded      *metrics.Counter
-	redirected     *metrics.Counter // callers sent to the core, see mustRedirect
-	unavailable    *metrics.Counter // calls of which not one byte was sent
-	abandoned      *metrics.Counter // calls that were not forwarded, as their callers had left
+	redirected     *metrics.Counter // calls redirected to the core, see mustRedirect
+	unavailable    *metrics.Counter // calls of which no byte was sent
+	abandoned      *metrics.Counter // calls not forwarded, as the caller had disconnected
 	outcomeUnknown *metrics.Counter
-	// asked and askedInVain count who connected to learn where the core is, and those of them
-	// that this relay could not tell.
-	asked       *metrics.Counter
-	askedInVain *metrics.Counter
-	// searchesFailed counts the rounds over all known nodes in which none could be followed.
+	// referralRequests counts connections that asked for the addresses of the core, and
+	// referralsUnavailable those of them that got no answer, as the core was not known.
+	referralRequests     *metrics.Counter
+	referralsUnavailable *metrics.Counter
+	// searchesFailed counts passes over all known nodes in which none could be followed.
 	searchesFailed *metrics.Counter
-	// watchesAbandoned counts the watches that were broken off because their callers had left.
+	// watchesAbandoned counts watches that were cancelled as their callers had disconnected.
 	watchesAbandoned *metrics.Counter
-	// announcements counts the announcements of the core that were received.
+	// announcements counts received announcements of the core.
 	announcements *metrics.Counter
 }
 
 // timeouts are the durations that a relay derives from the settings.
 type timeouts struct {
-	call  time.Duration // of a forwarded call
-	watch time.Duration // of a forwarded watch, which waits for an event
-	// contact is how long a core node is followed at the least before a nearer one
-	// is preferred.
+	call  time.Duration // timeout of a forwarded call
+	watch time.Duration // timeout of a forwarded watch, which waits for an event
+	// contact is how long a core node is followed before the relay may switch to a nearer one.
 	contact time.Duration
-	// silence is how long a core node may be silent and still count as up to date: 3/10 of
-	// the time in which a change has to reach every node.
+	// silence is how long a core node may be silent and still count as up to date: 3/10 of the
+	// time in which a change must reach every node.
 	silence time.Duration
-	// retry is the pause before the core nodes are attempted again.
+	// retry is the pause before another attempt to follow a core node.
 	retry time.Duration
-	// shutdown is how long calls in flight may take to end.
+	// shutdown is how long calls in flight may take to finish during a shutdown.
 	shutdown time.Duration
 }
 
@@ -95,29 +94,29 @@
 func newRelay(set *settings.Settings, log *slog.Logger) *relay {
 	registry := metrics.NewRegistry()
 	return &relay{
-		nodeName:       set.NodeName,
-		ownAddr:        set.InternalAddr(set.IPAddress),
-		timeouts:       newTimeouts(set),
-		log:            log,
-		locator:        discovery.NewLocator(set),
-		metrics:        registry,
-		coreDiskless:   make(chan struct{}),
-		forwarded:      registry.Counter("relay_forwarded_total"),
-		redirected:     registry.Counter("relay_redirected_total"),
-		unavailable:    registry.Counter("relay_unavailable_total"),
-		abandoned:      registry.Counter("relay_abandoned_total"),
-		outcomeUnknown: registry.Counter("relay_outcome_unknown_total"),
-		asked:          registry.Counter("relay_asked_for_core_total"),
-		askedInVain:    registry.Counter("relay_asked_for_core_in_vain_total"),
-		searchesFailed: registry.Counter("relay_core_searches_failed_total"),
-		announcements:  registry.Counter("relay_core_announcements_received_total"),
+		nodeName:             set.NodeName,
+		ownAddr:              set.InternalAddr(set.IPAddress),
+		timeouts:             newTimeouts(set),
+		log:                  log,
+		locator:              discovery.NewLocator(set),
+		metrics:              registry,
+		coreDiskless:         make(chan struct{}),
+		forwarded:            registry.Counter("relay_forwarded_total"),
+		redirected:           registry.Counter("relay_redirected_total"),
+		unavailable:          registry.Counter("relay_unavailable_total"),
+		abandoned:            registry.Counter("relay_abandoned_total"),
+		outcomeUnknown:       registry.Counter("relay_outcome_unknown_total"),
+		referralRequests:     registry.Counter("relay_asked_for_core_total"),
+		referralsUnavailable: registry.Counter("relay_asked_for_core_in_vain_total"),
+		searchesFailed:       registry.Counter("relay_core_searches_failed_total"),
+		announcements:        registry.Counter("relay_core_announcements_received_total"),
 
 		watchesAbandoned: registry.Counter("relay_watches_abandoned_total"),
 	}
 }
 
-// Run runs a relay until sig.Stop is closed, a listener fails, or it turns out that no
-// machine of the core has a disk, which is ErrCoreDiskless.
+// Run runs a relay until sig.Stop is closed or a listener fails. It returns ErrCoreDiskless if a
+// core node reports that no machine of the core has a disk.
 func Run(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	r := newRelay(set, log)
 	var running sync.WaitGroup
@@ -127,8 +126,8 @@
 		return err
 	}
 	defer calls.Close()
-	// A proxy on this machine connects here to learn whether it shares the link with a
-	// relay, and whoever has only relays for seeds to learn where the core is.
+	// A proxy on this machine connects here to detect that it shares the link with a relay.
+	// Processes whose seed nodes are all relays connect here to find the core.
 	internal, err := net.Listen("tcp4", set.BindAddr(r.ownAddr))
 	if err != nil {
 		return err
@@ -137,7 +136,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 
-	server := api.NewServer(r.handle, maxRequestBody)
+	server := api.NewServer(r.handle, maxRequestBodyBytes)
 	failed := make(chan error, 1)
 	running.Go(func() { r.acceptInternal(internal) })
 	running.Go(func() { r.followNearest(ctx) })
@@ -167,7 +166,7 @@
 		if err != nil {
 			return
 		}
-		go r.serveInternal(conn) // ends when the peer does, or is silent
+		go r.serveInternal(conn) // ends when the peer closes the connection or is silent
 	}
 }
 
@@ -179,25 +178,25 @@
 		return
 	}
 	if hello.Role == transport.RoleAnnouncer {
-		discovery.ReceiveAnnouncements(conn, r.timeouts.contact, r.learnCore, r.locator.Nodes)
+		discovery.ReceiveAnnouncements(conn, r.timeouts.contact, r.recordAnnouncement, r.locator.Nodes)
 		return
 	}
 	if hello.Role == transport.RolePeer {
-		// A core node still counts on a member at this address, which had no disk or has lost it. It
-		// announces the core to none of its members.
+		// The core still has a member with this address, which had no disk or has lost it. Core
+		// nodes do not announce the core to members.
 		r.locator.Suggest(hello.Addr)
 	}
 	r.referToCore(conn)
 }
 
-// learnCore takes an announcement of the core.
-func (r *relay) learnCore(nodes []transport.ControlNode) {
+// recordAnnouncement stores the members of the core from an announcement.
+func (r *relay) recordAnnouncement(nodes []transport.ControlNode) {
 	r.announcements.Inc()
-	r.locator.Announce(nodes)
+	r.locator.UpdateAnnounced(nodes)
 }
 
-// newAnnouncer returns the announcer to those seeds that are relays too. It vouches for the core
-// only while a node of it is followed.
+// newAnnouncer returns an announcer for the seed nodes that are relays too. It announces the core
+// only while the relay follows a core node.
 func (r *relay) newAnnouncer() *discovery.Announcer {
 	return discovery.NewAnnouncer(discovery.AnnouncerConfig{
 		NodeName:      r.nodeName,
@@ -214,18 +213,17 @@
 	})
 }
 
-// referToCore sends the addresses of the core to a process that has this relay among its
-// seeds.
+// referToCore sends the addresses of the core to a process that has this relay as a seed node.
 func (r *relay) referToCore(conn *transport.Conn) {
 	nodes := r.locator.Nodes()
-	r.asked.Inc()
+	r.referralRequests.Inc()
 	if len(nodes) == 0 {
-		r.askedInVain.Inc()
+		r.referralsUnavailable.Inc()
 		return
 	}
 	err := conn.Send(&transport.Frame{Bookmark: &transport.Bookmark{Control: nodes}})
-	// The kernel resets a connection that is closed with unread bytes, and the peer
-	// then loses what was sent. So the peer closes first.
+	// Closing a connection with unread data resets it, and the peer may lose the bookmark. So the
+	// relay waits for the peer to close first.
 	for err == nil {
 		_, err = conn.Receive(r.timeouts.silence)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,8 +22,7 @@
 	"lichentray/internal/transport"
 )
 
-// startCore starts a fake core node, which sends bookmarks that name the address of its
-// API to whoever follows it.
+// startCore starts a fake core node that sends its followers bookmarks with the address of its API.
 func startCore(t *testing.T, ip string, internal int, api string, diskless *atomic.Bool) {
 	addr := fmt.Sprintf("%s:%d", ip, internal)
 	controlplanetest.StartFakeNode(t, addr, func(c *transport.Conn) {
@@ -36,9 +35,10 @@
 	})
 }
 
-// Calls and answers are forwarded unchanged. A call that may have arrived is never
-// reported as not processed, one without a target is. Where no machine of the core has a
-// disk, the relay ends so that the node can join the core.
+// TestRelayForwardsRedirectsAndYieldsToDisklessCore checks that calls and responses are forwarded
+// unchanged, that a call that may have reached the core is not reported as unprocessed, that large
+// calls are redirected, that other processes are referred to the core, and that Run returns
+// ErrCoreDiskless, so that the node can join the core, if no machine of the core has a disk.
 func TestRelayForwardsRedirectsAndYieldsToDisklessCore(t *testing.T) {
 	ips := []string{"127.0.0.31", "127.0.0.32"}
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
@@ -69,7 +69,7 @@
 			r, err := http.Post(fmt.Sprintf("http://%s:%d/api/rpc?call=locks.begin&of=%s", ips[1], control, of), "application/json", strings.NewReader("{}"))
 			if err != nil || (r.StatusCode == 503 && time.Now().Before(end.Add(-5*time.Second))) {
 				if time.Now().After(end) {
-					t.Fatal("the relay never answered")
+					t.Fatal("no response from the relay within 10 s")
 				}
 				continue
 			}
@@ -79,12 +79,12 @@
 	}
 	ended, sig := start(set(ips[0]))
 	if code, body := call("l"); code != 409 || body != "POST /api/rpc?call=locks.begin&of=l {}" {
-		t.Errorf("passed on: %d %s", code, body)
+		t.Errorf("forwarded call: status %d, body %q; want those of the core", code, body)
 	}
 	if code, _ := call("break"); code != 504 {
-		t.Errorf("a call without an answer: %d", code)
+		t.Errorf("call without a response: status %d, want 504", code)
 	}
-	// A large body is not forwarded, either way; its caller is redirected.
+	// Calls with a large body in either direction are redirected.
 	for call, body := range map[string]string{"configuration.replace": strings.Repeat(" ", 100<<10), "configuration.read": ""} {
 		r, err := (&http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}).Post(
 			fmt.Sprintf("http://%s:%d/api/rpc?call=%s", ips[1], control, call), "application/json", strings.NewReader(body))
@@ -93,10 +93,10 @@
 		}
 		r.Body.Close()
 		if at := r.Header.Get("Location"); r.StatusCode != 307 || at != api.URL+"/api/rpc?call="+call {
-			t.Errorf("%s: %d to %s", call, r.StatusCode, at)
+			t.Errorf("%s: status %d, Location %q; want a redirect to the core", call, r.StatusCode, at)
 		}
 	}
-	// Who takes the relay for a core node learns where the core is.
+	// A process that takes the relay for a core node is referred to the core.
 	c, err := transport.Dial(context.Background(), fmt.Sprintf("%s:%d", ips[1], internal), 5*time.Second, transport.Hello{Role: transport.RoleProxy, Node: "p"})
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if f, err := c.Receive(5 * time.Second); err != nil || f.Bookmark == nil || len(f.Bookmark.Control) != 1 || f.Bookmark.Control[0].Addr != fmt.Sprintf("%s:%d", ips[0], internal) {
-		t.Errorf("the relay points to %+v, %v", f, err)
+		t.Errorf("Receive() = %+v, %v; want a bookmark with the core node", f, err)
 	}
 	close(sig.Stop)
 	if err := <-ended; err != nil {
@@ -115,26 +115,27 @@
 	diskless.Store(true)
 	ended, _ = start(set(ips[0]))
 	if err := <-ended; !errors.Is(err, relay.ErrCoreDiskless) {
-		t.Errorf("beside a core without disks: %v", err)
+		t.Errorf("Run() with a diskless core = %v, want ErrCoreDiskless", err)
 	}
 }
 
-// An announcement reaches one of two relays. It follows the core that it is told of, and tells
-// the other one, which has no seed but itself. Both forward calls then.
+// TestRelaysPassAnnouncementsOn guards against a relay that never finds the core, as its only seed
+// node is itself. Another relay, which has it as a seed node, receives an announcement, follows the
+// core and announces it to the first. Both then forward calls.
 func TestRelaysPassAnnouncementsOn(t *testing.T) {
-	const core, told, isolated = "127.0.0.31", "127.0.0.32", "127.0.0.33"
-	control, internal := controlplanetest.FreePort(t, core, told, isolated), controlplanetest.FreePort(t, core, told, isolated)
+	const core, informed, isolated = "127.0.0.31", "127.0.0.32", "127.0.0.33"
+	control, internal := controlplanetest.FreePort(t, core, informed, isolated), controlplanetest.FreePort(t, core, informed, isolated)
 	api := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(409) }))
 	defer api.Close()
 	apiAddress := strings.TrimPrefix(api.URL, "http://")
 	startCore(t, core, internal, apiAddress, new(atomic.Bool))
-	for _, ip := range []string{told, isolated} {
+	for _, ip := range []string{informed, isolated} {
 		startRelay(t, controlplanetest.Settings(t, ip, "", control, internal, []string{isolated}, false))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	announcer := discovery.NewAnnouncer(discovery.AnnouncerConfig{
 		ContactWindow: 6 * time.Second,
-		SeedAddrs:     func() []string { return []string{fmt.Sprintf("%s:%d", told, internal)} },
+		SeedAddrs:     func() []string { return []string{fmt.Sprintf("%s:%d", informed, internal)} },
 		Core: func() []transport.ControlNode {
 			return []transport.ControlNode{{Addr: fmt.Sprintf("%s:%d", core, internal), API: apiAddress}}
 		},
@@ -149,14 +150,14 @@
 		cancel()
 		<-ended
 	}()
-	for _, ip := range []string{told, isolated} {
+	for _, ip := range []string{informed, isolated} {
 		eventually(t, ip+" forwards a call", func() bool { return callStatus(ip, control) == 409 })
 	}
 }
 
-// TestPeerTellsRelay guards against a relay that stays apart from the core for as long as the core counts
-// on a member at its address: its only seed is itself, and nobody announces the core to it. A core
-// node that dials the member is followed.
+// TestPeerTellsRelay guards against a relay that does not find the core while the core still has a
+// member with the relay's address: its only seed node is itself, and core nodes do not announce the
+// core to members. The relay follows a core node that connects to that member.
 func TestPeerTellsRelay(t *testing.T) {
 	const core, isolated = "127.0.0.31", "127.0.0.32"
 	control, internal := controlplanetest.FreePort(t, core, isolated), controlplanetest.FreePort(t, core, isolated)
@@ -175,7 +176,7 @@
 	eventually(t, "a call is forwarded", func() bool { return callStatus(isolated, control) == 409 })
 }
 
-// startRelay runs a relay until the test ends.
+// startRelay starts a relay that runs until the test ends.
 func startRelay(t *testing.T, set *settings.Settings) {
 	sig := &daemon.Signals{Stop: make(chan struct{}), SettingsChanged: make(chan *settings.Settings)}
 	ended := make(chan error, 1)
@@ -188,7 +189,7 @@
 	})
 }
 
-// callStatus makes a call at a relay and returns the status, or 0 without an answer.
+// callStatus sends a call to a relay and returns the status, or 0 if there is no response.
 func callStatus(ip string, port int) int {
 	r, err := http.Post(fmt.Sprintf("http://%s:%d/api/rpc?call=locks.begin&of=l", ip, port), "application/json", strings.NewReader("{}"))
 	if err != nil {
@@ -198,7 +199,7 @@
 	return r.StatusCode
 }
 
-// eventually waits until ok reports true, far longer than that takes.
+// eventually waits up to 20 s until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -206,23 +207,24 @@
 			return
 		}
 	}
-	t.Fatal("never came: " + what)
+	t.Fatal("condition not met within 20 s: " + what)
 }
 
-// A watch ends at the core node when its caller leaves. One whose caller stays is answered, and the
-// next one uses the same connection.
+// TestWatchEndsWithItsCaller guards against watches that stay open at the core node after their
+// callers have disconnected. A watch whose caller stays is answered, and the next one reuses the
+// connection.
 func TestWatchEndsWithItsCaller(t *testing.T) {
 	ips := []string{"127.0.0.31", "127.0.0.32"}
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
-	began, ended := make(chan string, 10), make(chan string, 10)
+	watchStarted, watchEnded := make(chan string, 10), make(chan string, 10)
 	api := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") == "0" {
 			fmt.Fprint(w, r.RequestURI, " from ", r.RemoteAddr)
 			return
 		}
-		began <- r.URL.Path
+		watchStarted <- r.URL.Path
 		<-r.Context().Done()
-		ended <- r.URL.Path
+		watchEnded <- r.URL.Path
 	}))
 	defer api.Close()
 	startCore(t, ips[0], internal, strings.TrimPrefix(api.URL, "http://"), new(atomic.Bool))
@@ -248,11 +250,11 @@
 				return string(body)
 			}
 		}
-		t.Fatal("no watch was answered")
+		t.Fatal("no response to a watch within 20 s")
 		return ""
 	}
 	if first, second := get(0), get(0); first != second || !strings.HasPrefix(first, "/api/watch/a%2F..%2Fg.?after=0&wait_ms=1000 from ") {
-		t.Errorf("two watches one after the other: %s, %s", first, second)
+		t.Errorf("responses to consecutive watches = %q, %q; want the same URI and connection", first, second)
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/api/watch/g.?after=1&wait_ms=1000", ips[1], control), nil)
@@ -264,11 +266,11 @@
 			r.Body.Close()
 		}
 	}()
-	<-began
+	<-watchStarted
 	leave()
 	select {
-	case <-ended:
-	case <-time.After(15 * time.Second): // the relay itself waits for 26 s
-		t.Error("the core node still waits for a caller that has left")
+	case <-watchEnded:
+	case <-time.After(15 * time.Second): // less than the relay's own timeout of 26 s
+		t.Error("the watch is still open at the core node after its caller disconnected")
 	}
 }
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -13,50 +13,51 @@
 )
 
 const (
-	// callerCheckInterval is how often it is looked whether the caller of a watch has left.
+	// callerCheckInterval is the interval of checks whether the caller of a watch has disconnected.
 	callerCheckInterval = 200 * time.Millisecond
 	// maxIdleWatchConnections bounds the idle connections for watches to one core node.
 	maxIdleWatchConnections = 64
 )
 
-// errCallerLeft means that a watch was broken off because its caller has left.
-var errCallerLeft = errors.New("the caller has left")
+// errCallerDisconnected means that a watch was cancelled because its caller has disconnected.
+var errCallerDisconnected = errors.New("caller disconnected")
 
 // coreTarget is the core node that calls are forwarded to.
 type coreTarget struct {
 	address string
-	// calls forwards all calls but watches.
+	// calls forwards all calls except watches.
 	calls *fasthttp.HostClient
-	// watches are the idle connections for watches. A watch has its connection for itself, so
-	// that it can be broken off.
+	// watches holds the connections for watches. Each watch has its own connection, so that it can
+	// be cancelled by closing that.
 	watches watchPool
 }
 
-// watchPool holds idle connections for watches, and bounds those in use. It is safe for concurrent
-// use.
+// watchPool holds idle connections for watches and bounds the number of watches in progress. It is
+// safe for concurrent use.
 type watchPool struct {
 	mu       sync.Mutex
 	idle     []*watchConn
-	waiting  int // watches in progress
+	active   int // watches in progress
 	isClosed bool
 }
 
-// begin counts a watch; false if too many are in progress. One that began is ended by end.
+// begin registers a watch, and returns false if too many are in progress. If it returns true, the
+// caller must call end when the watch has ended.
 func (p *watchPool) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.waiting >= maxWatches {
+	if p.active >= maxWatches {
 		return false
 	}
-	p.waiting++
+	p.active++
 	return true
 }
 
-// end ends a watch.
+// end unregisters a watch.
 func (p *watchPool) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting--
+	p.active--
 }
 
 // watchConn is a connection that carries one watch at a time.
@@ -70,7 +71,7 @@
 	return &watchConn{Conn: conn, reader: bufio.NewReader(conn), writer: bufio.NewWriter(conn)}
 }
 
-// get takes an idle connection; nil if there is none.
+// get removes an idle connection from the pool and returns it, or nil if there is none.
 func (p *watchPool) get() *watchConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	return conn
 }
 
-// put keeps a connection, or closes it if there are enough.
+// put returns a connection to the pool, or closes it if the pool is full or closed.
 func (p *watchPool) put(conn *watchConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +95,7 @@
 	p.idle = append(p.idle, conn)
 }
 
-// close closes the idle connections, and from now on every one that is put back.
+// close closes the idle connections, and makes put close all connections from then on.
 func (p *watchPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,14 +106,14 @@
 	p.idle = nil
 }
 
-// close ends the use of the target. Calls in flight go on.
+// close closes the idle connections. Calls in flight continue.
 func (t *coreTarget) close() {
 	t.calls.CloseIdleConnections()
 	t.watches.close()
 }
 
-// forwardWatch forwards a watch and reads its answer. It breaks off when the caller leaves, so that
-// the core node does not wait for nobody; the error is errCallerLeft then.
+// forwardWatch forwards a watch and reads the response. If the caller disconnects, it cancels the
+// watch, so that the core node does not keep it, and returns errCallerDisconnected.
 func (r *relay) forwardWatch(ctx *fasthttp.RequestCtx, target *coreTarget) error {
 	if !target.watches.begin() {
 		return fasthttp.ErrNoFreeConns
@@ -135,19 +136,19 @@
 			return nil
 		}
 		conn.Close()
-		if isNew || !errors.Is(err, errConnectionEnded) { // else an idle connection was of no use
+		if isNew || !errors.Is(err, errStaleConnection) { // otherwise an idle connection was stale
 			return err
 		}
 	}
 }
 
-// exchangeWatch sends a watch on a connection and reads the answer.
+// exchangeWatch sends a watch on a connection and reads the response.
 func (r *relay) exchangeWatch(ctx *fasthttp.RequestCtx, conn *watchConn, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
-		return errConnectionEnded
+		return errStaleConnection
 	}
-	ctx.Request.URI().DisablePathNormalizing = true // the name of the group stays as it was sent
-	stop := r.closeWhenCallerLeaves(ctx, conn)
+	ctx.Request.URI().DisablePathNormalizing = true // forward the name of the group unchanged
+	stop := r.closeOnCallerDisconnect(ctx, conn)
 	err := ctx.Request.Write(conn.writer)
 	if err == nil {
 		err = conn.writer.Flush()
@@ -155,16 +156,16 @@
 	if err == nil {
 		err = ctx.Response.Read(conn.reader)
 	}
-	if hasLeft := stop(); hasLeft {
-		return errCallerLeft
+	if hasDisconnected := stop(); hasDisconnected {
+		return errCallerDisconnected
 	}
 	return err
 }
 
-// closeWhenCallerLeaves closes a connection to the core when the caller leaves, until stop is
-// called. stop reports whether that has happened.
-func (r *relay) closeWhenCallerLeaves(ctx *fasthttp.RequestCtx, conn net.Conn) (stop func() (hasLeft bool)) {
-	isWaiting := api.NewCallerCheck(ctx)
+// closeOnCallerDisconnect closes a connection to the core if the caller disconnects before stop
+// is called. stop reports whether that has happened.
+func (r *relay) closeOnCallerDisconnect(ctx *fasthttp.RequestCtx, conn net.Conn) (stop func() (hasDisconnected bool)) {
+	isCallerConnected := api.NewCallerCheck(ctx)
 	stopped, ended := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		ticker := time.NewTicker(callerCheckInterval)
@@ -176,7 +177,7 @@
 				return
 			case <-ticker.C:
 			}
-			if !isWaiting() {
+			if !isCallerConnected() {
 				r.watchesAbandoned.Inc()
 				conn.Close()
 				ended <- true
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -6,20 +6,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TestWatchesAreBounded: no more watches are forwarded at a time than maxWatches, one beyond is
-// rejected as unsent before anything is dialled, and one that ends makes room for another.
+// TestWatchesAreBounded checks that at most maxWatches are forwarded at a time, that an excess
+// watch is rejected as unsent before a connection is opened, and that another can start when one
+// has ended.
 func TestWatchesAreBounded(t *testing.T) {
 	target := &coreTarget{address: "127.0.0.1:1"}
 	for range maxWatches {
 		if !target.watches.begin() {
-			t.Fatal("a watch within the bound was rejected")
+			t.Fatal("begin() = false within the limit, want true")
 		}
 	}
 	if err := (&relay{}).forwardWatch(&fasthttp.RequestCtx{}, target); !isUnsent(err) {
-		t.Errorf("one beyond the bound: %v", err)
+		t.Errorf("forwardWatch() beyond the limit = %v, want an error for an unsent call", err)
 	}
 	target.watches.end()
 	if !target.watches.begin() {
-		t.Error("a watch that ended made no room")
+		t.Error("begin() = false after a watch has ended, want true")
 	}
 }
