--- a/internal/controlplane/admission.go
+++ b/internal/controlplane/admission.go
@@ -5,19 +5,21 @@
 	"lichentray/raft"
 )
 
-// errCoreHasDisks is the answer to a node without a disk that asks to join a group that keeps its
-// log on disks. Its kind tells the node that it is not needed.
+// errCoreHasDisks rejects a node without a disk that asks to join a group that keeps its log on
+// disks. Its kind tells the node that the rejection is permanent, see Node.JoinRejected.
 var errCoreHasDisks = apierror.New(apierror.Conflict, "the group keeps its log on disks")
 
-// isDescribed reports whether a membership says of a member what it says of itself.
-func isDescribed(membership raft.Membership, member raft.Member) bool {
+// isDescriptionCurrent reports whether a membership lists a member with the description (Storage
+// and Uncounted) that the member gives of itself.
+func isDescriptionCurrent(membership raft.Membership, member raft.Member) bool {
 	recorded, isMember := membership.Find(member.ID)
 	return isMember && recorded.Storage == member.Storage && recorded.Uncounted == member.Uncounted
 }
 
-// admit returns the membership in which a node is a learner or, if it is a member already, is what it
-// says of itself. A node without a disk is rejected for good beside members with one, once that
-// membership is committed; the error is errCoreHasDisks then.
+// admit returns the membership with a node added as a learner or, if the node is already a
+// member, with its description updated. If the membership has members with disks, a node without
+// a disk is permanently rejected with errCoreHasDisks, but only once no membership change is
+// pending; until then the error is of kind Unavailable.
 func admit(membership raft.Membership, member raft.Member, isChangePending bool) (raft.Membership, error) {
 	if membership.IsMember(member.ID) {
 		return membership.WithDescription(member), nil
--- a/internal/controlplane/audit_sink.go
+++ b/internal/controlplane/audit_sink.go
@@ -7,19 +7,19 @@
 	"lichentray/registry"
 )
 
-// auditSink appends the failures that proxies record to the audit log, and queries it.
+// auditSink appends the failures recorded by proxies to the audit log, and queries the log.
 type auditSink struct {
 	*environment
 	state    *sharedState
 	proposer *proposer
 }
 
-// isEnabled reports whether this deployment keeps an audit log.
+// isEnabled reports whether the deployment keeps an audit log.
 func (a *auditSink) isEnabled() bool { return a.settings.Audit != nil }
 
-// ingest appends a proxy's batch to the audit log and acknowledges it. A batch that is
-// not committed, or whose acknowledgement is lost, is sent again by the proxy; records
-// that the log holds already are recognised by their numbers.
+// ingest appends a batch from a proxy to the audit log and acknowledges it. The proxy resends a
+// batch that is not committed or whose acknowledgement is lost; records that the log already
+// holds are detected by their sequence numbers.
 func (a *auditSink) ingest(conn *transport.Conn, batch *audit.Batch) {
 	batch.Most = a.settings.Audit.MaxRecords
 	result, err := a.proposer.propose(registry.Command{Audit: batch})
@@ -29,7 +29,7 @@
 	}
 	a.metrics.auditBatches().Inc()
 	ack := &transport.AuditAck{Life: batch.Life, Seq: result.Account, Closed: batch.Closed}
-	_ = conn.Send(&transport.Frame{Account: ack}) // without it the proxy sends the batch again
+	_ = conn.Send(&transport.Frame{Account: ack}) // if this fails, the proxy resends the batch
 }
 
 // read queries the audit log, see Node.ReadAudit.
--- a/internal/controlplane/configuration_store.go
+++ b/internal/controlplane/configuration_store.go
@@ -8,12 +8,12 @@
 	"lichentray/registry"
 )
 
-// configurationStore replaces and reads the deployment's configuration.
+// configurationStore replaces and returns the deployment's configuration.
 type configurationStore struct {
 	*environment
 	state    *sharedState
 	proposer *proposer
-	// validationSlot holds a token while a configuration is validated.
+	// validationSlot is a semaphore with one slot, held while a configuration is validated.
 	validationSlot chan struct{}
 }
 
@@ -24,9 +24,9 @@
 		return err
 	}
 	wrote, err := s.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
-		// This state may lag, but all of it is committed: a content that was accepted
-		// under a version stays so. The transaction that accepts another one compares
-		// revisions, so it conflicts if this state is not the newest.
+		// The local state may lag behind, but all of it is committed: content that was accepted
+		// for a version remains accepted. The transaction that accepts different content compares
+		// revisions, so it conflicts if the local state is not the newest.
 		txn, err := r.store.BuildConfigTxn(parsed.Version, text)
 		if err != nil {
 			return nil, apierror.New(apierror.Conflict, "%v", err)
@@ -42,9 +42,9 @@
 	return err
 }
 
-// validate parses and validates one configuration at a time: one of 2000 routes takes
-// some ten megabytes, and in a storm of submissions the next arrives before it is done.
-// A caller that has waited for too long is better served by another node.
+// validate parses and validates one configuration at a time: a configuration of 2000 routes takes
+// about ten megabytes, and under a burst of submissions the next one arrives before the first is
+// done. A caller that has waited for RequestTimeout is rejected so that it can try another node.
 func (s *configurationStore) validate(text []byte) (*config.Configuration, error) {
 	timer := time.NewTimer(s.timing.RequestTimeout)
 	defer timer.Stop()
--- a/internal/controlplane/connection_server.go
+++ b/internal/controlplane/connection_server.go
@@ -12,9 +12,9 @@
 	"lichentray/registry"
 )
 
-// connectionServer accepts the connections of peers, proxies and relays at the
-// internal address and speaks with the peers. Each connection has a goroutine, and
-// each request of a peer another one.
+// connectionServer accepts connections from peers, proxies and relays on the internal address and
+// handles the frames of peers. Each connection has its own goroutine, and so does each request
+// from a peer.
 type connectionServer struct {
 	*environment
 	loop       *eventLoop
@@ -27,7 +27,7 @@
 	watches    *watchServer
 }
 
-// acceptConnections serves whoever connects until the node closes.
+// acceptConnections accepts and serves connections until the node closes.
 func (s *connectionServer) acceptConnections(listener net.Listener) {
 	defer context.AfterFunc(s.ctx, func() { listener.Close() })()
 	for {
@@ -45,8 +45,7 @@
 	}
 }
 
-// serveConnection speaks with one process that connected, until it ends the
-// connection or the node closes.
+// serveConnection serves one connection until the remote process closes it or the node closes.
 func (s *connectionServer) serveConnection(raw net.Conn) {
 	defer context.AfterFunc(s.ctx, func() { raw.Close() })()
 	conn, hello, err := transport.Accept(raw, s.timing.ConnectionTimeout)
@@ -64,15 +63,16 @@
 	case transport.RoleRelay:
 		s.watches.serveRelay(conn)
 	case transport.RoleAnnouncer:
-		// This node is a seed of one that does not know it as a member: it is new, or lost its disk.
+		// The connecting node has this node as a seed but does not know it as a member: this node
+		// is new or has lost its disk.
 		contactWindow := s.settings.Bounds.ContactWindow.Duration()
 		discovery.ReceiveAnnouncements(conn, contactWindow, s.membership.setAnnouncedNodes, s.membership.announcedCore)
 	}
 }
 
-// recordRejectedPeer counts a peer that speaks another protocol or version. Only the
-// first one is logged. A time-out, a broken connection, and one that was closed before
-// its first byte are not counted.
+// recordRejectedPeer counts connections of peers that use a different protocol or version, and
+// logs the first one. Time-outs, broken connections and connections closed before the first byte
+// are not counted.
 func (s *connectionServer) recordRejectedPeer(raw net.Conn, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) || errors.Is(err, io.EOF) {
@@ -85,11 +85,11 @@
 	}
 }
 
-// servePeer handles what another member sends. Its requests are answered on the same
-// connection, everything else on this node's own connection to it.
+// servePeer handles the frames of another member. Requests are answered on the same connection;
+// everything else is sent on this node's own connection to the member.
 func (s *connectionServer) servePeer(conn *transport.Conn, hello transport.Hello) {
-	s.peers.rememberAddr(hello.ID, hello.Addr)
-	s.peers.rememberZone(hello.Addr, hello.Zone)
+	s.peers.recordAddr(hello.ID, hello.Addr)
+	s.peers.recordZone(hello.Addr, hello.Zone)
 	s.peers.redialNow(hello.Addr)
 	for {
 		frame, err := conn.Receive(0)
@@ -100,8 +100,8 @@
 	}
 }
 
-// handlePeerFrame handles one frame of a member. What concerns consensus or the leader
-// goes to the event loop, each request to a goroutine of its own.
+// handlePeerFrame handles one frame from a member. Messages for consensus or for the leader are
+// posted to the event loop; each request runs in its own goroutine.
 func (s *connectionServer) handlePeerFrame(conn *transport.Conn, from uint64, frame *transport.Frame) {
 	if messages := frame.Raft; len(messages) > 0 {
 		s.loop.post(func(state *loopState) {
@@ -112,7 +112,7 @@
 		})
 	}
 	if heartbeats := frame.Beats; len(heartbeats) > 0 {
-		s.loop.post(func(state *loopState) { s.health.recordReported(state, heartbeats) })
+		s.loop.post(func(state *loopState) { s.health.recordPeerHeartbeats(state, heartbeats) })
 	}
 	if aggregate := frame.Proxies; aggregate != nil {
 		s.handleAggregate(from, aggregate)
@@ -122,7 +122,7 @@
 	}
 }
 
-// handleAggregate records the leader's sums or, at the leader, what one node reports.
+// handleAggregate records the leader's totals or, on the leader, the report of another node.
 func (s *connectionServer) handleAggregate(from uint64, aggregate *transport.ProxyAggregate) {
 	if aggregate.Sum > 0 {
 		s.watches.setSummary(proxySummary{
@@ -136,29 +136,29 @@
 	s.loop.post(func(state *loopState) { s.reports.recordNode(state, from, aggregate) })
 }
 
-// serveRequest answers a request of a peer. It does not forward it, but for that of
-// a node that wants to join.
+// serveRequest responds to a request from a peer. Only join requests are forwarded to other
+// nodes.
 func (s *connectionServer) serveRequest(conn *transport.Conn, request *transport.Request) {
-	response := s.answer(request)
+	response := s.handleRequest(request)
 	response.ID = request.ID
-	_ = conn.Send(&transport.Frame{Answer: response}) // a broken connection ends at its reader
+	_ = conn.Send(&transport.Frame{Answer: response}) // the reader detects a broken connection
 }
 
-func (s *connectionServer) answer(request *transport.Request) *transport.Response {
+func (s *connectionServer) handleRequest(request *transport.Request) *transport.Response {
 	switch {
 	case request.Command != nil:
-		return s.answerCommand(request)
+		return s.handleCommand(request)
 	case request.Read:
 		return s.proposer.handleAsLeader(request.ID, s.proposer.startReadIndex)
 	case request.Leave != 0:
-		return responseOf(request.ID, s.membership.approveLeave(request.Leave))
+		return newResponse(request.ID, s.membership.approveLeave(request.Leave))
 	case request.Join != nil:
-		return s.answerJoin(request)
+		return s.handleJoin(request)
 	}
 	return &transport.Response{}
 }
 
-func (s *connectionServer) answerCommand(request *transport.Request) *transport.Response {
+func (s *connectionServer) handleCommand(request *transport.Request) *transport.Response {
 	cmd, err := registry.DecodeCommand(request.Command)
 	if err != nil {
 		return errorResponse(request.ID, apierror.New(apierror.BadRequest, "%v", err))
@@ -168,9 +168,9 @@
 	})
 }
 
-// answerJoin admits a node, or forwards its request to the leader once: none of the
-// nodes that a new one knows may be the leader.
-func (s *connectionServer) answerJoin(request *transport.Request) *transport.Response {
+// handleJoin admits a node. If this node is not the leader, it forwards the request to the leader
+// once, because the leader may not be among the nodes known to the joining node.
+func (s *connectionServer) handleJoin(request *transport.Request) *transport.Response {
 	err := s.membership.admitLearner(*request.Join)
 	leader := s.consensus.get().leaderAddr
 	if errors.Is(err, ErrNotLeader) && !request.Passed && leader != "" && leader != s.self.Addr {
@@ -180,18 +180,18 @@
 			return response
 		}
 	}
-	return responseOf(request.ID, err)
+	return newResponse(request.ID, err)
 }
 
-// responseOf is the response to a request that has no other result than an error.
-func responseOf(id uint64, err error) *transport.Response {
+// newResponse returns the response to a request whose only result is an error or nil.
+func newResponse(id uint64, err error) *transport.Response {
 	if err != nil {
 		return errorResponse(id, err)
 	}
 	return &transport.Response{ID: id}
 }
 
-// errorResponse is the response to a request that failed. An error without a kind is
+// errorResponse returns the response to a failed request. An error without a kind becomes
 // Internal.
 func errorResponse(id uint64, err error) *transport.Response {
 	var apiErr *apierror.Error
--- a/internal/controlplane/decoded_objects.go
+++ b/internal/controlplane/decoded_objects.go
@@ -11,23 +11,23 @@
 	"lichentray/routing"
 )
 
-// decodedObjects is what a node keeps decoded of the registry, so that no request
-// decodes it again. Objects are by their registry key.
+// decodedObjects caches decoded registry objects, so that requests need not decode them. The maps
+// are keyed by registry key.
 type decodedObjects struct {
 	endpoints map[string]registry.Endpoint
 	proxies   map[string]loadbalance.ProxyNode
 	rollouts  map[string]*rolloutRecord
 
 	evacuations map[string]registry.Evacuation
-	// evacuationOrderedAt is when this node applied the newest order of each kind.
+	// evacuationOrderedAt is the time at which this node applied the newest order of each kind.
 	evacuationOrderedAt map[evacuationOrder]time.Duration
 
-	// watchedRevision is the revision of the newest change of a watched object.
+	// watchedRevision is the revision of the newest change to a watched object.
 	watchedRevision uint64
 }
 
-// evacuationOrder identifies a kind of order for one zone: the registry key of the
-// zone's evacuation, and whether the order begins or finishes it.
+// evacuationOrder identifies a kind of order for a zone: the registry key of the zone's
+// evacuation, and whether the order begins or finishes it.
 type evacuationOrder struct {
 	key     string
 	isBegin bool
@@ -43,7 +43,7 @@
 	}
 }
 
-// watchedPrefixes are the kinds of object that proxies hold a copy of.
+// watchedPrefixes are the key prefixes of the objects that proxies replicate.
 var watchedPrefixes = [...]string{
 	registry.EndpointPrefix,
 	registry.EvacuationPrefix,
@@ -60,7 +60,7 @@
 	return false
 }
 
-// decodedPrefixes are the kinds of object that are kept decoded.
+// decodedPrefixes are the key prefixes of the objects that are cached in decoded form.
 var decodedPrefixes = [...]string{
 	registry.ProxyPrefix,
 	registry.EvacuationPrefix,
@@ -68,7 +68,7 @@
 	registry.EndpointPrefix,
 }
 
-// rebuild decodes all objects of a store that was just restored.
+// rebuild decodes all objects of a store that was restored from a snapshot.
 func (r *replicatedState) rebuild() {
 	clear(r.proxies)
 	clear(r.endpoints)
@@ -81,7 +81,7 @@
 	r.watchedRevision = r.store.Revision()
 }
 
-// applyEvent follows one change of the registry.
+// applyEvent updates the decoded objects after a change in the registry.
 func (r *replicatedState) applyEvent(e registry.Event) {
 	switch key := e.Object.Key; {
 	case strings.HasPrefix(key, registry.ProxyPrefix):
@@ -167,14 +167,13 @@
 		"reason", decoded.Reason)
 }
 
-// configuration returns the newest configuration that this node has applied, as it was
-// submitted.
+// configuration returns the newest configuration that this node has applied, as it was submitted.
 func (r *replicatedState) configuration() (version uint64, text []byte, ok bool) {
 	o, _ := r.store.Get(registry.ConfigKey)
 	return registry.DecodeConfig(o)
 }
 
-// zoneStates returns the state of each zone that is not in ordinary use.
+// zoneStates returns the state of each zone that is not in normal use.
 func (r *replicatedState) zoneStates() map[string]string {
 	states := map[string]string{}
 	for _, o := range r.store.List(registry.EvacuationPrefix) {
@@ -184,7 +183,7 @@
 	return states
 }
 
-// endpointsByService lists the endpoint IDs of each service.
+// endpointsByService returns the endpoint IDs of each service.
 func (r *replicatedState) endpointsByService() map[string][]string {
 	ids := map[string][]string{}
 	for _, e := range r.endpoints {
@@ -193,13 +192,14 @@
 	return ids
 }
 
-// compiledConfig is the configuration compiled on demand, once for each revision.
+// compiledConfig caches the compiled configuration. It is compiled on demand, once for each
+// revision.
 type compiledConfig struct {
 	table    *routing.Table
 	revision uint64
 }
 
-// routeTable returns the compiled configuration, or nil if there is none. It needs
+// routeTable returns the compiled configuration, or nil if there is none. The caller must hold
 // the state locked for writing, see sharedState.update.
 func (r *replicatedState) routeTable() *routing.Table {
 	o, _ := r.store.Get(registry.ConfigKey)
@@ -215,7 +215,8 @@
 	return r.compiled.table
 }
 
-// cluster returns a service as configured. It needs the state locked for writing.
+// cluster returns the configuration of a service. The caller must hold the state locked for
+// writing.
 func (r *replicatedState) cluster(service string) (config.Cluster, bool) {
 	table := r.routeTable()
 	if table == nil {
--- a/internal/controlplane/endpoint_registrar.go
+++ b/internal/controlplane/endpoint_registrar.go
@@ -5,28 +5,28 @@
 	"lichentray/registry"
 )
 
-// heartbeat takes a heartbeat of an endpoint, see Node.Heartbeat.
+// heartbeat handles a heartbeat of an endpoint, see Node.Heartbeat.
 func (h *healthMonitor) heartbeat(endpoint registry.Endpoint) error {
 	h.metrics.heartbeats.Inc()
 	hasLostContact := h.consensus.sinceLastContact() > h.timing.ConnectionTimeout
-	// Only what was registered before this call began proves that the endpoint has started again:
-	// a later attempt of the call may find its own registration.
+	// Only a registration from before this call can prove that the endpoint has restarted: a
+	// retry may find the registration written by an earlier attempt of the same call.
 	isFirstAttempt := true
 	_, err := h.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
-		mayStartAgain := isFirstAttempt
+		mayBeRestart := isFirstAttempt
 		isFirstAttempt = false
 		departed, hasDeparted := r.store.Get(departedKey(endpoint.ID))
 		registered := registry.DecodeDeparture(departed).RegisteredSequence
-		if hasDeparted && !(mayStartAgain && registry.StartsAgain(registered, endpoint.Sequence)) {
+		if hasDeparted && !(mayBeRestart && registry.StartsAgain(registered, endpoint.Sequence)) {
 			return nil, nil // a late heartbeat of an endpoint that has deregistered
 		}
 		h.recordHeartbeat(endpoint.ID)
 		object, isKnown := r.store.Get(endpoint.Key())
-		// A node that has just started may not hold the configuration yet that bounds
-		// the traffic of the service's new endpoints, so all of them are marked.
+		// A node that has just started may not yet have the configuration that limits traffic to
+		// the service's new endpoints, so every new endpoint is marked.
 		endpoint.WarmingUp = endpoint.WarmUpSeconds > 0 && h.settings.Bounds.SlowStartOvershoot > 0
 		if isKnown {
-			return updateEndpoint(object, endpoint, hasLostContact, mayStartAgain)
+			return updateEndpoint(object, endpoint, hasLostContact, mayBeRestart)
 		}
 		txn := registerEndpoint(endpoint, departed)
 		h.rollouts.addBaseVersion(r, txn, endpoint)
@@ -35,11 +35,11 @@
 	return err
 }
 
-// departedKey returns the key of the marker that an endpoint leaves when it announces its end.
+// departedKey returns the key of the marker that is stored when an endpoint departs.
 func departedKey(id string) string { return registry.DepartedPrefix + id }
 
 // registerEndpoint returns a transaction that registers an endpoint. departed is the marker of an
-// earlier incarnation, which is deleted, or the zero object if there is none.
+// earlier incarnation, which the transaction deletes, or the zero object if there is none.
 func registerEndpoint(endpoint registry.Endpoint, departed registry.Object) *registry.Txn {
 	txn := putIfUnchanged(endpoint.Key(), 0, endpoint.Encode())
 	markerKey := departedKey(endpoint.ID)
@@ -50,18 +50,18 @@
 	return txn
 }
 
-// updateEndpoint derives what a heartbeat changes of a registered endpoint. Most
-// heartbeats change nothing: they only show that the endpoint is alive, of which the
-// leader must hear, so a node that has lost contact rejects them. A draining endpoint never returns
-// to use. One that starts again under its ID is registered by its next heartbeat; mayStartAgain
-// reports whether this heartbeat can prove that.
-func updateEndpoint(object registry.Object, heartbeat registry.Endpoint, hasLostContact, mayStartAgain bool) (*registry.Txn, error) {
+// updateEndpoint returns the transaction for a heartbeat of a registered endpoint, or nil if
+// nothing changes. Most heartbeats change nothing and only show that the endpoint is alive. The
+// leader must learn of them, so a node that has lost contact rejects them. A draining endpoint
+// never returns to use. If it restarts under the same ID, it is deleted and then registered by
+// its next heartbeat; mayBeRestart reports whether this heartbeat can prove the restart.
+func updateEndpoint(object registry.Object, heartbeat registry.Endpoint, hasLostContact, mayBeRestart bool) (*registry.Txn, error) {
 	endpoint, err := registry.DecodeEndpoint(object)
 	if err != nil {
 		return nil, apierror.New(apierror.Internal, "%v", err)
 	}
 	if endpoint.Draining {
-		if mayStartAgain && !heartbeat.Draining && registry.StartsAgain(endpoint.FirstSequence(), heartbeat.Sequence) {
+		if mayBeRestart && !heartbeat.Draining && registry.StartsAgain(endpoint.FirstSequence(), heartbeat.Sequence) {
 			return deleteIfUnchanged(object), nil
 		}
 		return nil, nil
@@ -81,8 +81,9 @@
 	return putIfUnchanged(object.Key, object.ModRevision, endpoint.Encode()), nil
 }
 
-// removeEndpoint returns a transaction that removes an endpoint, as it was read, that has crashed. One
-// that had announced its end leaves a marker: a heartbeat from before may still be on its way.
+// removeEndpoint returns a transaction that removes a crashed endpoint if it is unchanged since
+// it was read. For a draining endpoint the transaction leaves a departure marker, because a
+// heartbeat sent before the drain may still arrive.
 func removeEndpoint(object registry.Object, endpoint registry.Endpoint) *registry.Txn {
 	txn := deleteIfUnchanged(object)
 	if endpoint.Draining {
@@ -92,7 +93,7 @@
 	return txn
 }
 
-// deregister removes an endpoint for good, see Node.Deregister.
+// deregister removes an endpoint permanently, see Node.Deregister.
 func (h *healthMonitor) deregister(id string) error {
 	key := registry.EndpointPrefix + id
 	markerKey := departedKey(id)
--- a/internal/controlplane/endpoint_registrar_test.go
+++ b/internal/controlplane/endpoint_registrar_test.go
@@ -13,14 +13,14 @@
 	return registry.Endpoint{ID: "e", Service: "s", Address: "127.0.0.1:9", Zone: "a", Capacity: 1, Sequence: sequence, Draining: isDraining}
 }
 
-// startSingleNode starts a group of one node, whose settings name no history_retention_s.
+// startSingleNode starts a group of one node whose settings do not set history_retention_s.
 func startSingleNode(t *testing.T) *Node {
 	node := newTestCluster(t, 1, func(s *settings.Settings) { s.Bounds.HistoryRetention = 0 }).nodes[0]
-	eventually(t, "it takes changes", func() bool { return node.Deregister("another") == nil })
+	eventually(t, "the node accepts changes", func() bool { return node.Deregister("another") == nil })
 	return node
 }
 
-// compactAt lets the node forget what is too old at a time after now.
+// compactAt runs a compaction on the node as if the given time had passed.
 func compactAt(node *Node, after time.Duration) {
 	done := make(chan struct{})
 	node.loop.post(func(state *loopState) {
@@ -32,9 +32,9 @@
 	<-done
 }
 
-// TestLateHeartbeatAfterDeregistration guards against a heartbeat that comes late, after the endpoint
-// has signed off, and registers it again: in a deployment whose settings name no
-// history_retention_s the marker of the departure was gone a second later.
+// TestLateHeartbeatAfterDeregistration guards against a late heartbeat that registers an endpoint
+// again after it has deregistered. This happened in deployments whose settings do not set
+// history_retention_s, where the departure marker was deleted after one second.
 func TestLateHeartbeatAfterDeregistration(t *testing.T) {
 	node := startSingleNode(t)
 	for _, step := range []error{
@@ -48,50 +48,51 @@
 	}
 	for _, late := range []time.Duration{time.Second, 5 * time.Second, 100 * time.Second} {
 		compactAt(node, late)
-		if err := node.Deregister(late.String()); err != nil { // applied after what compactAt proposed
+		if err := node.Deregister(late.String()); err != nil { // applied after the proposals of compactAt
 			t.Fatal(err)
 		}
 		if err := node.Heartbeat(heartbeatOf(8, false)); err != nil {
 			t.Fatal(err)
 		}
 		if o := storedObject(node, registry.EndpointPrefix+"e"); o.ModRevision != 0 {
-			t.Fatalf("a heartbeat that is %v late has registered %s", late, o.Value)
+			t.Fatalf("after %v: a late heartbeat registered %s, want no endpoint", late, o.Value)
 		}
 	}
-	// The markers are bounded: no heartbeat is on its way for longer.
+	// The number of markers is bounded: no heartbeat is in transit for longer than this.
 	compactAt(node, 3*time.Minute)
-	eventually(t, "the marker is forgotten", func() bool {
+	eventually(t, "departure marker deleted", func() bool {
 		return storedObject(node, registry.DepartedPrefix+"e").ModRevision == 0
 	})
 }
 
-// TestHeartbeatsAroundDeparture guards against endpoints that have announced their end and are registered
-// again by a late heartbeat, and against those that start again under their ID and are not.
+// TestHeartbeatsAroundDeparture guards against late heartbeats that register an endpoint again
+// after it has announced its departure, and against endpoints that restart under the same ID and
+// are not registered.
 func TestHeartbeatsAroundDeparture(t *testing.T) {
-	beat := func(sequence uint64) func(*Node) error {
+	heartbeat := func(sequence uint64) func(*Node) error {
 		return func(n *Node) error { return n.Heartbeat(heartbeatOf(sequence, false)) }
 	}
 	drain := func(sequence uint64) func(*Node) error {
 		return func(n *Node) error { return n.Heartbeat(heartbeatOf(sequence, true)) }
 	}
-	signOff := func(n *Node) error { return n.Deregister("e") }
+	deregister := func(n *Node) error { return n.Deregister("e") }
 	const absent, draining, ready = "absent", "draining", "ready"
 	for _, c := range []struct {
 		name  string
 		steps []func(*Node) error
 		want  string
 	}{
-		{"late heartbeats", []func(*Node) error{beat(1), signOff, beat(3), beat(2)}, absent},
-		{"a sign-off before the first heartbeat", []func(*Node) error{signOff, beat(1), beat(2)}, absent},
-		{"no sequences", []func(*Node) error{beat(0), signOff, beat(0)}, absent},
-		{"starts again after a sign-off", []func(*Node) error{beat(1), beat(2), signOff, beat(1)}, ready},
-		{"starts again after draining and a sign-off", []func(*Node) error{beat(1), drain(2), signOff, beat(1)}, ready},
-		{"a late ready after draining", []func(*Node) error{beat(1), drain(3), beat(2)}, draining},
-		{"a ready after draining", []func(*Node) error{beat(1), drain(3), beat(4)}, draining},
-		{"a late draining after a ready", []func(*Node) error{beat(1), beat(3), drain(2), beat(4)}, draining},
-		{"starts again after draining", []func(*Node) error{beat(1), drain(2), beat(1), beat(2)}, ready},
-		{"starts again, drains again", []func(*Node) error{beat(1), signOff, beat(1), drain(2), beat(3)}, draining},
-		{"starts again, signs off again", []func(*Node) error{beat(1), signOff, beat(1), signOff, beat(2)}, absent},
+		{"late heartbeats", []func(*Node) error{heartbeat(1), deregister, heartbeat(3), heartbeat(2)}, absent},
+		{"deregistered before the first heartbeat", []func(*Node) error{deregister, heartbeat(1), heartbeat(2)}, absent},
+		{"no sequence numbers", []func(*Node) error{heartbeat(0), deregister, heartbeat(0)}, absent},
+		{"restarts after deregistering", []func(*Node) error{heartbeat(1), heartbeat(2), deregister, heartbeat(1)}, ready},
+		{"restarts after draining and deregistering", []func(*Node) error{heartbeat(1), drain(2), deregister, heartbeat(1)}, ready},
+		{"late ready heartbeat after draining", []func(*Node) error{heartbeat(1), drain(3), heartbeat(2)}, draining},
+		{"ready heartbeat after draining", []func(*Node) error{heartbeat(1), drain(3), heartbeat(4)}, draining},
+		{"late draining heartbeat after a ready one", []func(*Node) error{heartbeat(1), heartbeat(3), drain(2), heartbeat(4)}, draining},
+		{"restarts after draining", []func(*Node) error{heartbeat(1), drain(2), heartbeat(1), heartbeat(2)}, ready},
+		{"restarts and drains again", []func(*Node) error{heartbeat(1), deregister, heartbeat(1), drain(2), heartbeat(3)}, draining},
+		{"restarts and deregisters again", []func(*Node) error{heartbeat(1), deregister, heartbeat(1), deregister, heartbeat(2)}, absent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			node := startSingleNode(t)
@@ -108,40 +109,41 @@
 				}
 			}
 			if got != c.want {
-				t.Errorf("the endpoint is %s, want %s", got, c.want)
+				t.Errorf("endpoint state = %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestRemovedDrainingEndpointLeavesMarker guards against a draining endpoint that is removed as crashed,
-// as the leader cannot reach it, and that a late heartbeat from before registers as ready.
+// TestRemovedDrainingEndpointLeavesMarker guards against a draining endpoint that is removed as
+// crashed because the leader cannot reach it, and is then registered as ready by a late heartbeat
+// sent before the drain.
 func TestRemovedDrainingEndpointLeavesMarker(t *testing.T) {
 	endpoint := heartbeatOf(5, true)
 	endpoint.RegisteredSequence = 1
 	object := registry.Object{Key: endpoint.Key(), Value: endpoint.Encode(), ModRevision: 9}
 	txn := removeEndpoint(object, endpoint)
 	if len(txn.Then) != 2 || !txn.Then[0].IsDelete || txn.Then[1].Key != registry.DepartedPrefix+"e" {
-		t.Fatalf("removed by %+v", txn)
+		t.Fatalf("removeEndpoint of a draining endpoint = %+v, want a deletion and a departure marker", txn)
 	}
 	if got := registry.DecodeDeparture(registry.Object{Value: txn.Then[1].Value}); got.RegisteredSequence != 1 {
-		t.Errorf("the marker is %+v", got)
+		t.Errorf("departure marker = %+v, want registered sequence 1", got)
 	}
 	endpoint.Draining = false
 	if txn := removeEndpoint(object, endpoint); len(txn.Then) != 1 {
-		t.Errorf("one that has crashed, and may be back, is removed by %+v", txn)
+		t.Errorf("removeEndpoint of a ready endpoint = %+v, want only a deletion", txn)
 	}
 }
 
-// TestReachedBy checks what a node remembers of the revisions that were reached when.
-func TestReachedBy(t *testing.T) {
+// TestRevisionBefore checks the record of when revisions were reached, and its pruning.
+func TestRevisionBefore(t *testing.T) {
 	var history revisionHistory
 	for i := range 5 {
 		history.revisions = append(history.revisions, revisionTime{at: time.Duration(i) * time.Second, revision: uint64(10 + i)})
 	}
-	history.forgetBefore(2500 * time.Millisecond)
+	history.pruneBefore(2500 * time.Millisecond)
 	if len(history.revisions) != 3 {
-		t.Errorf("remembered: %+v", history.revisions)
+		t.Errorf("history after pruneBefore = %+v, want 3 records", history.revisions)
 	}
 	for _, c := range []struct {
 		instant  time.Duration
@@ -153,8 +155,8 @@
 		{4 * time.Second, 13, true},
 		{time.Minute, 14, true},
 	} {
-		if revision, isKnown := history.reachedBy(c.instant); revision != c.revision || isKnown != c.isKnown {
-			t.Errorf("by %v: %d, %v", c.instant, revision, isKnown)
+		if revision, isKnown := history.revisionBefore(c.instant); revision != c.revision || isKnown != c.isKnown {
+			t.Errorf("revisionBefore(%v) = %d, %v", c.instant, revision, isKnown)
 		}
 	}
 }
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -10,35 +10,34 @@
 	"lichentray/registry"
 )
 
-// taskQueueLength bounds the tasks that wait for the event loop. Whoever posts one
-// waits when it is full.
+// taskQueueLength is the maximum number of tasks that wait for the event loop. post blocks when
+// the queue is full.
 const taskQueueLength = 1024
 
-// loopState is the state that belongs to the event loop: consensus, this node's
-// leadership, and what the parts of the node keep there. Only loop tasks receive it,
-// and none of them may keep it.
+// loopState is the state owned by the event loop: consensus, the leader state of this node, and
+// the state that components keep there. Only loop tasks receive it, and they must not retain it.
 type loopState struct {
 	raft *raft.Node
-	// role and leaderID are those of the last call of Ready that was carried out.
+	// role and leaderID are the values from the most recently processed Ready.
 	role     raft.Role
 	leaderID uint64
-	// leaderSince is when this node began to lead, if it does.
+	// leaderSince is when this node became leader. It is meaningful only on the leader.
 	leaderSince time.Duration
-	// leaderChanged is closed, and made anew, when the role or the leader changes.
+	// leaderChanged is closed and replaced when the role or the leader changes.
 	leaderChanged chan struct{}
-	// membershipIndex is the log index of the membership that the peer pool follows.
+	// membershipIndex is the log index of the membership that the peer pool uses.
 	membershipIndex uint64
-	// periodicTasksAt is when the slower periodic tasks last ran.
+	// periodicTasksAt is when the periodic tasks that do not run at every tick last ran.
 	periodicTasksAt time.Duration
 
-	// What the parts of the node keep in the loop. The types stand beside the parts.
+	// State of the components. Each type is declared in the file of its component.
 	requests   pendingRequests
 	leases     coordination.LeaseTimers
 	snapshots  *snapshotter
 	history    revisionHistory
 	membership membershipSchedule
 
-	// What is of use to a leader alone.
+	// State that is used only on the leader.
 	liveness    endpointLiveness
 	rollouts    rolloutAnalysis
 	quotas      *loadbalance.QuotaAllocator
@@ -47,7 +46,7 @@
 	nodeReports map[uint64]nodeReport
 }
 
-// newLoopState returns the state of a node that has just been restored.
+// newLoopState returns the state of a node that was just restored from its store.
 func newLoopState(node *raft.Node, snapshots *snapshotter, planner *membershipPlanner) *loopState {
 	return &loopState{
 		raft:            node,
@@ -64,17 +63,17 @@
 	}
 }
 
-// isLeader reports whether this node leads now.
+// isLeader reports whether this node is currently the leader.
 func (s *loopState) isLeader() bool { return s.raft.Role() == raft.Leader }
 
-// proposeWithoutWaiting appends a command if this node leads, for periodic tasks: they
-// do not wait for the outcome and propose again if the command takes no effect.
+// proposeWithoutWaiting appends a command if this node is the leader. It is meant for periodic
+// tasks, which do not wait for the outcome and propose again if the command takes no effect.
 func (s *loopState) proposeWithoutWaiting(cmd registry.Command) {
 	s.raft.Propose(registry.EncodeCommand(cmd))
 }
 
-// eventLoop is an actor: one goroutine that runs tasks one at a time, in the order
-// in which they were posted.
+// eventLoop runs tasks in a single goroutine, one at a time and in the order in which they were
+// posted.
 type eventLoop struct {
 	env   *environment
 	tasks chan func(*loopState)
@@ -89,8 +88,8 @@
 	}
 }
 
-// post queues a task. It returns false, and the task never runs, when the node is
-// closing; true does not promise that it runs.
+// post queues a task. It returns false if the node is closing; the task then never runs. A result
+// of true does not guarantee that the task runs.
 func (l *eventLoop) post(task func(*loopState)) bool {
 	if l.env.ctx.Err() != nil {
 		return false
@@ -103,8 +102,8 @@
 	}
 }
 
-// run executes tasks until the node closes. onTick runs at every tick, and flush
-// once before the first task and after each batch of them.
+// run executes tasks until the node closes. It calls onTick at every tick, and flush once before
+// the first task and after each batch of tasks.
 func (l *eventLoop) run(state *loopState, onTick, flush func(*loopState)) {
 	defer close(l.ended)
 	tick := time.NewTicker(l.env.timing.TickInterval)
@@ -116,7 +115,7 @@
 			return
 		case task := <-l.tasks:
 			task(state)
-			l.runWaiting(state)
+			l.runQueued(state)
 		case <-tick.C:
 			onTick(state)
 		}
@@ -124,9 +123,9 @@
 	}
 }
 
-// runWaiting runs the tasks that are queued already, so that they share one flush
-// and one sync of the disk.
-func (l *eventLoop) runWaiting(state *loopState) {
+// runQueued runs the tasks that are already queued, so that they share one flush and one disk
+// sync.
+func (l *eventLoop) runQueued(state *loopState) {
 	for {
 		select {
 		case task := <-l.tasks:
@@ -137,16 +136,16 @@
 	}
 }
 
-// errStopping is the outcome of a call that the event loop no longer takes.
+// errStopping is returned for calls that the event loop no longer accepts.
 var errStopping = apierror.New(apierror.Unavailable, "node is stopping")
 
-// callLoop runs f on the event loop and returns its result. With errStopping f has
+// callLoop runs f on the event loop and returns its result. If the error is errStopping, f has
 // not run and never will.
 func callLoop[T any](l *eventLoop, f func(*loopState) T) (T, error) {
 	results := make(chan T, 1)
-	var none T
+	var zero T
 	if !l.post(func(state *loopState) { results <- f(state) }) {
-		return none, errStopping
+		return zero, errStopping
 	}
 	select {
 	case result := <-results:
@@ -154,9 +153,9 @@
 	case <-l.ended:
 	}
 	select {
-	case result := <-results: // it was among the last tasks
+	case result := <-results: // f was among the last tasks
 		return result, nil
 	default:
-		return none, errStopping
+		return zero, errStopping
 	}
 }
--- a/internal/controlplane/event_loop_test.go
+++ b/internal/controlplane/event_loop_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// startTestLoop runs an event loop on an empty state.
+// startTestLoop runs an event loop with an empty state.
 func startTestLoop(env *environment) *eventLoop {
 	loop := newEventLoop(env)
 	ignore := func(*loopState) {}
@@ -21,13 +21,13 @@
 	}
 	got, err := callLoop(loop, func(*loopState) []int { return order })
 	if err != nil || len(got) != 3 || got[0] != 0 || got[2] != 2 {
-		t.Errorf("ran %v, %v", got, err)
+		t.Errorf("tasks ran in order %v, %v, want [0 1 2], nil", got, err)
 	}
 }
 
-// TestCallLoopOfAClosedNode: a call either ran and returns its result, or fails and
+// TestCallLoopWhileClosing checks that a call either runs and returns its result, or fails and
 // never runs, whenever the node is closed.
-func TestCallLoopOfAClosedNode(t *testing.T) {
+func TestCallLoopWhileClosing(t *testing.T) {
 	env := newTestEnvironment(t)
 	loop := startTestLoop(env)
 	hasRun := false
@@ -41,10 +41,10 @@
 		done <- err
 	}()
 	if err := <-done; err != nil || !hasRun {
-		t.Errorf("a task that ran: %v", err)
+		t.Errorf("callLoop of a task that ran: error %v, want nil", err)
 	}
 	env.close()
 	if _, err := callLoop(loop, func(*loopState) bool { return true }); !errors.Is(err, errStopping) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("callLoop after close: error %v, want errStopping", err)
 	}
 }
--- a/internal/controlplane/event_stream.go
+++ b/internal/controlplane/event_stream.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxEventsPerFrame bounds one frame of a stream.
+	// maxEventsPerFrame is the number of events at which a frame of a stream is full. The events
+	// of one write are never split, so a frame may exceed it.
 	maxEventsPerFrame = 512
-	// bookmarksPerVerdicts is how many bookmarks go between two that carry verdicts.
+	// bookmarksPerVerdicts is the interval, in bookmarks, at which a bookmark carries verdicts.
 	bookmarksPerVerdicts = 3
 )
 
-// eventStream sends a proxy the changes of the watched objects as they come, and
-// bookmarks while this node is up to date. Without bookmarks the proxy follows another
-// node.
+// eventStream sends changes of the watched objects to a proxy as they are applied, and bookmarks
+// while this node is up to date. A proxy that receives no bookmarks connects to another node.
 type eventStream struct {
 	*watchServer
 	conn     *transport.Conn
@@ -25,11 +25,11 @@
 	isPacked bool   // large frames may be packed
 	// disconnected is closed when the proxy has closed its connection.
 	disconnected <-chan struct{}
-	bookmarks    int // sent but for the first
+	bookmarks    int // number sent, not counting the first
 }
 
-// run streams until the connection breaks, the watch cache no longer reaches back to
-// what was sent last, or the node stops.
+// run streams until the connection breaks, the watch cache no longer reaches back to the last
+// revision sent, or the node stops.
 func (s *eventStream) run() {
 	defer s.conn.Close()
 	woken, unsubscribe := s.state.changed.subscribe()
@@ -61,20 +61,19 @@
 	}
 }
 
-// sendFirstBookmark sends the addresses of the other nodes. It must not cover events
-// that are still to be sent.
+// sendFirstBookmark sends the addresses of the other nodes. Its revision must not cover events
+// that have not been sent yet.
 func (s *eventStream) sendFirstBookmark() (ok bool) {
 	bookmark := s.newBookmark(s.session.proxyName)
 	bookmark.Revision = s.after
 	return s.conn.Send(&transport.Frame{Bookmark: bookmark}) == nil
 }
 
-// sendEvents sends the next events, if there are any. ok is false when the stream has
-// ended.
+// sendEvents sends the next batch of events, if any. ok is false when the stream has ended.
 func (s *eventStream) sendEvents() (sent, ok bool) {
 	events, err := s.state.eventsSince(s.after, maxEventsPerFrame)
 	if err != nil {
-		_ = s.conn.Send(&transport.Frame{Gone: true}) // the proxy lists again either way
+		_ = s.conn.Send(&transport.Frame{Gone: true}) // the proxy lists again even if this fails
 		return false, false
 	}
 	if len(events) == 0 {
@@ -82,7 +81,7 @@
 	}
 	s.after = events[len(events)-1].Revision
 	frame := &transport.Frame{
-		Events:   onlyWatched(events),
+		Events:   filterWatched(events),
 		Bookmark: &transport.Bookmark{Revision: s.after},
 	}
 	if s.isPacked {
@@ -91,15 +90,15 @@
 	return true, s.conn.Send(frame) == nil
 }
 
-// sendBookmark sends a bookmark unless events came since that must go out before it,
-// or this node is not up to date; woken is signalled then, so that the stream looks
-// for events at once. ok is false when the connection broke.
+// sendBookmark sends a bookmark. If there are new events, which must be sent first, or this node
+// is not up to date, it instead signals woken, so that the stream checks for events immediately.
+// ok is false when the connection broke.
 func (s *eventStream) sendBookmark(woken chan struct{}) (ok bool) {
 	bookmark := s.newBookmark(s.session.proxyName)
 	s.bookmarks++
 	if s.bookmarks%bookmarksPerVerdicts == 0 {
 		bookmark.Judged = true
-		bookmark.Verdicts = s.getSummary().verdicts
+		bookmark.Verdicts = s.currentSummary().verdicts
 	}
 	events, err := s.state.eventsSince(s.after, 1)
 	if len(events) > 0 || err != nil || !s.consensus.isUpToDate() {
@@ -113,8 +112,8 @@
 	return true
 }
 
-// onlyWatched returns the events of watched objects, in place.
-func onlyWatched(events []registry.Event) []registry.Event {
+// filterWatched filters events in place and returns those of watched objects.
+func filterWatched(events []registry.Event) []registry.Event {
 	watched := events[:0]
 	for _, e := range events {
 		if isWatched(e.Object.Key) {
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -9,8 +9,8 @@
 	"lichentray/rollout"
 )
 
-// TestGoldenStatus compares the JSON of a node's status with a golden file, byte by
-// byte and field by field.
+// TestGoldenStatus compares the JSON of a node's status with a golden file, byte by byte and
+// field by field.
 func TestGoldenStatus(t *testing.T) {
 	want := Status{
 		Node: "node-1", ID: "00000000000000aa", Role: "leader", Term: 1, Leader: "00000000000000bb", CommitIndex: 2, DurableIndex: 3, Revision: 4, ConfigVersion: 5,
@@ -32,7 +32,7 @@
 	}
 	golden := goldentest.File(t, "testdata/golden/status.json", encode)
 	if got := encode(); string(got) != string(golden) {
-		t.Errorf("written %s, want %s", got, golden)
+		t.Errorf("Marshal(status) = %s, want %s", got, golden)
 	}
 	var got Status
 	if err := json.Unmarshal(golden, &got); err != nil {
--- a/internal/controlplane/group_watchers.go
+++ b/internal/controlplane/group_watchers.go
@@ -8,12 +8,12 @@
 	"lichentray/internal/apierror"
 )
 
-// watchDescriptorDivisor is the part of the descriptors that waiting watches may take.
+// watchDescriptorDivisor is the divisor of the file descriptor limit that gives the maximum
+// number of waiting watches.
 const watchDescriptorDivisor = 4
 
-// groupWatchers serve reads of cells and the callers that wait for puts in a group
-// of cells. A watch holds a descriptor of the caller's connection, so their number
-// is bounded.
+// groupWatchers serves reads of cells and the callers that wait for puts in a group of cells. The
+// number of waiting callers is limited because each holds the file descriptor of its connection.
 type groupWatchers struct {
 	*environment
 	state     *sharedState
@@ -25,13 +25,13 @@
 	byGroup map[string]*groupWaiters
 }
 
-// groupWaiters are the callers that wait for puts in one group.
+// groupWaiters holds the callers that wait for puts in one group.
 type groupWaiters struct {
 	wakeups
 	count int
 }
 
-// cell reads a cell, see Node.Cell.
+// cell returns a cell, see Node.Cell.
 func (g *groupWatchers) cell(name string) (cell coordination.Cell, err error) {
 	if err := g.proposer.readIndex(g.timing.RequestTimeout); err != nil {
 		return coordination.Cell{}, err
@@ -54,7 +54,7 @@
 	}
 }
 
-// wakeAll wakes all callers, as after a snapshot.
+// wakeAll wakes all callers. It is called after a snapshot was installed.
 func (g *groupWatchers) wakeAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,7 +63,8 @@
 	}
 }
 
-// subscribe begins to wait for a group. It fails when too many callers wait here.
+// subscribe registers a waiter for a group. The error is of kind Overloaded if too many callers
+// are already waiting on this node.
 func (g *groupWatchers) subscribe(group string) (woken <-chan struct{}, unsubscribe func(), err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,11 +78,11 @@
 		g.byGroup[group] = waiters
 	}
 	waiters.count++
-	woken, leave := waiters.subscribe()
+	woken, unsubscribeWaiter := waiters.subscribe()
 	return woken, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		leave()
+		unsubscribeWaiter()
 		g.waiting--
 		waiters.count--
 		if waiters.count == 0 {
@@ -110,10 +111,10 @@
 	return g.awaitEvents(group, after, timeout, woken, callerIsWaiting)
 }
 
-// awaitEvents returns the events of a group above a revision, as soon as there are any,
-// or none after the time-out. A node that loses contact ends the wait, as it may
-// not hear of further puts, and so does a caller that leaves: it would keep its place among
-// the bounded number of those that wait.
+// awaitEvents returns the events of a group above a revision as soon as there are any, or none
+// after the time-out. The wait ends early if the node loses contact, because it may not receive
+// further puts, and if the caller has disconnected, because its watch would still count towards
+// the limit.
 func (g *groupWatchers) awaitEvents(group string, after uint64, timeout time.Duration, woken <-chan struct{}, callerIsWaiting func() bool) ([]coordination.Event, uint64, error) {
 	end := time.NewTimer(timeout)
 	defer end.Stop()
@@ -150,8 +151,8 @@
 	return revision
 }
 
-// eventsSince returns the events of a group above a revision, and the group's newest
-// revision; isComplete is false if the history no longer reaches back so far.
+// eventsSince returns the events of a group above a revision, and the group's newest revision.
+// isComplete is false if the history no longer reaches back to after.
 func (g *groupWatchers) eventsSince(group string, after uint64) (events []coordination.Event, revision uint64, isComplete bool) {
 	g.state.view(func(r *replicatedState) {
 		events, revision, isComplete = r.store.Coordination().EventsSince(group, after)
--- a/internal/controlplane/group_watchers_test.go
+++ b/internal/controlplane/group_watchers_test.go
@@ -11,13 +11,13 @@
 	"lichentray/registry"
 )
 
-// TestGroupWatchersAreBounded: waiting watches take a quarter of the descriptors at
-// most, and one that ends makes room for another.
+// TestGroupWatchersAreBounded checks that waiting watches use at most a quarter of the file
+// descriptors, and that a watch that ends makes room for another one.
 func TestGroupWatchersAreBounded(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.settings = &settings.Settings{Limits: settings.Limits{MaxOpenFiles: 8}}
 	g := &groupWatchers{environment: env, byGroup: map[string]*groupWaiters{}}
-	woken, leave, err := g.subscribe("a.")
+	woken, unsubscribe, err := g.subscribe("a.")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,39 +25,39 @@
 		t.Fatal(err)
 	}
 	if _, _, err := g.subscribe("a."); apierror.KindOf(err) != apierror.Overloaded {
-		t.Errorf("a third watch: %v", err)
+		t.Errorf("third subscription: error %v, want kind Overloaded", err)
 	}
 	g.wake("b.")
 	if len(woken) != 0 {
-		t.Error("a put in another group woke the watch")
+		t.Error("waiter was woken by a put in another group")
 	}
 	g.wake("a.")
 	if len(woken) != 1 {
-		t.Error("a put in the group did not wake the watch")
+		t.Error("waiter was not woken by a put in its group")
 	}
-	leave()
+	unsubscribe()
 	if g.byGroup["a."] != nil {
-		t.Error("a group without watches is kept")
+		t.Error("group without waiters was not deleted")
 	}
 	if _, _, err := g.subscribe("c."); err != nil {
-		t.Errorf("after one has ended: %v", err)
+		t.Errorf("subscription after another one ended: error %v, want nil", err)
 	}
 }
 
-// TestWatchEndsWhenCallerLeaves: a watch whose caller has left ends long before its time, and gives
-// back its place among those that wait.
+// TestWatchEndsWhenCallerLeaves guards against a watch that keeps counting towards the limit
+// until its time-out although its caller has disconnected.
 func TestWatchEndsWhenCallerLeaves(t *testing.T) {
 	cluster := newTestCluster(t, 1, nil)
 	node := cluster.nodes[0]
 	put := registry.Command{Coordination: &coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: "v"}}
-	eventually(t, "a put", func() bool {
+	eventually(t, "cell is written", func() bool {
 		_, err := node.Propose(put)
 		return err == nil
 	})
-	var hasLeft atomic.Bool
+	var hasDisconnected atomic.Bool
 	ended := make(chan error, 1)
 	go func() {
-		_, _, err := node.Watch("g.", 1, time.Hour, func() bool { return !hasLeft.Load() })
+		_, _, err := node.Watch("g.", 1, time.Hour, func() bool { return !hasDisconnected.Load() })
 		ended <- err
 	}()
 	waiting := func() int {
@@ -66,9 +66,9 @@
 		return node.groups.waiting
 	}
 	eventually(t, "the watch waits", func() bool { return waiting() == 1 })
-	hasLeft.Store(true)
+	hasDisconnected.Store(true)
 	eventually(t, "the watch ends", func() bool { return waiting() == 0 })
 	if err := <-ended; apierror.KindOf(err) != apierror.Unavailable || node.metrics.watchesAbandoned.Value() != 1 {
-		t.Errorf("the watch ended with %v, %d abandoned", err, node.metrics.watchesAbandoned.Value())
+		t.Errorf("watch ended with error %v and %d abandoned watches, want kind Unavailable and 1", err, node.metrics.watchesAbandoned.Value())
 	}
 }
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -13,10 +13,10 @@
 	"lichentray/registry"
 )
 
-// healthMonitor records the heartbeats of endpoints and removes the endpoints that
-// crashed: whose heartbeats stopped and whose health check fails. Every node receives
-// heartbeats and reports them to the leader; the leader alone removes endpoints and
-// detects outliers from what proxies observed.
+// healthMonitor records the heartbeats of endpoints and removes crashed endpoints, which are
+// those whose heartbeats stopped and whose health check fails. Every node receives heartbeats and
+// reports them to the leader. Only the leader removes endpoints and detects outliers in the
+// observations of proxies.
 type healthMonitor struct {
 	*environment
 	loop      *eventLoop
@@ -26,17 +26,17 @@
 	consensus *consensusView
 	rollouts  *rolloutController
 
-	// What follows is collected here until it is reported to the leader.
+	// The fields below collect data until it is reported to the leader.
 	mu           sync.Mutex
-	heartbeats   map[string]time.Duration // when the newest one of each endpoint came
+	heartbeats   map[string]time.Duration // arrival time of the newest one, by endpoint
 	observations map[string]loadbalance.Observation
 }
 
-// endpointLiveness is what the leader knows of endpoints, see loopState. Endpoints are
-// by their ID.
+// endpointLiveness holds what the leader knows about endpoints, keyed by endpoint ID, see
+// loopState.
 type endpointLiveness struct {
 	lastSeen map[string]time.Duration
-	// isChecking names the endpoints whose health is being checked.
+	// isChecking holds the endpoints with a health check in progress.
 	isChecking map[string]bool
 	outliers   *loadbalance.OutlierDetector
 }
@@ -45,26 +45,27 @@
 	return endpointLiveness{lastSeen: map[string]time.Duration{}, isChecking: map[string]bool{}}
 }
 
-// recordSeen records that an endpoint was alive at a time.
+// recordSeen records that an endpoint was alive at a given time.
 func (l *endpointLiveness) recordSeen(id string, at time.Duration) {
 	l.lastSeen[id] = max(l.lastSeen[id], at)
 }
 
-// becomeLeader forgets what an earlier leadership knew, so that every endpoint has
-// its full time-out.
+// becomeLeader discards the state of an earlier term of this node as leader, so that every
+// endpoint gets its full time-out.
 func (h *healthMonitor) becomeLeader(state *loopState) {
 	state.liveness.lastSeen = map[string]time.Duration{}
 	state.liveness.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
 }
 
-// recordHeartbeat records that an endpoint sent a heartbeat to this node.
+// recordHeartbeat records that an endpoint has just sent a heartbeat to this node.
 func (h *healthMonitor) recordHeartbeat(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.heartbeats[id] = h.now()
 }
 
-// takeHeartbeats returns the heartbeats not reported yet, nil if there are none.
+// takeHeartbeats returns the heartbeats not yet reported and clears them. It returns nil if there
+// are none.
 func (h *healthMonitor) takeHeartbeats() map[string]time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +77,7 @@
 	return taken
 }
 
-// addObservations adds what proxies observed of endpoints.
+// addObservations adds the observations that proxies made of endpoints.
 func (h *healthMonitor) addObservations(observations map[string]loadbalance.Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// takeObservations returns the observations not reported yet.
+// takeObservations returns the observations not yet reported and clears them.
 func (h *healthMonitor) takeObservations() map[string]loadbalance.Observation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,7 +95,7 @@
 	return taken
 }
 
-// reportHeartbeats sends the heartbeats recorded here to the leader.
+// reportHeartbeats sends the heartbeats recorded on this node to the leader.
 func (h *healthMonitor) reportHeartbeats(state *loopState, now time.Duration) {
 	heartbeats := h.takeHeartbeats()
 	if heartbeats == nil {
@@ -114,8 +115,8 @@
 	h.peers.enqueue(h.peers.addrOf(state.raft.LeaderID()), &frame)
 }
 
-// recordReported takes the heartbeats that another node reports.
-func (h *healthMonitor) recordReported(state *loopState, heartbeats []transport.Heartbeat) {
+// recordPeerHeartbeats records the heartbeats reported by another node.
+func (h *healthMonitor) recordPeerHeartbeats(state *loopState, heartbeats []transport.Heartbeat) {
 	now := h.now()
 	for _, heartbeat := range heartbeats {
 		age := time.Duration(heartbeat.AgoMS) * time.Millisecond
@@ -123,16 +124,16 @@
 	}
 }
 
-// verdicts judges all endpoints by the observations reported since the last call.
+// verdicts evaluates all endpoints, including the observations reported since the last call.
 func (h *healthMonitor) verdicts(state *loopState, now time.Duration, observations map[string]loadbalance.Observation) []loadbalance.Verdict {
 	outliers := state.liveness.outliers
 	outliers.Observe(observations)
 	return outliers.Verdicts(now, h.state.onLoop(state).endpointsByService())
 }
 
-// checkLiveness begins a health check of every endpoint whose heartbeats stopped.
-// Only a leader that a majority still hears does, and only once it has led for long
-// enough to have heard from every endpoint that is alive.
+// checkLiveness starts a health check of every endpoint whose heartbeats stopped. It does so only
+// while this node is in contact with a majority, and only once it has been leader for long enough
+// to have heard of every endpoint that is alive.
 func (h *healthMonitor) checkLiveness(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(h.timing.ElectionTimeout) || now-state.leaderSince < h.timing.EndpointTimeout {
 		return
@@ -152,11 +153,11 @@
 		object, _ := replicated.store.Get(key)
 		h.start(func() { h.checkEndpoint(object, endpoint) })
 	}
-	h.forgetUnregistered(liveness, replicated, now)
+	h.pruneUnregistered(liveness, replicated, now)
 }
 
-// forgetUnregistered drops the heartbeats of endpoints that are registered no more.
-func (h *healthMonitor) forgetUnregistered(liveness *endpointLiveness, replicated *replicatedState, now time.Duration) {
+// pruneUnregistered deletes the heartbeat times of endpoints that are no longer registered.
+func (h *healthMonitor) pruneUnregistered(liveness *endpointLiveness, replicated *replicatedState, now time.Duration) {
 	for id, lastSeen := range liveness.lastSeen {
 		_, isRegistered := replicated.endpoints[registry.EndpointPrefix+id]
 		if !isRegistered && now-lastSeen > h.timing.EndpointTimeout {
@@ -165,13 +166,13 @@
 	}
 }
 
-// checkEndpoint checks the health of an endpoint whose heartbeats stopped and removes
-// it, as it was read, if the check fails.
+// checkEndpoint checks the health of an endpoint whose heartbeats stopped. If the check fails,
+// the endpoint is removed unless it has changed since it was read.
 func (h *healthMonitor) checkEndpoint(object registry.Object, endpoint registry.Endpoint) {
 	path := h.healthCheckPath(endpoint.Service)
 	isHealthy := path != "" && isEndpointHealthy(h.ctx, endpoint, path, h.timing.ConnectionTimeout)
 	if h.ctx.Err() != nil {
-		return // the check was cut short and proves nothing
+		return // the check was interrupted, so its result is meaningless
 	}
 	h.metrics.healthChecks().Inc()
 	defer h.loop.post(func(state *loopState) {
@@ -185,7 +186,7 @@
 	}
 	response := h.proposer.handleAsLeader(0, func(state *loopState, done chan<- outcome) string {
 		if h.now()-state.liveness.lastSeen[endpoint.ID] <= h.timing.EndpointTimeout {
-			return "" // a heartbeat came in the meantime
+			return "" // a heartbeat has arrived in the meantime
 		}
 		return h.proposer.startProposal(state, registry.Command{Txn: removeEndpoint(object, endpoint)}, done)
 	})
@@ -204,12 +205,12 @@
 	return path
 }
 
-// maxHealthResponseBytes bounds the body of a health check's response.
+// maxHealthResponseBytes is the maximum size of the body of a health check response.
 const maxHealthResponseBytes = 64 << 10
 
-// isEndpointHealthy asks an endpoint for its health. A response counts if it names
-// the endpoint, as another one may listen at the address by now, or if it names none
-// and is a success.
+// isEndpointHealthy sends a health check to an endpoint. A response proves the endpoint healthy
+// if it carries the ID of the endpoint, because by now another endpoint may listen at the
+// address, or if it carries no ID and its status is 200.
 func isEndpointHealthy(ctx context.Context, endpoint registry.Endpoint, path string, timeout time.Duration) bool {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/controlplane/health_monitor_test.go
+++ b/internal/controlplane/health_monitor_test.go
@@ -7,8 +7,8 @@
 	"lichentray/registry"
 )
 
-// TestUpdateEndpoint: what a heartbeat changes of a registered endpoint, and when a
-// node that has lost contact with the group may acknowledge it.
+// TestUpdateEndpoint checks what a heartbeat changes in a registered endpoint, and when a node
+// that has lost contact with the group may acknowledge it.
 func TestUpdateEndpoint(t *testing.T) {
 	const sequence = 5
 	for _, c := range []struct {
@@ -19,16 +19,16 @@
 		wantWrite      bool
 		wantKind       apierror.Kind
 	}{
-		{"ordinary", registry.Endpoint{}, registry.Endpoint{Sequence: 6}, false, false, 0},
-		{"ordinary, without contact", registry.Endpoint{}, registry.Endpoint{Sequence: 6}, true, false, apierror.Unavailable},
-		{"drains", registry.Endpoint{}, registry.Endpoint{Sequence: 6, Draining: true}, false, true, 0},
-		{"drains, without contact", registry.Endpoint{}, registry.Endpoint{Sequence: 6, Draining: true}, true, true, 0},
-		{"drains, late", registry.Endpoint{}, registry.Endpoint{Sequence: 4, Draining: true}, false, true, 0},
-		{"drains already", registry.Endpoint{Draining: true}, registry.Endpoint{Sequence: 6}, false, false, 0},
-		{"drains already, without contact", registry.Endpoint{Draining: true}, registry.Endpoint{Sequence: 6}, true, false, 0},
-		{"warms up", registry.Endpoint{}, registry.Endpoint{Sequence: 6, WarmingUp: true}, false, true, 0},
-		{"has warmed up", registry.Endpoint{WarmingUp: true}, registry.Endpoint{Sequence: 6}, false, true, 0},
-		{"has warmed up, late", registry.Endpoint{WarmingUp: true}, registry.Endpoint{Sequence: 4}, false, false, 0},
+		{"no change", registry.Endpoint{}, registry.Endpoint{Sequence: 6}, false, false, 0},
+		{"no change, without contact", registry.Endpoint{}, registry.Endpoint{Sequence: 6}, true, false, apierror.Unavailable},
+		{"starts draining", registry.Endpoint{}, registry.Endpoint{Sequence: 6, Draining: true}, false, true, 0},
+		{"starts draining, without contact", registry.Endpoint{}, registry.Endpoint{Sequence: 6, Draining: true}, true, true, 0},
+		{"starts draining, late heartbeat", registry.Endpoint{}, registry.Endpoint{Sequence: 4, Draining: true}, false, true, 0},
+		{"already draining", registry.Endpoint{Draining: true}, registry.Endpoint{Sequence: 6}, false, false, 0},
+		{"already draining, without contact", registry.Endpoint{Draining: true}, registry.Endpoint{Sequence: 6}, true, false, 0},
+		{"starts warming up", registry.Endpoint{}, registry.Endpoint{Sequence: 6, WarmingUp: true}, false, true, 0},
+		{"warm-up complete", registry.Endpoint{WarmingUp: true}, registry.Endpoint{Sequence: 6}, false, true, 0},
+		{"warm-up complete, late heartbeat", registry.Endpoint{WarmingUp: true}, registry.Endpoint{Sequence: 4}, false, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.registered.ID, c.registered.Sequence = "e", sequence
@@ -36,22 +36,22 @@
 			txn, err := updateEndpoint(object, c.heartbeat, c.hasLostContact, true)
 			if c.wantKind != 0 {
 				if apierror.KindOf(err) != c.wantKind {
-					t.Errorf("error %v", err)
+					t.Errorf("updateEndpoint returned error %v, which is not of the expected kind", err)
 				}
 				return
 			}
 			if err != nil || (txn != nil) != c.wantWrite {
-				t.Fatalf("transaction %+v, %v", txn, err)
+				t.Fatalf("updateEndpoint = %+v, %v, which is not the expected transaction or has an error", txn, err)
 			}
 			if !c.wantWrite {
 				return
 			}
 			if got := txn.If; len(got) != 1 || got[0] != (registry.Compare{Key: object.Key, ModRevision: 9}) {
-				t.Errorf("condition %+v", got)
+				t.Errorf("transaction condition = %+v, want revision 9 of the endpoint", got)
 			}
 			written, err := registry.DecodeEndpoint(registry.Object{Value: txn.Then[0].Value})
 			if err != nil || written.Draining != c.heartbeat.Draining || written.WarmingUp != c.heartbeat.WarmingUp || written.Sequence != c.heartbeat.Sequence {
-				t.Errorf("written %+v, %v", written, err)
+				t.Errorf("written endpoint = %+v, %v, want the state of the heartbeat", written, err)
 			}
 		})
 	}
--- a/internal/controlplane/history_compactor.go
+++ b/internal/controlplane/history_compactor.go
@@ -7,75 +7,74 @@
 	"lichentray/registry"
 )
 
-// maxAcceptedDigests is for how many versions it is remembered which configuration
-// was accepted: a day and a half of 5,500 changes a day, some 200 bytes each.
+// maxAcceptedDigests is the number of configuration versions for which the digest of the accepted
+// content is kept: about a day and a half at 5,500 changes a day, with some 200 bytes each.
 const maxAcceptedDigests = 8192
 
-// departureRetention is how long the marker of an endpoint that announced its end is kept: as long as
-// a heartbeat that the endpoint sent before may be on its way.
+// departureRetention is how long the departure marker of an endpoint is kept: as long as a
+// heartbeat that the endpoint sent earlier may still be in transit.
 const departureRetention = coordination.MaxCallDelay
 
-// compactionDivisor is the part of the retention that passes between two compactions, as a divisor.
+// compactionDivisor is the divisor of the retention that gives the time between two compactions.
 const compactionDivisor = 4
 
-// historyCompactor forgets, at the leader, history that nobody may ask for any more.
-// The replicated state holds no time, so it remembers which revision was reached
-// when.
+// historyCompactor discards, on the leader, history that can no longer be requested. The
+// replicated state holds no timestamps, so the compactor records when each revision was reached.
 type historyCompactor struct {
 	*environment
 	state *sharedState
 }
 
-// revisionHistory is which revision was reached when, oldest first, see loopState.
+// revisionHistory records when revisions were reached, oldest first, see loopState.
 type revisionHistory struct {
 	revisions   []revisionTime
 	compactedAt time.Duration
 }
 
-// revisionTime is when this node first saw a revision.
+// revisionTime is a revision and when this node first observed it.
 type revisionTime struct {
 	at       time.Duration
 	revision uint64
 }
 
-// watchRetention is how long the events of a watch are kept: with a margin, as a caller counts from
-// when it received the revision that it asks for.
+// watchRetention is how long the events of a watch are kept. It has a margin because a caller
+// counts from when it received the revision that it asks for.
 func (h *historyCompactor) watchRetention() time.Duration {
 	return h.settings.Bounds.HistoryRetention.Duration() * 3 / 2
 }
 
-// record remembers the present revision, at most once a second.
+// record records the current revision, at most once a second.
 func (h *historyCompactor) record(state *loopState, now time.Duration) {
 	history := &state.history
 	if n := len(history.revisions); n > 0 && now-history.revisions[n-1].at < time.Second {
 		return
 	}
-	history.forgetBefore(now - max(h.watchRetention(), departureRetention))
+	history.pruneBefore(now - max(h.watchRetention(), departureRetention))
 	history.revisions = append(history.revisions, revisionTime{at: now, revision: h.state.onLoop(state).store.Revision()})
 }
 
-// compact proposes to forget what is older than its retention.
+// compact proposes to discard the history that is older than its retention.
 func (h *historyCompactor) compact(state *loopState, now time.Duration) {
 	history := &state.history
 	if now-history.compactedAt < min(h.watchRetention(), departureRetention)/compactionDivisor {
 		return
 	}
 	history.compactedAt = now
-	if before, isKnown := history.reachedBy(now - h.watchRetention()); isKnown {
+	if before, isKnown := history.revisionBefore(now - h.watchRetention()); isKnown {
 		state.proposeWithoutWaiting(registry.Command{Coordination: &coordination.Command{
 			Operation:     coordination.CompactHistory,
 			CompactBefore: before,
 		}})
 	}
-	departedBefore, _ := history.reachedBy(now - departureRetention)
+	departedBefore, _ := history.revisionBefore(now - departureRetention)
 	if txn := expiryTxn(h.state.onLoop(state).store, departedBefore); len(txn.Then) > 0 {
 		state.proposeWithoutWaiting(registry.Command{Txn: txn})
 	}
 }
 
-// reachedBy returns the newest revision that this node had seen before an instant; isKnown is false if
-// it does not reach back so far.
-func (h *revisionHistory) reachedBy(instant time.Duration) (revision uint64, isKnown bool) {
+// revisionBefore returns the newest revision that this node had observed before an instant.
+// isKnown is false if the record does not reach back that far.
+func (h *revisionHistory) revisionBefore(instant time.Duration) (revision uint64, isKnown bool) {
 	for _, r := range h.revisions {
 		if r.at >= instant {
 			break
@@ -86,8 +85,9 @@
 	return revision, isKnown
 }
 
-// forgetBefore forgets what reachedBy needs for no instant from the given one on.
-func (h *revisionHistory) forgetBefore(instant time.Duration) {
+// pruneBefore deletes the records that revisionBefore does not need for the given or any later
+// instant.
+func (h *revisionHistory) pruneBefore(instant time.Duration) {
 	superseded := 0
 	for superseded+1 < len(h.revisions) && h.revisions[superseded+1].at < instant {
 		superseded++
@@ -95,8 +95,9 @@
 	h.revisions = append(h.revisions[:0], h.revisions[superseded:]...)
 }
 
-// expiryTxn returns a transaction that deletes the markers of endpoints that departed
-// up to a revision, and the digests of accepted configurations beyond the newest ones.
+// expiryTxn returns a transaction that deletes the markers of endpoints that departed at or
+// before a revision, and all but the newest maxAcceptedDigests digests of accepted
+// configurations.
 func expiryTxn(store *registry.Store, before uint64) *registry.Txn {
 	txn := &registry.Txn{}
 	expire := func(o registry.Object) {
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -119,7 +119,7 @@
 		return
 	}
 	if leaderID := state.raft.LeaderID(); leaderID != 0 {
-		if !isDescribed(membership, m.self) {
+		if !isDescriptionCurrent(membership, m.self) {
 			m.requestJoin([]string{m.peers.addrOf(leaderID)})
 		}
 		return
@@ -209,7 +209,7 @@
 func (m *membershipManager) admitLearner(member raft.Member) error {
 	return m.callLeaderLoop(func(state *loopState) error {
 		membership := state.raft.Membership()
-		if isDescribed(membership, member) {
+		if isDescriptionCurrent(membership, member) {
 			return nil
 		}
 		next, err := admit(membership, member, state.raft.HasPendingConfChange())
--- a/internal/controlplane/membership_planner.go
+++ b/internal/controlplane/membership_planner.go
@@ -121,7 +121,7 @@
 	if node.HasPendingConfChange() {
 		return raft.Membership{}, ""
 	}
-	if membership := node.Membership(); !isDescribed(membership, p.self) {
+	if membership := node.Membership(); !isDescriptionCurrent(membership, p.self) {
 		return membership.WithDescription(p.self), "the leader describes itself"
 	}
 	return nextMembership(node.Membership(), node.ID(), p.tolerance, p.assessMembers(node, now))
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -2,15 +2,16 @@
 
 import "lichentray/internal/metrics"
 
-// nodeMetrics holds the counters of a node. Those in fields are listed from the
-// start, the others once they have counted something, so that a deployment without
-// the feature does not list them.
+// nodeMetrics holds the counters of a node. Counters in fields are exported from the start. The
+// others are exported once they have counted something, so that deployments without the feature
+// do not export them.
 type nodeMetrics struct {
 	registry *metrics.Registry
 
 	proposals        *metrics.Counter
 	proposalsUnknown *metrics.Counter // outcome not known to the caller
-	// proposalsDeferred are attempts that came before the group had formed, see formation.
+	// proposalsDeferred counts the proposals attempted before the group had formed, see
+	// formation.
 	proposalsDeferred *metrics.Counter
 	readsUnconfirmed  *metrics.Counter
 	elections         *metrics.Counter // won by this node
@@ -28,12 +29,13 @@
 	watchesAbandoned  *metrics.Counter // by their callers
 	endpointsRemoved  *metrics.Counter
 	appliedIndex      *metrics.Counter // a gauge
-	// lockReacquisitions are acquisitions by the caller that held the lock already, and
-	// releasesWithheld the releases that were answered without freeing their lock.
+	// lockReacquisitions counts acquisitions by a caller that already held the lock, and
+	// releasesWithheld the releases that were acknowledged without freeing the lock.
 	lockReacquisitions *metrics.Counter
 	releasesWithheld   *metrics.Counter
 	// reacquiredLocksReleased counts violations of the invariant that a release never frees a
-	// lock that its holder has acquired once more: the release may be older than that.
+	// lock that its holder has acquired again: the release may have been sent before the later
+	// acquisition.
 	reacquiredLocksReleased *metrics.Counter
 }
 
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -209,7 +209,7 @@
 	}
 	now := n.now()
 	result, events := n.state.applyCommand(now, cmd)
-	n.rollouts.forgetEnded(state, events)
+	n.rollouts.discardEnded(state, events)
 	if c := cmd.Coordination; c != nil {
 		locks := n.state.onLoop(state).store.Coordination().Locks
 		if !state.leases.Update(now, entry.Index, c, result.Latch, locks) {
@@ -230,7 +230,7 @@
 func (n *Node) installSnapshot(state *loopState, snapshot *raft.Snapshot) {
 	n.state.replaceStore(state.snapshots.takeReceived(), snapshot.Index)
 	state.leases.Restart(n.now(), n.state.onLoop(state).store.Coordination().Locks)
-	n.rollouts.forgetAllEnded(state)
+	n.rollouts.discardAllEnded(state)
 	n.groups.wakeAll()
 	state.requests.failThrough(snapshot.Index)
 	n.logger.Info("snapshot installed", "index", snapshot.Index)
--- a/internal/controlplane/peer_connection.go
+++ b/internal/controlplane/peer_connection.go
@@ -9,11 +9,11 @@
 	"lichentray/internal/transport"
 )
 
-// sendQueueLength bounds the frames that wait for a peer.
+// sendQueueLength is the maximum number of frames queued for a peer.
 const sendQueueLength = 256
 
-// peerConnection is the outgoing connection to one peer, which its goroutine dials
-// anew whenever it is down. Its queue is bounded: what does not fit is dropped.
+// peerConnection is the outgoing connection to one peer. Its goroutine redials whenever the
+// connection is down. Frames that do not fit into its bounded queue are dropped.
 type peerConnection struct {
 	pool       *peerPool
 	addr       string
@@ -22,12 +22,12 @@
 	cancel     context.CancelFunc
 
 	sendQueue chan *transport.Frame
-	// redial receives when the peer has connected here while this side is down.
+	// redial receives a value when the peer has connected to this node while this connection is
+	// down.
 	redial chan struct{}
 
-	// logConnection is the connection that carries the log to the same peer, guarded by
-	// the pool's lock. It is nil until there is something to carry, and in that
-	// connection itself.
+	// logConnection is the connection that carries the log to the same peer, guarded by the
+	// pool's lock. It is nil until it is first needed, and in the log connection itself.
 	logConnection *peerConnection
 
 	mu           sync.Mutex
@@ -39,7 +39,7 @@
 type pendingCall struct {
 	// responses receives one response, or nil when the connection breaks.
 	responses chan *transport.Response
-	// mayHaveBeenSent is set before the request leaves the queue.
+	// mayHaveBeenSent is set before the request is taken from the queue to be sent.
 	mayHaveBeenSent bool
 }
 
@@ -56,7 +56,7 @@
 	return c
 }
 
-// enqueue queues a frame, or drops it if the queue is full.
+// enqueue queues a frame, or drops it and returns false if the queue is full.
 func (c *peerConnection) enqueue(frame *transport.Frame) bool {
 	select {
 	case c.sendQueue <- frame:
@@ -73,7 +73,8 @@
 	return c.isConnected
 }
 
-// redialIfDown ends the wait before the next attempt, or the attempt itself.
+// redialIfDown interrupts the wait before the next dial attempt, or the attempt in progress, so
+// that the peer is dialled immediately.
 func (c *peerConnection) redialIfDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,8 +83,8 @@
 	}
 }
 
-// startCall queues a request. It fails at once if the connection is down or the
-// queue is full.
+// startCall queues a request. It fails immediately if the connection is down or the queue is
+// full.
 func (c *peerConnection) startCall(request *transport.Request) (*pendingCall, error) {
 	call := &pendingCall{responses: make(chan *transport.Response, 1)}
 	c.mu.Lock()
@@ -100,8 +101,8 @@
 	return call, nil
 }
 
-// abandonCall gives up a call and reports whether its request may have been sent.
-// One that has not been sent never will be.
+// abandonCall cancels a call and reports whether its request may have been sent. A request that
+// has not been sent never will be.
 func (c *peerConnection) abandonCall(id uint64, call *pendingCall) (mayHaveBeenSent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +110,8 @@
 	return call.mayHaveBeenSent
 }
 
-// claimForSending reports whether a queued frame is still to be sent: a request that
-// nobody waits for any more is not. Any other request counts as sent from now on.
+// claimForSending reports whether a queued frame should still be sent. A request whose call was
+// abandoned is not sent; any other request counts as possibly sent from then on.
 func (c *peerConnection) claimForSending(frame *transport.Frame) bool {
 	if frame.Ask == nil {
 		return true
@@ -125,7 +126,7 @@
 	return true
 }
 
-// deliver hands a response to whoever waits for it.
+// deliver passes a response to the call that waits for it, if any.
 func (c *peerConnection) deliver(response *transport.Response) {
 	c.mu.Lock()
 	call := c.pendingCalls[response.ID]
@@ -143,7 +144,7 @@
 	c.isConnected = true
 }
 
-// setDisconnected marks the connection as down and fails the calls that wait.
+// setDisconnected marks the connection as down and fails the pending calls.
 func (c *peerConnection) setDisconnected() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,17 +155,17 @@
 	}
 }
 
-// run keeps the connection up until the peer is no member any more or the node closes.
-// Calls that wait then are left to their time-outs: the peer may have answered.
+// run keeps the connection up until the peer is no longer a member or the node closes. Calls that
+// are pending at that point end with their time-outs, because the peer may still have responded.
 func (c *peerConnection) run() {
-	shortest := c.pool.timing.HeartbeatInterval / 2
-	backoff := shortest
+	minBackoff := c.pool.timing.HeartbeatInterval / 2
+	backoff := minBackoff
 	for c.ctx.Err() == nil {
 		conn, wasInterrupted, err := c.dial()
 		switch {
 		case err == nil:
-			if c.serveUntilBroken(conn) {
-				backoff = shortest
+			if c.serveUntilClosed(conn) {
+				backoff = minBackoff
 				continue
 			}
 		case wasInterrupted:
@@ -174,17 +175,18 @@
 		case <-c.ctx.Done():
 			return
 		case <-c.redial:
-			backoff = shortest
+			backoff = minBackoff
 		case <-time.After(backoff + time.Duration(rand.Int63n(int64(backoff)))):
 			backoff = min(backoff*2, c.pool.timing.ElectionTimeout)
 		}
 	}
 }
 
-// serveUntilBroken serves a new connection and marks it as down when it has ended. It reports
-// whether the connection lasted: one that the other end accepts and closes is no better than one
-// that it rejects, as a relay does that knows no core, or a node of another version.
-func (c *peerConnection) serveUntilBroken(conn *transport.Conn) (hasLasted bool) {
+// serveUntilClosed serves a new connection and marks it as down when it has ended. It reports
+// whether the connection was stable, that is, lasted longer than ElectionTimeout. One that the
+// peer accepts and then closes is treated like one that it rejects: a relay that knows no core
+// and a node of a different version close connections this way.
+func (c *peerConnection) serveUntilClosed(conn *transport.Conn) (wasStable bool) {
 	began := time.Now()
 	c.serve(conn)
 	if c.ctx.Err() == nil {
@@ -193,8 +195,8 @@
 	return time.Since(began) > c.pool.timing.ElectionTimeout
 }
 
-// dial makes one attempt. wasInterrupted reports that it was given up because the peer
-// has connected here meanwhile.
+// dial makes one attempt. wasInterrupted reports whether it was cancelled because the peer has
+// connected to this node in the meantime.
 func (c *peerConnection) dial() (conn *transport.Conn, wasInterrupted bool, err error) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	watched := make(chan struct{})
@@ -221,27 +223,28 @@
 	return conn, wasInterrupted, err
 }
 
-// serve sends what is queued over a new connection and delivers the responses, until
-// the connection breaks or the peer is no member any more. The caller marks it as down.
+// serve sends queued frames over a new connection and delivers the responses, until the
+// connection breaks or the peer is no longer a member. The caller marks the connection as down.
 func (c *peerConnection) serve(conn *transport.Conn) {
 	conn.WriteTimeout = c.pool.timing.ConnectionTimeout
 	c.dropStaleFrames()
 	c.setConnected()
 	defer context.AfterFunc(c.ctx, conn.Close)()
-	broken := make(chan struct{})
+	receiverDone := make(chan struct{})
 	go func() {
-		defer close(broken)
+		defer close(receiverDone)
 		defer conn.Close()
 		c.receive(conn)
 	}()
-	c.send(conn, broken)
+	c.send(conn, receiverDone)
 	conn.Close()
-	<-broken
+	<-receiverDone
 }
 
-// dropStaleFrames drops what was queued while the peer was away. Of the log
-// connection all of it: what was on its way, or waited for it, is sent anew from what
-// the peer is known to hold. Of the other one only the newest frames matter.
+// dropStaleFrames drops frames that were queued while the peer was unreachable. A log connection
+// drops all of them, because the log entries in flight and in the queue are sent again from the
+// position that the peer is known to have reached. The other connection keeps only the newest
+// frames.
 func (c *peerConnection) dropStaleFrames() {
 	if c.carriesLog {
 		for len(c.sendQueue) > 0 {
@@ -256,12 +259,12 @@
 }
 
 // send writes queued frames until the connection breaks.
-func (c *peerConnection) send(conn *transport.Conn, broken <-chan struct{}) {
+func (c *peerConnection) send(conn *transport.Conn, receiverDone <-chan struct{}) {
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-broken:
+		case <-receiverDone:
 			return
 		case frame := <-c.sendQueue:
 			if c.claimForSending(frame) && conn.Send(frame) != nil {
@@ -271,7 +274,7 @@
 	}
 }
 
-// receive reads what the peer sends back on this connection.
+// receive reads the frames that the peer sends on this connection.
 func (c *peerConnection) receive(conn *transport.Conn) {
 	for {
 		frame, err := conn.Receive(0)
--- a/internal/controlplane/peer_connection_test.go
+++ b/internal/controlplane/peer_connection_test.go
@@ -11,7 +11,7 @@
 	"lichentray/internal/transport"
 )
 
-// newTestConnection returns a connection without a goroutine, marked as up.
+// newTestConnection returns a connection that is marked as up and has no goroutine.
 func newTestConnection(t *testing.T) *peerConnection {
 	t.Helper()
 	connection := newPeerConnection(context.Background(), nil, "127.0.0.1:1", false)
@@ -20,29 +20,29 @@
 	return connection
 }
 
-// TestAbandonedCallIsNotSent: a request that its caller gave up while it was queued
-// never leaves, and one that left is known as such.
+// TestAbandonedCallIsNotSent checks that a request that is abandoned while queued is never sent,
+// and that one that has been claimed for sending is reported as possibly sent.
 func TestAbandonedCallIsNotSent(t *testing.T) {
 	c := newTestConnection(t)
-	for _, leavesFirst := range []bool{false, true} {
+	for _, isClaimedFirst := range []bool{false, true} {
 		call, err := c.startCall(&transport.Request{ID: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		frame := <-c.sendQueue
-		if leavesFirst && !c.claimForSending(frame) {
-			t.Error("a request that is awaited is not sent")
+		if isClaimedFirst && !c.claimForSending(frame) {
+			t.Error("claimForSending of a pending request = false, want true")
 		}
-		if mayHaveBeenSent := c.abandonCall(1, call); mayHaveBeenSent != leavesFirst {
-			t.Errorf("sent %v, reported %v", leavesFirst, mayHaveBeenSent)
+		if mayHaveBeenSent := c.abandonCall(1, call); mayHaveBeenSent != isClaimedFirst {
+			t.Errorf("claimed for sending: %v, abandonCall = %v", isClaimedFirst, mayHaveBeenSent)
 		}
 		if c.claimForSending(frame) {
-			t.Error("a request that nobody awaits is sent")
+			t.Error("claimForSending of an abandoned request = true, want false")
 		}
 	}
 }
 
-func TestCallsOfAConnection(t *testing.T) {
+func TestConnectionCalls(t *testing.T) {
 	c := newTestConnection(t)
 	answered, err := c.startCall(&transport.Request{ID: 1})
 	if err != nil {
@@ -53,16 +53,16 @@
 		t.Fatal(err)
 	}
 	c.deliver(&transport.Response{ID: 1, Index: 7})
-	c.deliver(&transport.Response{ID: 9}) // nobody waits for it
+	c.deliver(&transport.Response{ID: 9}) // no call with this ID is pending
 	if response := <-answered.responses; response == nil || response.Index != 7 {
-		t.Errorf("response %+v", response)
+		t.Errorf("response = %+v, want index 7", response)
 	}
 	c.setDisconnected()
 	if response := <-open.responses; response != nil {
-		t.Errorf("a broken connection answered %+v", response)
+		t.Errorf("response after disconnection = %+v, want nil", response)
 	}
 	if _, err := c.startCall(&transport.Request{ID: 3}); !errors.Is(err, errPeerNotConnected) {
-		t.Errorf("a call while disconnected: %v", err)
+		t.Errorf("startCall while disconnected: error %v, want errPeerNotConnected", err)
 	}
 }
 
@@ -71,16 +71,17 @@
 	for c.enqueue(&transport.Frame{}) {
 	}
 	if _, err := c.startCall(&transport.Request{ID: 1}); !errors.Is(err, errPeerNotConnected) {
-		t.Errorf("a call with a full queue: %v", err)
+		t.Errorf("startCall with a full queue: error %v, want errPeerNotConnected", err)
 	}
 	if len(c.pendingCalls) != 0 {
-		t.Error("the call still waits")
+		t.Error("call with a full queue is still pending")
 	}
 }
 
-// TestPeerThatClosesIsNotDialledAtOnce: a peer that accepts each connection and closes it is
-// dialled with a backoff, as one that rejects them.
-func TestPeerThatClosesIsNotDialledAtOnce(t *testing.T) {
+// TestBackoffForPeerThatClosesConnections guards against redialling without a pause when the peer
+// accepts each connection and closes it. Such a peer must be dialled with the same backoff as one
+// that rejects connections.
+func TestBackoffForPeerThatClosesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -88,9 +89,9 @@
 	defer listener.Close()
 	env := newTestEnvironment(t)
 	env.settings = &settings.Settings{}
-	shortest := 20 * time.Millisecond
-	env.timing.HeartbeatInterval = 2 * shortest
-	env.timing.ElectionTimeout = time.Hour // no connection lasts
+	minBackoff := 20 * time.Millisecond
+	env.timing.HeartbeatInterval = 2 * minBackoff
+	env.timing.ElectionTimeout = time.Hour // no connection counts as stable
 	env.timing.ConnectionTimeout = time.Hour
 	connection := newPeerConnection(context.Background(), newPeerPool(env), listener.Addr().String(), false)
 	ended := make(chan struct{})
@@ -106,9 +107,9 @@
 		}
 		conn.Close()
 	}
-	// The three pauses between them are the shortest, twice and four times that at the least.
-	if took := time.Since(began); took < 7*shortest {
-		t.Errorf("four connections within %v", took)
+	// The three pauses between the connections last at least one, two and four times the minimum.
+	if took := time.Since(began); took < 7*minBackoff {
+		t.Errorf("four connections within %v, want a backoff between them", took)
 	}
 	connection.cancel()
 	<-ended
--- a/internal/controlplane/peer_pool.go
+++ b/internal/controlplane/peer_pool.go
@@ -13,17 +13,17 @@
 	"lichentray/raft"
 )
 
-// peerPool keeps this node's outgoing connections to the other members: one for
-// heartbeats, votes, forwarded requests and reports, and one for what carries the
-// log. A configuration of a megabyte takes seconds on a narrow link, and the former
-// must not wait behind it. Consensus bounds how much of the log is on its way, so
-// that the two do not starve each other on the link that they share.
+// peerPool maintains this node's outgoing connections to the other members. There are two for
+// each member: one for heartbeats, votes, forwarded requests and reports, and one for log entries
+// and snapshots. A configuration of one megabyte takes seconds on a slow link, and must not delay
+// the traffic of the first connection. Consensus limits how much of the log is in flight, so that
+// the two connections do not starve each other on the link that they share.
 //
-// Its methods may be called from any goroutine, and none of them but call waits.
+// Its methods may be called from any goroutine, and none of them except call blocks.
 type peerPool struct {
 	*environment
-	// onControlNodes is called with the members of the group as a relay names them, and
-	// onLogReconnected with the address of a peer whose log connection is a new one.
+	// onControlNodes is called with the group members reported by a relay, and onLogReconnected
+	// with the address of a peer whose log connection was re-established.
 	onControlNodes   func([]transport.ControlNode)
 	onLogReconnected func(addr string)
 
@@ -32,7 +32,7 @@
 	mu          sync.Mutex
 	connections map[string]*peerConnection // by address
 	addrByID    map[uint64]string
-	zoneByAddr  map[string]string // as far as it is known
+	zoneByAddr  map[string]string // of the nodes whose zone is known
 }
 
 func newPeerPool(env *environment) *peerPool {
@@ -44,21 +44,21 @@
 	}
 }
 
-// setMembership begins to connect to the members of the group, ahead of the first
-// message to each, and ends the connections to all others.
+// setMembership starts connecting to the members of the group, before there is a message for
+// them, and closes the connections to all other nodes.
 func (p *peerPool) setMembership(membership raft.Membership) {
 	members := membership.AllMembers()
 	p.disconnectOthers(members)
 	for _, m := range members {
-		p.rememberAddr(m.ID, m.Addr)
+		p.recordAddr(m.ID, m.Addr)
 		if m.ID != p.self.ID && m.Addr != p.self.Addr {
 			p.logConnection(m.Addr)
 		}
 	}
 }
 
-// disconnectOthers ends the connections to all but the members. A node that knows
-// no members yet keeps those to whom it asks to join.
+// disconnectOthers closes the connections to all nodes but the members. A node that knows no
+// members yet keeps the connections to the nodes that it asks to join.
 func (p *peerPool) disconnectOthers(members []raft.Member) {
 	if len(members) == 0 {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// rememberAddr records where a member is reached; zero values are ignored.
-func (p *peerPool) rememberAddr(id uint64, addr string) {
+// recordAddr records the address of a member. Zero values are ignored.
+func (p *peerPool) recordAddr(id uint64, addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if id != 0 && addr != "" {
@@ -86,15 +86,16 @@
 	}
 }
 
-// knownAddrs lists the addresses at which members have been reached or have said to be reached.
+// knownAddrs returns the addresses of members, as recorded from memberships and as given by the
+// peers themselves.
 func (p *peerPool) knownAddrs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Values(p.addrByID))
 }
 
-// rememberZone records in which zone the node at an address is.
-func (p *peerPool) rememberZone(addr, zone string) {
+// recordZone records the zone of the node at an address.
+func (p *peerPool) recordZone(addr, zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if addr != "" {
@@ -102,14 +103,14 @@
 	}
 }
 
-// zoneOf returns the zone of the node at an address, or an empty string.
+// zoneOf returns the zone of the node at an address, or an empty string if it is unknown.
 func (p *peerPool) zoneOf(addr string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.zoneByAddr[addr]
 }
 
-// addrOf returns where a member is reached, or an empty string.
+// addrOf returns the address of a member, or an empty string if it is unknown.
 func (p *peerPool) addrOf(id uint64) string {
 	if id == p.self.ID {
 		return p.self.Addr
@@ -119,14 +120,15 @@
 	return p.addrByID[id]
 }
 
-// connection returns the connection to an address, and begins it if there is none.
+// connection returns the connection to an address, and starts it if there is none.
 func (p *peerPool) connection(addr string) *peerConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectionLocked(addr)
 }
 
-// logConnection returns the connection that carries the log to an address.
+// logConnection returns the connection that carries the log to an address, and starts it if there
+// is none.
 func (p *peerPool) logConnection(addr string) *peerConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,9 +154,10 @@
 	return connection
 }
 
-// sendMessages queues the messages of consensus for their peers: what carries the
-// log alone, the others of one peer in one frame. What does not fit into a queue is
-// dropped, and consensus sends it again.
+// sendMessages queues consensus messages for their recipients. Each message that carries log
+// entries or a snapshot is sent in a frame of its own on the log connection; the other messages
+// to a peer share one frame. Messages that do not fit into a queue are dropped, and consensus
+// sends them again.
 func (p *peerPool) sendMessages(messages []raft.Message) {
 	var order []uint64
 	frames := map[uint64]*transport.Frame{}
@@ -178,8 +181,8 @@
 	}
 }
 
-// enqueue queues a frame for an address, or drops it if the queue is full. Frames to
-// no address or to this node itself are dropped.
+// enqueue queues a frame for an address, or drops it if the queue is full. Frames without an
+// address or addressed to this node itself are dropped.
 func (p *peerPool) enqueue(addr string, frame *transport.Frame) {
 	if addr == "" || addr == p.self.Addr {
 		return
@@ -195,9 +198,9 @@
 	return connection != nil && connection.isUp()
 }
 
-// redialNow has the connections to a peer that has just connected here dialled at once
-// if they are down: an attempt that began while its machine had no power hangs for
-// long, and after one that was refused the connection waits out its backoff.
+// redialNow immediately redials the connections to a peer that has just connected to this node,
+// if they are down. Otherwise an attempt that began while the peer was powered off would hang for
+// a long time, and after a refused attempt the connection would wait for its backoff.
 func (p *peerPool) redialNow(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,17 +214,17 @@
 	}
 }
 
-// The reasons why a call to a peer has no response.
+// Errors of peerPool.call.
 var (
 	errPeerNotConnected = errors.New("controlplane: peer is not connected")
-	errPeerTimeout      = errors.New("controlplane: peer did not answer")
-	errPeerDisconnected = errors.New("controlplane: connection to the peer broke")
-	errLeaderChanged    = errors.New("controlplane: another node leads, or none")
+	errPeerTimeout      = errors.New("controlplane: time-out waiting for a response from the peer")
+	errPeerDisconnected = errors.New("controlplane: connection to the peer was lost")
+	errLeaderChanged    = errors.New("controlplane: leader changed")
 )
 
-// call sends a request to a peer and waits for the response, until another node
-// leads or the time-out passes. With an error, mayHaveArrived reports whether the peer
-// may have got the request; if not, it never will.
+// call sends a request to a peer and waits for the response until the leader changes or the
+// time-out expires. With an error, mayHaveArrived reports whether the peer may have received the
+// request; if it is false, the peer never will.
 func (p *peerPool) call(target callTarget, request *transport.Request, timeout time.Duration) (response *transport.Response, mayHaveArrived bool, err error) {
 	request.ID = p.lastCallID.Add(1)
 	connection := p.connection(target.addr)
--- a/internal/controlplane/proxy_directory.go
+++ b/internal/controlplane/proxy_directory.go
@@ -9,11 +9,11 @@
 	"lichentray/registry"
 )
 
-// maxResolvedAddresses bounds the addresses in an answer of the directory.
+// maxResolvedAddresses is the maximum number of addresses in a directory response.
 const maxResolvedAddresses = 64
 
-// proxyDirectory selects the proxy nodes that clients use. Proxies register through
-// their reports; the leader removes those whose lease has run out.
+// proxyDirectory selects the proxy nodes that clients use. Proxies register through their
+// reports, and the leader removes those whose lease has expired.
 type proxyDirectory struct {
 	*environment
 	state     *sharedState
@@ -21,20 +21,21 @@
 	proposer  *proposer
 }
 
-// proxyLeases are when the leader last heard of each proxy, by name, see loopState.
+// proxyLeases holds when the leader last received a report of each proxy, keyed by name, see
+// loopState.
 type proxyLeases map[string]time.Duration
 
-// renew renews the leases of the proxies that a node reports.
+// renew renews the leases of the proxies reported by a node.
 func (l proxyLeases) renew(now time.Duration, reportSequences map[string]uint64) {
 	for name := range reportSequences {
 		l[name] = now
 	}
 }
 
-// becomeLeader gives every proxy its full lease.
+// becomeLeader restarts the lease of every proxy.
 func (d *proxyDirectory) becomeLeader(state *loopState) { state.proxyLeases = proxyLeases{} }
 
-// expire removes the entries of proxies whose lease has run out.
+// expire removes the registry entries of proxies whose lease has expired.
 func (d *proxyDirectory) expire(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(d.timing.ElectionTimeout) || now-state.leaderSince < d.timing.ProxyLease {
 		return
@@ -45,7 +46,7 @@
 		if isKnown && now-lastSeen <= d.timing.ProxyLease {
 			continue
 		}
-		state.proxyLeases[name] = now // if the proposal takes no effect, it is repeated after another lease
+		state.proxyLeases[name] = now // if the proposal takes no effect, it is repeated after another lease period
 		if !isKnown {
 			continue
 		}
@@ -54,7 +55,8 @@
 	}
 }
 
-// register keeps a proxy's entry in the registry as the proxy itself reports it.
+// register writes a proxy's registry entry as reported by the proxy, unless the entry is
+// unchanged.
 func (d *proxyDirectory) register(proxy registry.Proxy) error {
 	_, err := d.proposer.transact(func(r *replicatedState) (*registry.Txn, error) {
 		object, _ := r.store.Get(proxy.Key())
@@ -92,9 +94,9 @@
 	return addresses, d.timing.DirectoryTTL, nil
 }
 
-// checkHost returns an error if the configuration does not have a host: of kind
-// NoRoute, or Unavailable at a node that is not up to date and may lack the newest
-// configuration.
+// checkHost returns an error if the configuration has no such host. The kind is NoRoute, or
+// Unavailable if there is no configuration or this node is not up to date and may lack the newest
+// one.
 func checkHost(r *replicatedState, host string, isUpToDate bool) error {
 	table := r.routeTable()
 	switch {
--- a/internal/controlplane/quota_allocator.go
+++ b/internal/controlplane/quota_allocator.go
@@ -10,25 +10,26 @@
 	"lichentray/registry"
 )
 
-// quotaSafetyFactor is the part of what an endpoint that warms up may receive that
-// is granted; the rest covers what proxies send before they hear of a change.
+// quotaSafetyFactor is the fraction of the rate limit of a warming endpoint that is granted. The
+// remainder covers the traffic that proxies send before they learn of a change.
 const quotaSafetyFactor = 0.9
 
-// quotaAllocator shares out, at the leader, what endpoints that warm up may receive
-// among the proxies.
+// quotaAllocator divides, on the leader, the traffic that warming endpoints may receive among the
+// proxies.
 type quotaAllocator struct {
 	*environment
 	state *sharedState
 }
 
-// becomeLeader starts anew. Grants of an earlier leader last for a while, for which
-// the allocator allows.
+// becomeLeader starts with a new allocator, which accounts for the grants of an earlier leader
+// that are still valid.
 func (q *quotaAllocator) becomeLeader(state *loopState, now time.Duration) {
 	state.quotas = loadbalance.NewQuotaAllocator(now, q.settings.QuotaGrantLifetime())
 }
 
-// allocate grants quotas to the proxies that report, in answer to the report of each
-// proxy. It returns nil when nothing is bounded or another node may lead by now.
+// allocate grants quotas to the reporting proxies, each in response to a report identified by its
+// sequence number. It returns nil if the deployment sets no limit or another node may have become
+// leader.
 func (q *quotaAllocator) allocate(state *loopState, now time.Duration, reportSequences map[string]uint64) map[string]transport.QuotaGrants {
 	if q.settings.Bounds.SlowStartOvershoot <= 0 || !state.raft.HasQuorumContact(q.timing.ElectionTimeout) {
 		return nil
@@ -42,8 +43,8 @@
 	return quotas
 }
 
-// warmingEndpoints lists, by ID, the endpoints that warm up, and which proxies may
-// send to each: those of its zone, else of its region, else all.
+// warmingEndpoints returns the warming endpoints, sorted by ID, with the proxies that may send to
+// each: those in its zone, or else those in its region, or else all.
 func (q *quotaAllocator) warmingEndpoints(r *replicatedState, reportSequences map[string]uint64) []loadbalance.WarmingEndpoint {
 	var warming []loadbalance.WarmingEndpoint
 	zoneStates := r.zoneStates()
@@ -72,7 +73,7 @@
 	return warming
 }
 
-// proxiesByLocality groups the names of the proxies that take traffic.
+// proxiesByLocality groups the names of the proxies that accept traffic.
 type proxiesByLocality struct {
 	byZone   map[string][]string
 	byRegion map[string][]string
--- a/internal/controlplane/quota_allocator_test.go
+++ b/internal/controlplane/quota_allocator_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestNearestProxies: an endpoint that warms up is shared out among the proxies of its
-// zone, without any among those of its region, without any among all.
+// TestNearestProxies checks that the quota of a warming endpoint is divided among the proxies of
+// its zone, or else of its region, or else among all.
 func TestNearestProxies(t *testing.T) {
 	proxies := &proxiesByLocality{
 		byZone:   map[string][]string{"a": {"p1"}, "b": {"p2"}},
@@ -24,7 +24,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := proxies.nearest(c.zone, c.region); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("nearest = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/controlplane/report_aggregator.go
+++ b/internal/controlplane/report_aggregator.go
@@ -7,9 +7,9 @@
 	"lichentray/loadbalance"
 )
 
-// reportAggregator exchanges what proxies report: every node sums the reports of the
-// proxies that watch at it for the leader, and the leader sends every node the sums
-// over all, its quotas and its verdicts.
+// reportAggregator exchanges the reports of proxies between nodes. Every node sums the reports of
+// the proxies connected to it and sends the result to the leader. The leader sends every node the
+// totals over all nodes, the quotas and the verdicts.
 type reportAggregator struct {
 	*environment
 	peers    *peerPool
@@ -19,10 +19,10 @@
 	quotas   *quotaAllocator
 }
 
-// nodeReport is what one node reports of the proxies that watch at it. The leader keeps
-// the newest one of each other node, by member ID, see loopState.
+// nodeReport is the report of one node about the proxies connected to it. The leader keeps the
+// newest report of each other node, keyed by member ID, see loopState.
 type nodeReport struct {
-	// sequences are the numbers of the newest report of each proxy, by name.
+	// sequences holds the sequence number of the newest report of each proxy, keyed by name.
 	sequences   map[string]uint64
 	loads       map[string]loadbalance.Load        // by service
 	rollouts    map[string]transport.RolloutReport // by service
@@ -30,12 +30,13 @@
 	receivedAt  time.Duration
 }
 
-// becomeLeader forgets what an earlier leadership knew; the nodes report again.
+// becomeLeader discards the reports from an earlier term of this node as leader. The nodes report
+// again.
 func (a *reportAggregator) becomeLeader(state *loopState) {
 	state.nodeReports = map[uint64]nodeReport{}
 }
 
-// recordNode records what another node reports.
+// recordNode records the report of another node.
 func (a *reportAggregator) recordNode(state *loopState, id uint64, aggregate *transport.ProxyAggregate) {
 	now := a.now()
 	state.nodeReports[id] = nodeReport{
@@ -49,7 +50,7 @@
 	state.proxyLeases.renew(now, aggregate.Here)
 }
 
-// exchange sends this node's report to the leader, or as the leader the sums over all
+// exchange sends this node's report to the leader or, on the leader, sends the totals over all
 // nodes to every member.
 func (a *reportAggregator) exchange(state *loopState, now time.Duration) {
 	own, observations := a.watches.collectReports(state, now)
@@ -83,8 +84,8 @@
 	}
 }
 
-// sumReports adds the reports of the other nodes to this node's own one, which it
-// changes, and drops those of nodes that do not report any more.
+// sumReports adds the reports of the other nodes to this node's own report, which it modifies,
+// and discards the reports of nodes that no longer report.
 func (a *reportAggregator) sumReports(state *loopState, now time.Duration, own nodeReport) nodeReport {
 	a.rollouts.recordReports(state, own.incarnation, own.rollouts)
 	for id, report := range state.nodeReports {
--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -12,16 +12,16 @@
 	"lichentray/rollout"
 )
 
-// rolloutController carries out the orders to roll a version out and, at the leader,
-// advances each roll-out by the evidence that all proxies report. Every node sums the
-// evidence of the proxies that watch at it and reports the sum to the leader.
+// rolloutController handles the orders to roll out a version and, on the leader, advances each
+// roll-out based on the evidence reported by all proxies. Every node sums the evidence from the
+// proxies connected to it and reports the sum to the leader.
 type rolloutController struct {
 	*environment
 	state    *sharedState
 	proposer *proposer
 
 	mu sync.Mutex
-	// evidence is what proxies reported here since this node's start.
+	// evidence is the evidence that proxies have reported to this node since its start.
 	evidence rolloutEvidence
 }
 
@@ -42,31 +42,33 @@
 	appliedAt time.Duration
 }
 
-// elapsed is how much of the order's time has passed.
+// elapsed returns the time since the order: the elapsed time stored with the roll-out plus the
+// time since it was applied.
 func (r *rolloutRecord) elapsed(now time.Duration) time.Duration {
 	return now - r.appliedAt + time.Duration(r.ElapsedSeconds*float64(time.Second))
 }
 
 func serviceOfRollout(key string) string { return strings.TrimPrefix(key, registry.RolloutPrefix) }
 
-// rolloutAnalysis is what the leader knows of the roll-outs, by service, see loopState.
+// rolloutAnalysis is the state that the leader keeps for roll-outs, keyed by service, see
+// loopState.
 type rolloutAnalysis struct {
 	inProgress map[string]*rolloutProgress
-	// reported is how far all proxies together are.
+	// reported is the combined progress of all proxies.
 	reported map[string]transport.RolloutReport
 }
 
-// rolloutProgress is what the leader knows of a roll-out in progress.
+// rolloutProgress is the state that the leader keeps for a roll-out in progress.
 type rolloutProgress struct {
 	order    uint64
 	analyzer *rollout.Analyzer
-	// evidenceByNode is by the incarnation of the node that reported it. The evidence
-	// of a node that has ended stays.
+	// evidenceByNode is keyed by the incarnation of the reporting node. The evidence of a node
+	// that has ended is kept.
 	evidenceByNode map[uint64]rollout.Evidence
 	stage          int
-	// answersAtStageStart are the target's answers when the stage was entered.
+	// answersAtStageStart is the number of the target's answers when the stage was entered.
 	answersAtStageStart int
-	// proposedRevision is the revision from which the last step was proposed.
+	// proposedRevision is the revision that the last proposed step was based on.
 	proposedRevision uint64
 	proposedAt       time.Duration
 }
@@ -76,11 +78,11 @@
 		order:          order,
 		analyzer:       rollout.NewAnalyzer(),
 		evidenceByNode: map[uint64]rollout.Evidence{},
-		stage:          -1, // none entered yet
+		stage:          -1, // no stage entered yet
 	}
 }
 
-// totalEvidence is the evidence of all nodes.
+// totalEvidence returns the sum of the evidence of all nodes.
 func (p *rolloutProgress) totalEvidence() rollout.Evidence {
 	total := rollout.Evidence{}
 	for _, evidence := range p.evidenceByNode {
@@ -89,11 +91,11 @@
 	return total
 }
 
-// rolloutEvidence is what proxies reported of each roll-out, by service.
+// rolloutEvidence is the evidence that proxies reported for each roll-out, keyed by service.
 type rolloutEvidence map[string]transport.RolloutReport
 
-// add adds what one proxy observed since its last report. Evidence of an older order
-// is dropped.
+// add adds what one proxy observed since its last report. Evidence for an older order is
+// discarded.
 func (e rolloutEvidence) add(reports map[string]transport.RolloutReport) {
 	for service, report := range reports {
 		total := e[service]
@@ -108,9 +110,9 @@
 	}
 }
 
-// mergeRolloutProgress merges the progress of proxies: the lowest stage that any of
-// them has applied, and the sum of their requests in flight to the base version. A node
-// that no proxy follows any more has evidence, but no progress.
+// mergeRolloutProgress merges the progress of proxies: the lowest stage that any of them has
+// applied, and the sum of their in-flight requests to the base version. A node without connected
+// proxies may have evidence, but has no progress.
 func mergeRolloutProgress(to, from map[string]transport.RolloutReport) {
 	for service, report := range from {
 		merged := to[service]
@@ -133,7 +135,8 @@
 	}
 }
 
-// becomeLeader forgets what an earlier leadership knew; the nodes report again.
+// becomeLeader discards the state of an earlier term of this node as leader. The nodes report
+// again.
 func (c *rolloutController) becomeLeader(state *loopState) {
 	state.rollouts.inProgress = map[string]*rolloutProgress{}
 }
@@ -145,25 +148,25 @@
 	c.evidence.add(reports)
 }
 
-// forgetEnded drops the evidence of roll-outs that the events have ended.
-func (c *rolloutController) forgetEnded(state *loopState, events []registry.Event) {
+// discardEnded discards the evidence of the roll-outs that the events have ended.
+func (c *rolloutController) discardEnded(state *loopState, events []registry.Event) {
 	rollouts := c.state.onLoop(state).rollouts
 	for _, e := range events {
 		if strings.HasPrefix(e.Object.Key, registry.RolloutPrefix) {
-			c.forgetIfEnded(e.Object.Key, rollouts[e.Object.Key])
+			c.discardIfEnded(e.Object.Key, rollouts[e.Object.Key])
 		}
 	}
 }
 
-// forgetAllEnded drops the evidence of all roll-outs that have ended, after the state
-// was replaced by a snapshot.
-func (c *rolloutController) forgetAllEnded(state *loopState) {
+// discardAllEnded discards the evidence of all ended roll-outs after the state was replaced by a
+// snapshot.
+func (c *rolloutController) discardAllEnded(state *loopState) {
 	for key, record := range c.state.onLoop(state).rollouts {
-		c.forgetIfEnded(key, record)
+		c.discardIfEnded(key, record)
 	}
 }
 
-func (c *rolloutController) forgetIfEnded(key string, record *rolloutRecord) {
+func (c *rolloutController) discardIfEnded(key string, record *rolloutRecord) {
 	if record == nil || record.State == rollout.InProgress {
 		return
 	}
@@ -172,8 +175,8 @@
 	delete(c.evidence, serviceOfRollout(key))
 }
 
-// addTotalEvidence turns the progress of this node's proxies into this node's report:
-// it adds the evidence since the node's start.
+// addTotalEvidence adds the evidence since the node's start to the progress of this node's
+// proxies, which completes this node's report.
 func (c *rolloutController) addTotalEvidence(state *loopState, progress map[string]transport.RolloutReport) {
 	rollouts := c.state.onLoop(state).rollouts
 	c.mu.Lock()
@@ -193,12 +196,12 @@
 	}
 }
 
-// supersedes reports whether evidence of an order is of no use any more.
+// supersedes reports whether evidence for an order is no longer needed.
 func (r *rolloutRecord) supersedes(order uint64) bool {
 	return r.OrderNumber > order || (r.OrderNumber == order && r.State != rollout.InProgress)
 }
 
-// recordReports takes what a node reports, which is all since its start.
+// recordReports records the evidence reported by a node, which is cumulative since its start.
 func (c *rolloutController) recordReports(state *loopState, incarnation uint64, reports map[string]transport.RolloutReport) {
 	for service, report := range reports {
 		progress := state.rollouts.inProgress[service]
@@ -212,9 +215,9 @@
 	}
 }
 
-// advance proposes the next step of each roll-out whose evidence calls for one. Each
-// step is written under the condition that the state read still stands, so that of two
-// leaders, or two steps, one takes effect.
+// advance proposes the next step of each roll-out for which the evidence requires one. Each step
+// is conditional on the revision that was read, so that of two leaders, or of two steps, only one
+// takes effect.
 func (c *rolloutController) advance(state *loopState, now time.Duration) {
 	if !state.raft.HasQuorumContact(c.timing.ElectionTimeout) || now-state.leaderSince < c.timing.ConnectionTimeout {
 		return
@@ -240,8 +243,8 @@
 	}
 }
 
-// progressOf returns what is known of a service's order, or nil if proxies know of a
-// newer order, which this node has still to apply.
+// progressOf returns the leader's state for a service's order, or nil if proxies have reported a
+// newer order that this node has not yet applied.
 func (c *rolloutController) progressOf(state *loopState, service string, order uint64) *rolloutProgress {
 	progress := state.rollouts.inProgress[service]
 	if progress == nil || progress.order < order {
@@ -255,7 +258,7 @@
 	return progress
 }
 
-// observe sums up what decides the next step of a roll-out.
+// observe gathers the data that determines the next step of a roll-out.
 func (c *rolloutController) observe(state *loopState, service string, record *rolloutRecord, progress *rolloutProgress, now time.Duration) rollout.Observation {
 	evidence := progress.totalEvidence()
 	answers := evidence.TargetAnswers()
@@ -280,8 +283,8 @@
 	return observation
 }
 
-// addCapacities adds the capacities of a service's endpoints to an observation, by
-// version, and returns the number of the target's endpoints.
+// addCapacities adds the capacities of a service's endpoints to an observation, by version, and
+// returns the number of endpoints of the target version.
 func addCapacities(observation *rollout.Observation, replicated *replicatedState, service string, record *rolloutRecord) (targetEndpoints int) {
 	for _, e := range replicated.endpoints {
 		if e.Service != service || e.Draining {
@@ -298,8 +301,8 @@
 	return targetEndpoints
 }
 
-// proposeStep proposes the next state of a roll-out, if it changes. A proposal that
-// may still be on its way is not repeated within an election time-out.
+// proposeStep proposes the next state of a roll-out if it changes. A proposal whose outcome is
+// still open is not repeated within an election time-out.
 func (c *rolloutController) proposeStep(state *loopState, key string, record *rolloutRecord, progress *rolloutProgress, observation rollout.Observation, now time.Duration) {
 	next, hasChanged := record.Advance(observation)
 	if !hasChanged {
@@ -313,8 +316,8 @@
 	state.proposeWithoutWaiting(registry.Command{Txn: putIfUnchanged(key, record.revision, next.Encode())})
 }
 
-// addBaseVersion makes the version of the first endpoint of a service the one in use,
-// in the transaction that registers the endpoint.
+// addBaseVersion extends the transaction that registers a service's first endpoint, so that it
+// records the endpoint's version as the one in use.
 func (c *rolloutController) addBaseVersion(r *replicatedState, txn *registry.Txn, endpoint registry.Endpoint) {
 	if !c.settings.HasRollouts() {
 		return
@@ -324,16 +327,14 @@
 		return
 	}
 	txn.If = append(txn.If, registry.Compare{Key: key})
-	// It is written before the endpoint, so that no proxy holds the endpoint without
-	// it.
+	// The version is written before the endpoint, so that no proxy has the endpoint without it.
 	write := registry.Write{Key: key, Value: rollout.Rollout{Base: endpoint.Version}.Encode()}
 	txn.Then = append([]registry.Write{write}, txn.Then...)
 }
 
 var errRolloutsDisabled = apierror.New(apierror.NoRoute, "this deployment does not tell versions apart")
 
-// begin carries out an order to move a service's traffic to a version, see
-// Node.BeginRollout.
+// begin handles an order to move a service's traffic to a version, see Node.BeginRollout.
 func (c *rolloutController) begin(service, target string, deadline time.Duration) error {
 	if !c.settings.HasRollouts() {
 		return errRolloutsDisabled
@@ -364,8 +365,8 @@
 	return err
 }
 
-// storedRollout returns a service's roll-out as stored, a zero one if there is none
-// yet. A service that is not configured and has none is an error.
+// storedRollout returns a service's stored roll-out, or a zero value if there is none yet. It is
+// an error if the service is not configured and has no roll-out.
 func storedRollout(r *replicatedState, service string, object registry.Object) (rollout.Rollout, error) {
 	if object.ModRevision == 0 {
 		if _, isKnown := r.cluster(service); !isKnown {
--- a/internal/controlplane/shared_encodings.go
+++ b/internal/controlplane/shared_encodings.go
@@ -8,23 +8,23 @@
 	"lichentray/registry"
 )
 
-// sharedEncodings are what many proxies are sent, encoded once for all of them.
+// sharedEncodings caches encoded data that is sent to many proxies.
 type sharedEncodings struct {
 	list   listEncoding
 	events eventsEncoding
 }
 
-// listEncoding is the list of all watched objects, for as long as none of them
-// changes.
+// listEncoding is the encoded list of all watched objects. It is valid until one of them changes.
 type listEncoding struct {
 	mu sync.Mutex
-	// watchedRevision is the newest change of a watched object in data.
+	// watchedRevision is the revision of the newest change to a watched object that data
+	// contains.
 	watchedRevision uint64
 	data            []byte
 }
 
-// isOf reports whether the encoding is the list at a revision. The caller holds mu.
-func (l *listEncoding) isOf(watchedRevision uint64) bool {
+// isAtRevision reports whether the encoding is the list at a revision. The caller holds mu.
+func (l *listEncoding) isAtRevision(watchedRevision uint64) bool {
 	return l.data != nil && l.watchedRevision == watchedRevision
 }
 
@@ -39,21 +39,21 @@
 	return nil
 }
 
-// eventsEncoding is the newest frame of large events.
+// eventsEncoding caches the encoding of the newest frame of large events.
 type eventsEncoding struct {
-	mu   sync.Mutex
-	of   eventRange
-	data []byte
+	mu           sync.Mutex
+	encodedRange eventRange
+	data         []byte
 }
 
-// eventRange identifies a frame of the watch cache.
+// eventRange identifies a batch of events from the watch cache.
 type eventRange struct {
 	first, last uint64 // revisions
 	count       int
 }
 
-// pack replaces the events of a frame, if they are large, by their encoding. A watcher
-// that encodes 400 KB of configuration for itself would hold a megabyte meanwhile.
+// pack replaces the events of a frame by their shared encoding if they are large. If each watcher
+// encoded a configuration of 400 KB for itself, each would hold about a megabyte meanwhile.
 func (e *eventsEncoding) pack(frame *transport.Frame, encoded *metrics.Counter) {
 	events := frame.Events
 	if valueBytes(events) < transport.CompressionThreshold {
@@ -66,13 +66,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.data == nil || e.of != wanted {
+	if e.data == nil || e.encodedRange != wanted {
 		encoded.Inc()
 		data, err := transport.Pack(events)
 		if err != nil {
 			return // the events are sent unpacked
 		}
-		e.of = wanted
+		e.encodedRange = wanted
 		e.data = data
 	}
 	frame.Events = nil
--- a/internal/controlplane/simulated_core_test.go
+++ b/internal/controlplane/simulated_core_test.go
@@ -124,7 +124,7 @@
 func (c *simulatedCore) admitOne(n *raft.Node) {
 	for _, id := range c.IDs() {
 		member := c.member(id)
-		if !c.IsUp(id) || c.IsFrozen(id) || c.joinRejected[id] || isDescribed(n.Membership(), member) {
+		if !c.IsUp(id) || c.IsFrozen(id) || c.joinRejected[id] || isDescriptionCurrent(n.Membership(), member) {
 			continue
 		}
 		next, err := admit(n.Membership(), member, n.HasPendingConfChange())
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -8,72 +8,74 @@
 	"lichentray/rollout"
 )
 
-// Status is the state of a control-plane node as it sees itself.
+// Status is the state of a control-plane node as the node itself sees it.
 type Status struct {
 	Node   string `json:"node"`
 	ID     string `json:"id"`
 	Role   string `json:"role"`
 	Term   uint64 `json:"term"`
 	Leader string `json:"leader"`
-	// CommitIndex is the newest index known to be committed, DurableIndex the newest
-	// one on this node's disk.
+	// CommitIndex is the newest log index known to be committed, and DurableIndex the newest one
+	// on this node's disk.
 	CommitIndex  uint64 `json:"commit_index"`
 	DurableIndex uint64 `json:"durable_index"`
-	// Revision is that of the registry, ConfigVersion that of the configuration.
+	// Revision is the revision of the registry, and ConfigVersion the version of the
+	// configuration.
 	Revision      uint64 `json:"revision"`
 	ConfigVersion uint64 `json:"config_version"`
-	// Endpoints counts those registered, Draining those of them that drain.
+	// Endpoints counts the registered endpoints, and Draining those of them that are draining.
 	Endpoints int `json:"endpoints"`
 	Draining  int `json:"draining"`
-	// IsUpToDate reports whether others may count on this node: it holds all that was
-	// acknowledged anywhere until a moment ago.
+	// IsUpToDate reports whether other processes may rely on this node: it holds everything that
+	// was acknowledged anywhere until a moment ago.
 	IsUpToDate bool           `json:"in_touch"`
 	Members    []MemberStatus `json:"members"`
-	// Proxies are those that watch at this node.
+	// Proxies are the proxies that watch on this node.
 	Proxies []ProxyStatus `json:"proxies"`
-	// WarmingUp counts the endpoints in slow start, Unhealthy those that all proxies
-	// together find to be outliers.
+	// WarmingUp counts the endpoints in slow start, and Unhealthy those that are outliers by the
+	// observations of all proxies.
 	WarmingUp int `json:"cold"`
 	Unhealthy int `json:"sick"`
-	// Zones holds the state of each zone that is not in ordinary use.
+	// Zones holds the state of each zone that is not in normal use.
 	Zones map[string]string `json:"zones"`
-	// Services holds, where roll-outs are in force, the versions of each service.
+	// Services holds the roll-out and the endpoints of each service in deployments with
+	// roll-outs.
 	Services map[string]ServiceStatus `json:"services,omitempty"`
 	// Registered are the proxies in the directory.
 	Registered []registry.Proxy `json:"registered"`
 }
 
-// MemberStatus is one member of the group as the asked node sees it.
+// MemberStatus is the state of a member of the group as the queried node sees it.
 type MemberStatus struct {
 	ID      string `json:"id"`
 	Addr    string `json:"internal_address"`
 	API     string `json:"control_plane"`
 	Zone    string `json:"zone"`
 	IsVoter bool   `json:"voter"`
-	// MatchIndex and LastContactMS are known at the leader only. LastContactMS is how
-	// many milliseconds ago the member was heard, -1 at any other node.
+	// MatchIndex and LastContactMS are known only on the leader. LastContactMS is the time in
+	// milliseconds since the last message from the member, and -1 on any other node.
 	MatchIndex    uint64 `json:"match_index"`
 	LastContactMS int64  `json:"heard_ms_ago"`
 }
 
-// ProxyStatus is one proxy that watches at the asked node.
+// ProxyStatus is a proxy that watches on the queried node.
 type ProxyStatus struct {
 	Node string `json:"node"`
-	// Revision is the newest one that the proxy has acknowledged.
+	// Revision is the newest revision that the proxy has acknowledged.
 	Revision uint64 `json:"revision"`
 }
 
-// ServiceStatus is a service's newest roll-out and its endpoints by version.
+// ServiceStatus holds a service's newest roll-out and the number of its endpoints by version.
 type ServiceStatus struct {
 	Rollout   rollout.Rollout `json:"rollout"`
 	Endpoints map[string]int  `json:"endpoints"`
 }
 
-// formatMemberID writes a member ID as logs and status show it.
+// formatMemberID formats a member ID as it appears in logs and in the status.
 func formatMemberID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// Status returns the node's state. It may be called from any goroutine; of a node
-// that is stopping it returns the name alone.
+// Status returns the node's state. It may be called from any goroutine. If the node is stopping,
+// the status holds only its name.
 func (n *Node) Status() *Status {
 	status, err := callLoop(n.loop, n.consensusStatus)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return status
 }
 
-// consensusStatus returns the part of the status that the event loop owns.
+// consensusStatus returns the part of the status that is owned by the event loop.
 func (n *Node) consensusStatus(state *loopState) *Status {
 	node := state.raft
 	status := &Status{
@@ -123,7 +125,7 @@
 	return status
 }
 
-// addReplicated adds the part of the status that is replicated.
+// addReplicated adds the part of the status that comes from the replicated state.
 func (s *Status) addReplicated(r *replicatedState) {
 	s.Revision = r.store.Revision()
 	s.ConfigVersion, _, _ = r.configuration()
@@ -164,7 +166,8 @@
 	}
 }
 
-// addStatus adds the proxies that watch here and what the leader sums up.
+// addStatus adds the proxies that watch on this node and the number of unhealthy endpoints from
+// the summary.
 func (w *watchServer) addStatus(status *Status) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
--- a/internal/controlplane/transaction.go
+++ b/internal/controlplane/transaction.go
@@ -2,8 +2,8 @@
 
 import "lichentray/registry"
 
-// putIfUnchanged writes a value under a key that must still have the revision read;
-// 0 stands for a key that must not exist.
+// putIfUnchanged returns a transaction that writes a value under a key if the key still has the
+// given revision. Revision 0 means that the key must not exist.
 func putIfUnchanged(key string, modRevision uint64, value []byte) *registry.Txn {
 	return &registry.Txn{
 		If:   []registry.Compare{{Key: key, ModRevision: modRevision}},
@@ -11,7 +11,8 @@
 	}
 }
 
-// deleteIfUnchanged deletes an object that must still be as it was read.
+// deleteIfUnchanged returns a transaction that deletes an object if it is unchanged since it was
+// read.
 func deleteIfUnchanged(o registry.Object) *registry.Txn {
 	return &registry.Txn{
 		If:   []registry.Compare{{Key: o.Key, ModRevision: o.ModRevision}},
--- a/internal/controlplane/wakeups.go
+++ b/internal/controlplane/wakeups.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// wakeups is a set of goroutines that wait for something to change. A wake-up is
-// not lost: one that comes before the waiter looks again is kept for it.
+// wakeups is a set of goroutines that wait for a change. A wake-up is not lost: it stays pending
+// until the waiter receives it.
 type wakeups struct {
 	mu      sync.Mutex
 	waiters map[chan struct{}]struct{}
 }
 
-// subscribe returns a channel that receives after each wakeAll, and a function that
-// ends the subscription.
+// subscribe returns a channel that receives a value after each wakeAll, and a function that ends
+// the subscription. Wake-ups that are not received yet are merged into one.
 func (w *wakeups) subscribe() (woken chan struct{}, unsubscribe func()) {
 	woken = make(chan struct{}, 1)
 	w.mu.Lock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// wakeUp signals a channel of capacity one without waiting.
+// wakeUp signals a channel of capacity one without blocking.
 func wakeUp(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/internal/controlplane/watch_server.go
+++ b/internal/controlplane/watch_server.go
@@ -14,10 +14,9 @@
 	"lichentray/watchcache"
 )
 
-// watchServer serves the proxies and relays that connect here: a proxy lists the
-// watched objects and then streams their changes, and reports its load and what it
-// observes. Each connection has a goroutine that reads and, once the watch has
-// begun, one that streams.
+// watchServer serves the proxies and relays that connect to this node. A proxy lists the watched
+// objects, streams their changes, and reports its load and its observations. Each connection has
+// a goroutine that reads and, once the watch has started, another one that streams.
 type watchServer struct {
 	*environment
 	state     *sharedState
@@ -28,7 +27,7 @@
 	rollouts  *rolloutController
 	directory *proxyDirectory
 	audit     *auditSink
-	// isCoreDiskless reports whether nodes without a disk have to take part in the group.
+	// isCoreDiskless reports whether nodes without a disk must be members of the group.
 	isCoreDiskless func() bool
 
 	encodings sharedEncodings
@@ -38,8 +37,8 @@
 	summary  proxySummary
 }
 
-// proxySummary is what the leader sums up over all proxies and sends to each of them.
-// It is replaced as a whole and never changed.
+// proxySummary is what the leader computes over all proxies and sends to every node, for its
+// proxies. It is immutable and replaced as a whole.
 type proxySummary struct {
 	proxies  int
 	loads    map[string]loadbalance.Load      // by service
@@ -47,16 +46,16 @@
 	verdicts []loadbalance.Verdict
 }
 
-// proxySession is one proxy that is connected here.
+// proxySession is a proxy that is connected to this node.
 type proxySession struct {
 	proxyName     string
 	ackedRevision atomic.Uint64
-	// isRegistering and isIngestingAudit admit one write of the proxy's entry, and of
-	// its audit batch, at a time. What is skipped comes again with a later report.
+	// isRegistering and isIngestingAudit limit writes of the proxy's registry entry and of its
+	// audit batches to one at a time. Skipped data is sent again with a later report.
 	isRegistering    atomic.Bool
 	isIngestingAudit atomic.Bool
 
-	// What follows is of the newest report, guarded by watchServer.mu.
+	// The fields below come from the newest report and are guarded by watchServer.mu.
 	loads          map[string]loadbalance.Load
 	rollouts       map[string]transport.RolloutReport
 	reportSequence uint64
@@ -69,7 +68,7 @@
 	w.summary = summary
 }
 
-func (w *watchServer) getSummary() proxySummary {
+func (w *watchServer) currentSummary() proxySummary {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.summary
@@ -89,8 +88,8 @@
 	delete(w.sessions, session)
 }
 
-// serveProxy handles a proxy's reports and answers its list or watch, after which it
-// streams. A proxy too slow to take its stream is disconnected and lists again.
+// serveProxy handles the reports of a proxy and its list and watch requests, and then starts the
+// stream. A proxy that is too slow to receive its stream is disconnected and lists again.
 func (w *watchServer) serveProxy(conn *transport.Conn, hello transport.Hello) {
 	session := w.openSession(hello.Node)
 	defer w.closeSession(session)
@@ -116,7 +115,7 @@
 			return
 		}
 		if response.Gone || response.Nearer != nil {
-			continue // the proxy lists, here or at another node
+			continue // the proxy will list, on this node or another one
 		}
 		isStreaming = true
 		stream := &eventStream{
@@ -131,8 +130,8 @@
 	}
 }
 
-// handleReport records what a proxy reports. The writes that it asks for run in their
-// own goroutines, so that the connection's reader does not wait for them.
+// handleReport records a proxy's report. Writes that result from it run in their own goroutines,
+// so that they do not block the connection's reader.
 func (w *watchServer) handleReport(conn *transport.Conn, session *proxySession, report *transport.ProxyReport) {
 	w.recordReport(session, report)
 	if report.Account != nil && w.audit.isEnabled() && session.isIngestingAudit.CompareAndSwap(false, true) {
@@ -141,7 +140,7 @@
 	if report.Self != nil && session.isRegistering.CompareAndSwap(false, true) {
 		w.start(func() {
 			defer session.isRegistering.Store(false)
-			_ = w.directory.register(*report.Self) // the next report tries again
+			_ = w.directory.register(*report.Self) // retried with the next report
 		})
 	}
 }
@@ -166,9 +165,9 @@
 	w.health.addObservations(report.Seen)
 }
 
-// collectReports sums up the proxies that are connected here, and returns what they
-// observed of endpoints since the last call. Sessions that have not reported for long
-// are left out: their proxies are frozen, most likely.
+// collectReports sums the reports of the proxies that are connected to this node, and returns
+// their observations of endpoints since the last call. It skips sessions that have not reported
+// for DeadMemberTimeout, whose proxies are most likely frozen.
 func (w *watchServer) collectReports(state *loopState, now time.Duration) (nodeReport, map[string]loadbalance.Observation) {
 	report := nodeReport{
 		sequences:   map[string]uint64{},
@@ -191,17 +190,17 @@
 	return report, w.health.takeObservations()
 }
 
-// listOrWatch answers the first request of a proxy: a list behind a read index, or a
-// watch from a revision that this node must have reached. It returns the revision
-// after which the stream begins.
+// listOrWatch responds to the first request of a proxy, which is a list after a read index or a
+// watch from a revision that this node must have reached. It returns the revision after which the
+// stream begins.
 func (w *watchServer) listOrWatch(request *transport.Request) (response *transport.Response, after uint64) {
-	// At the first moment not every node's zone may be known, so it is looked up
-	// before the read and after it.
+	// Shortly after a start the zones of some nodes may still be unknown, so the zone is checked
+	// both before and after the read.
 	if nodes := w.redirectToZone(request); nodes != nil {
 		return &transport.Response{ID: request.ID, Nearer: nodes}, 0
 	}
-	// The time-out is long, as a proxy asks other nodes while it waits. After a loss of
-	// power a leader is elected soon, and a rejected proxy would not be served earlier.
+	// The time-out is long because the proxy tries other nodes while it waits. After a power
+	// failure a leader is elected soon, and a rejected proxy would not be served any earlier.
 	if err := w.proposer.readIndex(w.timing.DeadMemberTimeout); err != nil {
 		return errorResponse(request.ID, err), 0
 	}
@@ -214,8 +213,8 @@
 	return w.listObjects(request)
 }
 
-// openWatch answers a watch after a revision, with Gone if the watch cache no longer
-// reaches back so far.
+// openWatch responds to a watch after a revision. Gone is set if the watch cache no longer
+// reaches back that far.
 func (w *watchServer) openWatch(request *transport.Request) (response *transport.Response, after uint64) {
 	w.state.view(func(r *replicatedState) {
 		revision := r.store.Revision()
@@ -234,10 +233,10 @@
 	return response, after
 }
 
-// redirectToZone returns the members of the group to a proxy that would list here
-// while a node of its own zone is up, else nil. A proxy that has just started knows
-// the seeds alone; after a loss of power all proxies would list at the seed that is
-// back first.
+// redirectToZone returns the members of the group if a proxy should list on a node of its own
+// zone instead of this one, and nil otherwise. A proxy that has just started knows only the
+// seeds; without the redirect, all proxies would list on the first seed that is back after a
+// power failure.
 func (w *watchServer) redirectToZone(request *transport.Request) []transport.ControlNode {
 	if !request.List || request.Zone == "" || request.Zone == w.settings.Zone {
 		return nil
@@ -255,11 +254,12 @@
 	return errorResponse(request.ID, apierror.New(apierror.Unavailable, "this node is at revision %d, behind %d", revision, request.Least))
 }
 
-// listObjects answers with all watched objects. After a loss of power every proxy asks
-// at the same moment; those that ask while the list is encoded wait and share it.
+// listObjects responds with all watched objects. After a power failure all proxies send the
+// request at the same time; requests that arrive while the list is being encoded wait for it and
+// share the encoding.
 func (w *watchServer) listObjects(request *transport.Request) (response *transport.Response, after uint64) {
 	if !request.Packs {
-		return w.listPlain(request)
+		return w.listUnpacked(request)
 	}
 	encoding := &w.encodings.list
 	encoding.mu.Lock()
@@ -270,7 +270,7 @@
 	w.state.view(func(r *replicatedState) {
 		revision = r.store.Revision()
 		watchedRevision = r.watchedRevision
-		isCurrent = encoding.isOf(watchedRevision)
+		isCurrent = encoding.isAtRevision(watchedRevision)
 		if revision >= request.Least && !isCurrent {
 			objects = r.watchedObjects()
 		}
@@ -288,8 +288,8 @@
 	return &transport.Response{ID: request.ID, Revision: revision, Packed: encoding.data}, revision
 }
 
-// listPlain answers a proxy of a version that does not know the packed form.
-func (w *watchServer) listPlain(request *transport.Request) (response *transport.Response, after uint64) {
+// listUnpacked responds to a proxy of a version that does not support packed lists.
+func (w *watchServer) listUnpacked(request *transport.Request) (response *transport.Response, after uint64) {
 	w.state.view(func(r *replicatedState) {
 		after = r.store.Revision()
 		if after < request.Least {
@@ -305,7 +305,7 @@
 	return response, after
 }
 
-// watchedObjects returns all objects that proxies hold a copy of.
+// watchedObjects returns all objects that proxies replicate.
 func (r *replicatedState) watchedObjects() []registry.Object {
 	var objects []registry.Object
 	for _, prefix := range watchedPrefixes {
@@ -314,7 +314,7 @@
 	return objects
 }
 
-// controlNodes lists the members of the group for a proxy or relay that follows one of
+// controlNodes returns the members of the group for a proxy or relay that connects to one of
 // them.
 func (w *watchServer) controlNodes() []transport.ControlNode {
 	var nodes []transport.ControlNode
@@ -324,8 +324,7 @@
 	return nodes
 }
 
-// upToDateCore lists the members of the group, or nothing while this node cannot vouch for
-// them.
+// upToDateCore returns the members of the group, or nil while this node is not up to date.
 func (w *watchServer) upToDateCore() []transport.ControlNode {
 	if !w.consensus.isUpToDate() {
 		return nil
@@ -333,9 +332,9 @@
 	return w.controlNodes()
 }
 
-// newBookmark returns a bookmark at the newest revision, with what the leader sums up.
+// newBookmark returns a bookmark at the newest revision, with the summary computed by the leader.
 func (w *watchServer) newBookmark(proxyName string) *transport.Bookmark {
-	summary := w.getSummary()
+	summary := w.currentSummary()
 	bookmark := &transport.Bookmark{
 		Revision: w.state.revision(),
 		Proxies:  summary.proxies,
@@ -348,8 +347,8 @@
 	return bookmark
 }
 
-// serveRelay sends bookmarks to a relay for as long as this node is up to date. While
-// they come, the relay forwards its callers here.
+// serveRelay sends bookmarks to a relay while this node is up to date. While it receives them,
+// the relay forwards requests to this node.
 func (w *watchServer) serveRelay(conn *transport.Conn) {
 	ticker := time.NewTicker(w.timing.BookmarkInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -7,31 +7,31 @@
 	"lichentray/registry"
 )
 
-// zoneEvacuator carries out the orders to evacuate a zone and to return it to use, and
-// completes returns while this node leads.
+// zoneEvacuator handles the orders to evacuate a zone and to return it to use, and completes
+// returns while this node is the leader.
 type zoneEvacuator struct {
 	*environment
 	state    *sharedState
 	proposer *proposer
 }
 
-// zoneReturn is when the leader first saw a zone return, or last proposed that its
-// return is complete, see loopState.
+// zoneReturn records when the leader first observed that a zone is returning, or last proposed to
+// complete the return, see loopState.
 type zoneReturn struct {
 	at       time.Duration
 	revision uint64
 }
 
-// becomeLeader forgets what an earlier leadership knew.
+// becomeLeader discards the state of an earlier term of this node as leader.
 func (z *zoneEvacuator) becomeLeader(state *loopState) { state.zoneReturns = map[string]zoneReturn{} }
 
-// order carries out an order for a zone, see Node.Evacuate.
-func (z *zoneEvacuator) order(zone string, begin bool, callerIsWaiting func() bool) error {
+// submitOrder handles an order for a zone, see Node.Evacuate.
+func (z *zoneEvacuator) submitOrder(zone string, begin bool, callerIsWaiting func() bool) error {
 	if _, isKnown := z.settings.RegionByZone[zone]; !isKnown {
 		return apierror.New(apierror.BadRequest, "of: zone %q is not known", zone)
 	}
-	// Whether there is anything to write is decided by a state that holds all that was
-	// acknowledged before: a node that has just started knows of no evacuation.
+	// Whether the order changes anything must be decided on a state that reflects everything
+	// acknowledged before: a node that has just started knows of no evacuations.
 	if err := z.proposer.readIndex(z.timing.RequestTimeout); err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		if !callerIsWaiting() {
 			return nil, apierror.New(apierror.Unavailable, "the caller has gone on to another node")
 		}
-		next, txn = z.deriveOrder(r, key, begin)
+		next, txn = z.buildOrderTxn(r, key, begin)
 		return txn, nil
 	})
 	if wrote {
@@ -54,9 +54,9 @@
 	return err
 }
 
-// deriveOrder returns the state of a zone after an order, and the transaction that
-// writes it, nil if the order changes nothing.
-func (z *zoneEvacuator) deriveOrder(r *replicatedState, key string, begin bool) (next registry.Evacuation, txn *registry.Txn) {
+// buildOrderTxn returns the state of a zone after an order and the transaction that writes it.
+// The transaction is nil if the order changes nothing.
+func (z *zoneEvacuator) buildOrderTxn(r *replicatedState, key string, begin bool) (next registry.Evacuation, txn *registry.Txn) {
 	ackTimeout := z.settings.Bounds.AckTimeout.Duration()
 	window := registry.RepeatWindow{Acknowledged: ackTimeout / 5, Unacknowledged: ackTimeout}
 	object, _ := r.store.Get(key)
@@ -69,10 +69,10 @@
 	return next, putIfUnchanged(key, object.ModRevision, next.Encode())
 }
 
-// recordAcknowledged records, some time after this node answered an order, that it is
-// still alive: its answer most likely arrived, so that a further order of the kind is
-// hardly a repeat. It is attempted once: without the record, orders count as repeats
-// for longer (registry.RepeatWindow).
+// recordAcknowledged records, some time after this node acknowledged an order, that the node is
+// still running. The acknowledgement has then most likely arrived, so a further order of the same
+// kind is unlikely to be a repeat. The record is attempted only once: without it, orders count as
+// repeats for longer (registry.RepeatWindow).
 func (z *zoneEvacuator) recordAcknowledged(key string, begin bool, order registry.Evacuation) {
 	select {
 	case <-time.After(z.timing.HeartbeatInterval):
@@ -90,7 +90,7 @@
 	})
 }
 
-// list returns the zones that are not in ordinary use, see Node.Evacuations.
+// list returns the zones that are not in normal use, see Node.Evacuations.
 func (z *zoneEvacuator) list() (states map[string]string, err error) {
 	if err := z.proposer.readIndex(z.timing.RequestTimeout); err != nil {
 		return nil, err
@@ -99,8 +99,8 @@
 	return states, nil
 }
 
-// finishReturns returns zones to ordinary use once the heartbeats of their endpoints
-// have had the time to show which of them warm up.
+// finishReturns returns zones to normal use after enough time for the heartbeats of their
+// endpoints to show which of them are warming up.
 func (z *zoneEvacuator) finishReturns(state *loopState, now time.Duration) {
 	wait := 2*z.settings.HeartbeatInterval.Duration() + z.timing.ConnectionTimeout
 	for _, object := range z.state.onLoop(state).store.List(registry.EvacuationPrefix) {
