--- a/internal/controlplanetest/controlplanetest.go
+++ b/internal/controlplanetest/controlplanetest.go
@@ -1,5 +1,5 @@
-// Package controlplanetest holds what tests of several packages need to run control-plane nodes, or
-// stand-ins for them, on the loopback: free ports, settings and fakes. It is used by tests only.
+// Package controlplanetest helps tests to run control-plane nodes, or fakes of them, on the
+// loopback interface. It provides free ports, settings and fake nodes. Only tests use it.
 package controlplanetest
 
 import (
@@ -13,11 +13,11 @@
 	"lichentray/internal/transport"
 )
 
-// maxPortAttempts is how many ports FreePort tries.
+// maxPortAttempts is the number of ports that FreePort tries.
 const maxPortAttempts = 50
 
-// FreePort returns a TCP port that is free on each of the IP addresses. It is not reserved: another
-// process may take it before the test does.
+// FreePort returns a TCP port that is free on all of the IP addresses. The port is not reserved, so
+// another process may bind it before the test does.
 func FreePort(t testing.TB, ips ...string) int {
 	t.Helper()
 	for range maxPortAttempts {
@@ -29,8 +29,8 @@
 	return 0
 }
 
-// tryFreePort lets the kernel choose a port on the first address and reports whether it is free on
-// the others.
+// tryFreePort returns a port that the kernel has chosen on the first address, and reports whether
+// it is free on the other addresses.
 func tryFreePort(t testing.TB, ips []string) (port int, ok bool) {
 	t.Helper()
 	first, err := net.Listen("tcp4", ips[0]+":0")
@@ -49,24 +49,24 @@
 	return port, true
 }
 
-// Settings returns the settings of one node, see SettingsText.
-func Settings(t testing.TB, ip, dir string, controlPort, internalPort int, seedIPs []string, bootstrap bool) *settings.Settings {
+// Settings returns the parsed settings of a control-plane node, see SettingsText.
+func Settings(t testing.TB, ip, dir string, apiPort, internalPort int, seedIPs []string, bootstrap bool) *settings.Settings {
 	t.Helper()
-	s, err := settings.Parse([]byte(SettingsText(ip, dir, controlPort, internalPort, seedIPs, bootstrap)))
+	s, err := settings.Parse([]byte(SettingsText(ip, dir, apiPort, internalPort, seedIPs, bootstrap)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// SettingsText returns the settings file of a control-plane node at an IP address of the loopback,
-// with its data in the directory dir. The ports for the API and for internal use are the same on all
-// nodes. The file ends in the table [bounds], to which a test may append. The bounds are wide, so
-// that a loaded test machine does not look like a failing one.
-func SettingsText(ip, dir string, controlPort, internalPort int, seedIPs []string, bootstrap bool) string {
+// SettingsText returns the settings file of a control-plane node at a loopback IP address that
+// stores its data in the directory dir. apiPort and internalPort are the same on all nodes. The
+// file ends with the table [bounds], so a test may append keys to it. The bounds are generous, so
+// that a busy test machine does not cause time-outs.
+func SettingsText(ip, dir string, apiPort, internalPort int, seedIPs []string, bootstrap bool) string {
 	seeds := make([]string, len(seedIPs))
 	for i, seedIP := range seedIPs {
-		seeds[i] = fmt.Sprintf("%q", fmt.Sprintf("%s:%d", seedIP, controlPort))
+		seeds[i] = fmt.Sprintf("%q", fmt.Sprintf("%s:%d", seedIP, apiPort))
 	}
 	return fmt.Sprintf(`
 node_name = "node-%s"
@@ -104,15 +104,16 @@
 recovery_s = 15
 history_retention_s = 20
 release_s = 1.5
-`, ip, ip, internalPort, internalPort, strings.Join(seeds, ","), bootstrap, dir, ip, controlPort)
+`, ip, ip, internalPort, internalPort, strings.Join(seeds, ","), bootstrap, dir, ip, apiPort)
 }
 
-// helloTimeout is how long a fake node waits for the hello of a caller.
+// helloTimeout is the time that a fake node waits for the hello frame of a connection. A fake relay
+// also closes a connection on which it receives no frame for this time.
 const helloTimeout = 5 * time.Second
 
-// StartFakeNode listens at an internal address (IP:port) until the test ends, in place of a
-// control-plane node or a relay. For each process that connects and sends its hello, it calls serve
-// in a goroutine of its own and closes the connection when serve returns.
+// StartFakeNode listens on an internal address (IP:port) until the test ends, in place of a
+// control-plane node or a relay. For each connection on which it receives a valid hello frame, it
+// calls serve in a new goroutine, and closes the connection when serve returns.
 func StartFakeNode(t testing.TB, addr string, serve func(*transport.Conn)) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", addr)
@@ -122,13 +123,13 @@
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			raw, err := listener.Accept()
+			netConn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer raw.Close()
-				if conn, _, err := transport.Accept(raw, helloTimeout); err == nil {
+				defer netConn.Close()
+				if conn, _, err := transport.Accept(netConn, helloTimeout); err == nil {
 					serve(conn)
 				}
 			}()
@@ -136,8 +137,8 @@
 	}()
 }
 
-// StartFakeRelay listens at an internal address, see StartFakeNode, and sends everyone who connects
-// a bookmark that names the core.
+// StartFakeRelay listens on an internal address like StartFakeNode, and sends a bookmark with the
+// core nodes on each connection.
 func StartFakeRelay(t testing.TB, addr string, core ...transport.ControlNode) {
 	t.Helper()
 	StartFakeNode(t, addr, func(conn *transport.Conn) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon has what the long-running programs share: the command line, the settings file,
-// signals and exit codes.
+// Package daemon provides the common parts of the long-running programs: the command line, the
+// settings file, signals and exit codes.
 //
-// Main runs a program's body, a RunFunc, on the goroutine of its caller, and two goroutines beside
-// it: one waits for SIGTERM, one reads the settings file again when it has changed.
+// Main calls the RunFunc of a program in the goroutine of its caller. While the RunFunc runs, one
+// goroutine waits for SIGTERM and SIGINT, and another reloads the settings file when it changes.
 package daemon
 
 import (
@@ -21,34 +21,35 @@
 	"lichentray/internal/settings"
 )
 
-// The exit codes of all programs.
+// Exit codes of the long-running programs.
 const (
-	ExitOK       = 0 // ended in order
+	ExitOK       = 0 // graceful shutdown, or help or version printed
 	ExitFailed   = 1 // the program failed
-	ExitUsage    = 2 // wrong command line
-	ExitSettings = 3 // the settings cannot be read or are invalid
+	ExitUsage    = 2 // invalid command line
+	ExitSettings = 3 // the settings file cannot be read or is invalid
 )
 
-// Version is the version of all programs.
+// Version is the version of all programs of lichentray.
 const Version = "0.1.0"
 
-// Signals carries the signals of the platform to a running program.
+// Signals notifies a running program of operating system signals and of changed settings.
 type Signals struct {
-	// Stop is closed when the program has to shut down gracefully (SIGTERM, SIGINT). A proxy then
-	// calls proxy.Frontend.Shutdown; a core node controlplane.Node.PrepareShutdown,
-	// api.Shutdown and Node.Close; a relay api.Shutdown.
+	// Stop is closed when the program must shut down gracefully (SIGTERM, SIGINT). A proxy then
+	// calls proxy.Frontend.Shutdown; a core node calls controlplane.Node.PrepareShutdown,
+	// api.Shutdown and Node.Close; a relay calls api.Shutdown.
 	Stop chan struct{}
-	// SettingsChanged yields new settings, always valid ones. Settings that are not received
-	// before newer ones are dropped.
+	// SettingsChanged receives the new settings after a change of the settings file. They are
+	// always valid. Settings not yet received are replaced by newer ones.
 	SettingsChanged chan *settings.Settings
 }
 
-// RunFunc is the body of a program. path is that of the settings file and s its content. It returns
-// nil when it has ended in order, after Signals.Stop was closed, and an error when it has failed.
+// RunFunc is the body of a program. path is the path of the settings file, and s holds the settings
+// in it. RunFunc returns nil after a graceful shutdown, which begins when Signals.Stop is closed,
+// and an error if the program has failed.
 type RunFunc func(path string, s *settings.Settings, log *slog.Logger, signals *Signals) error
 
-// VersionLine returns the line that a program prints for its version: its name, its version and the
-// version of Go that it was built with.
+// VersionLine returns the text that a program prints for --version: the name and version of the
+// program, and the Go version that it was built with.
 func VersionLine(program string) string {
 	line := program + " " + Version
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -57,26 +58,26 @@
 	return line
 }
 
-// Main reads the command line and the settings, calls run, and returns the exit code for the
+// Main parses the command line, loads the settings, calls run and returns the exit code of the
 // process. program is the name of the program; description completes the sentence "PROGRAM is ...
-// of lichentray". Main is called once in a process.
+// of lichentray" in the usage text. Main must be called only once in a process.
 func Main(program, description string, run RunFunc) int {
-	caught := catchSignals()
-	line := newCommandLine(program, description)
-	err := line.parse(os.Args[1:])
+	channels := catchSignals()
+	cmdLine := newCommandLine(program, description)
+	err := cmdLine.parse(os.Args[1:])
 	switch {
 	case errors.Is(err, flag.ErrHelp):
-		line.printUsage(os.Stdout)
+		cmdLine.printUsage(os.Stdout)
 		return ExitOK
 	case err != nil:
 		fmt.Fprintf(os.Stderr, "%s: %v\n\n", program, err)
-		line.printUsage(os.Stderr)
+		cmdLine.printUsage(os.Stderr)
 		return ExitUsage
-	case line.showVersion:
+	case cmdLine.showVersion:
 		fmt.Println(VersionLine(program))
 		return ExitOK
 	}
-	path := settings.ResolvePath(line.settingsPath)
+	path := settings.ResolvePath(cmdLine.settingsPath)
 	s, text, err := loadSettings(path)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
@@ -84,7 +85,7 @@
 	}
 	log := metrics.NewLogger(s.NodeName, program)
 	log.Info("starting", "version", Version)
-	if err := runWithSignals(path, text, s, log, caught, run); err != nil {
+	if err := runWithSignals(path, text, s, log, channels, run); err != nil {
 		log.Error("failed", "error", err)
 		return ExitFailed
 	}
@@ -92,8 +93,8 @@
 	return ExitOK
 }
 
-// loadSettings reads and validates the settings file and returns its text as well, with which later
-// versions of it are compared.
+// loadSettings reads and validates the settings file. It also returns the text of the file, which
+// the settings watcher compares with later versions.
 func loadSettings(path string) (*settings.Settings, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -106,30 +107,31 @@
 	return s, text, nil
 }
 
-// caughtSignals are the signals of the platform as the runtime delivers them.
-type caughtSignals struct {
+// signalChannels holds the channels on which the Go runtime delivers operating system signals.
+type signalChannels struct {
 	terminate, hangup chan os.Signal
 }
 
-// catchSignals catches the signals. It comes first in a process: the default action of SIGHUP would
-// end it, and the settings may change at any moment after the start.
-func catchSignals() caughtSignals {
-	c := caughtSignals{
+// catchSignals starts to catch signals. It must be the first action of a process: the settings may
+// change, and SIGHUP arrive, at any time after the start, and the default action of SIGHUP would
+// terminate the process.
+func catchSignals() signalChannels {
+	channels := signalChannels{
 		terminate: make(chan os.Signal, 1),
 		hangup:    make(chan os.Signal, 1),
 	}
-	signal.Notify(c.terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(c.hangup, syscall.SIGHUP)
+	signal.Notify(channels.terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(channels.hangup, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
-	return c
+	return channels
 }
 
-// runWithSignals calls run and serves its Signals until it returns.
+// runWithSignals calls run and passes signals and changed settings to it until it returns.
 //
-// The goroutines that serve them are ended but not waited for, as one may be reading the settings
-// file from a disk that does not answer, and the process ends next. Signals stay caught for the
-// same reason: the default action of a second SIGTERM would change the exit code.
-func runWithSignals(path string, text []byte, s *settings.Settings, log *slog.Logger, caught caughtSignals, run RunFunc) error {
+// It cancels its goroutines but does not wait for them, because one may be blocked while it reads
+// the settings file from an unresponsive disk, and the process is about to exit. Signals are still
+// caught afterwards, because the default action of a second SIGTERM would change the exit code.
+func runWithSignals(path string, text []byte, s *settings.Settings, log *slog.Logger, channels signalChannels, run RunFunc) error {
 	signals := &Signals{
 		Stop:            make(chan struct{}),
 		SettingsChanged: make(chan *settings.Settings, 1),
@@ -138,17 +140,17 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-caught.terminate:
+		case <-channels.terminate:
 			close(signals.Stop)
 		case <-ctx.Done():
 		}
 	}()
 	watcher := newSettingsWatcher(path, text, log, signals.SettingsChanged)
-	go watcher.run(ctx, s.Bounds.SeedReloadInterval.Duration(), caught.hangup)
+	go watcher.run(ctx, s.Bounds.SeedReloadInterval.Duration(), channels.hangup)
 	return run(path, s, log, signals)
 }
 
-// commandLine is the command line of a program.
+// commandLine is the command line of a program, with the values of its flags.
 type commandLine struct {
 	program     string
 	description string
@@ -164,13 +166,13 @@
 		description: description,
 		flags:       flag.NewFlagSet(program, flag.ContinueOnError),
 	}
-	c.flags.SetOutput(io.Discard) // Main prints errors itself
+	c.flags.SetOutput(io.Discard) // Main prints the errors
 	c.flags.StringVar(&c.settingsPath, "config", "", "path of the settings file (default $"+settings.EnvPath+" or "+settings.DefaultPath+")")
-	c.flags.BoolVar(&c.showVersion, "version", false, "print the version and end")
+	c.flags.BoolVar(&c.showVersion, "version", false, "print the version and exit")
 	return c
 }
 
-// parse reads the arguments. It returns flag.ErrHelp if the usage is asked for.
+// parse parses the arguments. It returns flag.ErrHelp if they request help.
 func (c *commandLine) parse(args []string) error {
 	if err := c.flags.Parse(args); err != nil {
 		return err
@@ -181,10 +183,10 @@
 	return nil
 }
 
-// printUsage prints how the program is used.
+// printUsage prints the usage text.
 func (c *commandLine) printUsage(w io.Writer) {
 	fmt.Fprintf(w, "%s is %s of lichentray.\n\nUsage: %s [flags]\n\nFlags:\n", c.program, c.description, c.program)
 	c.flags.SetOutput(w)
 	c.flags.PrintDefaults()
-	fmt.Fprintf(w, "\nSignals: SIGTERM ends it in order, SIGHUP reads the settings again.\nExit codes: 0 ended in order, 1 failed, 2 wrong usage, 3 bad settings.\n")
+	fmt.Fprintf(w, "\nSignals: SIGTERM shuts the program down gracefully, SIGHUP reloads the settings.\nExit codes: 0 graceful shutdown, 1 failure, 2 invalid command line, 3 invalid settings.\n")
 }
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -13,34 +13,34 @@
 	"lichentray/internal/settings"
 )
 
-// TestHangupBeforeTheSettingsAreRead: a SIGHUP that comes right after the start does not end the
-// process, and the settings are read again once the program runs.
-func TestHangupBeforeTheSettingsAreRead(t *testing.T) {
+// TestSIGHUPBeforeSettingsAreLoaded guards against losing a SIGHUP that arrives right after the
+// start, or being terminated by it: the settings must be reloaded once the program runs.
+func TestSIGHUPBeforeSettingsAreLoaded(t *testing.T) {
 	sample, err := os.ReadFile("../settings/testdata/node.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(t.TempDir(), "node.toml")
-	changed := strings.Replace(string(sample), "10.2.0.40:8166", "10.9.0.9:8166", 1)
-	if err := os.WriteFile(file, []byte(changed), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), "node.toml")
+	changedText := strings.Replace(string(sample), "10.2.0.40:8166", "10.9.0.9:8166", 1)
+	if err := os.WriteFile(path, []byte(changedText), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	caught := catchSignals()
+	channels := catchSignals()
 	defer signal.Reset()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	old, err := settings.Parse(sample)
+	initial, err := settings.Parse(sample)
 	if err != nil {
 		t.Fatal(err)
 	}
 	run := func(_ string, _ *settings.Settings, _ *slog.Logger, signals *Signals) error {
 		if s := <-signals.SettingsChanged; s.SeedNodes[1] != "10.9.0.9:8166" {
-			t.Errorf("read %v", s.SeedNodes)
+			t.Errorf("reloaded seed nodes = %v, want 10.9.0.9:8166 as the second one", s.SeedNodes)
 		}
 		return nil
 	}
-	if err := runWithSignals(file, sample, old, slog.New(slog.NewTextHandler(io.Discard, nil)), caught, run); err != nil {
+	if err := runWithSignals(path, sample, initial, slog.New(slog.NewTextHandler(io.Discard, nil)), channels, run); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -10,37 +10,37 @@
 	"lichentray/internal/settings"
 )
 
-// minReloadInterval bounds how often the settings file is looked at.
+// minReloadInterval is the minimum interval between two checks of the settings file for changes.
 const minReloadInterval = time.Second
 
-// settingsWatcher reads the settings file again when it has changed. Its fields belong to the
-// goroutine of run.
+// settingsWatcher reloads the settings file when it changes. Only the goroutine of run accesses its
+// fields.
 type settingsWatcher struct {
-	path    string
-	log     *slog.Logger
-	changed chan *settings.Settings // has room for one
-	text    []byte                  // as it was last read, valid or not
-	modTime time.Time               // when the file was last modified
+	path        string
+	log         *slog.Logger
+	changed     chan *settings.Settings // with a buffer of one
+	lastText    []byte                  // content of the file when last read, valid or not
+	lastModTime time.Time               // modification time of the file when last read
 }
 
-// newSettingsWatcher returns a watcher of the file at path, whose present content is text. New
-// settings go to changed, which must have a buffer of one and no other sender.
+// newSettingsWatcher returns a watcher of the file at path, whose current content is text. The
+// watcher sends new settings to changed, which must have a buffer of one and no other sender.
 func newSettingsWatcher(path string, text []byte, log *slog.Logger, changed chan *settings.Settings) *settingsWatcher {
 	return &settingsWatcher{
-		path:    path,
-		log:     log,
-		changed: changed,
-		text:    text,
+		path:     path,
+		log:      log,
+		changed:  changed,
+		lastText: text,
 	}
 }
 
-// run reads the file on each hangup and, in case it changed without one, at each interval if its
-// modification time is another. It returns when ctx ends.
+// run reloads the file on each SIGHUP. To detect changes without a SIGHUP, it also checks the
+// modification time of the file periodically. It returns when ctx is canceled.
 func (w *settingsWatcher) run(ctx context.Context, interval time.Duration, hangup <-chan os.Signal) {
 	ticker := time.NewTicker(max(interval, minReloadInterval))
 	defer ticker.Stop()
 	if info, err := os.Stat(w.path); err == nil {
-		w.modTime = info.ModTime()
+		w.lastModTime = info.ModTime()
 	}
 	for {
 		select {
@@ -54,12 +54,12 @@
 	}
 }
 
-// reload reads the file and publishes its settings if they are new and valid. A file that cannot be
-// read is reported only if the reload was requested by SIGHUP, as it may otherwise be in the middle of
-// a change.
+// reload reads the file and publishes its settings if they are new and valid. A failure to read the
+// file is logged only if the reload was requested by SIGHUP, because otherwise the file may be in
+// the middle of being replaced.
 func (w *settingsWatcher) reload(isRequested bool) {
 	info, statErr := os.Stat(w.path)
-	if statErr == nil && !isRequested && info.ModTime().Equal(w.modTime) {
+	if statErr == nil && !isRequested && info.ModTime().Equal(w.lastModTime) {
 		return
 	}
 	text, err := os.ReadFile(w.path)
@@ -70,12 +70,12 @@
 		return
 	}
 	if statErr == nil {
-		w.modTime = info.ModTime()
+		w.lastModTime = info.ModTime()
 	}
-	if bytes.Equal(text, w.text) {
+	if bytes.Equal(text, w.lastText) {
 		return
 	}
-	w.text = text
+	w.lastText = text
 	s, err := settings.Parse(text)
 	if err != nil {
 		w.log.Error("settings are invalid, the old ones stay", "error", err)
@@ -84,7 +84,7 @@
 	w.publish(s)
 }
 
-// publish sends new settings, in place of older ones that were not received.
+// publish sends new settings and drops older ones that have not been received.
 func (w *settingsWatcher) publish(s *settings.Settings) {
 	select {
 	case <-w.changed:
