--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -1,5 +1,5 @@
-// Command lichentray-controlplane is the control-plane node: it holds the registry and
-// serves the operator, the endpoints, the applications and the proxy nodes.
+// Command lichentray-controlplane is the control-plane node. It stores the registry, or forwards
+// calls to nodes that do, and serves operators, endpoints, applications and proxy nodes.
 package main
 
 import (
@@ -27,11 +27,11 @@
 
 func main() { os.Exit(daemon.Main("lichentray-controlplane", "the control-plane node", run)) }
 
-// run runs the node as a relay or as a member of the core, and changes between the two as the core
-// says.
+// run runs the node as a relay or as a member of the core. The node changes its role when the core
+// requires it.
 func run(path string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Control == "" {
-		return errors.New("listen_addresses.control_plane: missing, lichentray-controlplane serves control")
+		return errors.New("listen_addresses.control_plane: missing, required by lichentray-controlplane")
 	}
 	for isRelay := startsAsRelay(set); ; isRelay = !isRelay {
 		var err error
@@ -52,9 +52,9 @@
 	}
 }
 
-// settingsForNextRole returns the settings of a node that changes between relay and core. It knows
-// the newest seeds, and it begins no group: the group that its process may have begun goes on
-// without it.
+// settingsForNextRole returns the settings of a node after a change between relay and core. They
+// hold the newest seed nodes of the settings file, if it can be read. Bootstrap is off, because the
+// group that this process may have bootstrapped still exists.
 func settingsForNextRole(path string, set *settings.Settings) *settings.Settings {
 	next := *set
 	next.Bootstrap = false
@@ -68,46 +68,48 @@
 	return &next
 }
 
-// startsAsRelay reports whether the node stores nothing. A node without a disk
-// begins as a relay, and joins the core if the core node that it follows reports that no core
-// machine has a disk. At the first start of a deployment the seeds are the core; those without a disk
-// become relays once nodes that have one hold the votes.
+// startsAsRelay reports whether the node starts as a relay, which stores nothing. A node without a
+// disk does, unless its settings make it a quorum member. It joins the core if the core node that
+// it follows reports that no core machine has a disk. At the first start of a deployment the seed
+// nodes are the core; seed nodes without a disk become relays once nodes with a disk have the
+// votes.
 func startsAsRelay(set *settings.Settings) bool {
 	isFirstCore := set.Bootstrap && slices.Contains(set.SeedNodes, set.Listen.Control)
 	return set.DataDirectory == "" && !set.QuorumMember && !isFirstCore
 }
 
-// runRelay runs a relay until sig.Stop is closed or no machine of the core has a disk.
+// runRelay runs a relay until sig.Stop is closed, a listener fails or no machine of the core has a
+// disk.
 func runRelay(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(relayGCPercent)
 	return relay.Run(set, log, sig)
 }
 
-// The memory limit of the Go runtime is memoryShare of the limit in the settings, as the
-// runtime is not the only user of the process's memory. A collection begins when the heap
-// has grown by the given percentage.
+// Settings of the Go runtime. The memory limit of the runtime is memoryLimitRatio of the limit in
+// the settings, because the runtime does not account for all memory of the process. A garbage
+// collection starts when the heap has grown by the given percentage.
 const (
-	memoryShare    = 0.7
-	coreGCPercent  = 75
-	relayGCPercent = 50
+	memoryLimitRatio = 0.7
+	coreGCPercent    = 75
+	relayGCPercent   = 50
 )
 
-// Bounds on the body of a request, in bytes.
+// Limits on the size of a request body.
 const (
-	maxCallBody      = 16 << 20
-	maxDirectoryBody = 64 << 10
+	maxCallBodyBytes      = 16 << 20
+	maxDirectoryBodyBytes = 64 << 10
 )
 
-// errCoreHasDisks is returned by runCore on a machine without a disk when the core keeps its log on
-// disks. The node should be a relay then.
-var errCoreHasDisks = errors.New("the core keeps its log on disks")
+// errCoreHasDisks is returned by runCore on a machine without a disk if the core stores its log on
+// disks. The node should then run as a relay.
+var errCoreHasDisks = errors.New("the core stores its log on disks")
 
-// runCore runs a member of the core until sig.Stop is closed, a listener fails or the core does not
-// need this node.
+// runCore runs a member of the core until sig.Stop is closed, a listener fails or the core rejects
+// this node.
 func runCore(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryLimitRatio * (1 << 20)))
 	debug.SetGCPercent(coreGCPercent)
 	if err := config.CompileSchema(); err != nil {
 		return err
@@ -122,22 +124,22 @@
 	if err != nil {
 		return err
 	}
-	// The two steps of a shutdown take two thirds of the grace period at most; the rest is reserve
-	// on a slow machine.
-	step := set.Bounds.GracePeriod.Duration() / 3
+	// The two steps of a shutdown take at most two thirds of the grace period. The rest is a
+	// reserve for slow machines.
+	stepTimeout := set.Bounds.GracePeriod.Duration() / 3
 	for {
 		select {
 		case err := <-servers.failed:
-			return fmt.Errorf("listener ended: %w", err)
+			return fmt.Errorf("HTTP server stopped: %w", err)
 		case changed := <-sig.SettingsChanged:
 			node.SetSeeds(changed.SeedNodes)
 		case <-node.JoinRejected():
-			servers.shutdown(step)
+			servers.shutdown(stepTimeout)
 			return errCoreHasDisks
 		case <-sig.Stop:
 			log.Info("stopping")
-			node.PrepareShutdown(step)
-			api.Shutdown(servers.calls, step)
+			node.PrepareShutdown(stepTimeout)
+			api.Shutdown(servers.api, stepTimeout)
 			return nil
 		}
 	}
@@ -145,17 +147,17 @@
 
 // coreServers are the HTTP servers of a core node.
 type coreServers struct {
-	calls *fasthttp.Server
-	// directory is nil where the node is no directory.
+	api *fasthttp.Server
+	// directory is nil if the node does not serve the directory.
 	directory *fasthttp.Server
-	// failed yields the error of a server that has ended.
+	// failed receives the return value of Serve when a server has stopped.
 	failed chan error
 }
 
-// serveNode begins to serve all that the settings name.
+// serveNode starts the HTTP servers for which the settings have an address.
 func serveNode(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry) (servers coreServers, err error) {
 	servers.failed = make(chan error, 2)
-	if servers.calls, err = serveCalls(set, node, metricsRegistry, servers.failed); err != nil {
+	if servers.api, err = serveAPI(set, node, metricsRegistry, servers.failed); err != nil {
 		return servers, err
 	}
 	if set.Listen.Directory != "" {
@@ -164,47 +166,48 @@
 	return servers, err
 }
 
-// shutdown answers what was read, within the given time, and gives the addresses back.
-func (s coreServers) shutdown(wait time.Duration) {
+// shutdown stops the servers and closes their listeners. For at most timeout, it waits for the
+// requests that they have read.
+func (s coreServers) shutdown(timeout time.Duration) {
 	var stopping sync.WaitGroup
 	defer stopping.Wait()
-	stopping.Go(func() { api.Shutdown(s.calls, wait) })
+	stopping.Go(func() { api.Shutdown(s.api, timeout) })
 	if s.directory != nil {
-		stopping.Go(func() { api.Shutdown(s.directory, wait) })
+		stopping.Go(func() { api.Shutdown(s.directory, timeout) })
 	}
 }
 
-// statusNode adapts the node to the API, which prints the state without knowing its type.
-type statusNode struct{ *controlplane.Node }
+// apiNode adapts a node to api.Node, whose Status method has the result type any.
+type apiNode struct{ *controlplane.Node }
 
-// Status returns the state of the node.
-func (n statusNode) Status() any { return n.Node.Status() }
+// Status implements api.Node.
+func (n apiNode) Status() any { return n.Node.Status() }
 
-// serveCalls begins to serve the API of the control plane.
-func serveCalls(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
-	handler := api.NewHandler(statusNode{node}, metricsRegistry, set.Bounds.HistoryRetention.Duration())
+// serveAPI starts the server of the control plane's API.
+func serveAPI(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
+	handler := api.NewHandler(apiNode{node}, metricsRegistry, set.Bounds.HistoryRetention.Duration())
 	listener, err := api.Listen(set.BindAddr(set.Listen.Control), metricsRegistry)
 	if err != nil {
 		return nil, fmt.Errorf("control_plane: %w", err)
 	}
-	server := api.NewServer(handler.Serve, maxCallBody)
+	server := api.NewServer(handler.Serve, maxCallBodyBytes)
 	serve(server, listener, failed)
 	return server, nil
 }
 
-// serveDirectory begins to serve the directory, from the node's replica of the registry. On SIGTERM
-// its server ends with the process.
+// serveDirectory starts the server of the directory, which reads the node's replica of the
+// registry. On SIGTERM it is not shut down, but serves until the process exits.
 func serveDirectory(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
 	listener, err := api.Listen(set.Listen.Directory, metricsRegistry)
 	if err != nil {
 		return nil, fmt.Errorf("directory: %w", err)
 	}
-	server := api.NewServer(api.NewDirectory(node, metricsRegistry).Serve, maxDirectoryBody)
+	server := api.NewServer(api.NewDirectory(node, metricsRegistry).Serve, maxDirectoryBodyBytes)
 	serve(server, listener, failed)
 	return server, nil
 }
 
-// serve runs a server until the process ends, and reports its failure.
+// serve runs a server in a new goroutine, and sends the return value of its Serve method to failed.
 func serve(server *fasthttp.Server, listener net.Listener, failed chan<- error) {
 	go func() { failed <- server.Serve(listener) }()
 }
--- a/cmd/lichentray-proxy/main.go
+++ b/cmd/lichentray-proxy/main.go
@@ -1,5 +1,5 @@
-// Command lichentray-proxy is the proxy node: it takes requests from clients and
-// forwards them to the endpoints in the registry.
+// Command lichentray-proxy is the proxy node. It accepts requests from clients and forwards them to
+// the endpoints in the registry.
 package main
 
 import (
@@ -21,22 +21,23 @@
 func main() { os.Exit(daemon.Main("lichentray-proxy", "the proxy node", run)) }
 
 const (
-	// memoryShare is the part of the machine's memory that the Go runtime may use.
-	memoryShare = 0.7
-	// gcPercent is by how much the heap grows before a collection begins.
+	// memoryLimitRatio is the fraction of the memory limit in the settings that is the memory limit
+	// of the Go runtime.
+	memoryLimitRatio = 0.7
+	// gcPercent is the growth of the heap, in percent, that starts a garbage collection.
 	gcPercent = 75
-	// maxReadinessBody bounds the body of a request for the readiness, in bytes.
-	maxReadinessBody = 64 << 10
+	// maxReadinessBodyBytes limits the body of a readiness request.
+	maxReadinessBodyBytes = 64 << 10
 )
 
-// run runs the proxy until sig.Stop is closed or a listener fails. Its goroutines end with
-// the process.
+// run runs the proxy until sig.Stop is closed or the readiness server fails. It does not wait for
+// its goroutines, which end when the process exits.
 func run(_ string, set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	if set.Listen.Frontend == "" || set.Listen.Readiness == "" {
-		return errors.New("listen_addresses: frontend or readiness missing, lichentray-proxy serves edge")
+		return errors.New("listen_addresses: frontend or readiness missing, both are required by lichentray-proxy")
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(set.Limits.MemoryMB * memoryLimitRatio * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 	metricsRegistry := metrics.NewRegistry()
 	p := proxy.New(set, log, metricsRegistry)
@@ -51,7 +52,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	failed := make(chan error, 1)
-	go func() { failed <- api.NewServer(p.HandleReadiness, maxReadinessBody).Serve(readiness) }()
+	go func() { failed <- api.NewServer(p.HandleReadiness, maxReadinessBodyBytes).Serve(readiness) }()
 	frontend := proxy.NewFrontend(p, clients)
 	go frontend.Run()
 	go p.ListAndWatch(ctx)
@@ -59,7 +60,7 @@
 	for {
 		select {
 		case err := <-failed:
-			return fmt.Errorf("listener ended: %w", err)
+			return fmt.Errorf("readiness server stopped: %w", err)
 		case changed := <-sig.SettingsChanged:
 			p.SetSeeds(changed.SeedNodes)
 		case <-sig.Stop:
--- a/cmd/lichentrayctl/account.go
+++ b/cmd/lichentrayctl/account.go
@@ -14,9 +14,10 @@
 	"lichentray/audit"
 )
 
+// defaultAccountLimit is the default number of failures to print.
 const defaultAccountLimit = 100
 
-// register defines the flags.
+// register defines the flags in a flag set.
 func (f *accountFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&f.filter.Tenant, "tenant", "", "")
 	fs.StringVar(&f.filter.Request, "request", "", "")
@@ -26,8 +27,8 @@
 	fs.IntVar(&f.filter.Limit, "most", defaultAccountLimit, "")
 }
 
-// resolve validates the flags and returns the filter that they describe.
-func (f *accountFlags) resolve() (audit.Filter, error) {
+// buildFilter validates the flags and returns the filter that they describe.
+func (f *accountFlags) buildFilter() (audit.Filter, error) {
 	filter := f.filter
 	var err error
 	if filter.SinceMS, err = parseTimeOrAge("since", f.since); err != nil {
@@ -47,8 +48,8 @@
 	return filter, nil
 }
 
-// parseTimeOrAge reads a time, or how long ago it was, and returns it in milliseconds
-// since the epoch, or 0 for an empty text.
+// parseTimeOrAge parses a time in RFC 3339 format, or an age relative to the current time such as
+// "90m". It returns the time in milliseconds since the Unix epoch, or 0 for an empty text.
 func parseTimeOrAge(flag, text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -68,7 +69,7 @@
 	if len(c.args) > 0 {
 		return exitErrorf(exitUsage, "account takes flags only, not %q", c.args[0])
 	}
-	filter, err := c.account.resolve()
+	filter, err := c.account.buildFilter()
 	if err != nil {
 		return err
 	}
@@ -113,7 +114,7 @@
 	}
 }
 
-// printMissingRecords prints which failures may be missing from the audit log.
+// printMissingRecords prints where failures are, or may be, missing from the audit log.
 func printMissingRecords(w io.Writer, r *audit.QueryResult) {
 	for _, id := range slices.Sorted(maps.Keys(r.Gaps)) {
 		g := r.Gaps[id]
--- a/cmd/lichentrayctl/cli.go
+++ b/cmd/lichentrayctl/cli.go
@@ -16,16 +16,16 @@
 
 const defaultTimeout = 10 * time.Second
 
-// cli is one invocation of the program.
+// cli is the state of one invocation of the program.
 type cli struct {
 	in  io.Reader
 	out io.Writer
 
-	commandName string   // such as "config read"
-	args        []string // without the command and the flags
+	commandName string   // for example "config read"
+	args        []string // arguments without the command and the flags
 
-	nodes        []string  // control-plane addresses; empty: the seeds of the settings
-	settingsPath string    // empty: the default one
+	nodes        []string  // control-plane addresses; if empty, the seed nodes of the settings
+	settingsPath string    // if empty, the default path
 	deadline     time.Time // of the whole command
 	jsonOutput   bool
 	account      accountFlags
@@ -38,7 +38,7 @@
 	until  string
 }
 
-// commands returns the function of each command.
+// commands returns the functions of the commands by command name.
 func (c *cli) commands() map[string]func() error {
 	return map[string]func() error{
 		"settings check": c.checkSettings,
@@ -55,7 +55,7 @@
 	}
 }
 
-// execute runs the command that args, which must not be empty, begin with.
+// execute runs the command at the beginning of args, which must not be empty.
 func (c *cli) execute(args []string) error {
 	commands := c.commands()
 	c.commandName = args[0]
@@ -75,7 +75,7 @@
 	return command()
 }
 
-// parseFlags reads the flags and collects the other arguments.
+// parseFlags parses the flags and collects the other arguments.
 func (c *cli) parseFlags(args []string) error {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
@@ -86,7 +86,7 @@
 	if c.commandName == "account" {
 		c.account.register(fs)
 	}
-	for { // flags may stand before and after other arguments
+	for { // flags are accepted before and after other arguments
 		if err := fs.Parse(args); err != nil {
 			if errors.Is(err, flag.ErrHelp) {
 				return err
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// printResult prints a value as JSON, or else the text.
+// printResult prints the value as JSON if JSON output is selected, and the text otherwise.
 func (c *cli) printResult(text string, value any) error {
 	if c.jsonOutput {
 		enc := json.NewEncoder(c.out)
@@ -127,7 +127,7 @@
 	return err
 }
 
-// readInput reads the one file that the command takes; "-" is standard input.
+// readInput reads the file that is the only argument of the command; "-" is standard input.
 func (c *cli) readInput() ([]byte, error) {
 	if len(c.args) != 1 {
 		return nil, exitErrorf(exitUsage, "%s takes one file", c.commandName)
@@ -138,7 +138,7 @@
 	return os.ReadFile(c.args[0])
 }
 
-// client returns a client of the nodes that the flags or the settings name.
+// client returns a client of the nodes given by the flags or, without the flag, by the settings.
 func (c *cli) client() (*client, error) {
 	if len(c.nodes) > 0 {
 		return &client{nodes: c.nodes, deadline: c.deadline}, nil
@@ -150,7 +150,7 @@
 	return &client{nodes: set.SeedNodes, deadline: c.deadline}, nil
 }
 
-// query asks the nodes for a call and returns the answer.
+// query sends a call that changes nothing to the nodes and returns the body of the response.
 func (c *cli) query(call string, body []byte) ([]byte, error) {
 	cl, err := c.client()
 	if err != nil {
@@ -159,20 +159,20 @@
 	return cl.query(call, body)
 }
 
-// queryJSON is query with an answer in JSON, which it decodes into the value that
-// answer points to.
-func (c *cli) queryJSON(call string, body []byte, answer any) error {
+// queryJSON is like query, but decodes the JSON response into the value that response points to.
+func (c *cli) queryJSON(call string, body []byte, response any) error {
 	text, err := c.query(call, body)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, answer); err != nil {
+	if err := json.Unmarshal(text, response); err != nil {
 		return exitErrorf(exitFailed, "the answer cannot be read: %v", err)
 	}
 	return nil
 }
 
-// submit sends a command to the nodes and returns the one that acknowledged it.
+// submit sends a call that changes something to the nodes and returns the node that acknowledged
+// it.
 func (c *cli) submit(call string, body []byte) (node string, err error) {
 	cl, err := c.client()
 	if err != nil {
--- a/cmd/lichentrayctl/client.go
+++ b/cmd/lichentrayctl/client.go
@@ -11,13 +11,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Limits of the calls. A node gets a part of the time, so that another can be asked.
+// Timeouts and limits of calls. The timeouts of a call to one node are shorter than the default
+// timeout of a command, so that time is left to try another node.
 const (
 	maxRedirects  = 2
 	dialTimeout   = 2 * time.Second
 	callTimeout   = 3 * time.Second
 	retryInterval = 200 * time.Millisecond
-	// minTimeout is what a call gets when the deadline has passed.
+	// minTimeout is the timeout of a call that starts after the deadline.
 	minTimeout = time.Millisecond
 )
 
@@ -27,35 +28,35 @@
 	deadline time.Time
 }
 
-// response is what a node answered.
+// response is the response of a node.
 type response struct {
 	status   int
 	body     []byte
-	location string // where a node that does not forward the call redirects it
+	location string // target of a redirect, from a node that does not forward the call itself
 }
 
-// callError is a call without a usable answer.
+// callError is the error of a call that got no usable response.
 type callError struct {
 	err error
-	// mayHaveArrived reports whether a node may have received the call.
-	mayHaveArrived bool
+	// mayHaveBeenReceived is set if a node may have received the call.
+	mayHaveBeenReceived bool
 }
 
-// Error returns the message of the cause.
+// Error returns the message of the underlying error.
 func (e *callError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *callError) Unwrap() error { return e.err }
 
-// query asks one node after the other until one answers. Only calls that
-// change nothing may be sent with it, as several nodes may process them.
+// query sends a call to one node after another until one returns a result. It must be used only for
+// calls that change nothing, because several nodes may execute the call.
 func (c *client) query(call string, body []byte) ([]byte, error) {
-	var last error
+	var lastErr error
 	for time.Now().Before(c.deadline) {
 		for _, node := range c.nodes {
 			r, err := c.call(node, http.MethodPost, "/api/rpc?call="+call, body)
 			if err != nil {
-				last = fmt.Errorf("%s: %w", node, err)
+				lastErr = fmt.Errorf("%s: %w", node, err)
 				continue
 			}
 			switch r.status {
@@ -66,78 +67,78 @@
 			case http.StatusBadRequest:
 				return nil, exitErrorf(exitUsage, "%s refused it: %s", node, r.body)
 			}
-			last = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
+			lastErr = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
 		}
 		time.Sleep(retryInterval)
 	}
-	return nil, exitErrorf(exitFailed, "no node answered %s: %v", call, last)
+	return nil, exitErrorf(exitFailed, "no node answered %s: %v", call, lastErr)
 }
 
-// submit sends a command to one node after the other until one acknowledges it, and
-// returns that node. Commands are idempotent. If no node does, the exit code of the
-// error is exitOutcomeUnknown if the command may be in force.
+// submit sends a call to one node after another until one acknowledges it, and returns that node.
+// The call must be idempotent. If no node acknowledges it and it may have taken effect, the exit
+// code of the error is exitOutcomeUnknown.
 func (c *client) submit(call string, body []byte) (node string, err error) {
-	var last error
-	mayBeInForce := false
+	var lastErr error
+	mayHaveTakenEffect := false
 	for time.Now().Before(c.deadline) {
 		for _, node := range c.nodes {
 			r, err := c.call(node, http.MethodPost, "/api/rpc?call="+call, body)
 			switch {
 			case err != nil:
 				var e *callError
-				mayBeInForce = mayBeInForce || errors.As(err, &e) && e.mayHaveArrived
-				last = fmt.Errorf("%s: %w", node, err)
+				mayHaveTakenEffect = mayHaveTakenEffect || errors.As(err, &e) && e.mayHaveBeenReceived
+				lastErr = fmt.Errorf("%s: %w", node, err)
 			case r.status == http.StatusOK:
 				return node, nil
 			case isRejection(r.status):
 				return "", exitErrorf(exitInvalid, "%s refused it with %d: %s", node, r.status, r.body)
 			default:
-				mayBeInForce = mayBeInForce || !isUnprocessed(r.status)
-				last = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
+				mayHaveTakenEffect = mayHaveTakenEffect || !isUnprocessed(r.status)
+				lastErr = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
 			}
 		}
 		time.Sleep(retryInterval)
 	}
-	if mayBeInForce {
-		return "", exitErrorf(exitOutcomeUnknown, "no clear answer, the order may or may not be in force: %v", last)
+	if mayHaveTakenEffect {
+		return "", exitErrorf(exitOutcomeUnknown, "no clear answer, the order may or may not be in force: %v", lastErr)
 	}
-	return "", exitErrorf(exitFailed, "no node took the order: %v", last)
+	return "", exitErrorf(exitFailed, "no node took the order: %v", lastErr)
 }
 
-// isRejection reports whether a status means that the command itself is invalid, so that no
-// other node would accept it.
+// isRejection reports whether a status means that the call itself is invalid, so that no other node
+// would accept it.
 func isRejection(status int) bool {
 	return status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// isUnprocessed reports whether a status promises that the command was not processed.
+// isUnprocessed reports whether a status guarantees that the call was not executed.
 func isUnprocessed(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// call calls one node, and follows its redirects. The error is a *callError.
+// call sends a call to one node and follows its redirects. The error is a *callError.
 func (c *client) call(node, method, path string, body []byte) (response, error) {
 	for redirects := 0; ; redirects++ {
 		r, err := c.callOnce(node, method, path, body)
 		if err != nil || r.status != http.StatusTemporaryRedirect {
 			return r, err
 		}
-		at, err := url.Parse(r.location)
-		if err != nil || at.Host == "" {
+		location, err := url.Parse(r.location)
+		if err != nil || location.Host == "" {
 			return r, &callError{
-				err:            fmt.Errorf("%s sends on to %q, which is no address", node, r.location),
-				mayHaveArrived: true,
+				err:                 fmt.Errorf("%s sends on to %q, which is no address", node, r.location),
+				mayHaveBeenReceived: true,
 			}
 		}
 		if redirects == maxRedirects {
 			return r, nil
 		}
-		node = at.Host
-		path = at.RequestURI()
+		node = location.Host
+		path = location.RequestURI()
 	}
 }
 
-// callOnce calls one node once, on a connection of its own. The error is a *callError.
+// callOnce sends one request to a node, on a new connection. The error is a *callError.
 func (c *client) callOnce(node, method, path string, body []byte) (response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -154,13 +155,13 @@
 		Addr:                      node,
 		MaxIdemponentCallAttempts: 1,
 		Dial: func(addr string) (net.Conn, error) {
-			conn, err := fasthttp.DialTimeout(addr, c.atMost(dialTimeout))
+			conn, err := fasthttp.DialTimeout(addr, c.remainingTime(dialTimeout))
 			isConnected = err == nil
 			return conn, err
 		},
 	}
-	if err := host.DoTimeout(req, resp, c.atMost(callTimeout)); err != nil {
-		return response{}, &callError{err: err, mayHaveArrived: isConnected}
+	if err := host.DoTimeout(req, resp, c.remainingTime(callTimeout)); err != nil {
+		return response{}, &callError{err: err, mayHaveBeenReceived: isConnected}
 	}
 	return response{
 		status:   resp.StatusCode(),
@@ -169,7 +170,8 @@
 	}, nil
 }
 
-// atMost returns the time left until the deadline, or limit if that is less.
-func (c *client) atMost(limit time.Duration) time.Duration {
+// remainingTime returns the time left until the deadline, but at most limit and at least
+// minTimeout.
+func (c *client) remainingTime(limit time.Duration) time.Duration {
 	return max(minTimeout, min(limit, time.Until(c.deadline)))
 }
--- a/cmd/lichentrayctl/configuration.go
+++ b/cmd/lichentrayctl/configuration.go
@@ -17,8 +17,8 @@
 	return c.printResult("valid: "+text, fields)
 }
 
-// printConfiguration is the command "config read". It prints the text as the operator
-// sent it.
+// printConfiguration is the command "config read". It prints the configuration exactly as it was
+// submitted.
 func (c *cli) printConfiguration() error {
 	text, err := c.query("configuration.read", []byte{})
 	if err != nil {
@@ -44,7 +44,7 @@
 	return c.printResult("acknowledged by "+node+": "+description+"\n(a version that is not above the one held changes nothing)", fields)
 }
 
-// loadConfiguration reads and validates the configuration that the command names.
+// loadConfiguration reads and validates the configuration file that is the argument of the command.
 func (c *cli) loadConfiguration() ([]byte, *config.Configuration, error) {
 	text, err := c.readInput()
 	if err != nil {
@@ -57,7 +57,8 @@
 	return text, configuration, nil
 }
 
-// describeConfiguration returns a summary as text and as fields of JSON.
+// describeConfiguration returns a summary of a configuration as text and as the fields of a JSON
+// object.
 func describeConfiguration(c *config.Configuration) (text string, fields map[string]any) {
 	routes := 0
 	for _, l := range c.Listeners {
--- a/cmd/lichentrayctl/evacuation.go
+++ b/cmd/lichentrayctl/evacuation.go
@@ -8,31 +8,31 @@
 
 // listEvacuations is the command "evac list".
 func (c *cli) listEvacuations() error {
-	var answer struct {
+	var response struct {
 		Zones map[string]string `json:"zones"`
 	}
-	if err := c.queryJSON("evacuations.read", []byte{}, &answer); err != nil {
+	if err := c.queryJSON("evacuations.read", []byte{}, &response); err != nil {
 		return err
 	}
 	lines := []string{}
-	for zone, state := range answer.Zones {
+	for zone, state := range response.Zones {
 		lines = append(lines, zone+"  "+state)
 	}
 	slices.Sort(lines)
 	if len(lines) == 0 {
 		lines = append(lines, "all zones are in ordinary use")
 	}
-	return c.printResult(strings.Join(lines, "\n"), answer)
+	return c.printResult(strings.Join(lines, "\n"), response)
 }
 
-// changeEvacuation is the commands "evac begin" and "evac finish".
+// changeEvacuation implements the commands "evac begin" and "evac finish".
 func (c *cli) changeEvacuation() error {
 	if len(c.args) != 1 {
 		return exitErrorf(exitUsage, "%s takes one zone", c.commandName)
 	}
 	zone := c.args[0]
-	verb := strings.TrimPrefix(c.commandName, "evac ")
-	node, err := c.submit("evacuations."+verb+"&of="+url.QueryEscape(zone), []byte{})
+	operation := strings.TrimPrefix(c.commandName, "evac ")
+	node, err := c.submit("evacuations."+operation+"&of="+url.QueryEscape(zone), []byte{})
 	if err != nil {
 		return err
 	}
--- a/cmd/lichentrayctl/main.go
+++ b/cmd/lichentrayctl/main.go
@@ -1,6 +1,6 @@
-// Command lichentrayctl is the operator's command line: it checks settings and
-// configurations, reads and replaces the configuration, and shows the state of the
-// control plane.
+// Command lichentrayctl is the command-line tool for operators. It validates settings and
+// configurations, reads and replaces the configuration, controls evacuations and rollouts, and
+// prints the audit log and the state of the control plane.
 package main
 
 import (
@@ -14,10 +14,10 @@
 	"lichentray/internal/daemon"
 )
 
-// program is the name of the program in its own messages.
+// program is the name of the program in its messages.
 const program = "lichentrayctl"
 
-// Exit codes.
+// Exit codes. The usage text documents them.
 const (
 	exitOK             = 0
 	exitFailed         = 1
@@ -65,10 +65,10 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
-// run executes one command line and returns the exit code.
-func run(args []string, in io.Reader, out, errs io.Writer) int {
+// run executes a command line and returns the exit code.
+func run(args []string, in io.Reader, out, errOut io.Writer) int {
 	if len(args) == 0 {
-		fmt.Fprint(errs, usageText)
+		fmt.Fprint(errOut, usageText)
 		return exitUsage
 	}
 	switch args[0] {
@@ -90,34 +90,34 @@
 	}
 	code := exitCodeOf(err)
 	if c.jsonOutput {
-		// If standard output is gone, there is nowhere left to report that.
+		// If standard output cannot be written, there is no other place to report the error.
 		_ = json.NewEncoder(out).Encode(map[string]any{"error": err.Error(), "exit_code": code})
 		return code
 	}
-	fmt.Fprintf(errs, "%s: %v\n", program, err)
+	fmt.Fprintf(errOut, "%s: %v\n", program, err)
 	if code == exitUsage {
-		fmt.Fprintf(errs, "%s: see \"%s --help\"\n", program, program)
+		fmt.Fprintf(errOut, "%s: see \"%s --help\"\n", program, program)
 	}
 	return code
 }
 
-// exitError is an error with the exit code of the program.
+// exitError is an error that determines the exit code of the program.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error returns the message of the error.
+// Error returns the message of the underlying error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error without its exit code.
+// Unwrap returns the underlying error.
 func (e *exitError) Unwrap() error { return e.err }
 
 func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{code, fmt.Errorf(format, args...)}
 }
 
-// exitCodeOf returns the exit code of an error, which is exitFailed if it has none.
+// exitCodeOf returns the exit code of an error, or exitFailed if the error has none.
 func exitCodeOf(err error) int {
 	var e *exitError
 	if errors.As(err, &e) {
--- a/cmd/lichentrayctl/main_test.go
+++ b/cmd/lichentrayctl/main_test.go
@@ -14,8 +14,9 @@
 
 const validConfiguration = `{"config_version":3,"listeners":[],"clusters":[{"name":"s"}]}`
 
-// Each command is run against a fake node that answers with the given status; its output
-// and its exit code are compared.
+// TestCommandsPrintResultAndExitCode runs each command against a fake node that responds with the
+// given status, and checks the output and the exit code. A command with an invalid input file must
+// not call the node.
 func TestCommandsPrintResultAndExitCode(t *testing.T) {
 	status := 200
 	calls := 0
@@ -43,42 +44,42 @@
 	}))
 	defer relay.Close()
 	dir := t.TempDir()
-	file := func(name, text string) string {
+	writeFile := func(name, text string) string {
 		p := filepath.Join(dir, name)
 		if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return p
 	}
-	cfg, bad := file("good.json", validConfiguration), file("bad.json", `{"config_version":3,"listeners":[],"clusters":[{}]}`)
-	for _, c := range []struct {
-		args   string
-		status int
-		code   int
-		says   string
+	validFile, invalidFile := writeFile("good.json", validConfiguration), writeFile("bad.json", `{"config_version":3,"listeners":[],"clusters":[{}]}`)
+	for _, test := range []struct {
+		args       string
+		status     int
+		wantCode   int
+		wantOutput string
 	}{
 		{"--help", 200, exitOK, "Exit codes"},
 		{"version", 200, exitOK, "lichentrayctl "},
-		{"config check " + cfg, 200, exitOK, "valid: version 3"},
-		{"config check " + bad, 200, exitInvalid, "clusters.0"},
-		{"config check " + cfg + " --output json", 200, exitOK, `"valid": true`},
+		{"config check " + validFile, 200, exitOK, "valid: version 3"},
+		{"config check " + invalidFile, 200, exitInvalid, "clusters.0"},
+		{"config check " + validFile + " --output json", 200, exitOK, `"valid": true`},
 		{"config check", 200, exitUsage, "one file"},
 		{"config read --nodes " + addr, 200, exitOK, validConfiguration},
-		{"config replace " + cfg + " --nodes " + addr, 200, exitOK, "acknowledged by"},
-		{"config replace " + cfg + " --nodes " + addr, 400, exitInvalid, "refused it with 400"},
-		{"config replace " + cfg + " --timeout 50ms --nodes " + addr, 503, exitFailed, "no node took"},
+		{"config replace " + validFile + " --nodes " + addr, 200, exitOK, "acknowledged by"},
+		{"config replace " + validFile + " --nodes " + addr, 400, exitInvalid, "refused it with 400"},
+		{"config replace " + validFile + " --timeout 50ms --nodes " + addr, 503, exitFailed, "no node took"},
 		{"evac list --nodes " + addr, 200, exitOK, "z1  evacuated"},
 		{"evac begin z1 --nodes " + addr, 200, exitOK, "acknowledged by"},
 		{"evac finish z1 --nodes " + addr, 400, exitInvalid, "refused it with 400"},
 		{"evac finish z1 --timeout 50ms --nodes " + addr, 504, exitOutcomeUnknown, "may or may not"},
 		{"evac begin", 200, exitUsage, "one zone"},
 		{"status --nodes " + addr, 200, exitOK, "p7"},
-		{"config replace " + cfg + " --timeout 50ms --nodes " + addr, 504, exitOutcomeUnknown, "may or may not"},
-		{"config replace " + bad + " --nodes " + addr, 200, exitInvalid, "clusters.0"},
+		{"config replace " + validFile + " --timeout 50ms --nodes " + addr, 504, exitOutcomeUnknown, "may or may not"},
+		{"config replace " + invalidFile + " --nodes " + addr, 200, exitInvalid, "clusters.0"},
 		{"status --nodes " + addr, 200, exitOK, "p1"},
 		{"status --nodes " + addr, 500, exitFailed, "no node answered"},
 		{"status --output xml --nodes " + addr, 200, exitUsage, "text or json"},
-		{"settings check " + bad, 200, exitInvalid, "TOML"},
+		{"settings check " + invalidFile, 200, exitInvalid, "TOML"},
 		{"status --nodes " + addr, 200, exitOK, "service s: in use v1, endpoints by version map[v1:3]; to v2: in_progress"},
 		{"rollout begin s v2 12s --nodes " + addr, 200, exitOK, "s moves to v2"},
 		{"rollout begin s v2 12s --nodes " + strings.TrimPrefix(relay.URL, "http://"), 200, exitOK, "s moves to v2"},
@@ -98,17 +99,17 @@
 		{"account --nodes " + addr, 404, exitFailed, "has none"},
 		{"nonsense", 200, exitUsage, "no command"},
 	} {
-		status, calls = c.status, 0
+		status, calls = test.status, 0
 		var out bytes.Buffer
-		if code := run(strings.Fields(c.args), nil, &out, &out); code != c.code || !strings.Contains(out.String(), c.says) {
-			t.Errorf("lichentrayctl %s (node answers %d): exit %d, want %d; printed %q", c.args, c.status, code, c.code, out.String())
+		if code := run(strings.Fields(test.args), nil, &out, &out); code != test.wantCode || !strings.Contains(out.String(), test.wantOutput) {
+			t.Errorf("lichentrayctl %s (status %d of the node): exit code %d, want %d; output %q", test.args, test.status, code, test.wantCode, out.String())
 		}
-		if strings.Contains(c.args, bad) && calls > 0 {
-			t.Errorf("lichentrayctl %s asked a node although its input was wrong", c.args)
+		if strings.Contains(test.args, invalidFile) && calls > 0 {
+			t.Errorf("lichentrayctl %s called the node, want no call for an invalid file", test.args)
 		}
 	}
 	var out bytes.Buffer
 	if run([]string{"status", "--nodes", addr, "--output", "json"}, nil, &out, &out); !json.Valid(out.Bytes()) {
-		t.Errorf("not JSON: %s", out.String())
+		t.Errorf("output of status --output json = %s, want valid JSON", out.String())
 	}
 }
--- a/cmd/lichentrayctl/rollout.go
+++ b/cmd/lichentrayctl/rollout.go
@@ -43,20 +43,20 @@
 		return exitErrorf(exitUsage, "rollout read takes one service")
 	}
 	service := c.args[0]
-	var answer struct {
+	var response struct {
 		State  string  `json:"state"`
 		Target string  `json:"target_version"`
 		Base   string  `json:"base_version"`
 		Share  float64 `json:"share"`
 		Reason string  `json:"why,omitempty"`
 	}
-	if err := c.queryJSON("rollouts.read&of="+url.QueryEscape(service), []byte{}, &answer); err != nil {
+	if err := c.queryJSON("rollouts.read&of="+url.QueryEscape(service), []byte{}, &response); err != nil {
 		return err
 	}
 	text := fmt.Sprintf("%s: %s to %s, in use %s, share of the new one %g",
-		service, answer.State, answer.Target, answer.Base, answer.Share)
-	if answer.Reason != "" {
-		text += "\n" + answer.Reason
+		service, response.State, response.Target, response.Base, response.Share)
+	if response.Reason != "" {
+		text += "\n" + response.Reason
 	}
-	return c.printResult(text, answer)
+	return c.printResult(text, response)
 }
--- a/cmd/lichentrayctl/status.go
+++ b/cmd/lichentrayctl/status.go
@@ -13,13 +13,13 @@
 	"lichentray/internal/controlplane"
 )
 
-// statusReport is the state of the control plane as its nodes report it.
+// statusReport is the state of the control plane, as reported by its nodes.
 type statusReport struct {
-	nodes       []controlplane.Status // by name
+	nodes       []controlplane.Status // sorted by name
 	unreachable []unreachableNode
 }
 
-// unreachableNode is a node that did not report its state.
+// unreachableNode is a node that did not return its status.
 type unreachableNode struct {
 	Address string `json:"control_plane"`
 	Error   string `json:"error"`
@@ -43,17 +43,18 @@
 	return w.Flush()
 }
 
-// fetchStatus asks the nodes of the client, and the members that they name.
+// fetchStatus requests the status of the client's nodes, and of all members of the group that
+// appear in the responses.
 func fetchStatus(c *client) *statusReport {
 	report := &statusReport{}
-	asked := map[string]bool{}
+	visited := map[string]bool{}
 	for pending := slices.Clone(c.nodes); len(pending) > 0; {
 		node := pending[0]
 		pending = pending[1:]
-		if asked[node] {
+		if visited[node] {
 			continue
 		}
-		asked[node] = true
+		visited[node] = true
 		status, err := c.nodeStatus(node)
 		if err != nil {
 			report.unreachable = append(report.unreachable, unreachableNode{node, err.Error()})
@@ -68,7 +69,7 @@
 	return report
 }
 
-// nodeStatus asks one node for its state.
+// nodeStatus requests the status of one node.
 func (c *client) nodeStatus(node string) (controlplane.Status, error) {
 	var status controlplane.Status
 	r, err := c.call(node, http.MethodGet, "/api/status", nil)
@@ -82,7 +83,7 @@
 	return status, err
 }
 
-// leader returns the leader of the highest term, or nil if no node leads.
+// leader returns the status of the leader with the highest term, or nil if no node is leader.
 func (r *statusReport) leader() *controlplane.Status {
 	var leader *controlplane.Status
 	for i := range r.nodes {
@@ -94,7 +95,7 @@
 	return leader
 }
 
-// print writes the report as text with tabs.
+// print writes the report as tab-separated text.
 func (r *statusReport) print(w io.Writer) {
 	r.printNodes(w)
 	if leader := r.leader(); leader != nil {
@@ -139,7 +140,7 @@
 	}
 }
 
-// printEndpoints writes what the leader knows of endpoints, zones and services.
+// printEndpoints writes the leader's information about endpoints, zones and services.
 func printEndpoints(w io.Writer, leader *controlplane.Status) {
 	fmt.Fprintf(w, "\nendpoints: %d cold, %d that all proxies together find ill\n", leader.WarmingUp, leader.Unhealthy)
 	for _, zone := range slices.Sorted(maps.Keys(leader.Zones)) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// printDirectory writes the proxy nodes that the directory names to clients.
+// printDirectory writes the proxy nodes that the directory returns to clients.
 func printDirectory(w io.Writer, leader *controlplane.Status) {
 	if len(leader.Registered) == 0 {
 		return
--- a/internal/controlplanetest/controlplanetest.go
+++ b/internal/controlplanetest/controlplanetest.go
@@ -62,7 +62,7 @@
 // SettingsText returns the settings file of a control-plane node at a loopback IP address that
 // stores its data in the directory dir. apiPort and internalPort are the same on all nodes. The
 // file ends with the table [bounds], so a test may append keys to it. The bounds are generous, so
-// that a busy test machine does not cause time-outs.
+// that a busy test machine does not look like a failing one.
 func SettingsText(ip, dir string, apiPort, internalPort int, seedIPs []string, bootstrap bool) string {
 	seeds := make([]string, len(seedIPs))
 	for i, seedIP := range seedIPs {
