--- a/examples/endpoint/main.go
+++ b/examples/endpoint/main.go
@@ -1,5 +1,5 @@
-// Command endpoint is a stand-in server for trying lichentray out: it answers every
-// request, sends heartbeats to the control plane, and drains when a signal asks it to end.
+// Command endpoint is an example backend server for trying out lichentray. It responds to every
+// request, sends heartbeats to the control plane, and drains on SIGTERM or SIGINT.
 package main
 
 import (
@@ -28,19 +28,19 @@
 	service  string
 	version  string
 	zone     string
-	address  string   // where it listens
+	address  string   // listen address
 	nodes    []string // control-plane addresses
-	sequence int      // of the last heartbeat
+	sequence int      // sequence number of the last heartbeat
 }
 
 func main() {
 	id := flag.String("id", fmt.Sprint("i-", os.Getpid()), "instance id")
-	service := flag.String("service", "hello", "service to serve")
-	version := flag.String("version", "v1", "version of its software")
-	zone := flag.String("zone", "here", "zone that it runs in, one of [zones] in the settings")
-	listen := flag.String("listen", "127.0.0.1:0", "address")
-	control := flag.String("control", "127.0.0.1:8166", "control_plane addresses, comma separated")
-	drain := flag.Duration("drain", 3*time.Second, "time to serve on after the drain was acknowledged")
+	service := flag.String("service", "hello", "name of the service")
+	version := flag.String("version", "v1", "version of the service")
+	zone := flag.String("zone", "here", "zone of the instance, one of [zones] in the settings")
+	listen := flag.String("listen", "127.0.0.1:0", "listen address")
+	control := flag.String("control", "127.0.0.1:8166", "comma-separated control_plane addresses")
+	drain := flag.Duration("drain", 3*time.Second, "time for which to continue serving while draining")
 	flag.Parse()
 	listener, err := net.Listen("tcp4", *listen)
 	if err != nil {
@@ -60,9 +60,9 @@
 	e.run(stop, *drain)
 }
 
-// run sends heartbeats until a signal arrives, and then drains and deregisters.
+// run sends heartbeats until a signal arrives, and then drains and deregisters the instance.
 func (e *endpoint) run(stop <-chan os.Signal, drain time.Duration) {
-	log.Printf("%s serves %s at %s, known to the control plane: %v", e.id, e.service, e.address, e.heartbeat("ready"))
+	log.Printf("%s serves %s on %s, registered: %v", e.id, e.service, e.address, e.heartbeat("ready"))
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
@@ -72,13 +72,13 @@
 		case <-stop:
 			log.Printf("draining, acknowledged: %v", e.heartbeat("draining"))
 			time.Sleep(drain)
-			log.Printf("signed off: %v", e.call("deregister", map[string]any{}))
+			log.Printf("deregistered: %v", e.call("deregister", map[string]any{}))
 			return
 		}
 	}
 }
 
-// ServeHTTP answers a request, or rejects one that is meant for another instance.
+// ServeHTTP responds to a request, or rejects one that is addressed to another instance.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Instance-Id", e.id)
 	if target := r.Header.Get("X-Target-Instance"); target != "" && target != e.id {
@@ -90,8 +90,8 @@
 	fmt.Fprintf(w, "%s answers %s %s\n", e.id, r.Method, r.RequestURI)
 }
 
-// heartbeat reports to the control plane the state of the endpoint, and reports whether it
-// was acknowledged.
+// heartbeat sends the state of the endpoint to the control plane, and reports whether a node
+// acknowledged it.
 func (e *endpoint) heartbeat(state string) bool {
 	e.sequence++
 	return e.call("heartbeat", map[string]any{
@@ -101,15 +101,16 @@
 	})
 }
 
-// call sends a call to one node after the other, and reports whether one acknowledged it.
+// call sends a call to one node after another until one acknowledges it, and reports whether one
+// did.
 func (e *endpoint) call(name string, body any) bool {
-	text, err := json.Marshal(body)
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		log.Fatal(err)
 	}
 	client := http.Client{Timeout: callTimeout}
 	for _, node := range e.nodes {
-		resp, err := client.Post("http://"+node+"/api/rpc?call=instances."+name+"&of="+e.id, "application/json", bytes.NewReader(text))
+		resp, err := client.Post("http://"+node+"/api/rpc?call=instances."+name+"&of="+e.id, "application/json", bytes.NewReader(encoded))
 		if err != nil {
 			continue
 		}
--- a/examples/scale/configuration.go
+++ b/examples/scale/configuration.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// configuration returns a configuration of the size that the options ask for. Two
-// versions differ in one route.
+// configuration returns a configuration with the numbers of services and routes given by the
+// options. The route whose timeout differs from the others depends on the version.
 func (o *options) configuration(version int) []byte {
 	type object = map[string]any
 	var clusters []object
@@ -36,7 +36,7 @@
 		}
 		listeners = append(listeners, object{"hostname": fmt.Sprintf("h%d.example", h), "rules": rules})
 	}
-	text, _ := json.Marshal(object{ // plain values encode
+	text, _ := json.Marshal(object{ // these types can always be encoded
 		"config_version": version,
 		"limits":         object{"max_header_bytes": 16384},
 		"listeners":      listeners,
@@ -47,7 +47,7 @@
 
 func serviceName(i int) string { return fmt.Sprint("s", i) }
 
-// replaceConfiguration puts a configuration in force by a call to a node.
+// replaceConfiguration stores a configuration by a call to a node.
 func (o *options) replaceConfiguration(node int, text []byte) error {
 	url := "http://" + controlAddress(node%o.nodes) + "/api/rpc?call=configuration.replace"
 	client := http.Client{Timeout: 5 * time.Second}
@@ -57,7 +57,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %d", url, resp.StatusCode)
+		return fmt.Errorf("%s returned status %d", url, resp.StatusCode)
 	}
 	return nil
 }
--- a/examples/scale/heartbeats.go
+++ b/examples/scale/heartbeats.go
@@ -11,26 +11,26 @@
 	"github.com/valyala/fasthttp"
 )
 
-// heartbeatSenders send the heartbeats of all hollow endpoints.
+// heartbeatSenders sends the heartbeats of all hollow endpoints.
 type heartbeatSenders struct {
 	options
-	acknowledged atomic.Int64 // heartbeats
-	registered   atomic.Int64 // endpoints with an acknowledged heartbeat
-	isRecording  atomic.Bool  // of latencies
+	acknowledged atomic.Int64 // number of acknowledged heartbeats
+	registered   atomic.Int64 // number of endpoints with an acknowledged heartbeat
+	isRecording  atomic.Bool  // whether latencies are recorded
 
 	mu        sync.Mutex
 	latencies []time.Duration
 }
 
-// start starts workers that divide the endpoints among them, until ctx ends.
+// start starts workers that share the endpoints among them and run until ctx is canceled.
 func (h *heartbeatSenders) start(ctx context.Context, workers int) {
 	for w := range workers {
 		go h.runWorker(ctx, w, workers)
 	}
 }
 
-// runWorker sends the heartbeats of every endpoint whose index is first, or that and a
-// multiple of step, at even intervals.
+// runWorker sends the heartbeats of the endpoints with the indexes first, first+step,
+// first+2*step and so on, at regular intervals.
 func (h *heartbeatSenders) runWorker(ctx context.Context, first, step int) {
 	interval := time.Duration(float64(h.heartbeatInterval) * float64(step) / float64(h.hollowEndpoints))
 	client := &fasthttp.Client{MaxConnsPerHost: 4}
@@ -41,7 +41,7 @@
 			next = next.Add(interval)
 			time.Sleep(time.Until(next))
 			if time.Since(next) > h.heartbeatInterval {
-				next = time.Now() // heartbeats that are overdue are not made up for
+				next = time.Now() // skip overdue heartbeats
 			}
 			if !h.send(client, i, sequence) {
 				continue
@@ -65,7 +65,7 @@
 	req.Header.SetMethod(http.MethodPost)
 	req.SetBodyString(fmt.Sprintf(`{"address":"127.0.0.1:9",`+
 		`"info":{"backend_service":%q,"config_version":"v1","zone":"z%d","capacity":4},`+
-		`"status":{"state":"ready","sequence":%d,"cold_remaining_s":0}}`, serviceName(endpoint%h.services), endpoint%zones, sequence))
+		`"status":{"state":"ready","sequence":%d,"cold_remaining_s":0}}`, serviceName(endpoint%h.services), endpoint%zoneCount, sequence))
 	began := time.Now()
 	if err := client.DoTimeout(req, resp, 5*time.Second); err != nil || resp.StatusCode() != http.StatusOK {
 		return false
@@ -78,7 +78,7 @@
 	return true
 }
 
-// percentile99MS returns the 99th percentile of the recorded latencies.
+// percentile99MS returns the 99th percentile of the recorded latencies in milliseconds.
 func (h *heartbeatSenders) percentile99MS() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/examples/scale/hollowproxy.go
+++ b/examples/scale/hollowproxy.go
@@ -13,30 +13,30 @@
 	"lichentray/registry"
 )
 
-// hollowProxy follows the control plane as a proxy node does, but keeps no objects.
+// hollowProxy follows the control plane like a proxy node, but stores no objects.
 type hollowProxy struct {
 	name     string
 	node     string // internal address of the control-plane node that it follows
-	services int    // that it reports the load of
+	services int    // number of services whose load it reports
 
-	configurationEvents atomic.Int64 // received
-	bookmarks           atomic.Int64 // received
+	configurationEvents atomic.Int64 // number received
+	bookmarks           atomic.Int64 // number received
 	listBytes           atomic.Int64 // size of the newest list
-	bookmarkBytes       atomic.Int64 // size of the largest bookmark that was measured
+	bookmarkBytes       atomic.Int64 // size of the largest measured bookmark
 	reportBytes         atomic.Int64 // size of a report
 }
 
 const (
 	reportInterval = 400 * time.Millisecond
-	// measuredBookmarks is of how many bookmarks one is measured.
-	measuredBookmarks = 20
+	// bookmarksPerSample is the number of bookmarks of which one is measured.
+	bookmarksPerSample = 20
 )
 
-// run follows the node until ctx ends, and connects again when that fails.
+// run follows the node until ctx is canceled, and reconnects after a failure.
 func (p *hollowProxy) run(ctx context.Context) {
 	const retryInterval = 200 * time.Millisecond
 	for ctx.Err() == nil {
-		_ = p.follow(ctx) // the next attempt is the answer to any failure
+		_ = p.follow(ctx) // any failure is followed by another attempt
 		time.Sleep(retryInterval)
 	}
 }
@@ -52,20 +52,20 @@
 	if err := conn.Send(&transport.Frame{Ask: &transport.Request{ID: 1, List: true, Packs: true}}); err != nil {
 		return err
 	}
-	reported := time.Now()
+	lastReport := time.Now()
 	sequence := uint64(time.Now().UnixMilli())
 	for {
 		frame, err := conn.Receive(10 * time.Second)
 		if err != nil {
 			return err
 		}
-		if err := p.receive(frame); err != nil {
+		if err := p.countFrame(frame); err != nil {
 			return err
 		}
-		if frame.Bookmark == nil || time.Since(reported) <= reportInterval {
+		if frame.Bookmark == nil || time.Since(lastReport) <= reportInterval {
 			continue
 		}
-		reported = time.Now()
+		lastReport = time.Now()
 		sequence++
 		if err := conn.Send(&transport.Frame{Ack: frame.Bookmark.Revision, Report: p.report(sequence)}); err != nil {
 			return err
@@ -73,8 +73,9 @@
 	}
 }
 
-// receive counts what a frame contains.
-func (p *hollowProxy) receive(frame *transport.Frame) error {
+// countFrame updates the counters and sizes from the content of a frame. It returns an error
+// if the node has rejected the request or the frame is invalid.
+func (p *hollowProxy) countFrame(frame *transport.Frame) error {
 	if answer := frame.Answer; answer != nil {
 		if answer.Failed {
 			return errors.New(answer.Detail)
@@ -90,7 +91,7 @@
 			p.configurationEvents.Add(1)
 		}
 	}
-	if frame.Bookmark != nil && p.bookmarks.Add(1)%measuredBookmarks == 0 {
+	if frame.Bookmark != nil && p.bookmarks.Add(1)%bookmarksPerSample == 0 {
 		p.bookmarkBytes.Store(max(p.bookmarkBytes.Load(), encodedSize(frame.Bookmark)))
 	}
 	return nil
@@ -109,8 +110,8 @@
 	return report
 }
 
-// encodedSize returns how many bytes a value takes on the wire, without the description
-// of its type, which is sent once.
+// encodedSize returns the size of a value on the wire in bytes, without the type description
+// that gob sends once per connection.
 func encodedSize(v any) int64 {
 	var b bytes.Buffer
 	enc := gob.NewEncoder(&b)
@@ -118,6 +119,6 @@
 		return 0
 	}
 	first := b.Len()
-	_ = enc.Encode(v) // it has succeeded before
+	_ = enc.Encode(v) // cannot fail, as the first call succeeded
 	return int64(b.Len() - first)
 }
--- a/examples/scale/processes.go
+++ b/examples/scale/processes.go
@@ -12,36 +12,37 @@
 	"time"
 )
 
-// zones is the number of zones that nodes and endpoints are spread over.
-const zones = 3
+// zoneCount is the number of zones over which nodes and endpoints are distributed.
+const zoneCount = 3
 
-// nodeIP returns the address of a process on the loopback.
+// nodeIP returns the loopback address of the process with index i.
 func nodeIP(i int) string { return fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200) }
 
-// controlAddress returns the address of the API of a control-plane node.
+// controlAddress returns the API address of a control-plane node.
 func controlAddress(i int) string { return nodeIP(i) + ":8166" }
 
-// internalAddress returns the address of the internal protocol of a control-plane node.
+// internalAddress returns the address of a control-plane node for the internal protocol.
 func internalAddress(i int) string { return nodeIP(i) + ":7720" }
 
 // process describes a process to start.
 type process struct {
 	program  string
-	name     string // of the node
+	name     string // node name
 	ip       string
 	role     string
-	isMember bool // of the quorum
+	isMember bool // whether the node is a quorum member
 	seeds    []string
 }
 
-// processGroup runs the programs. The control-plane nodes have to be started first.
+// processGroup manages the processes of a run. The control-plane nodes must be started first,
+// because measure distinguishes them from the proxy nodes by their order.
 type processGroup struct {
 	options
-	directory string // of settings, data and logs
+	directory string // for settings, data and logs
 	commands  []*exec.Cmd
 }
 
-// start starts a process.
+// start writes the settings file of a process and starts the process.
 func (g *processGroup) start(p process) error {
 	dataDirectory := ""
 	if p.isMember {
@@ -59,7 +60,7 @@
 		return err
 	}
 	defer output.Close() // the process has its own descriptor
-	c := exec.Command(filepath.Join(g.programDirectory, p.program), "--config", path)
+	c := exec.Command(filepath.Join(g.binDirectory, p.program), "--config", path)
 	c.Stdout = output
 	c.Stderr = output
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -79,32 +80,33 @@
 	os.RemoveAll(g.directory)
 }
 
-// usage is what the processes used while it was measured: cores, and resident megabytes.
-// The names of its fields are keys of the JSON object.
+// usage is the resource usage of the processes during a measurement: the number of CPU cores
+// used, and the resident memory at the end in MiB. The field names are keys of the JSON
+// object.
 type usage struct {
-	NodeCoresMean   float64
-	NodeCoresMost   float64
-	NodeMB          float64 // mean
-	NodeMBMost      float64
-	RouterCoresMean float64
-	RouterMB        float64 // mean
+	NodeCoresMean   float64 // mean of the control-plane nodes
+	NodeCoresMost   float64 // maximum of the control-plane nodes
+	NodeMB          float64 // mean of the control-plane nodes
+	NodeMBMost      float64 // maximum of the control-plane nodes
+	RouterCoresMean float64 // mean of the proxy nodes
+	RouterMB        float64 // mean of the proxy nodes
 }
 
-// measure measures what the processes use while a function runs.
-func (g *processGroup) measure(run func() error) (usage, error) {
-	before := make([]time.Duration, len(g.commands))
+// measure returns the resource usage of the processes while the workload runs.
+func (g *processGroup) measure(workload func() error) (usage, error) {
+	cpuBefore := make([]time.Duration, len(g.commands))
 	for i, c := range g.commands {
-		before[i], _ = sampleProcess(c.Process.Pid)
+		cpuBefore[i], _ = sampleProcess(c.Process.Pid)
 	}
 	began := time.Now()
-	if err := run(); err != nil {
+	if err := workload(); err != nil {
 		return usage{}, err
 	}
-	took := time.Since(began)
+	elapsed := time.Since(began)
 	var u usage
 	for i, c := range g.commands {
 		cpu, megabytes := sampleProcess(c.Process.Pid)
-		cores := (cpu - before[i]).Seconds() / took.Seconds()
+		cores := (cpu - cpuBefore[i]).Seconds() / elapsed.Seconds()
 		if i < g.nodes {
 			u.NodeCoresMean += cores / float64(g.nodes)
 			u.NodeCoresMost = max(u.NodeCoresMost, cores)
@@ -118,33 +120,33 @@
 	return u, nil
 }
 
-// sampleProcess returns the processor time and the resident memory of a process, or 0 if
-// it has ended (proc_pid_stat(5)).
+// sampleProcess returns the CPU time and the resident memory of a process, from
+// /proc/PID/stat (proc_pid_stat(5)), or 0 if the process does not exist.
 func sampleProcess(pid int) (cpu time.Duration, megabytes float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
-	// The fields after the name of the program, which may hold spaces.
+	// Indexes of the fields that follow the program name, which may contain spaces.
 	const (
 		userTicks     = 11
 		systemTicks   = 12
 		residentPages = 21
-		tick          = 10 * time.Millisecond
+		tickDuration  = 10 * time.Millisecond
 	)
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
 	number := func(i int) int {
 		n, _ := strconv.Atoi(fields[i]) // the kernel writes numbers
 		return n
 	}
-	cpu = time.Duration(number(userTicks)+number(systemTicks)) * tick
+	cpu = time.Duration(number(userTicks)+number(systemTicks)) * tickDuration
 	return cpu, float64(number(residentPages)) * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// zoneIndex returns the zone of a node.
+// zoneIndex returns the number of the zone of a node.
 func zoneIndex(ip string) int {
 	n, _ := strconv.Atoi(ip[strings.LastIndexByte(ip, '.')+1:]) // see nodeIP
-	return n % zones
+	return n % zoneCount
 }
 
 // settingsText returns the settings file of a process.
