--- a/internal/api/caller.go
+++ b/internal/api/caller.go
@@ -13,7 +13,7 @@
 func NewCallerCheck(ctx *fasthttp.RequestCtx) (callerIsWaiting func() bool) {
 	conn, ok := ctx.Conn().(syscall.Conn)
 	if !ok {
-		return func() bool { return true } // not a socket; this occurs in tests only
+		return func() bool { return true } // not a socket, as in tests
 	}
 	rawConn, err := conn.SyscallConn()
 	if err != nil {
