--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -177,15 +177,15 @@
 	}
 }
 
-// apiNode adapts a node to api.Node, whose Status method has the result type any.
-type apiNode struct{ *controlplane.Node }
+// statusNode adapts a node to api.Node, whose Status method has the result type any.
+type statusNode struct{ *controlplane.Node }
 
 // Status implements api.Node.
-func (n apiNode) Status() any { return n.Node.Status() }
+func (n statusNode) Status() any { return n.Node.Status() }
 
 // serveAPI starts the server of the control plane's API.
 func serveAPI(set *settings.Settings, node *controlplane.Node, metricsRegistry *metrics.Registry, failed chan<- error) (*fasthttp.Server, error) {
-	handler := api.NewHandler(apiNode{node}, metricsRegistry, set.Bounds.HistoryRetention.Duration())
+	handler := api.NewHandler(statusNode{node}, metricsRegistry, set.Bounds.HistoryRetention.Duration())
 	listener, err := api.Listen(set.BindAddr(set.Listen.Control), metricsRegistry)
 	if err != nil {
 		return nil, fmt.Errorf("control_plane: %w", err)
--- a/cmd/lichentrayctl/client.go
+++ b/cmd/lichentrayctl/client.go
@@ -38,8 +38,8 @@
 // callError is the error of a call that got no usable response.
 type callError struct {
 	err error
-	// mayHaveBeenReceived is set if a node may have received the call.
-	mayHaveBeenReceived bool
+	// mayHaveArrived is set if a node may have received the call.
+	mayHaveArrived bool
 }
 
 // Error returns the message of the underlying error.
@@ -86,7 +86,7 @@
 			switch {
 			case err != nil:
 				var e *callError
-				mayHaveTakenEffect = mayHaveTakenEffect || errors.As(err, &e) && e.mayHaveBeenReceived
+				mayHaveTakenEffect = mayHaveTakenEffect || errors.As(err, &e) && e.mayHaveArrived
 				lastErr = fmt.Errorf("%s: %w", node, err)
 			case r.status == http.StatusOK:
 				return node, nil
@@ -126,8 +126,8 @@
 		location, err := url.Parse(r.location)
 		if err != nil || location.Host == "" {
 			return r, &callError{
-				err:                 fmt.Errorf("%s sends on to %q, which is no address", node, r.location),
-				mayHaveBeenReceived: true,
+				err:            fmt.Errorf("%s sends on to %q, which is no address", node, r.location),
+				mayHaveArrived: true,
 			}
 		}
 		if redirects == maxRedirects {
@@ -161,7 +161,7 @@
 		},
 	}
 	if err := host.DoTimeout(req, resp, c.remainingTime(callTimeout)); err != nil {
-		return response{}, &callError{err: err, mayHaveBeenReceived: isConnected}
+		return response{}, &callError{err: err, mayHaveArrived: isConnected}
 	}
 	return response{
 		status:   resp.StatusCode(),
--- a/examples/scale/main.go
+++ b/examples/scale/main.go
@@ -29,7 +29,7 @@
 	heartbeatInterval    time.Duration
 	measurementDuration  time.Duration
 	configurationChanges int
-	binDirectory         string
+	programDirectory     string
 }
 
 // result is the output of a run. The field names are the keys of the JSON object.
@@ -65,7 +65,7 @@
 	flag.DurationVar(&o.heartbeatInterval, "beat", 5*time.Second, "heartbeat interval of an endpoint")
 	flag.DurationVar(&o.measurementDuration, "span", 10*time.Second, "duration of each measurement")
 	flag.IntVar(&o.configurationChanges, "changes", 10, "number of configuration changes")
-	flag.StringVar(&o.binDirectory, "bin", "target", "directory of the program binaries")
+	flag.StringVar(&o.programDirectory, "bin", "target", "directory of the program binaries")
 	flag.Parse()
 	if err := run(o, os.Stdout); err != nil {
 		log.Fatal(err)
--- a/examples/scale/processes.go
+++ b/examples/scale/processes.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	defer output.Close() // the process has its own descriptor
-	c := exec.Command(filepath.Join(g.binDirectory, p.program), "--config", path)
+	c := exec.Command(filepath.Join(g.programDirectory, p.program), "--config", path)
 	c.Stdout = output
 	c.Stderr = output
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
