--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -87,7 +87,7 @@
 		}
 	}
 	timeout := min(p.timeouts.dial, f.request.deadline.Sub(now))
-	conn, err := dialUpstream(t.endpoint.Address, timeout, p.timeouts.unacknowledged)
+	conn, err := dialUpstream(t.endpoint.Address, timeout, p.timeouts.tcpUserTimeout)
 	if err != nil {
 		p.counters.dialFailures.Inc()
 		return nil, err
@@ -115,7 +115,7 @@
 	buf := headBuffers.Get().(*[]byte)
 	defer headBuffers.Put(buf)
 	b := q.appendHead((*buf)[:0], endpointID, q.deadline.Sub(now))
-	isPaced := len(q.body) >= minPacedSize && pacer.isEnabled()
+	isPaced := len(q.body) >= minPacedBytes && pacer.isEnabled()
 	if !isPaced {
 		b = append(b, q.body...)
 	}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -175,8 +175,8 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	body := strings.Repeat("b", maxBufferedRequest)
-	_, _ = fmt.Fprintf(c, "POST /once/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline: 9000\r\nContent-Length: %d\r\n\r\n%sb", 2*maxBufferedRequest, body)
+	body := strings.Repeat("b", maxBufferedRequestBytes)
+	_, _ = fmt.Fprintf(c, "POST /once/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline: 9000\r\nContent-Length: %d\r\n\r\n%sb", 2*maxBufferedRequestBytes, body)
 	<-ended
 	_, _ = io.WriteString(c, body[1:])
 	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 503 {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -207,8 +207,8 @@
 		t.Fatal(err)
 	}
 	awaitCondition(t, "close of the client connection", func() bool { return countOpenConnections(f) == 0 })
-	if p.departures.canceledAttempts.Value() != 1 {
-		t.Errorf("canceled attempts = %d, want 1", p.departures.canceledAttempts.Value())
+	if p.disconnectWatcher.canceledAttempts.Value() != 1 {
+		t.Errorf("canceled attempts = %d, want 1", p.disconnectWatcher.canceledAttempts.Value())
 	}
 }
 
@@ -248,10 +248,10 @@
 	remaining := sendAndKeepOpen(t, f, longDeadlineRequest("GET", "/safe/a")+longDeadlineRequest("GET", "/safe/b"))
 	receiveWithin(t, endpoint.started, "second request")
 	leaving.Close()
-	awaitCondition(t, "detection of the disconnect", func() bool { return p.departures.disconnects.Value() == 1 })
+	awaitCondition(t, "detection of the disconnect", func() bool { return p.disconnectWatcher.disconnects.Value() == 1 })
 	for range maxSweepsAfterDisconnect { // further sweeps must not cancel the attempt
-		seen := p.departures.sweeps.Value()
-		awaitCondition(t, "sweep", func() bool { return p.departures.sweeps.Value() > seen })
+		seen := p.disconnectWatcher.sweeps.Value()
+		awaitCondition(t, "sweep", func() bool { return p.disconnectWatcher.sweeps.Value() > seen })
 	}
 	if len(endpoint.ended) > 0 {
 		t.Fatalf("attempt of %s was canceled", <-endpoint.ended)
@@ -270,8 +270,8 @@
 		_, _ = io.Copy(io.Discard, response.Body) // it is short
 	}
 	awaitCondition(t, "end of the request of the disconnected client", func() bool { return countOpenConnections(f) == 1 })
-	if p.departures.canceledAttempts.Value() != 0 || p.departures.violations.Value() != 0 {
-		t.Errorf("%d canceled attempts, %d violations; want 0, 0", p.departures.canceledAttempts.Value(), p.departures.violations.Value())
+	if p.disconnectWatcher.canceledAttempts.Value() != 0 || p.disconnectWatcher.violations.Value() != 0 {
+		t.Errorf("%d canceled attempts, %d violations; want 0, 0", p.disconnectWatcher.canceledAttempts.Value(), p.disconnectWatcher.violations.Value())
 	}
 }
 
--- a/internal/proxy/endpointfault_test.go
+++ b/internal/proxy/endpointfault_test.go
@@ -288,7 +288,7 @@
 	if route == "safe" && rng.Intn(2) == 0 {
 		method = "GET"
 	} else {
-		body = bytes.Repeat([]byte{'b'}, []int{0, 10, 5000, 40000, maxBufferedRequest + 20000}[rng.Intn(50)/12])
+		body = bytes.Repeat([]byte{'b'}, []int{0, 10, 5000, 40000, maxBufferedRequestBytes + 20000}[rng.Intn(50)/12])
 	}
 	head := fmt.Sprintf("%s /%s/%s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline: 300\r\n", method, route, id, id)
 	switch {
--- a/internal/proxy/finder.go
+++ b/internal/proxy/finder.go
@@ -112,7 +112,7 @@
 		if f.pending < maxConcurrentOpens {
 			f.pending++
 			request := f.request
-			f.proxy.openers.Go(func() { f.open(ctx, addr, request) })
+			f.proxy.streamOpeners.Go(func() { f.open(ctx, addr, request) })
 		}
 		s, err := f.await(ctx, f.hedgeDelay)
 		if s != nil {
@@ -122,7 +122,7 @@
 			f.request.Zone = "" // a referral to a nearer node is requested only once
 			return nil, true
 		}
-		if errors.Is(err, errReferred) {
+		if errors.Is(err, errReferredToCore) {
 			return nil, true
 		}
 		if ctx.Err() != nil {
@@ -152,7 +152,7 @@
 	select {
 	case r := <-f.results:
 		f.pending--
-		if errors.Is(r.err, errReferred) {
+		if errors.Is(r.err, errReferredToCore) {
 			f.relays[r.addr] = true
 		}
 		return r.stream, r.err
--- a/internal/proxy/forwarding.go
+++ b/internal/proxy/forwarding.go
@@ -150,7 +150,7 @@
 	if o.isStale {
 		// Whether the endpoint itself has failed is determined by the next new connection.
 		p.counters.staleConnections.Inc()
-		f.service.noteStaleConnection(p.now(), o.idleFor, p.timeouts.ejectionMax)
+		f.service.recordStaleConnection(p.now(), o.idleFor, p.timeouts.ejectionMax)
 		t.conns.closeIdle()
 	}
 	isEndpointNotAtFault := o.isStale || errors.Is(o.err, errDeadlineExceeded) || isClientAborted
@@ -175,7 +175,7 @@
 	isSuccess := o.response.status < 500
 	t.recorder.recordResponse(o.took, isSuccess)
 	if isSuccess {
-		o.latencyRatio = f.request.stats.observe(o.took.Seconds(), t.group == loadbalance.BaseVersion)
+		o.latencyRatio = f.request.stats.recordLatency(o.took.Seconds(), t.group == loadbalance.BaseVersion)
 	} else {
 		f.service.recordServerError(t.endpoint)
 	}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -111,7 +111,7 @@
 // newServer returns a server with the given limits.
 func (f *Frontend) newServer(limits config.Limits) *fasthttp.Server {
 	contact := f.proxy.settings.Bounds.ContactWindow.Duration()
-	s := api.NewServer(f.proxy.HandleRequest, maxBufferedRequest)
+	s := api.NewServer(f.proxy.HandleRequest, maxBufferedRequestBytes)
 	s.StreamRequestBody = true
 	s.ReadBufferSize = int(max(minReadBufferBytes, min(limits.MaxHeaderBytes, maxReadBufferBytes))) + readBufferReserveBytes
 	s.ReadTimeout = secondsOr(limits.HeaderTimeoutSeconds, contact)
--- a/internal/proxy/handle.go
+++ b/internal/proxy/handle.go
@@ -57,7 +57,7 @@
 		return
 	}
 	q.client.client, q.client.probe = conn, conn.probe
-	p.departures.watch(&q.client)
+	p.disconnectWatcher.watch(&q.client)
 }
 
 // forward attempts a request at one endpoint after another until a response can be relayed, no
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// outcome is how one attempt ended.
+// outcome is the result of one attempt.
 type outcome struct {
 	phase phase
-	// err is what ended the attempt, if there is no valid response.
+	// err is the error that ended the attempt; nil if there is a valid response.
 	err error
 	// response is the response, if one was read.
 	response *response
-	// conn is the connection, if the response streams on it.
+	// conn is the connection, if the response body is streamed from it.
 	conn *upstreamConn
-	// isStale: the connection had been idle and ended without a byte of a response,
-	// as the endpoint had already closed it or dropped its state.
+	// isStale is true if a reused connection failed before any byte of a response was received,
+	// because the endpoint had already closed it or lost its state.
 	isStale bool
 	// idleFor is how long the connection had been idle; 0 if it was new.
 	idleFor time.Duration
 	// took is the duration of the attempt.
 	took time.Duration
-	// latencyRatio is took over what is typical for the route; 0 without a response.
+	// latencyRatio is took divided by the route's typical latency; 0 without a response.
 	latencyRatio float64
 }
 
-// incompletePhase is the phase in which reading a response failed. The response is nil
-// if its head is incomplete.
+// incompletePhase returns the phase of an attempt whose response could not be read. The response
+// is nil if its head is incomplete.
 func incompletePhase(resp *response, err error) phase {
 	switch {
 	case errors.Is(err, errInvalidResponse):
@@ -39,15 +39,15 @@
 	}
 }
 
-// classify returns the phase in which an attempt with this response ends; an error if the
-// response is not valid as one to the request.
+// classify returns the phase in which an attempt with this response ends. It returns an error if
+// the response is not a valid response to the request.
 func (f *forwarding) classify(resp *response, isConnReused bool) (phase, error) {
 	switch {
 	case !resp.belongsTo(f.request.attemptID, isConnReused):
 		return phaseInvalid, fmt.Errorf("%w: of another request", errInvalidResponse)
 	case resp.isUnsignedSuccess():
 		return phaseInvalid, fmt.Errorf("%w: success without a signature", errInvalidResponse)
-	case resp.statesUnprocessed():
+	case resp.isUnprocessed():
 		return phaseUnprocessed, nil
 	case resp.stream != nil:
 		return phaseStreaming, nil
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// maxTrackedClients bounds for how many clients requests are counted between two
-	// reports; all others rank as if they had sent none.
+	// maxTrackedClients is the maximum number of clients whose requests are counted between two
+	// reports. Further clients rank as if they had sent none.
 	maxTrackedClients = 4096
-	// requestsPerRank is how many requests between two reports are one step in rank, so
-	// that clients that ask about as often rank alike.
+	// requestsPerRank is the number of requests between two reports that make one step in rank,
+	// so that clients with similar request rates have the same rank.
 	requestsPerRank = 4
-	// minQueueLimit is the least limit of requests in flight that the queue is bounded by: a
-	// request waits only if no more than half of the limit would be ahead of it.
-	minQueueLimit = 8
+	// minQueueInflightLimit is the minimum inflight limit used to bound the queue: a request is
+	// queued only if at most half of the limit is ahead of it.
+	minQueueInflightLimit = 8
 )
 
-// queueRank orders a queue: by the route's priority, then by how often the client has
-// asked lately (fair queuing by flow). Smaller is first.
+// queueRank is the position of a request in a queue: by the route's priority, then by the client's
+// recent number of requests (fair queuing by client). Smaller values come first.
 type queueRank struct {
 	priority       int
 	recentRequests int
 }
 
-// before reports whether a request of rank r goes first.
+// before reports whether a request of rank r precedes one of rank o.
 func (r queueRank) before(o queueRank) bool {
 	if r.priority != o.priority {
 		return r.priority < o.priority
@@ -38,18 +38,18 @@
 // waiter is a request that waits in a queue for an endpoint.
 type waiter struct {
 	rank queueRank
-	// wake receives when an endpoint may have become free.
+	// wake receives a value when an endpoint may have become available.
 	wake chan struct{}
 }
 
-// endpointQueue has the requests of a service that wait for an endpoint, in the order of
-// their ranks and, within one rank, of their arrival. The service's lock protects it.
+// endpointQueue holds the requests of a service that wait for an endpoint, ordered by rank and,
+// within a rank, by arrival. It is guarded by service.mu.
 type endpointQueue struct {
 	waiters []*waiter
 }
 
-// ahead is how many waiting requests a request of a rank would stand behind.
-func (q *endpointQueue) ahead(rank queueRank) int {
+// countAhead returns the number of waiting requests that precede a new request of the given rank.
+func (q *endpointQueue) countAhead(rank queueRank) int {
 	ahead := 0
 	for _, w := range q.waiters {
 		if !rank.before(w.rank) {
@@ -59,7 +59,7 @@
 	return ahead
 }
 
-// push adds a request.
+// push inserts a request behind all others of its rank.
 func (q *endpointQueue) push(rank queueRank) *waiter {
 	w := &waiter{rank: rank, wake: make(chan struct{}, 1)}
 	at := sort.Search(len(q.waiters), func(i int) bool { return rank.before(q.waiters[i].rank) })
@@ -67,26 +67,26 @@
 	return w
 }
 
-// remove removes a request, wherever in the queue it is.
+// remove removes a request at any position in the queue.
 func (q *endpointQueue) remove(w *waiter) {
 	if i := slices.Index(q.waiters, w); i >= 0 {
 		q.waiters = slices.Delete(q.waiters, i, i+1)
 	}
 }
 
-// wakeFirst wakes the first request, which then looks for an endpoint.
+// wakeFirst wakes the first request, which then tries to pick an endpoint.
 func (q *endpointQueue) wakeFirst() {
 	if len(q.waiters) == 0 {
 		return
 	}
 	select {
 	case q.waiters[0].wake <- struct{}{}:
-	default: // it was woken already
+	default: // it has been woken already
 	}
 }
 
-// recordArrival counts a request of a client, deposits its tokens in the retry budget, and
-// returns its rank in the queue.
+// recordArrival counts a client's request, makes a deposit to the retry budget for it, and returns
+// its queue rank.
 func (s *service) recordArrival(client string, priority int) queueRank {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,20 +99,21 @@
 	return queueRank{priority: priority, recentRequests: n / requestsPerRank}
 }
 
-// queueWait is how long a request waits for an endpoint.
+// queueWait bounds a request's wait for an endpoint.
 type queueWait struct {
-	// limit is the longest wait; 0 for none.
+	// limit is the maximum wait; 0 to not wait.
 	limit time.Duration
-	// client ends the wait when it leaves.
+	// client is watched for a disconnect, which ends the wait.
 	client *clientWatch
 }
 
-// acquireEndpoint reserves an endpoint, for which it waits in the order of ranks. A wait that
-// cannot end in time is not begun. It returns nil if there is none.
+// acquireEndpoint reserves an endpoint for which skip returns false. If none is available, it waits
+// in the queue, unless too many requests are ahead. It returns nil if no endpoint becomes available
+// in time.
 func (s *service) acquireEndpoint(p *Proxy, rank queueRank, wait queueWait, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, *connPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ahead := s.queue.ahead(rank)
+	ahead := s.queue.countAhead(rank)
 	limit := 0
 	if ahead == 0 {
 		var e *loadbalance.Endpoint
@@ -120,7 +121,7 @@
 			return e, s.connPools[e]
 		}
 	}
-	if wait.limit <= 0 || ahead > max(limit, minQueueLimit)/2 {
+	if wait.limit <= 0 || ahead > max(limit, minQueueInflightLimit)/2 {
 		return nil, nil
 	}
 	w := s.queue.push(rank)
@@ -130,28 +131,28 @@
 	return e, s.connPools[e]
 }
 
-// awaitEndpoint picks an endpoint whenever the waiter is woken, and for the last time
-// when the wait is over. It returns nil if the client leaves. The caller has the lock, which is
-// released in between.
+// awaitEndpoint tries to pick an endpoint each time the waiter is woken, and once more when the
+// wait times out. It returns nil if the client disconnects. The caller must hold s.mu, which is
+// released while waiting.
 func (s *service) awaitEndpoint(p *Proxy, w *waiter, wait queueWait, skip func(*loadbalance.Endpoint) bool) *loadbalance.Endpoint {
 	timer := time.NewTimer(wait.limit)
 	defer timer.Stop()
-	left := wait.client.disconnected()
+	disconnected := wait.client.disconnected()
 	for {
 		s.mu.Unlock()
-		isOver, hasLeft := false, false
+		isTimedOut, isDisconnected := false, false
 		select {
-		case <-left:
-			hasLeft = true
+		case <-disconnected:
+			isDisconnected = true
 		case <-w.wake:
 		case <-timer.C:
-			isOver = true
+			isTimedOut = true
 		}
 		s.mu.Lock()
-		if hasLeft {
+		if isDisconnected {
 			return nil
 		}
-		if e, _ := s.pickEndpoint(p.now(), skip); e != nil || isOver {
+		if e, _ := s.pickEndpoint(p.now(), skip); e != nil || isTimedOut {
 			return e
 		}
 	}
--- a/internal/proxy/queue_test.go
+++ b/internal/proxy/queue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestWaitersAreServedByRank: an endpoint that becomes free goes to the smaller priority number,
-// then to the client that asked less often.
+// TestWaitersAreServedByRank checks that an endpoint that becomes available is given to the waiting
+// request with the smallest priority number, then to that of the client with fewer requests.
 func TestWaitersAreServedByRank(t *testing.T) {
 	e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 	p, _ := startProxy(t, e)
@@ -14,21 +14,21 @@
 	s.pool.SetMaxConnections(1) // one request at a time
 	busy, _ := s.acquireEndpoint(p, queueRank{}, queueWait{}, nil)
 	if busy == nil {
-		t.Fatal("no free place at the start")
+		t.Fatal("no endpoint is available at the start")
 	}
-	var press queueRank
+	var frequent queueRank
 	for range 12 {
-		press = s.recordArrival("noisy", 1)
+		frequent = s.recordArrival("frequent", 1)
 	}
-	calm := s.recordArrival("calm", 1)
+	rare := s.recordArrival("rare", 1)
 	order := make(chan string, 3)
-	enter := func(name string, r queueRank, queued int) {
+	enqueue := func(name string, r queueRank, queued int) {
 		go func() {
 			got, _ := s.acquireEndpoint(p, r, queueWait{limit: 20 * time.Second, client: &clientWatch{}}, nil)
 			order <- name
 			s.releaseEndpoint(p, got, true, 0)
 		}()
-		for { // until it stands in the queue
+		for { // until it is queued
 			s.mu.Lock()
 			n := len(s.queue.waiters)
 			s.mu.Unlock()
@@ -38,13 +38,13 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	enter("noisy", press, 1)
-	enter("calm", calm, 2)
-	enter("urgent", queueRank{priority: 0}, 3)
+	enqueue("frequent", frequent, 1)
+	enqueue("rare", rare, 2)
+	enqueue("urgent", queueRank{priority: 0}, 3)
 	s.releaseEndpoint(p, busy, true, 0)
-	for _, want := range []string{"urgent", "calm", "noisy"} {
+	for _, want := range []string{"urgent", "rare", "frequent"} {
 		if got := <-order; got != want {
-			t.Errorf("%s went where %s should", got, want)
+			t.Errorf("next request served = %s, want %s", got, want)
 		}
 	}
 }
--- a/internal/proxy/reflector.go
+++ b/internal/proxy/reflector.go
@@ -9,77 +9,79 @@
 	"lichentray/internal/transport"
 )
 
-// reflector keeps the mirror of the registry up to date. One goroutine uses it.
+// reflector keeps the mirror of the registry up to date. It is used by a single goroutine.
 type reflector struct {
 	proxy *Proxy
-	// current is the stream that is followed; nil if there is none.
+	// current is the stream in use; nil if there is none.
 	current *watchStream
-	// search is the search for another stream; nil if there is none.
+	// search is the search in progress for another stream; nil if there is none.
 	search *streamSearch
-	// searchers are the goroutines of searches, also of cancelled ones.
-	searchers sync.WaitGroup
-	// silence fires when the current stream has been silent for too long.
-	silence    *time.Timer
-	lastReport time.Time
+	// searches tracks the goroutines of searches, including canceled ones.
+	searches sync.WaitGroup
+	// silenceTimer fires when the current stream has been silent for too long.
+	silenceTimer *time.Timer
+	lastReport   time.Time
 }
 
-// streamSearch is a search for a stream, which runs on a goroutine of its own.
+// streamSearch is a search for a stream. It runs on its own goroutine.
 type streamSearch struct {
-	// found receives the stream; nil if there is none.
+	// found receives the opened stream, or nil if none was found.
 	found  chan *watchStream
 	cancel context.CancelFunc
-	// isForNearer: the current stream works, and a nearer node is sought.
-	isForNearer bool
+	// isNearerOnly is true if the search covers only nodes nearer than that of the current stream,
+	// which is healthy.
+	isNearerOnly bool
 }
 
-// ListAndWatch keeps the mirror of the registry up to date until the context ends: one list,
-// then the watch, from whichever control-plane node is up to date.
+// ListAndWatch keeps the mirror of the registry up to date until the context ends. It lists the
+// registry once and then watches it, on a stream of any up-to-date control-plane node.
 //
-// A stream that is silent is kept while another is sought, and whichever delivers
-// first is followed: on a proxy whose link is saturated every frame arrives late, and to
-// discard those in flight would delay it further.
+// A silent stream is kept while another is searched for, and whichever delivers first is used. If
+// the proxy's link is saturated, all frames are late, and discarding those in flight would delay
+// the proxy further.
 func (p *Proxy) ListAndWatch(ctx context.Context) {
 	r := &reflector{
-		proxy:      p,
-		silence:    time.NewTimer(p.timeouts.streamSilence),
-		lastReport: time.Now(),
+		proxy:        p,
+		silenceTimer: time.NewTimer(p.timeouts.maxStreamSilence),
+		lastReport:   time.Now(),
 	}
 	defer r.stop()
-	r.seek(ctx, "")
+	r.searchAll(ctx, "")
 	for ctx.Err() == nil {
 		r.step(ctx)
 	}
 }
 
-// step handles the next thing that happens.
+// step waits for the next event and handles it.
 func (r *reflector) step(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-r.silence.C:
+	case <-r.silenceTimer.C:
 		if r.current != nil {
-			r.seek(ctx, r.current.addr)
+			r.searchAll(ctx, r.current.addr)
 		}
 	case err := <-r.currentFailure():
-		r.replace(ctx, err)
+		r.replaceStream(ctx, err)
 	case s := <-r.searchResult():
-		r.endSearch(ctx, s)
+		r.finishSearch(ctx, s)
 	case f := <-r.currentFrames():
 		r.handleFrame(ctx, f)
 	}
 }
 
-// stop ends what the reflector has started.
+// stop closes the current stream, cancels the search in progress, and waits for all goroutines of
+// searches.
 func (r *reflector) stop() {
-	r.silence.Stop()
+	r.silenceTimer.Stop()
 	r.cancelSearch()
 	if r.current != nil {
 		r.current.close()
 	}
-	r.searchers.Wait()
-	r.proxy.openers.Wait()
+	r.searches.Wait()
+	r.proxy.streamOpeners.Wait()
 }
 
-// currentFrames receives the frames of the current stream.
+// currentFrames returns the channel of the current stream's frames, or nil without a stream.
 func (r *reflector) currentFrames() <-chan *transport.Frame {
 	if r.current == nil {
 		return nil
@@ -87,7 +89,8 @@
 	return r.current.frames
 }
 
-// currentFailure receives the error that ends the current stream.
+// currentFailure returns the channel of the error that ends the current stream, or nil without a
+// stream.
 func (r *reflector) currentFailure() <-chan error {
 	if r.current == nil {
 		return nil
@@ -95,7 +98,7 @@
 	return r.current.failure
 }
 
-// searchResult receives the stream that a search has found.
+// searchResult returns the channel of the result of the search in progress, or nil without one.
 func (r *reflector) searchResult() <-chan *watchStream {
 	if r.search == nil {
 		return nil
@@ -103,10 +106,10 @@
 	return r.search.found
 }
 
-// seek starts a search over all nodes, unless one is under way. The node of the address
-// avoid is asked last.
-func (r *reflector) seek(ctx context.Context, avoid string) {
-	if r.search != nil && !r.search.isForNearer {
+// searchAll starts a search over all nodes, unless one is in progress. The node with the address
+// avoid is tried last.
+func (r *reflector) searchAll(ctx context.Context, avoid string) {
+	if r.search != nil && !r.search.isNearerOnly {
 		return
 	}
 	r.startSearch(ctx, false, func(ctx context.Context, request transport.Request) *watchStream {
@@ -114,9 +117,9 @@
 	})
 }
 
-// seekNearer starts a search over the nodes nearer than the current one, unless any search
-// is under way.
-func (r *reflector) seekNearer(ctx context.Context) {
+// searchNearer starts a search over the nodes nearer than the current one, unless any search is in
+// progress.
+func (r *reflector) searchNearer(ctx context.Context) {
 	if r.search != nil {
 		return
 	}
@@ -126,20 +129,20 @@
 	})
 }
 
-// startSearch starts a search and cancels one that is under way.
-func (r *reflector) startSearch(ctx context.Context, isForNearer bool, find func(context.Context, transport.Request) *watchStream) {
+// startSearch starts a search and cancels the one in progress, if any.
+func (r *reflector) startSearch(ctx context.Context, isNearerOnly bool, find func(context.Context, transport.Request) *watchStream) {
 	r.cancelSearch()
 	ctx, cancel := context.WithCancel(ctx)
 	search := &streamSearch{
-		found:       make(chan *watchStream),
-		cancel:      cancel,
-		isForNearer: isForNearer,
+		found:        make(chan *watchStream),
+		cancel:       cancel,
+		isNearerOnly: isNearerOnly,
 	}
 	r.search = search
 	request := r.nextRequest()
-	r.searchers.Add(1)
+	r.searches.Add(1)
 	go func() {
-		defer r.searchers.Done()
+		defer r.searches.Done()
 		s := find(ctx, request)
 		select {
 		case search.found <- s:
@@ -151,8 +154,8 @@
 	}()
 }
 
-// nextRequest is the request that brings the mirror up to date: a list, or a watch from
-// the mirror's revision on.
+// nextRequest returns the request that brings the mirror up to date: a list, or a watch that starts
+// at the mirror's revision.
 func (r *reflector) nextRequest() transport.Request {
 	mirror := r.proxy.mirror
 	request := transport.Request{
@@ -162,13 +165,13 @@
 		List:  !mirror.HasSynced(),
 		Packs: true,
 	}
-	if !r.proxy.hasMovedNearer {
+	if !r.proxy.hasSearchedNearer {
 		request.Zone = r.proxy.settings.Zone
 	}
 	return request
 }
 
-// cancelSearch ends a search that is under way.
+// cancelSearch cancels the search in progress, if any.
 func (r *reflector) cancelSearch() {
 	if r.search != nil {
 		r.search.cancel()
@@ -176,54 +179,56 @@
 	}
 }
 
-// endSearch follows the stream that a search has found, if any.
-func (r *reflector) endSearch(ctx context.Context, s *watchStream) {
-	wasForNearer := r.search.isForNearer
+// finishSearch switches to the stream s that the search has found. If s is nil, it does nothing but
+// end the search.
+func (r *reflector) finishSearch(ctx context.Context, s *watchStream) {
+	wasNearerOnly := r.search.isNearerOnly
 	r.cancelSearch()
 	if s == nil {
 		return
 	}
 	if r.current != nil {
 		reason := errStreamTimeout
-		if wasForNearer {
+		if wasNearerOnly {
 			reason = errNearerNode
 		}
-		r.drop(reason)
+		r.dropStream(reason)
 	}
 	r.current = s
-	r.silence.Reset(r.proxy.timeouts.streamSilence)
+	r.silenceTimer.Reset(r.proxy.timeouts.maxStreamSilence)
 	if err := r.proxy.startStream(s); err != nil {
-		r.drop(err)
-		r.seek(ctx, "")
+		r.dropStream(err)
+		r.searchAll(ctx, "")
 	}
 }
 
 // handleFrame handles a frame of the current stream.
 func (r *reflector) handleFrame(ctx context.Context, f *transport.Frame) {
-	r.silence.Reset(r.proxy.timeouts.streamSilence)
+	r.silenceTimer.Reset(r.proxy.timeouts.maxStreamSilence)
 	err := r.proxy.handleFrame(r.current, f, &r.lastReport)
 	switch {
 	case errors.Is(err, errNearerNode):
-		r.current.openedAt = time.Now() // if no nearer node answers, they are asked again later
-		r.seekNearer(ctx)
+		r.current.openedAt = time.Now() // delays the next attempt if no nearer node responds
+		r.searchNearer(ctx)
 	case err != nil:
-		// A search under way may resume from a mirror that is no longer valid.
+		// The search in progress may have requested a watch from a revision of a mirror that is no
+		// longer valid.
 		r.cancelSearch()
-		r.replace(ctx, err)
-	case r.search != nil && !r.search.isForNearer:
-		r.cancelSearch() // the current stream delivers again
+		r.replaceStream(ctx, err)
+	case r.search != nil && !r.search.isNearerOnly:
+		r.cancelSearch() // the current stream is no longer silent
 	}
 }
 
-// replace drops the current stream and seeks another, preferably of another node.
-func (r *reflector) replace(ctx context.Context, err error) {
+// replaceStream drops the current stream and searches for another, preferably of another node.
+func (r *reflector) replaceStream(ctx context.Context, err error) {
 	avoid := r.current.addr
-	r.drop(err)
-	r.seek(ctx, avoid)
+	r.dropStream(err)
+	r.searchAll(ctx, avoid)
 }
 
-// drop ends the current stream.
-func (r *reflector) drop(reason error) {
+// dropStream closes the current stream.
+func (r *reflector) dropStream(reason error) {
 	p := r.proxy
 	if !errors.Is(reason, errNearerNode) {
 		p.log.Info("stream lost", "from", r.current.addr, "error", reason)
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -9,12 +9,12 @@
 	"lichentray/registry"
 )
 
-// zoneLoadKey is the key in a report for the load of a service in one zone.
+// zoneLoadKey returns the key of a service's load in one zone within a report.
 func zoneLoadKey(service, zone string) string { return service + "\x00" + zone }
 
-// buildReport reports to the control plane what this node asks of each service, and of
-// each zone if there are several regions; what it saw of endpoints and roll-outs; and the
-// audit records that are due. span is the time since the last report.
+// buildReport returns a report to the control plane: this node's load on each service, also by zone
+// if there are several regions; its observations of endpoints and roll-outs; and the audit records
+// that are due. span is the time since the last report.
 func (p *Proxy) buildReport(span time.Duration) *transport.ProxyReport {
 	loads := map[string]loadbalance.Load{}
 	observations := map[string]loadbalance.Observation{}
@@ -31,7 +31,7 @@
 	}
 }
 
-// collectLoads adds to a report what one service saw.
+// collectLoads adds a service's loads and endpoint observations to those of a report.
 func (p *Proxy) collectLoads(s *service, span time.Duration, loads map[string]loadbalance.Load, observations map[string]loadbalance.Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +60,8 @@
 // hasRegions reports whether there is more than one region.
 func (p *Proxy) hasRegions() bool { return len(p.regionIndex) > 1 }
 
-// nextReportSeq returns the sequence number of a report that is sent now, and forgets the
-// reports for which no quota can be granted any more.
+// nextReportSeq returns the sequence number of a report that is about to be sent, and forgets the
+// reports whose quota grants would have expired.
 func (p *Proxy) nextReportSeq() uint64 {
 	p.reportSeq++
 	now := p.now()
@@ -74,8 +74,8 @@
 	return p.reportSeq
 }
 
-// registration is this node's entry in the registry, where clients find proxies there; nil
-// where they do not, or before this node is ready.
+// registration returns this node's entry in the directory. It is nil if clients do not find proxies
+// by the directory, or if this node is not ready, unless it is draining.
 func (p *Proxy) registration() *registry.Proxy {
 	if p.settings.EntryType != settings.EntryTypeDirectory {
 		return nil
@@ -92,7 +92,7 @@
 	}
 }
 
-// announceShutdown reports at once that this node takes no new connections.
+// announceShutdown reports immediately that this node no longer accepts new connections.
 func (p *Proxy) announceShutdown() {
 	p.isDraining.Store(true)
 	conn, self := p.controlConn.Load(), p.registration()
@@ -100,11 +100,11 @@
 		return
 	}
 	report := &transport.ProxyReport{Self: self}
-	_ = conn.Send(&transport.Frame{Report: report}) // the next report repeats it
+	_ = conn.Send(&transport.Frame{Report: report}) // if it fails, the next report repeats it
 }
 
-// applyGrants applies this node's quota shares of endpoints that are warming up. They are
-// valid from when the report was sent that they answer.
+// applyGrants applies this node's quota grants for endpoints that are warming up. Their validity
+// starts when the report was sent that they respond to.
 func (p *Proxy) applyGrants(r *transport.QuotaGrants) {
 	sentAt, ok := p.reportSentAt[r.Seq]
 	if !ok {
@@ -120,7 +120,8 @@
 	}
 }
 
-// applyVerdicts applies the verdicts on endpoints that come from the reports of all proxies.
+// applyVerdicts applies the verdicts on endpoints that the control plane derives from the reports
+// of all proxies.
 func (p *Proxy) applyVerdicts(verdicts []loadbalance.Verdict) {
 	byEndpoint := make(map[string]loadbalance.Verdict, len(verdicts))
 	for _, v := range verdicts {
@@ -134,7 +135,7 @@
 	}
 }
 
-// applyLoads applies the sums of the loads that all proxies report.
+// applyLoads applies the total loads that all proxies reported.
 func (p *Proxy) applyLoads(loads map[string]loadbalance.Load) {
 	now := p.now()
 	for name, total := range loads {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -17,52 +17,54 @@
 )
 
 const (
-	// maxBufferedRequest is how many bytes of a request's body are read before the request
-	// is forwarded. A body that fits can be sent again.
-	maxBufferedRequest = 256 << 10
-	// defaultRequestTimeout is for routes that set no time-out.
+	// maxBufferedRequestBytes is the size of the longest request body that is buffered before the
+	// request is forwarded, so that it can be sent again on a retry.
+	maxBufferedRequestBytes = 256 << 10
+	// defaultRequestTimeout applies to routes without a timeout.
 	defaultRequestTimeout = 10 * time.Minute
-	// maxDeadlineMilliseconds bounds what a client can ask for with X-Deadline.
+	// maxDeadlineMilliseconds is the maximum value of X-Deadline; larger ones are reduced to it.
 	maxDeadlineMilliseconds = 1e9
-	// unlimitedBody is the limit in bytes where the configuration sets none.
-	unlimitedBody = 1 << 40
+	// unlimitedBodyBytes is the limit of the body if the configuration sets none.
+	unlimitedBodyBytes = 1 << 40
 )
 
-// headBuffers holds buffers for the heads of requests on their way to an endpoint.
+// headBuffers holds buffers for the heads of requests that are sent to endpoints.
 var headBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 2048); return &b }}
 
-// request is one request of a client, as it is forwarded.
+// request is a client's request, as it is forwarded.
 type request struct {
 	ctx     *fasthttp.RequestCtx
 	route   *routing.Route
 	stats   *routeStats
 	service *service
-	// regionMask has a bit for each region that may serve the request; 0 permits all.
+	// regionMask is the set of regions that may serve the request; see Proxy.regionMask.
 	regionMask uint64
-	// head has the request line and the headers to forward, without the empty line.
+	// head holds the request line and the headers to forward, without the final empty line.
 	head []byte
 	// body is the complete body, unless bodyStream is set.
 	body []byte
-	// bodyStream, if not nil, is a long body, which can be read once.
+	// bodyStream is a body that is too long to buffer, and can be read only once; nil if the body
+	// is buffered.
 	bodyStream io.Reader
-	// streamSize is the length of bodyStream in bytes; less than 0 if it is not known.
+	// streamSize is the length of bodyStream in bytes; negative if it is unknown.
 	streamSize int
-	// bodyConsumed is set once bodyStream was read from: the body cannot be sent again.
+	// bodyConsumed is set when bodyStream is about to be read, after which the body cannot be sent
+	// again.
 	bodyConsumed bool
 	// attemptID is the client's X-Attempt-Id; empty if there is none.
 	attemptID []byte
 	startedAt time.Time
 	deadline  time.Time
 	isHead    bool
-	// client is whether the client has left.
+	// client tracks whether the client has disconnected.
 	client clientWatch
 }
 
-// read reads and checks a request and finds its route. It appends the head to forward to
-// the buffer head.
+// read reads and validates a request and matches its route. It appends the head to forward to the
+// buffer head.
 //
-// An error is one of apierror. After any but NoRoute the
-// connection must be closed, as where the next request begins is not known.
+// Errors are of package apierror. After any error but NoRoute, the connection must be closed, as
+// the start of the next request is unknown.
 func (q *request) read(snapshot *routingSnapshot, head []byte) error {
 	limits := &snapshot.table.Limits
 	framing, err := q.readHead(limits, head)
@@ -78,13 +80,13 @@
 	return q.readBody(limits.MaxBodyBytes)
 }
 
-// path is the request target without its query.
+// path returns the request target without its query.
 func (q *request) path() []byte {
 	path, _, _ := bytes.Cut(q.ctx.Request.Header.RequestURI(), []byte{'?'})
 	return path
 }
 
-// readHead checks the head and sets the one to forward.
+// readHead validates the head and sets the head to forward.
 func (q *request) readHead(limits *config.Limits, head []byte) (framing requestFraming, err error) {
 	h := &q.ctx.Request.Header
 	raw := h.RawHeaders()
@@ -113,24 +115,24 @@
 	return framing, nil
 }
 
-// requestFraming is what the headers say about a request itself, and how often.
+// requestFraming holds the headers that the proxy itself interprets.
 type requestFraming struct {
 	host      []byte
 	deadline  []byte
 	attemptID []byte
-	// connection has the values of all Connection headers, each with a comma behind it.
+	// connection holds the values of all Connection headers, each followed by a comma.
 	connection []byte
 
-	hosts, lengths, encodings, attemptIDs int
+	// The fields below count the occurrences of a header.
+	hostCount, lengthCount, encodingCount, attemptIDCount int
 }
 
-// isUnambiguous reports whether every reader finds the same host, body and id.
+// isUnambiguous reports whether all parsers determine the same host, body and attempt id.
 func (f *requestFraming) isUnambiguous() bool {
-	return f.hosts == 1 && f.lengths+f.encodings <= 1 && f.attemptIDs <= 1
+	return f.hostCount == 1 && f.lengthCount+f.encodingCount <= 1 && f.attemptIDCount <= 1
 }
 
-// readHeaders takes the header lines up to the empty one and appends to head those that
-// are forwarded.
+// readHeaders parses the header lines up to the empty one, and appends those to forward to head.
 func (f *requestFraming) readHeaders(raw, head []byte) ([]byte, error) {
 	for rest := raw; len(rest) > 0; {
 		line := rest
@@ -155,7 +157,7 @@
 	return head, nil
 }
 
-// readHeader takes one header line and reports whether it is forwarded as it is.
+// readHeader parses one header line and reports whether it is forwarded unchanged.
 func (f *requestFraming) readHeader(line []byte) (isForwarded bool, err error) {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) || bytes.ContainsAny(line, "\r\x00") {
@@ -165,15 +167,15 @@
 	switch {
 	case equalFold(name, "host"):
 		f.host = value
-		f.hosts++
+		f.hostCount++
 	case equalFold(name, "content-length"):
-		f.lengths++
+		f.lengthCount++
 		if len(value) == 0 || !isDigits(value) {
 			return false, apierror.New(apierror.BadRequest, "content-length")
 		}
 		return false, nil
 	case equalFold(name, "transfer-encoding"):
-		f.encodings++
+		f.encodingCount++
 		if !equalFold(value, "chunked") {
 			return false, apierror.New(apierror.BadRequest, "transfer-encoding")
 		}
@@ -188,13 +190,13 @@
 		return false, nil
 	case equalFold(name, "x-attempt-id"):
 		f.attemptID = value
-		f.attemptIDs++
+		f.attemptIDCount++
 	}
 	return true, nil
 }
 
-// setDeadline sets the deadline: the route's, or that of the X-Deadline header in
-// milliseconds if it comes first.
+// setDeadline sets the deadline to the earlier of that by the route's timeout and that by the
+// X-Deadline header, whose value is in milliseconds from the start of the request and may be empty.
 func (q *request) setDeadline(milliseconds []byte) error {
 	timeout := q.route.Timeout
 	if timeout <= 0 {
@@ -208,15 +210,15 @@
 	if err != nil || ms < 0 {
 		return apierror.New(apierror.BadRequest, "x-deadline")
 	}
-	asked := time.Duration(min(ms, maxDeadlineMilliseconds) * float64(time.Millisecond))
-	if t := q.startedAt.Add(asked); t.Before(q.deadline) {
+	requested := time.Duration(min(ms, maxDeadlineMilliseconds) * float64(time.Millisecond))
+	if t := q.startedAt.Add(requested); t.Before(q.deadline) {
 		q.deadline = t
 	}
 	return nil
 }
 
-// readBody buffers the body, or as much of it as is buffered. maxBytes bounds the body; 0
-// or less sets no bound.
+// readBody buffers the body, or its start if it is too long to buffer. maxBytes limits the body
+// unless it is 0 or negative.
 func (q *request) readBody(maxBytes float64) error {
 	q.streamSize = q.ctx.Request.Header.ContentLength()
 	if maxBytes > 0 && float64(q.streamSize) > maxBytes {
@@ -232,23 +234,23 @@
 	return nil
 }
 
-// bufferBodyStream reads the start of a body that the client still sends. A body that
-// fits into the buffer is no stream any more.
+// bufferBodyStream reads the start of a body that the client is still sending. It sets body if the
+// body fits into the buffer, and bodyStream otherwise.
 func (q *request) bufferBodyStream(maxBytes float64) error {
 	if maxBytes <= 0 {
-		maxBytes = unlimitedBody
+		maxBytes = unlimitedBodyBytes
 	}
 	stream := &limitedBody{reader: q.ctx.RequestBodyStream(), remaining: int64(maxBytes)}
-	start, err := io.ReadAll(io.LimitReader(stream, maxBufferedRequest+1))
+	start, err := io.ReadAll(io.LimitReader(stream, maxBufferedRequestBytes+1))
 	if err != nil {
 		return bodyError(err, int64(maxBytes))
 	}
-	// Where the client hangs up, the server library ends a body of a stated length as if
-	// it were complete.
-	if q.streamSize >= 0 && len(start) < min(q.streamSize, maxBufferedRequest+1) {
+	// If the client disconnects, the server library ends a body with a Content-Length as if it were
+	// complete.
+	if q.streamSize >= 0 && len(start) < min(q.streamSize, maxBufferedRequestBytes+1) {
 		return apierror.New(apierror.BadRequest, "%d bytes of a body of %d", len(start), q.streamSize)
 	}
-	if len(start) <= maxBufferedRequest {
+	if len(start) <= maxBufferedRequestBytes {
 		q.body = start
 		q.streamSize = len(start)
 		return nil
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// bodyError is the client's error for one of reading its body.
+// bodyError converts an error of reading the body to the error for the client.
 func bodyError(err error, maxBytes int64) error {
 	var netErr net.Error
 	switch {
@@ -270,10 +272,10 @@
 	}
 }
 
-// errBodyTooLarge means that a body is longer than the configuration permits.
+// errBodyTooLarge means that a body exceeds the limit of the configuration.
 var errBodyTooLarge = errors.New("proxy: body is too large")
 
-// limitedBody reads a body and fails where it is longer than it may be.
+// limitedBody reads a body and returns errBodyTooLarge if it exceeds the limit.
 type limitedBody struct {
 	reader    io.Reader
 	remaining int64 // bytes
@@ -288,8 +290,8 @@
 	return n, err
 }
 
-// appendHead appends the head as it is sent to an endpoint, with the framing of the body.
-// remaining is the time left until the deadline.
+// appendHead appends the head that is sent to an endpoint, including the framing of the body.
+// remaining is the time until the deadline.
 func (q *request) appendHead(b []byte, endpoint string, remaining time.Duration) []byte {
 	b = append(b, q.head...)
 	b = append(b, "X-Deadline: "...)
@@ -306,13 +308,13 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// hasContentLength reports whether the forwarded head states a length. Requests of methods
-// that usually have a body state it also where the body is empty.
+// hasContentLength reports whether the forwarded head has a Content-Length. For methods other than
+// GET and HEAD it has one even if the body is empty.
 func (q *request) hasContentLength() bool {
 	return q.streamSize > 0 || len(q.body) > 0 || !(q.isHead || q.ctx.IsGet())
 }
 
-// contentLength is the length of the body in bytes.
+// contentLength returns the length of the body in bytes.
 func (q *request) contentLength() int {
 	if q.bodyStream != nil {
 		return q.streamSize
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -19,7 +19,8 @@
 	"lichentray/routing"
 )
 
-// TestAmbiguousRequestsAreRejected: no ambiguous request is forwarded, and none is smuggled.
+// TestAmbiguousRequestsAreRejected checks that requests with an ambiguous framing are rejected, so
+// that no request hidden in their bodies is forwarded (request smuggling).
 func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	smuggled := "GET /safe/evil HTTP/1.1\r\nHost: h\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: q\r\n"
@@ -45,21 +46,21 @@
 			rs := sendRaw(t, addr, raw, 5)
 			for _, got := range e.requests() {
 				if strings.Contains(got, "evil") {
-					t.Errorf("smuggled: %q", got)
+					t.Errorf("endpoint received the smuggled request %q", got)
 				}
 			}
 			if len(rs) > 1 {
-				t.Errorf("%d answers to one unreadable request", len(rs))
+				t.Errorf("got %d responses, want at most 1", len(rs))
 			}
 			if len(rs) == 1 && (rs[0].StatusCode < 400 || rs[0].StatusCode >= 500) {
-				t.Errorf("answered %d", rs[0].StatusCode)
+				t.Errorf("status = %d, want 4xx", rs[0].StatusCode)
 			}
 		})
 	}
 }
 
-// TestRequestIsForwardedUnchanged: target, body and headers arrive byte for byte as they were
-// sent. Headers that concern one connection do not.
+// TestRequestIsForwardedUnchanged checks that the endpoint receives the target, the body and the
+// headers byte for byte as the client sent them, without hop-by-hop headers.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	var got string
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -88,12 +89,12 @@
 	_, addr := startProxy(t, &stubEndpoint{listener: ln})
 	rs := sendRaw(t, addr, "POST /once/a//b/../%2e%2F;x?q=%20&&a=b+c HTTP/1.1\r\nhOsT: h\r\nX-Attempt-Id: q\r\nx-odd-CASE: v  w\r\nAccept-Encoding: identity\r\nX-Hop: gone\r\nConnection: close, X-Hop\r\nX-Target-Instance: i-evil\r\nContent-Length: 4\r\n\r\nbody", 1)
 	if statusOf(rs) != 200 {
-		t.Fatalf("answered %d", statusOf(rs))
+		t.Fatalf("status = %d, want 200", statusOf(rs))
 	}
 	<-done
 	lines := strings.Split(got, "\r\n")
 	if lines[0] != "POST /once/a//b/../%2e%2F;x?q=%20&&a=b+c HTTP/1.1" {
-		t.Errorf("request line became %q", lines[0])
+		t.Errorf("forwarded request line = %q, want it unchanged", lines[0])
 	}
 	want := map[string]bool{"hOsT: h": true, "X-Attempt-Id: q": true, "x-odd-CASE: v  w": true, "Accept-Encoding: identity": true, "X-Target-Instance: i-0": true, "Content-Length: 4": true}
 	for _, l := range lines[1 : len(lines)-2] {
@@ -101,22 +102,23 @@
 			continue
 		}
 		if !want[l] {
-			t.Errorf("unexpected header %q", l)
+			t.Errorf("forwarded unexpected header %q", l)
 		}
 		delete(want, l)
 	}
 	if len(want) > 0 {
-		t.Errorf("headers lost: %v", want)
+		t.Errorf("headers not forwarded: %v", want)
 	}
 }
 
-// TestBrokenUploadIsNotForwarded: a client that hangs up in the middle of a body of a stated length
-// has sent no request. No endpoint receives one with what had arrived as its body.
-func TestBrokenUploadIsNotForwarded(t *testing.T) {
+// TestTruncatedUploadIsNotForwarded checks that no endpoint receives a request whose client closes
+// the connection before the body has the length of Content-Length. The server library ends such a
+// body as if it were complete.
+func TestTruncatedUploadIsNotForwarded(t *testing.T) {
 	var arrived atomic.Int64
 	e := newStubEndpoint(t, func(int, string) string { arrived.Add(1); return okResponse("x") })
 	p, addr := startProxy(t, e)
-	sizes := [][2]int{{40000, 20000}, {40000, 39999}, {maxBufferedRequest, maxBufferedRequest - 1}, {2 * maxBufferedRequest, maxBufferedRequest}}
+	sizes := [][2]int{{40000, 20000}, {40000, 39999}, {maxBufferedRequestBytes, maxBufferedRequestBytes - 1}, {2 * maxBufferedRequestBytes, maxBufferedRequestBytes}}
 	for i, x := range sizes {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
@@ -126,17 +128,18 @@
 		_, _ = fmt.Fprintf(c, "POST /once/a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a%d\r\nX-Deadline: 9000\r\nContent-Length: %d\r\n\r\n%s", i, x[0], strings.Repeat("b", x[1]))
 		_ = c.(*net.TCPConn).CloseWrite()
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && r.StatusCode != 400 {
-			t.Errorf("%d of %d bytes: answered %d", x[1], x[0], r.StatusCode)
+			t.Errorf("%d of %d bytes: status = %d, want 400", x[1], x[0], r.StatusCode)
 		}
 		c.Close()
 	}
 	if n := p.counters.requests.Value(); arrived.Load() != 0 || n != int64(len(sizes)) {
-		t.Errorf("%d requests reached an endpoint, %d the proxy", arrived.Load(), n)
+		t.Errorf("the endpoint received %d requests, want 0; the proxy received %d", arrived.Load(), n)
 	}
 }
 
-// FuzzReadRequest: whatever a client sends, each request that is accepted leaves as exactly one
-// request with one framing, whose target, body and id are the client's (request smuggling).
+// FuzzReadRequest checks that, for any bytes that a client sends, each accepted request is
+// forwarded as exactly one request with an unambiguous framing, with the target, body and attempt
+// id that the client sent (request smuggling).
 func FuzzReadRequest(f *testing.F) {
 	f.Add([]byte(getRequest("/safe/a") + postRequest("/once/b?c")))
 	f.Add([]byte("POST /once/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n3;x=y\r\nabc\r\n0\r\nX-T: v\r\n\r\n"))
@@ -157,25 +160,26 @@
 				return
 			}
 			out := append(q.appendHead(nil, "i-0", time.Second), q.body...)
-			// The target passes as it is, also one that is no URL to this reader.
+			// The target is forwarded unchanged even if net/http would reject it as a URL, so it is
+			// checked separately.
 			line, rest, _ := bytes.Cut(out, []byte("\r\n"))
 			if want := fmt.Sprintf("%s %s HTTP/1.1", ctx.Method(), ctx.RequestURI()); string(line) != want || bytes.ContainsAny(line, "\r\n") {
-				t.Fatalf("%q leaves as %q", in, out)
+				t.Fatalf("%q is forwarded as %q", in, out)
 			}
 			br := bufio.NewReader(io.MultiReader(strings.NewReader("POST / HTTP/1.1\r\n"), bytes.NewReader(rest)))
 			req, err := http.ReadRequest(br)
 			if err != nil {
-				t.Fatalf("%q leaves as %q: %v", in, out, err)
+				t.Fatalf("%q is forwarded as %q: %v", in, out, err)
 			}
 			body, err := io.ReadAll(req.Body)
 			if err != nil || !bytes.Equal(body, q.body) || br.Buffered() > 0 || len(req.TransferEncoding) > 0 {
-				t.Fatalf("%q leaves as %q: %v", in, out, err)
+				t.Fatalf("%q is forwarded as %q, whose body or framing differs: %v", in, out, err)
 			}
 			if to := req.Header["X-Target-Instance"]; len(to) != 1 || to[0] != "i-0" || len(req.Header["X-Deadline"]) != 1 || len(q.attemptID) > 0 && (len(req.Header["X-Attempt-Id"]) != 1 || req.Header.Get("X-Attempt-Id") != string(q.attemptID)) {
-				t.Fatalf("%q leaves with %v", in, req.Header)
+				t.Fatalf("%q is forwarded with headers %v", in, req.Header)
 			}
-		}, maxBufferedRequest)
+		}, maxBufferedRequestBytes)
 		srv.StreamRequestBody = true
-		_ = srv.ServeConn(&scriptedConn{in: bytes.NewReader(in)}) // an error is the client's
+		_ = srv.ServeConn(&scriptedConn{in: bytes.NewReader(in)}) // fails if the client's bytes are invalid
 	})
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -21,8 +21,8 @@
 		out.Header.SetContentLength(int(resp.contentLength))
 	}
 	if resp.stream != nil {
-		// The endpoint has computed the response; what remains is transfer, which does not
-		// count as its load.
+		// The endpoint has computed the response. The remaining transfer does not count as load of
+		// the endpoint.
 		q.service.releaseEndpoint(p, t.endpoint, true, o.latencyRatio)
 		out.SetBodyStream(newResponseStream(p, q, t, o), int(resp.contentLength))
 		return
@@ -32,7 +32,7 @@
 	p.setBody(out, resp.body, q.deadline)
 }
 
-// copyHeaders adds the headers that are relayed to the client's response.
+// copyHeaders adds the headers that are relayed to the client to its response.
 func (r *response) copyHeaders(to *fasthttp.ResponseHeader) {
 	for _, h := range r.headers {
 		if !isResponseFraming(h.name) {
@@ -41,9 +41,9 @@
 	}
 }
 
-// setBody sets a buffered body, which is paced if it is long.
+// setBody sets the body of a response to a client. A long body is paced.
 func (p *Proxy) setBody(out *fasthttp.Response, body []byte, deadline time.Time) {
-	if len(body) >= minPacedSize && p.pacer.isEnabled() {
+	if len(body) >= minPacedBytes && p.pacer.isEnabled() {
 		out.SetBodyStream(&pacedReader{p.pacer, body, deadline}, len(body))
 		return
 	}
@@ -51,13 +51,13 @@
 	out.SetBodyRaw(body)
 }
 
-// recordAttempt records how the client's attempt ended in the audit log.
+// recordAttempt records the result of the client's attempt in the audit log.
 func (p *Proxy) recordAttempt(q *request, kind audit.Kind, status int) {
 	p.audit.record(&q.ctx.Request.Header, q.route.Name, kind, status, q.startedAt)
 }
 
-// recordResponse records a complete response in the audit log, if it is of a kind that is
-// kept there.
+// recordResponse records a complete response in the audit log, if it is of a kind that the log
+// keeps.
 func (p *Proxy) recordResponse(q *request, status int) {
 	if p.audit == nil {
 		return
--- a/internal/proxy/respond_test.go
+++ b/internal/proxy/respond_test.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// TestLongResponsesAreStreamed: a long response is relayed while it arrives. Where the endpoint ends
-// it early, the client receives a part that does not look complete, and the endpoint is ejected.
-// Where the client closes the connection, the endpoint is not ejected.
+// TestLongResponsesAreStreamed checks that a long response is relayed unchanged. If the endpoint
+// truncates it, the client must be able to detect that, and the endpoint is ejected. If the client
+// closes the connection, the endpoint is not ejected.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 40<<10)
-	whole := okResponse(body)
+	response := okResponse(body)
 	var chunked atomic.Bool
 	e := newStubEndpoint(t, func(n int, _ string) string {
 		if chunked.Load() {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 		}
 		if n == 2 {
-			return whole[:len(whole)/2] + "BREAK"
+			return response[:len(response)/2] + "BREAK"
 		}
-		return whole
+		return response
 	})
 	p, addr := startProxy(t, e)
 	ejected := func() bool {
@@ -35,7 +35,7 @@
 		defer s.mu.Unlock()
 		return s.pool.Endpoints()[0].IsEjected(p.now())
 	}
-	ask := func(most int) (n int, err error) {
+	fetch := func(maxBytes int) (n int, err error) {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -48,35 +48,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := io.ReadAll(io.LimitReader(r.Body, int64(most)))
+		got, err := io.ReadAll(io.LimitReader(r.Body, int64(maxBytes)))
 		if !strings.HasPrefix(body, string(got)) {
-			t.Error("the answer was changed")
+			t.Error("the relayed body differs from the endpoint's")
 		}
 		return len(got), err
 	}
-	if n, err := ask(len(body)); n != len(body) || err != nil {
-		t.Errorf("whole: %d bytes, %v", n, err)
+	if n, err := fetch(len(body)); n != len(body) || err != nil {
+		t.Errorf("complete response: fetched %d bytes, error %v", n, err)
 	}
-	if n, err := ask(len(body)); n >= len(body) || err == nil {
-		t.Errorf("broken off: %d bytes, %v", n, err)
+	if n, err := fetch(len(body)); n >= len(body) || err == nil {
+		t.Errorf("truncated response: fetched %d bytes, error %v; want a part and an error", n, err)
 	}
 	for end := time.Now().Add(10 * time.Second); !ejected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("an endpoint that broke an answer off was not kept out")
+			t.Fatal("the endpoint was not ejected after it truncated a response")
 		}
 	}
-	for ejected() { // until its time is up
+	for ejected() { // until the ejection expires
 		time.Sleep(time.Millisecond)
 	}
 	chunked.Store(true)
-	if n, err := ask(len(body)); n != len(body) || err != nil {
-		t.Errorf("in chunks: %d bytes, %v", n, err)
+	if n, err := fetch(len(body)); n != len(body) || err != nil {
+		t.Errorf("chunked response: fetched %d bytes, error %v", n, err)
 	}
 	chunked.Store(false)
-	if n, err := ask(1000); n != 1000 || err != nil {
-		t.Errorf("left: %d bytes, %v", n, err)
+	if n, err := fetch(1000); n != 1000 || err != nil {
+		t.Errorf("client that disconnects: fetched %d bytes, error %v", n, err)
 	}
-	if n, err := ask(len(body)); n != len(body) || err != nil || ejected() {
-		t.Errorf("after a client has left: %d bytes, %v, ejected %v", n, err, ejected())
+	if n, err := fetch(len(body)); n != len(body) || err != nil || ejected() {
+		t.Errorf("after a client disconnected: fetched %d bytes, error %v, ejected = %v", n, err, ejected())
 	}
 }
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// maxResponseHeader bounds the head of a response in bytes, and its trailers.
-	maxResponseHeader = 64 << 10
-	// maxChunkedBody bounds a chunked body in bytes, which is buffered completely.
-	maxChunkedBody = 1 << 20
-	// maxChunkLine bounds the lines around one chunk in bytes.
-	maxChunkLine = 1024
+	// maxResponseHeaderBytes is the maximum size of a response's head, and of its trailers.
+	maxResponseHeaderBytes = 64 << 10
+	// maxChunkedBodyBytes is the maximum size of a chunked body, which is buffered completely.
+	maxChunkedBodyBytes = 1 << 20
+	// maxChunkLineBytes is the maximum size of the lines before and after the data of a chunk.
+	maxChunkLineBytes = 1024
 	// statusLineLength is the length of the shortest status line, "HTTP/1.1 200".
 	statusLineLength = len("HTTP/1.1 200")
 )
 
-// errInvalidResponse means that what an endpoint sent is not a complete HTTP/1 response.
+// errInvalidResponse means that an endpoint sent something other than a valid HTTP/1 response to
+// the request.
 var errInvalidResponse = errors.New("proxy: not a complete HTTP response")
 
 // header is one header line of a response.
 type header struct{ name, value []byte }
 
-// response is a final response of an endpoint.
+// response is an endpoint's final response.
 type response struct {
 	status  int
 	headers []header
 	// body is complete, unless stream is set.
 	body []byte
-	// stream, if not nil, is the body, of which nothing has been read.
+	// stream, if not nil, is the whole body, which is still to be read.
 	stream io.Reader
-	// contentLength is the length that the headers state; -1 if they state none.
+	// contentLength is the value of Content-Length; -1 if there is none.
 	contentLength int64
-	// isReusable: the connection may carry another request behind this response.
+	// isReusable is true if the connection can be reused after this response.
 	isReusable bool
-	// keepAlive is how long the endpoint keeps an idle connection; 0 if it does not say.
+	// keepAlive is the timeout that the Keep-Alive header sets for an idle connection; 0 if none.
 	keepAlive time.Duration
 }
 
-// headerValue returns the value of the first header of a name; nil if there is none.
+// headerValue returns the value of the first header with the given name, or nil if there is none.
 func (r *response) headerValue(name string) []byte {
 	for _, h := range r.headers {
 		if equalFold(h.name, name) {
@@ -53,9 +54,8 @@
 	return nil
 }
 
-// belongsTo reports whether a response is to the request of an attempt id, and not an
-// excess one to another request. On a connection that has served another request the
-// response must name the id.
+// belongsTo reports whether the response is to the request with the given attempt id, and not an
+// excess response to another request. On a reused connection, the response must contain the id.
 func (r *response) belongsTo(attemptID []byte, hasServedOther bool) bool {
 	isNamed := false
 	for _, h := range r.headers {
@@ -70,37 +70,37 @@
 	return isNamed || !hasServedOther
 }
 
-// statesUnprocessed reports whether the endpoint states that it has not processed the
+// isUnprocessed reports whether the response states that the endpoint has not processed the
 // request.
-func (r *response) statesUnprocessed() bool {
+func (r *response) isUnprocessed() bool {
 	return r.headerValue("X-Not-Executed") != nil || r.status == statusMisdirected
 }
 
-// isUnsignedSuccess reports whether a success lacks the signature that proves that it
-// comes from the service.
+// isUnsignedSuccess reports whether the response is a success without the signature that shows
+// that it comes from the service.
 func (r *response) isUnsignedSuccess() bool {
 	return r.status < 300 && r.headerValue("X-Server-Signature") == nil
 }
 
-// responseState is what a responseReader reads next.
+// responseState is the part of a response that a responseReader reads next.
 type responseState uint8
 
 const (
-	// readingStatusLine: the first line of a response, final or interim (1xx).
+	// readingStatusLine reads the first line of a final or interim (1xx) response.
 	readingStatusLine responseState = iota
-	// readingHeaders: the header lines up to the empty one.
+	// readingHeaders reads the header lines up to the empty one.
 	readingHeaders
-	// choosingFraming: nothing is read; the headers say how the body is framed.
+	// choosingFraming reads nothing; it determines the framing of the body from the headers.
 	choosingFraming
-	// readingFixedBody: a body of the length that the headers state.
+	// readingFixedBody reads a body whose length is that of Content-Length.
 	readingFixedBody
-	// readingChunkedBody: a body in chunks, and its trailers.
+	// readingChunkedBody reads a chunked body and its trailers.
 	readingChunkedBody
-	// responseComplete: nothing more is read.
+	// responseComplete is the final state.
 	responseComplete
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s responseState) String() string {
 	names := [...]string{"status line", "headers", "framing", "fixed body", "chunked body", "complete"}
 	if int(s) < len(names) {
@@ -109,32 +109,32 @@
 	return fmt.Sprintf("responseState(%d)", uint8(s))
 }
 
-// responseReader reads one final response and the interim ones before it (RFC 9112).
-// It is strict: whatever two readers could frame differently is an error.
+// responseReader reads one final response and the interim responses before it (RFC 9112). It
+// rejects any response that two parsers could frame differently.
 type responseReader struct {
 	in       *bufio.Reader
 	response *response
 	state    responseState
-	// isHead: the request's method is HEAD, so that no body follows.
+	// isHead is true for a response to a HEAD request, which has no body.
 	isHead bool
-	// maxBuffered is the longest body of a stated length that is read, in bytes.
-	maxBuffered int
-	// headerLeft is how many bytes of the present head may still come.
-	headerLeft int
-	isChunked  bool
+	// maxBufferedBytes is the maximum Content-Length of a body that is read.
+	maxBufferedBytes int
+	// headerBytesLeft is the number of bytes by which the current head may still grow.
+	headerBytesLeft int
+	isChunked       bool
 }
 
-// readResponse reads a response up to its body, and the body if it is chunked or not
-// longer than maxBuffered bytes. A longer body is left in the response's stream.
+// readResponse reads a response's head, and its body if that is chunked or not longer than
+// maxBufferedBytes bytes. A longer body is left to be read from the response's stream.
 //
-// If an error comes with a response, that response's head is complete. An error is
-// errInvalidResponse or one of the connection.
-func readResponse(in *bufio.Reader, isHead bool, maxBuffered int) (*response, error) {
+// If it returns both a response and an error, the response's head is complete. The error is
+// errInvalidResponse or an error of the connection.
+func readResponse(in *bufio.Reader, isHead bool, maxBufferedBytes int) (*response, error) {
 	r := responseReader{
-		in:          in,
-		response:    &response{contentLength: -1},
-		isHead:      isHead,
-		maxBuffered: maxBuffered,
+		in:               in,
+		response:         &response{contentLength: -1},
+		isHead:           isHead,
+		maxBufferedBytes: maxBufferedBytes,
 	}
 	for r.state != responseComplete {
 		state := r.state
@@ -148,7 +148,7 @@
 	return r.response, nil
 }
 
-// step reads what the state names and moves on to the next state.
+// step performs the current state and sets the next one.
 func (r *responseReader) step() (err error) {
 	switch r.state {
 	case readingStatusLine:
@@ -162,16 +162,16 @@
 		_, err = io.ReadFull(r.in, r.response.body)
 		r.state = responseComplete
 	case readingChunkedBody:
-		r.response.body, err = readChunkedBody(r.in, maxChunkedBody)
+		r.response.body, err = readChunkedBody(r.in, maxChunkedBodyBytes)
 		r.state = responseComplete
 	}
 	return err
 }
 
-// readStatusLine reads the status line and forgets the headers of an interim response.
+// readStatusLine reads the status line and discards the headers of a preceding interim response.
 func (r *responseReader) readStatusLine() error {
-	r.headerLeft = maxResponseHeader
-	line, err := readLine(r.in, &r.headerLeft)
+	r.headerBytesLeft = maxResponseHeaderBytes
+	line, err := readLine(r.in, &r.headerBytesLeft)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// parseStatusLine returns the status and the minor version of a status line such as
+// parseStatusLine parses the status and the HTTP minor version from a status line such as
 // "HTTP/1.1 200 OK".
 func parseStatusLine(line []byte) (status int, minor byte, ok bool) {
 	const (
@@ -209,7 +209,7 @@
 // readHeaders reads the header lines up to the empty one.
 func (r *responseReader) readHeaders() error {
 	for {
-		line, err := readLine(r.in, &r.headerLeft)
+		line, err := readLine(r.in, &r.headerBytesLeft)
 		if err != nil {
 			return err
 		}
@@ -223,10 +223,10 @@
 	}
 }
 
-// addHeader takes one header line. It copies the line.
+// addHeader parses and validates one header line, and adds a copy to the response.
 func (r *responseReader) addHeader(line []byte) error {
 	colon := bytes.IndexByte(line, ':')
-	// A space before the colon would hide a framing header from one of two readers.
+	// Some parsers would not recognize a framing header with a space before the colon.
 	if colon <= 0 || !isToken(line[:colon]) {
 		return fmt.Errorf("%w: header line", errInvalidResponse)
 	}
@@ -255,18 +255,19 @@
 	return nil
 }
 
-// setContentLength takes a Content-Length, which may be repeated with the same value.
+// setContentLength sets the length from a Content-Length, which may be repeated with the same
+// value.
 func (r *responseReader) setContentLength(value []byte) error {
 	n, err := strconv.ParseInt(string(value), 10, 63)
-	stated := r.response.contentLength
-	if err != nil || !isDigits(value) || (stated >= 0 && stated != n) {
+	earlier := r.response.contentLength
+	if err != nil || !isDigits(value) || (earlier >= 0 && earlier != n) {
 		return fmt.Errorf("%w: content-length", errInvalidResponse)
 	}
 	r.response.contentLength = n
 	return nil
 }
 
-// chooseFraming decides how the body is read (RFC 9112, section 6.3).
+// chooseFraming determines how the body is read (RFC 9112, section 6.3).
 func (r *responseReader) chooseFraming() error {
 	resp := r.response
 	switch {
@@ -282,9 +283,9 @@
 	case r.isChunked:
 		r.state = readingChunkedBody
 	case resp.contentLength < 0:
-		// The end of the connection cannot tell a complete body from a part of one.
+		// Without a length, a truncated body cannot be distinguished from a complete one.
 		return fmt.Errorf("%w: no length", errInvalidResponse)
-	case resp.contentLength > int64(r.maxBuffered):
+	case resp.contentLength > int64(r.maxBufferedBytes):
 		resp.stream = io.LimitReader(r.in, resp.contentLength)
 		r.state = responseComplete
 	default:
@@ -293,7 +294,7 @@
 	return nil
 }
 
-// parseKeepAlive returns the timeout of a Keep-Alive header; 0 if it has none.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header, or 0 if it has none.
 func parseKeepAlive(value []byte) time.Duration {
 	for _, parameter := range bytes.Split(value, []byte{','}) {
 		name, number, ok := bytes.Cut(bytes.TrimSpace(parameter), []byte{'='})
@@ -307,13 +308,13 @@
 	return 0
 }
 
-// readLine reads one line without its end and counts it off left, the bytes that may
-// still come. The line is valid until the next read.
-func readLine(in *bufio.Reader, left *int) ([]byte, error) {
+// readLine reads one line, returns it without its end, and subtracts its size from bytesLeft, the
+// number of bytes permitted. The line is valid until the next read.
+func readLine(in *bufio.Reader, bytesLeft *int) ([]byte, error) {
 	line, err := in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		long := append([]byte(nil), line...)
-		for errors.Is(err, bufio.ErrBufferFull) && len(long) < *left {
+		for errors.Is(err, bufio.ErrBufferFull) && len(long) < *bytesLeft {
 			line, err = in.ReadSlice('\n')
 			long = append(long, line...)
 		}
@@ -322,7 +323,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if *left -= len(line); *left < 0 {
+	if *bytesLeft -= len(line); *bytesLeft < 0 {
 		return nil, fmt.Errorf("%w: header too long", errInvalidResponse)
 	}
 	line = bytes.TrimSuffix(bytes.TrimSuffix(line, []byte{'\n'}), []byte{'\r'})
@@ -332,13 +333,12 @@
 	return line, nil
 }
 
-// readChunkedBody reads the chunks of a body and its trailers, which are dropped. The
-// body may have up to maxBytes bytes.
+// readChunkedBody reads a chunked body of at most maxBytes bytes, and discards its trailers.
 func readChunkedBody(in *bufio.Reader, maxBytes int) ([]byte, error) {
 	var body []byte
 	for {
-		left := maxChunkLine
-		size, err := readChunkSize(in, &left)
+		bytesLeft := maxChunkLineBytes
+		size, err := readChunkSize(in, &bytesLeft)
 		if err != nil {
 			return nil, err
 		}
@@ -348,12 +348,12 @@
 		if len(body)+size > maxBytes {
 			return nil, fmt.Errorf("%w: chunked body of over %d bytes", errInvalidResponse, maxBytes)
 		}
-		at := len(body)
+		offset := len(body)
 		body = append(body, make([]byte, size)...)
-		if _, err := io.ReadFull(in, body[at:]); err != nil {
+		if _, err := io.ReadFull(in, body[offset:]); err != nil {
 			return nil, err
 		}
-		if line, err := readLine(in, &left); err != nil || len(line) != 0 {
+		if line, err := readLine(in, &bytesLeft); err != nil || len(line) != 0 {
 			return nil, fmt.Errorf("%w: chunk end", errInvalidResponse)
 		}
 	}
@@ -363,9 +363,9 @@
 	return body, nil
 }
 
-// readChunkSize reads the line before a chunk and drops its extensions.
-func readChunkSize(in *bufio.Reader, left *int) (int, error) {
-	line, err := readLine(in, left)
+// readChunkSize reads the line with the size of a chunk, and ignores chunk extensions.
+func readChunkSize(in *bufio.Reader, bytesLeft *int) (int, error) {
+	line, err := readLine(in, bytesLeft)
 	if err != nil {
 		return 0, err
 	}
@@ -379,11 +379,11 @@
 	return int(n), nil
 }
 
-// skipTrailers reads the lines behind the last chunk up to the empty one.
+// skipTrailers reads the lines after the last chunk up to the empty one.
 func skipTrailers(in *bufio.Reader) error {
-	left := maxResponseHeader
+	bytesLeft := maxResponseHeaderBytes
 	for {
-		line, err := readLine(in, &left)
+		line, err := readLine(in, &bytesLeft)
 		if err != nil {
 			return err
 		}
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/response_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// FuzzReadResponse: whatever an endpoint sends, a response that is accepted as complete has the
-// length that it states.
+// FuzzReadResponse checks that, for any bytes that an endpoint sends, a response that is accepted
+// has a valid status, a body of the length that its headers state, and headers that no parser can
+// frame differently.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte(okResponse("body")))
 	f.Add([]byte(notExecutedResponse))
@@ -18,16 +19,16 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: +1\r\n\r\nx"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX: a\rb\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, err := readResponse(bufio.NewReader(bytes.NewReader(b)), false, 1<<16)
+		resp, err := readResponse(bufio.NewReader(bytes.NewReader(b)), false, 1<<16)
 		if err != nil {
 			return
 		}
-		if a.status < 200 || a.status > 999 || (a.stream == nil && a.contentLength >= 0 && a.status != 204 && a.status != 304 && int64(len(a.body)) != a.contentLength) {
-			t.Fatalf("%q was taken as %+v", b, a)
+		if resp.status < 200 || resp.status > 999 || (resp.stream == nil && resp.contentLength >= 0 && resp.status != 204 && resp.status != 304 && int64(len(resp.body)) != resp.contentLength) {
+			t.Fatalf("%q is accepted as %+v", b, resp)
 		}
-		for _, h := range a.headers { // nothing that another reader may frame otherwise
+		for _, h := range resp.headers { // nothing that another parser may frame differently
 			if !isToken(h.name) || bytes.ContainsAny(h.value, "\r\n\x00") || equalFold(h.name, "content-length") && !isDigits(h.value) {
-				t.Fatalf("%q was taken with header %q: %q", b, h.name, h.value)
+				t.Fatalf("%q is accepted with header %q: %q", b, h.name, h.value)
 			}
 		}
 	})
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -9,8 +9,8 @@
 	"lichentray/loadbalance"
 )
 
-// responseStream relays the body of a long response as it arrives, in chunks that the
-// link has room for. The server that sends it to the client reads and closes it.
+// responseStream relays the body of a long response as it is received, in paced chunks. It is read
+// and closed by the HTTP server that sends the body to the client.
 type responseStream struct {
 	proxy    *Proxy
 	request  *request
@@ -19,7 +19,8 @@
 	conn     *upstreamConn
 	response *response
 	received int64 // bytes
-	// endpointFailed: the endpoint, not the client, ended the body early.
+	// endpointFailed is set if the endpoint, and not the client, truncated the body before the
+	// deadline.
 	endpointFailed bool
 }
 
@@ -36,10 +37,10 @@
 
 // Read implements io.Reader.
 func (s *responseStream) Read(b []byte) (int, error) {
-	n, err := s.response.stream.Read(b[:min(len(b), pacedChunk)])
+	n, err := s.response.stream.Read(b[:min(len(b), pacedChunkBytes)])
 	s.received += int64(n)
 	if errors.Is(err, io.EOF) && !s.isComplete() {
-		err = io.ErrUnexpectedEOF // the client must not take a truncated body as complete
+		err = io.ErrUnexpectedEOF // the client must not treat a truncated body as complete
 	}
 	s.endpointFailed = err != nil && !errors.Is(err, io.EOF) &&
 		time.Until(s.request.deadline) > 0 && !s.request.client.hasDisconnected()
@@ -47,14 +48,14 @@
 	return n, err
 }
 
-// isComplete reports whether all of the body was received.
+// isComplete reports whether the whole body was received.
 func (s *responseStream) isComplete() bool { return s.received >= s.response.contentLength }
 
-// Close ends the exchange, complete or not. It implements io.Closer.
+// Close ends the exchange, whether or not the body is complete. It implements io.Closer.
 func (s *responseStream) Close() error {
 	defer s.request.client.finish()
-	wasBrokenOff := s.request.client.detach()
-	if s.isComplete() && !wasBrokenOff {
+	wasCanceled := s.request.client.detach()
+	if s.isComplete() && !wasCanceled {
 		s.proxy.recordResponse(s.request, s.response.status)
 		s.proxy.recycleConnection(s.conns, s.conn, s.response)
 		return nil
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -6,42 +6,42 @@
 	"lichentray/internal/apierror"
 )
 
-// phase is how far an attempt came: one request sent to one endpoint.
+// phase is the phase in which an attempt, one request sent to one endpoint, ended.
 //
-// What ended an attempt in its phase (close, reset, time-out) makes no difference to
-// whether the endpoint may have executed the request.
+// How the attempt ended in that phase (connection closed, reset, timeout) does not affect whether
+// the endpoint may have executed the request.
 type phase uint8
 
 // The phases, in the order in which an attempt passes through them.
 const (
-	// phaseQueued: nothing was begun, as no endpoint has free capacity or the retry
-	// budget is exhausted.
+	// phaseQueued means that no attempt was started, as no endpoint had free capacity or the retry
+	// budget was exhausted.
 	phaseQueued phase = iota
-	// phaseDialing: no connection was established.
+	// phaseDialing means that no connection was established.
 	phaseDialing
-	// phaseUnsent: a connection was at hand, but not one byte of the request was sent.
+	// phaseUnsent means that there was a connection, but no byte of the request was sent.
 	phaseUnsent
-	// phasePartlySent: a part of the request was sent.
+	// phasePartlySent means that a part of the request was sent.
 	phasePartlySent
-	// phaseSent: all of the request was sent and no byte of a response received.
+	// phaseSent means that the whole request was sent, and no byte of a response was received.
 	phaseSent
-	// phasePartialHead: the response's head is incomplete.
+	// phasePartialHead means that the response's head is incomplete.
 	phasePartialHead
-	// phasePartialBody: the response's head is complete, its body is not.
+	// phasePartialBody means that the response's head is complete and its body is not.
 	phasePartialBody
-	// phaseInvalid: what was received is no valid response, or none to this request.
+	// phaseInvalid means that the received data is not a valid response to this request.
 	phaseInvalid
-	// phaseUnprocessed: a complete response with which the endpoint states that it has
-	// not processed the request.
+	// phaseUnprocessed means that a complete response states that the endpoint has not processed
+	// the request.
 	phaseUnprocessed
-	// phaseFailed: a complete 5xx response without such a statement.
+	// phaseFailed means that a complete 5xx response without that statement was received.
 	phaseFailed
-	// phaseAnswered: any other complete response.
+	// phaseAnswered means that any other complete response was received.
 	phaseAnswered
-	// phaseStreaming: the head of a long response, whose body is relayed as it arrives. If
-	// the body breaks off, the client has had the head and there is no retry:
-	// responseStream.Close closes the endpoint's connection, and if the endpoint is at
-	// fault ejects it and records audit.Truncated.
+	// phaseStreaming means that the head of a long response was received, whose body is relayed as
+	// it arrives. If the body is truncated, there is no retry, as the client has already received
+	// the head: responseStream.Close closes the endpoint's connection and, if the endpoint is at
+	// fault, ejects it and records audit.Truncated.
 	phaseStreaming
 
 	phaseCount
@@ -52,7 +52,7 @@
 	"invalid", "unprocessed", "failed", "answered", "streaming",
 }
 
-// String names the phase.
+// String returns the name of the phase.
 func (p phase) String() string {
 	if p < phaseCount {
 		return phaseNames[p]
@@ -60,20 +60,21 @@
 	return fmt.Sprintf("phase(%d)", uint8(p))
 }
 
-// retryClass is the class of requests that may be sent to another endpoint after an attempt, in
-// the words of RFC 9110, section 9.2.2.
+// retryClass is the class of requests that may be retried on another endpoint after an attempt, in
+// the terms of RFC 9110, section 9.2.2.
 type retryClass uint8
 
 const (
-	// retryNever: no request.
+	// retryNever permits no retries.
 	retryNever retryClass = iota
-	// retryIdempotent: requests whose effect is the same when they are executed twice.
+	// retryIdempotent permits retries of requests whose effect is the same if executed twice.
 	retryIdempotent
-	// retrySafe: every request, as it is certain that the endpoint has not processed it.
+	// retrySafe permits retries of all requests, as the endpoint has certainly not processed the
+	// request.
 	retrySafe
 )
 
-// String names the class.
+// String returns the name of the class.
 func (c retryClass) String() string {
 	switch c {
 	case retryNever:
@@ -87,27 +88,27 @@
 	}
 }
 
-// permits reports whether a request may be sent again.
+// permits reports whether a request may be retried.
 func (c retryClass) permits(isIdempotent bool) bool {
 	return c == retrySafe || c == retryIdempotent && isIdempotent
 }
 
-// retryRule is what follows from the phase alone for an attempt that ended in it.
+// retryRule is the part of a decision that depends only on the phase in which the attempt ended.
 type retryRule struct {
-	// mayHaveExecuted: the endpoint may have executed the request.
+	// mayHaveExecuted is true if the endpoint may have executed the request.
 	mayHaveExecuted bool
-	// retry is the class of requests that may be sent to another endpoint.
+	// retry is the class of requests that may be retried on another endpoint.
 	retry retryClass
-	// reusesConnection: the connection may carry another request, if the framing of the
+	// reusesConnection is true if the connection can be reused, provided that the framing of the
 	// response permits it too.
 	reusesConnection bool
-	// hasResponse: there is a response of the endpoint that can be relayed.
+	// hasResponse is true if the endpoint's response can be relayed.
 	hasResponse bool
-	// errorKind is the error for the client, if there is neither a retry nor a response.
+	// errorKind is the error for the client if there is neither a retry nor a response to relay.
 	errorKind apierror.Kind
 }
 
-// retryTable holds the only rules for retries; docs/notes/at-most-once.md explains them.
+// retryTable holds all rules for retries; docs/notes/at-most-once.md explains them.
 var retryTable = [phaseCount]retryRule{
 	phaseQueued:      {retry: retryNever, errorKind: apierror.Unavailable},
 	phaseDialing:     {retry: retrySafe, errorKind: apierror.BadGateway},
@@ -123,41 +124,41 @@
 	phaseStreaming:   {mayHaveExecuted: true, retry: retryNever, reusesConnection: true, hasResponse: true},
 }
 
-// retryState is what holds for a request when an attempt has ended.
+// retryState is the state of a request at the end of an attempt.
 type retryState struct {
-	// isIdempotent: the request's route declares it so.
+	// isIdempotent is true if the request's route is declared idempotent.
 	isIdempotent bool
-	// bodyConsumed: the body was read from the client and is not buffered.
+	// bodyConsumed is true if the body was read from the client and is not buffered.
 	bodyConsumed bool
-	// mayHaveExecuted: an earlier attempt may have executed the request.
+	// mayHaveExecuted is true if an endpoint may have executed the request in an earlier attempt.
 	mayHaveExecuted bool
-	// beforeDeadline: the request's deadline has not been reached.
+	// beforeDeadline is true if the request's deadline has not expired.
 	beforeDeadline bool
-	// attemptsLeft: the route permits another attempt.
+	// attemptsLeft is true if the limits on attempts permit another one.
 	attemptsLeft bool
-	// budgetLeft: the retry budget has a token for a retry now. A retry withdraws from the budget
-	// only when it begins.
+	// budgetLeft is true if the retry budget currently has a token. The token is withdrawn only
+	// when the retry starts.
 	budgetLeft bool
 }
 
-// permitsRetry reports whether everything but the phase permits another attempt.
+// permitsRetry reports whether the deadline, the limits on attempts and the body permit a retry.
 func (s retryState) permitsRetry() bool {
 	return s.beforeDeadline && s.attemptsLeft && !s.bodyConsumed
 }
 
-// action is what is done after an attempt.
+// action is the next step after an attempt.
 type action uint8
 
 const (
-	// actionFail answers the client with an error of the proxy.
+	// actionFail responds to the client with an error of the proxy.
 	actionFail action = iota
-	// actionRetry sends the request to an endpoint that has not had it.
+	// actionRetry sends the request to an endpoint that was not tried yet.
 	actionRetry
 	// actionRelay relays the endpoint's response to the client.
 	actionRelay
 )
 
-// String names the action.
+// String returns the name of the action.
 func (a action) String() string {
 	switch a {
 	case actionFail:
@@ -171,18 +172,19 @@
 	}
 }
 
-// decision is what follows from the end of an attempt.
+// decision is the result of phase.decide.
 type decision struct {
 	action action
-	// mayHaveExecuted: this attempt or an earlier one may have executed the request.
+	// mayHaveExecuted is true if an endpoint may have executed the request in this or an earlier
+	// attempt.
 	mayHaveExecuted bool
-	// errorKind is the error for the client, if the action is actionFail.
+	// errorKind is the error for the client if the action is actionFail.
 	errorKind apierror.Kind
 }
 
-// decide decides what is done after an attempt that ended in a phase. A request that
-// may have been executed is sent again only if it is idempotent, and is never answered
-// with a status that promises that it was not executed.
+// decide returns the decision after an attempt that ended in phase p. A request that may have been
+// executed is retried only if it is idempotent, and never fails with an error that guarantees that
+// it was not executed.
 func (p phase) decide(s retryState) decision {
 	rule := retryTable[p]
 	d := decision{
@@ -190,10 +192,10 @@
 		mayHaveExecuted: s.mayHaveExecuted || rule.mayHaveExecuted,
 	}
 	d.errorKind = failureKind(rule.errorKind, s.beforeDeadline, d.mayHaveExecuted)
-	// Where there is a response, a retry is optional, and made only if the budget has a token for it.
-	isWorthwhile := s.budgetLeft || !rule.hasResponse
+	// If there is a response to relay, a retry is attempted only if the budget has a token for it.
+	prefersRetry := s.budgetLeft || !rule.hasResponse
 	switch {
-	case rule.retry.permits(s.isIdempotent) && s.permitsRetry() && isWorthwhile:
+	case rule.retry.permits(s.isIdempotent) && s.permitsRetry() && prefersRetry:
 		d.action = actionRetry
 	case rule.hasResponse:
 		d.action = actionRelay
@@ -201,8 +203,8 @@
 	return d
 }
 
-// failureKind is the error for a request that is given up. Unavailable promises that the
-// request was not executed, so it is given always and only where that is certain.
+// failureKind returns the error for a request that fails. Unavailable guarantees that the request
+// was not executed, so it is returned if and only if that is certain.
 func failureKind(kind apierror.Kind, beforeDeadline, mayHaveExecuted bool) apierror.Kind {
 	switch {
 	case !mayHaveExecuted:
@@ -216,9 +218,10 @@
 	}
 }
 
-// relayedStatus is the status that a client receives for an endpoint's. To clients 408,
-// 429 and 503 promise that the request was not executed. An endpoint makes that promise
-// with a header of its own, so without it a request that is not idempotent gets 502.
+// relayedStatus returns the status that the client receives for the status of an endpoint's
+// response. To clients, 408, 429 and 503 guarantee that the request was not executed. Endpoints
+// give that guarantee by a separate header, and relayed responses lack it, so for non-idempotent
+// requests these statuses are replaced by 502.
 func relayedStatus(status int, isIdempotent bool) int {
 	if isIdempotent {
 		return status
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -9,26 +9,26 @@
 	"lichentray/rollout"
 )
 
-// rolloutState is a service's versions as the registry has them, and what this node saw
-// of them since its last report.
+// rolloutState is a service's roll-out as stored in the registry, and this node's evidence on its
+// versions since the last report.
 type rolloutState struct {
 	rollout.Rollout
 	evidence rollout.Evidence
-	// strata splits the recent requests among the versions by route.
+	// strata splits requests among the versions by route, based on recent requests.
 	strata rollout.StratifiedSplit
 }
 
-// applyRollout takes a service's versions from the registry.
+// applyRollout applies a service's roll-out from the registry.
 func (p *Proxy) applyRollout(name string, o registry.Object) {
 	r, err := rollout.Decode(o.Value)
 	if err != nil {
-		p.log.Error("roll-out is unreadable, the present one is kept", "key", o.Key, "error", err)
+		p.log.Error("cannot decode roll-out; keeping the current one", "key", o.Key, "error", err)
 		return
 	}
 	p.setRollout(p.ensureService(name), r)
 }
 
-// setRollout sets a service's versions.
+// setRollout sets a service's roll-out and logs a change of its state.
 func (p *Proxy) setRollout(s *service, r rollout.Rollout) {
 	previous := s.setRollout(r)
 	if r.State != previous && r.State != "" {
@@ -36,7 +36,7 @@
 	}
 }
 
-// setRollout sets the service's versions and returns the state of the previous roll-out.
+// setRollout sets the service's roll-out and returns the state of the previous one.
 func (s *service) setRollout(r rollout.Rollout) rollout.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,8 +55,8 @@
 	return previous.State
 }
 
-// rolloutReports reports what this node saw of the roll-outs in progress since its last
-// report; nil if there are none.
+// rolloutReports returns this node's reports on the roll-outs in progress, by service, since the
+// last call. It returns nil if there are none.
 func (p *Proxy) rolloutReports() map[string]transport.RolloutReport {
 	if !p.settings.HasRollouts() {
 		return nil
@@ -75,7 +75,7 @@
 	return out
 }
 
-// takeRolloutReport returns a service's report and begins the next one.
+// takeRolloutReport returns a service's report and resets its evidence for the next one.
 func (p *Proxy) takeRolloutReport(s *service) (report transport.RolloutReport, isInProgress bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,14 +99,15 @@
 	return report, true
 }
 
-// countRolloutRequests counts the attempts at one version.
+// countRolloutRequests adds the attempts on one version to the metrics.
 func (p *Proxy) countRolloutRequests(service, version string, counts rollout.Counts) {
 	c := p.metrics.Counter("rollout_requests_total", "service", service, "version", version)
 	c.Add(int64(counts.Answers + counts.Broken))
 }
 
-// drawVersionGroup draws which versions a request goes to. A node that has received
-// no bookmark for rolloutLease sends to the base version, as the roll-out may have ended.
+// drawVersionGroup randomly selects a request's version group, by the target version's share. A
+// node that has received no bookmark for longer than rolloutLease selects the base version, as the
+// roll-out may have ended.
 func (s *service) drawVersionGroup(p *Proxy, route int) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,11 +126,11 @@
 	return loadbalance.TargetVersion
 }
 
-// retryVersionGroup returns the versions that a request goes to after a failed attempt:
-// from the target version to the base version. mayHaveArrived is true if the endpoint may
-// have received the request. Where a base endpoint was not even reached although all
-// traffic should have moved, the base version was stopped and its endpoints' removal has not
-// reached this node yet.
+// retryVersionGroup returns the version group for a retry after a failed attempt on the given
+// group. This is the base version, except if a base endpoint could not be reached in the final
+// stage, when all traffic should have moved: then the base version has been stopped, and the
+// removal of its endpoints has not reached this node yet. mayHaveArrived is true if the endpoint
+// may have received the request.
 func (s *service) retryVersionGroup(group loadbalance.VersionGroup, mayHaveArrived bool) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,9 +140,10 @@
 	return loadbalance.BaseVersion
 }
 
-// acquireForGroup reserves an endpoint of a version group for which skip returns false;
-// see acquireEndpoint. No request waits for the target version while the base version is
-// available, so the target returned may be of another group. It may have no endpoint.
+// acquireForGroup reserves an endpoint of a version group for which skip returns false, as
+// acquireEndpoint does. Unless the roll-out is in its final stage, no request waits for the target
+// version, but falls back to the base version. So the returned attemptTarget may be of the other
+// group; it may also have no endpoint.
 func (s *service) acquireForGroup(p *Proxy, rank queueRank, wait queueWait, group loadbalance.VersionGroup, skip func(*loadbalance.Endpoint) bool) attemptTarget {
 	skipForGroup := func(e *loadbalance.Endpoint) bool { return !s.accepts(e, group) || skip(e) }
 	if group == loadbalance.TargetVersion {
@@ -157,12 +159,12 @@
 	}
 	e, conns := s.acquireEndpoint(p, rank, wait, skipForGroup)
 	if e != nil && group == loadbalance.TargetVersion {
-		group = s.versionGroupOf(e) // the roll-out may have ended meanwhile
+		group = s.versionGroupOf(e) // the roll-out may have ended during the wait
 	}
 	return attemptTarget{endpoint: e, conns: conns, group: group}
 }
 
-// rolloutStage reports whether the roll-out is in progress and in its final stage.
+// rolloutStage reports whether the roll-out is in its final stage, and whether it is in progress.
 func (s *service) rolloutStage() (isFinal, isInProgress bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,8 +178,8 @@
 	return e.VersionGroup
 }
 
-// accepts reports whether an endpoint accepts requests to a version group. The caller has
-// the lock.
+// accepts reports whether an endpoint can receive requests of a version group. The caller must hold
+// s.mu.
 func (s *service) accepts(e *loadbalance.Endpoint, group loadbalance.VersionGroup) bool {
 	if group == loadbalance.TargetVersion && s.rollout.State == rollout.InProgress {
 		return e.VersionGroup == loadbalance.TargetVersion && e.InRolloutSubset
--- a/internal/proxy/rollout_test.go
+++ b/internal/proxy/rollout_test.go
@@ -23,58 +23,60 @@
 	p.applyObject(registry.Object{Key: x.Key(), Value: x.Encode()}, true)
 }
 
-// TestRolloutDecidesVersion: where a proxy sends requests in each state of a roll-out. Without an
-// order, after a rollback, and without news, all go to the base version; in the canary a small
-// share to the target; at the end all. A request that failed at the target is retried at the base
-// version if it is idempotent.
+// TestRolloutDecidesVersion checks which version a proxy sends requests to in each state of a
+// roll-out: without a roll-out, after a rollback and without recent bookmarks, all to the base
+// version; in the canary stage, a small share to the target version; in the final stage, all. An
+// idempotent request that fails on the target version is retried on the base version. A request
+// still succeeds in the final stage if the base version was stopped and its removal is not known
+// yet.
 func TestRolloutDecidesVersion(t *testing.T) {
 	failing := "HTTP/1.1 500 Broken\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: 0\r\n\r\n"
-	old := newStubEndpoint(t, func(int, string) string { return okResponse("old") })
+	base := newStubEndpoint(t, func(int, string) string { return okResponse("old") })
 	var isRepaired atomic.Bool
-	fresh := newStubEndpoint(t, func(int, string) string {
+	target := newStubEndpoint(t, func(int, string) string {
 		if isRepaired.Load() {
 			return okResponse("new")
 		}
 		return failing
 	})
 	p, f := startFrontend(t)
-	// The requests come one after the other, so the seed decides where each goes.
+	// The requests are sent sequentially, so the seed determines the version of each.
 	p.random = rand.New(rand.NewSource(1)).Float64
 	p.settings.Guarantees = []string{"rollout"}
 	addr := f.listener.Addr().String()
-	p.addVersionedEndpoint("i-old", "v1", old)
-	p.addVersionedEndpoint("i-new", "v2", fresh)
-	heard := func(on bool) {
+	p.addVersionedEndpoint("i-old", "v1", base)
+	p.addVersionedEndpoint("i-new", "v2", target)
+	setLastBookmark := func(isRecent bool) {
 		p.lastBookmarkAt.Store(int64(p.now()))
-		if !on {
+		if !isRecent {
 			p.lastBookmarkAt.Store(-int64(p.timeouts.rolloutLease) * 2)
 		}
 	}
-	trial := func(stage int) rollout.Rollout {
+	inProgress := func(stage int) rollout.Rollout {
 		return rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.InProgress, Stage: stage, DeadlineSeconds: 15}
 	}
 	const n = 300
 	for _, c := range []struct {
-		what     string
-		r        rollout.Rollout
-		heard    bool
-		least    int // requests at the target
-		most     int
-		failures bool // of requests that may run once
+		name              string
+		r                 rollout.Rollout
+		hasRecentBookmark bool
+		minTarget         int // requests sent to the target version
+		maxTarget         int
+		wantFailures      bool // of non-idempotent requests
 	}{
-		{"no order", rollout.Rollout{Base: "v1"}, true, 0, 0, false},
-		{"canary", trial(0), true, 1, n / 5, true},
-		{"canary without news", trial(0), false, 0, 0, false},
-		{"all", trial(3), true, n, n, true},
-		{"all, without news", trial(3), false, 0, 0, false},
+		{"no roll-out", rollout.Rollout{Base: "v1"}, true, 0, 0, false},
+		{"canary stage", inProgress(0), true, 1, n / 5, true},
+		{"canary stage without recent bookmark", inProgress(0), false, 0, 0, false},
+		{"final stage", inProgress(3), true, n, n, true},
+		{"final stage without recent bookmark", inProgress(3), false, 0, 0, false},
 		{"rolled back", rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.RolledBack, Stage: 3}, true, 0, 0, false},
 	} {
 		p.applyTestRollout(c.r)
 		for _, path := range []string{"/safe/a", "/once/a"} {
-			before, failed := len(fresh.requests()), 0
+			before, failed := len(target.requests()), 0
 			for range n {
-				heard(c.heard)
-				for range 5 { // a budget in hand
+				setLastBookmark(c.hasRecentBookmark)
+				for range 5 { // keeps the retry budget from running out
 					p.services["s"].retryBudget.Deposit()
 				}
 				request := getRequest(path)
@@ -85,12 +87,12 @@
 				case s == 500 && path == "/once/a":
 					failed++
 				case s != 200:
-					t.Fatalf("%s: %s got %d", c.what, path, s)
+					t.Fatalf("%s: status of %s = %d", c.name, path, s)
 				}
 			}
-			got := len(fresh.requests()) - before
-			if got < c.least || got > c.most || (path == "/once/a" && (failed > 0) != c.failures) {
-				t.Errorf("%s: %s sent %d of %d to the target, %d failed", c.what, path, got, n, failed)
+			got := len(target.requests()) - before
+			if got < c.minTarget || got > c.maxTarget || (path == "/once/a" && (failed > 0) != c.wantFailures) {
+				t.Errorf("%s: %s: target version received %d of %d requests, %d failed", c.name, path, got, n, failed)
 			}
 		}
 		if c.r.State == rollout.InProgress {
@@ -99,26 +101,27 @@
 			for _, a := range report.Evidence {
 				sum = sum.Add(a.Target)
 			}
-			if report.Order != 1 || sum.Failed != sum.Answers || (sum.Failed > 0) != (c.least > 0) {
-				t.Errorf("%s: reported %+v", c.what, report)
+			if report.Order != 1 || sum.Failed != sum.Answers || (sum.Failed > 0) != (c.minTarget > 0) {
+				t.Errorf("%s: report = %+v", c.name, report)
 			}
 		}
 	}
-	// All have moved, the old endpoints are stopped, and this node has not heard.
+	// The final stage is reached, the base endpoint is stopped, and this node has no recent bookmark.
 	isRepaired.Store(true)
-	p.applyTestRollout(trial(3))
-	heard(false)
-	old.listener.Close()
+	p.applyTestRollout(inProgress(3))
+	setLastBookmark(false)
+	base.listener.Close()
 	p.services["s"].connPools[p.services["s"].pool.Endpoints()[0]].closeIdle()
 	if s := statusOf(sendRaw(t, addr, postRequest("/once/a"), 1)); s != 200 {
-		t.Errorf("after the old endpoints were stopped unheard: %d", s)
+		t.Errorf("status after the base endpoint was stopped = %d, want 200", s)
 	}
 }
 
-// TestCanaryIsConcentrated: all nodes pick the same few endpoints for a small share, several at
-// least, and all of them at the end.
-func TestCanaryIsConcentrated(t *testing.T) {
-	for _, c := range []struct{ endpoints, stage, front int }{{300, 0, 5}, {300, 1, 20}, {300, 3, 300}, {5, 0, 4}, {2, 0, 2}} {
+// TestCanaryUsesEndpointSubset checks that, while the target version's traffic share is small, all
+// proxy nodes use the same few of its endpoints, but more than one, and in the final stage all of
+// them.
+func TestCanaryUsesEndpointSubset(t *testing.T) {
+	for _, c := range []struct{ endpoints, stage, wantSubset int }{{300, 0, 5}, {300, 1, 20}, {300, 3, 300}, {5, 0, 4}, {2, 0, 2}} {
 		var first string
 		for range 2 {
 			p, _ := startFrontend(t)
@@ -129,17 +132,17 @@
 			p.applyTestRollout(rollout.Rollout{Base: "v1", OrderNumber: 1, Target: "v2", State: rollout.InProgress, Stage: c.stage})
 			pool := p.services["s"].pool
 			pool.Pick(p.now(), func() float64 { return 0.5 }, nil)
-			var front []string
+			var subset []string
 			for _, e := range pool.Endpoints() {
 				if e.VersionGroup != loadbalance.TargetVersion {
-					t.Fatalf("%s is not under trial", e.ID)
+					t.Fatalf("endpoint %s is not of the target version", e.ID)
 				}
 				if e.InRolloutSubset {
-					front = append(front, e.ID)
+					subset = append(subset, e.ID)
 				}
 			}
-			if got := strings.Join(front, " "); len(front) != c.front || first != "" && got != first {
-				t.Errorf("%+v: %d of them in front: %s", c, len(front), got)
+			if got := strings.Join(subset, " "); len(subset) != c.wantSubset || first != "" && got != first {
+				t.Errorf("%+v: subset has %d endpoints: %s", c, len(subset), got)
 			} else {
 				first = got
 			}
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// zoneBias and regionBias are by how much endpoints of the node's own zone and region
-	// are preferred; see loadbalance.PoolConfig.
+	// zoneBias and regionBias are the biases towards endpoints in the node's own zone and region;
+	// see loadbalance.PoolConfig.
 	zoneBias   = 0.6
 	regionBias = 1.5
-	// retryBudgetShare is the part of the ratio of retries to requests in the bounds that
-	// this node spends. The rest covers what is in flight.
+	// retryBudgetShare is the fraction of the retry budget ratio in the bounds that this node
+	// uses. The rest covers requests in flight.
 	retryBudgetShare = 0.95
-	// retrySlackShare is the part of the slack in the bounds that the proxies share. The
-	// rest is kept for nodes that are not counted yet.
+	// retrySlackShare is the fraction of the retry budget slack in the bounds that is divided among
+	// the proxies. The rest is reserved for nodes that are not counted yet.
 	retrySlackShare = 0.75
-	// statusMisdirected is the status with which an endpoint states that it does not serve
-	// the service (421 Misdirected Request, RFC 9110, section 15.5.20).
+	// statusMisdirected is the status of an endpoint that does not serve the service
+	// (421 Misdirected Request, RFC 9110, section 15.5.20).
 	statusMisdirected = 421
-	// unlimitedIdle is how long a connection may be idle unless the endpoint has closed
-	// one that was idle for less.
-	unlimitedIdle = time.Hour
+	// unlimitedIdleTime is the idle time limit of connections, unless endpoints were found to close
+	// connections earlier.
+	unlimitedIdleTime = time.Hour
 )
 
-// service has the endpoints of one service and this node's limits, queue and statistics.
-// Its lock is held for short computations only.
+// service holds the endpoints of one service, with this node's limits, queue and statistics. Its
+// mutex is held only for short computations.
 type service struct {
 	name string
 
@@ -39,18 +39,19 @@
 	admission   *loadbalance.AdmissionLimiter
 	rollout     rolloutState
 	queue       endpointQueue
-	// arrivals counts the requests since the last report, arrivalsByClient those of each
-	// client: in the queue, clients that ask often stand behind those that do not.
+	// arrivals counts the requests since the last report, and arrivalsByClient those of each
+	// client. In the queue, clients with many requests rank behind clients with few.
 	arrivals         int
 	arrivalsByClient map[string]int
-	// maxIdle is how long a connection may have been idle to be used again, until
-	// maxIdleUntil (time since the start of the node): endpoints had closed older ones.
+	// maxIdle is the maximum idle time of a connection that is reused, as endpoints have closed
+	// connections that were idle for longer. It applies until maxIdleUntil, a time in terms of
+	// Proxy.now.
 	maxIdle      time.Duration
 	maxIdleUntil time.Duration
 }
 
-// ensureService returns the service of a name, and makes it if there is none. Only the
-// goroutine of the reflector calls it.
+// ensureService returns the service with the given name, and creates it if there is none. Only the
+// goroutine of ListAndWatch may call it.
 func (p *Proxy) ensureService(name string) *service {
 	if s := p.services[name]; s != nil {
 		return s
@@ -77,7 +78,7 @@
 	return s
 }
 
-// configure sets the limits of the service from the configuration.
+// configure sets the service's limits from the configuration.
 func (s *service) configure(maxConnections int, warmupRatePerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	s.pool.SetWarmupRate(warmupRatePerSecond)
 }
 
-// setTotalLoad sets the load of the service over all proxies.
+// setTotalLoad sets the service's total load from all proxies.
 func (s *service) setTotalLoad(now time.Duration, total loadbalance.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +95,7 @@
 	s.pool.SetUtilization(total.Inflight / float64(max(1, slots)))
 }
 
-// setProxyCount sets how many proxy nodes share each endpoint, and with it this node's
+// setProxyCount sets the number of proxy nodes that share each endpoint, and thereby this node's
 // part of the slack of the retry budget.
 func (s *service) setProxyCount(n int, slack float64) {
 	s.mu.Lock()
@@ -103,7 +104,8 @@
 	s.pool.SetPeerCount(n)
 }
 
-// upsertEndpoint takes an endpoint's present state. warmUp is how long a new one needs.
+// upsertEndpoint adds an endpoint or updates its state. warmUp is the warm-up time of a new
+// endpoint.
 func (s *service) upsertEndpoint(now time.Duration, spec loadbalance.EndpointSpec, warmUp time.Duration) {
 	s.mu.Lock()
 	e := s.pool.Upsert(now, spec, warmUp)
@@ -118,8 +120,8 @@
 	}
 }
 
-// removeEndpoint removes an endpoint and closes its idle connections. It does nothing if
-// the service has no such endpoint.
+// removeEndpoint removes an endpoint and closes its idle connections. It does nothing if the
+// service has no endpoint with that id.
 func (s *service) removeEndpoint(id string) {
 	s.mu.Lock()
 	e := s.pool.Remove(id)
@@ -146,14 +148,14 @@
 	}
 }
 
-// setZoneState sets how a zone is used.
+// setZoneState sets a zone's state.
 func (s *service) setZoneState(zone string, state loadbalance.ZoneState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.SetZoneState(zone, state)
 }
 
-// closeExpiredConnections closes the idle connections that have expired.
+// closeExpiredConnections closes the expired idle connections to all endpoints.
 func (s *service) closeExpiredConnections(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,32 +165,32 @@
 	}
 }
 
-// idleLimit is how long a connection may have been idle to be used again.
+// idleLimit returns the maximum idle time of a connection that is reused.
 func (s *service) idleLimit(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now < s.maxIdleUntil {
 		return s.maxIdle
 	}
-	return unlimitedIdle
+	return unlimitedIdleTime
 }
 
-// noteStaleConnection notes that an endpoint had closed a connection that had been idle
-// for idleFor. For the time validity, only connections idle for at most half of that are
-// used again.
-func (s *service) noteStaleConnection(now, idleFor, validity time.Duration) {
+// recordStaleConnection records that an endpoint had closed a connection that was idle for idleFor.
+// For the duration validity, connections are reused only if they were idle for at most half as
+// long.
+func (s *service) recordStaleConnection(now, idleFor, validity time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now >= s.maxIdleUntil {
-		s.maxIdle = unlimitedIdle
+		s.maxIdle = unlimitedIdleTime
 	}
 	s.maxIdle = min(s.maxIdle, idleFor/2)
 	s.maxIdleUntil = now + validity
 }
 
-// pickEndpoint chooses an endpoint within this node's part of the load, and returns the
-// limit of the requests in flight. It returns nil if there is none. The caller has the
-// lock.
+// pickEndpoint picks an endpoint for which skip returns false, within this node's share of the
+// admitted load, and returns the limit on requests in flight. It returns a nil endpoint if none is
+// available. The caller must hold s.mu.
 func (s *service) pickEndpoint(now time.Duration, skip func(*loadbalance.Endpoint) bool) (*loadbalance.Endpoint, int) {
 	slots, inflight := s.pool.SlotsAndInflight(now)
 	limit, isLimited := s.admission.Limit(now, slots)
@@ -198,8 +200,8 @@
 	return s.pool.Pick(now, rand.Float64, skip), limit
 }
 
-// releaseEndpoint ends a request at an endpoint and wakes the first in the queue.
-// latencyRatio is the request's latency over what is typical; 0 if it is not known.
+// releaseEndpoint ends a request on an endpoint and wakes the first waiter in the queue.
+// latencyRatio is the request's latency divided by the route's typical latency; 0 if unknown.
 func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, isSuccess bool, latencyRatio float64) {
 	s.mu.Lock()
 	if conns := s.connPools[e]; conns != nil {
@@ -213,8 +215,8 @@
 	}
 }
 
-// recordRejection releases an endpoint that stated with a status that it did not process
-// a request. An endpoint that serves another service is ejected.
+// recordRejection releases an endpoint whose response, with the given status, states that the
+// request was not processed. The endpoint is ejected if it does not serve the service.
 func (s *service) recordRejection(p *Proxy, e *loadbalance.Endpoint, status int) {
 	if status == statusMisdirected {
 		s.releaseEndpoint(p, e, false, 0)
@@ -226,28 +228,30 @@
 	s.releaseEndpoint(p, e, true, 0)
 }
 
-// recordServerError notes a 5xx response of an endpoint.
+// recordServerError records a 5xx response of an endpoint.
 func (s *service) recordServerError(e *loadbalance.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.RecordServerError(e)
 }
 
-// recordBrokenStream notes that an endpoint ended a response early after it was released.
+// recordBrokenStream records that an endpoint truncated a response that was streamed after the
+// endpoint was released.
 func (s *service) recordBrokenStream(p *Proxy, e *loadbalance.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.RecordFailure(p.now(), e)
 }
 
-// withdrawRetry takes a retry from the retry budget; false if that is exhausted.
+// withdrawRetry withdraws a token from the retry budget. It returns false if the budget is
+// exhausted.
 func (s *service) withdrawRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.retryBudget.TryWithdraw()
 }
 
-// hasRetryBudget reports whether the retry budget has a token for a retry now.
+// hasRetryBudget reports whether the retry budget currently has a token.
 func (s *service) hasRetryBudget() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/stub_test.go
+++ b/internal/proxy/stub_test.go
@@ -18,16 +18,17 @@
 	"lichentray/registry"
 )
 
-// stubEndpoint is an endpoint that reads one request at a time and answers by a script.
+// stubEndpoint is an endpoint that reads requests one at a time and responds by a script. It closes
+// the connection after a response that contains BREAK.
 type stubEndpoint struct {
 	t        *testing.T
 	listener net.Listener
 	mu       sync.Mutex
 	received []string
-	script   func(n int, req string) string // "" closes the connection unanswered
+	script   func(n int, req string) string // "" closes the connection without a response
 }
 
-// newStubEndpoint starts an endpoint on the loopback that ends with the test.
+// newStubEndpoint starts an endpoint on the loopback interface that stops at the end of the test.
 func newStubEndpoint(t *testing.T, script func(n int, req string) string) *stubEndpoint {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +48,7 @@
 	return e
 }
 
-// serve answers the requests of one connection.
+// serve serves one connection.
 func (e *stubEndpoint) serve(c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -65,30 +66,30 @@
 		e.received = append(e.received, text)
 		n := len(e.received)
 		e.mu.Unlock()
-		a := e.script(n, text)
-		if a == "" {
+		response := e.script(n, text)
+		if response == "" {
 			return
 		}
-		a = strings.ReplaceAll(a, "ID", req.Header.Get("X-Attempt-Id"))
-		if _, err := io.WriteString(c, a); err != nil || strings.Contains(a, "BREAK") {
+		response = strings.ReplaceAll(response, "ID", req.Header.Get("X-Attempt-Id"))
+		if _, err := io.WriteString(c, response); err != nil || strings.Contains(response, "BREAK") {
 			return
 		}
 	}
 }
 
-// requests returns the requests that were received, each as method, target and body.
+// requests returns the received requests, each as method, target and body.
 func (e *stubEndpoint) requests() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.received...)
 }
 
-// okResponse is a valid success. The endpoint replaces ID by the request's attempt id.
+// okResponse returns a valid success. stubEndpoint replaces ID with the request's attempt id.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// notExecutedResponse states that the request was not executed.
+// notExecutedResponse is a response stating that the request was not executed.
 const notExecutedResponse = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
 // testConfig has an idempotent route /safe/ and a non-idempotent one /once/, both to service s.
@@ -98,13 +99,14 @@
  {"name":"once","route_type":"non_idempotent","target_latency_s":1,"priority":1,"match":{"path_prefix":"/once/"},"action":{"backend_service":"s","timeout_s":5,"max_attempts":2}}]}],
 "clusters":[{"name":"s","health_check_path":"/health","max_connections":100}]}`
 
-// startProxy starts a proxy node on the loopback that knows the endpoints.
+// startProxy starts a proxy node on the loopback interface, with the given endpoints of service s,
+// and returns its address.
 func startProxy(t *testing.T, endpoints ...*stubEndpoint) (*Proxy, string) {
 	p, f := startFrontend(t, endpoints...)
 	return p, f.listener.Addr().String()
 }
 
-// startFrontend is startProxy for tests that need the frontend.
+// startFrontend does the same as startProxy, and returns the frontend.
 func startFrontend(t *testing.T, endpoints ...*stubEndpoint) (*Proxy, *Frontend) {
 	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
@@ -113,13 +115,13 @@
 		x := registry.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Address: e.listener.Addr().String(), Zone: "a", Capacity: 4}
 		p.applyObject(registry.Object{Key: x.Key(), Value: x.Encode()}, false)
 	}
-	for range 100 { // a retry budget
+	for range 100 { // fills the retry budget
 		p.services["s"].retryBudget.Deposit()
 	}
 	return p, serveFrontend(t, p)
 }
 
-// serveFrontend lets a proxy node accept requests on the loopback.
+// serveFrontend starts a frontend for a proxy node on the loopback interface.
 func serveFrontend(t *testing.T, p *Proxy) *Frontend {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -131,8 +133,8 @@
 	return f
 }
 
-// sendRaw writes raw bytes and reads responses until the node closes the connection or want are
-// there. A response whose body is incomplete has the status -1.
+// sendRaw writes raw bytes and reads responses, until there are want responses or the node closes
+// the connection. It sets the status of a response with an incomplete body to -1.
 func sendRaw(t *testing.T, addr, raw string, want int) []*http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
@@ -155,7 +157,7 @@
 		}
 		b, err := io.ReadAll(r.Body)
 		if err != nil {
-			r.StatusCode = -1 // cut short
+			r.StatusCode = -1 // truncated
 		}
 		r.Body = io.NopCloser(bytes.NewReader(b))
 		out = append(out, r)
@@ -163,17 +165,17 @@
 	return out
 }
 
-// getRequest is a complete GET request to a path.
+// getRequest returns a complete GET request to a path.
 func getRequest(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nX-Deadline: 4000\r\nConnection: close\r\n\r\n"
 }
 
-// postRequest is a complete POST request to a path.
+// postRequest returns a complete POST request to a path.
 func postRequest(path string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline: 4000\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc"
 }
 
-// statusOf is the status of the only response; 0 if there is not exactly one.
+// statusOf returns the status of the only response, or 0 if there is not exactly one.
 func statusOf(rs []*http.Response) int {
 	if len(rs) != 1 {
 		return 0
@@ -181,7 +183,8 @@
 	return rs[0].StatusCode
 }
 
-// scriptedConn is a client's connection that sends some bytes and ends.
+// scriptedConn is a client connection that delivers the bytes of in and then ends. It discards all
+// writes.
 type scriptedConn struct {
 	net.Conn
 	in io.Reader
--- a/internal/proxy/timeouts.go
+++ b/internal/proxy/timeouts.go
@@ -6,53 +6,54 @@
 	"lichentray/internal/settings"
 )
 
-// timeouts are the durations that this node works with. All are derived from the bounds
-// of the settings, here and nowhere else.
+// timeouts holds the durations that this node uses. All of them are derived from the settings, by
+// deriveTimeouts.
 type timeouts struct {
-	// dial bounds connecting to an endpoint.
+	// dial is the timeout for connecting to an endpoint.
 	dial time.Duration
-	// unacknowledged is how long bytes sent to an endpoint may stay unacknowledged
+	// tcpUserTimeout is how long data sent to an endpoint may remain unacknowledged
 	// (TCP_USER_TIMEOUT).
-	unacknowledged time.Duration
-	// defaultKeepAlive is how long a connection is kept idle whose endpoint names no time.
+	tcpUserTimeout time.Duration
+	// defaultKeepAlive is the idle timeout of a connection if the endpoint does not set one.
 	defaultKeepAlive time.Duration
 
-	// streamSilence is how long a stream of the control plane may be silent before another
-	// is sought.
-	streamSilence time.Duration
-	// openHedgeDelay is how long a control-plane node may take to answer a list before
-	// another is asked as well.
+	// maxStreamSilence is how long a control-plane stream may be silent before another is searched
+	// for.
+	maxStreamSilence time.Duration
+	// openHedgeDelay is how long a control-plane node may take to respond to a list request before
+	// another node is tried concurrently.
 	openHedgeDelay time.Duration
-	// openStream bounds the wait for that answer.
+	// openStream is the timeout for the response that opens a stream.
 	openStream time.Duration
-	// reportInterval is the time between two reports to the control plane.
+	// reportInterval is the interval between reports to the control plane.
 	reportInterval time.Duration
-	// minRateSpan is the shortest time over which a rate of requests is measured.
+	// minRateSpan is the minimum time over which a request rate is measured.
 	minRateSpan time.Duration
-	// feedbackValidity is how long sums and verdicts over all proxies stay valid.
+	// feedbackValidity is how long the totals and verdicts from the reports of all proxies remain
+	// valid.
 	feedbackValidity time.Duration
 
-	// ejectionBase and ejectionMax bound how long an endpoint is ejected.
+	// ejectionBase and ejectionMax are the base and the maximum duration of an endpoint's ejection.
 	ejectionBase time.Duration
 	ejectionMax  time.Duration
-	// rolloutLease is how long this node sends to a target version without a bookmark
-	// that confirms the roll-out.
+	// rolloutLease is how long this node sends requests to a target version without receiving a
+	// bookmark that confirms the roll-out.
 	rolloutLease time.Duration
-	// slowStartGrant is how long a quota share of a warming-up endpoint is valid, from the
-	// report that it answers.
+	// slowStartGrant is how long a quota grant for an endpoint that is warming up is valid, from
+	// the report that the grant responds to.
 	slowStartGrant time.Duration
 }
 
-// deriveTimeouts derives the durations from the bounds.
+// deriveTimeouts derives the durations from the settings.
 func deriveTimeouts(s *settings.Settings) timeouts {
 	contact := s.Bounds.ContactWindow.Duration()
 	propagation := s.PropagationBound()
 	silence := propagation * 3 / 10
 	return timeouts{
 		dial:             contact / 20,
-		unacknowledged:   contact / 6,
+		tcpUserTimeout:   contact / 6,
 		defaultKeepAlive: contact,
-		streamSilence:    silence,
+		maxStreamSilence: silence,
 		openHedgeDelay:   propagation / 4,
 		openStream:       contact / 2,
 		reportInterval:   2 * silence / 3,
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -9,45 +9,45 @@
 )
 
 var (
-	// errNearerNode means that a control-plane node nearer to this one is known.
+	// errNearerNode means that a control-plane node nearer to this proxy is known.
 	errNearerNode = errors.New("proxy: a nearer control-plane node is known")
-	// errReferred means that a relay named the nodes of the core instead of answering.
-	errReferred = errors.New("proxy: referred to the core by a relay")
-	// errStreamTimeout means that a stream was silent while another node answered.
+	// errReferredToCore means that a relay listed the core nodes instead of opening a stream.
+	errReferredToCore = errors.New("proxy: referred to the core by a relay")
+	// errStreamTimeout means that a stream was silent and another node opened one instead.
 	errStreamTimeout = errors.New("proxy: stream is silent and another control-plane node answered")
-	// errRejected means that a control-plane node rejected a request.
+	// errRejected means that a control-plane node rejected the request for a stream.
 	errRejected = errors.New("proxy: rejected by the control-plane node")
-	// errTooSlow means that this node read its stream too slowly and events were dropped.
-	errTooSlow = errors.New("proxy: stream was cut off, as it was read too slowly")
+	// errReadTooSlow means that this proxy read its stream too slowly and events were dropped.
+	errReadTooSlow = errors.New("proxy: stream was read too slowly and events were dropped")
 )
 
-// watchStream is an open stream of events of one control-plane node. The node's answer to
-// the request that opened it comes first.
+// watchStream is an open stream of events from one control-plane node. It starts with the node's
+// response to the request that opened it.
 type watchStream struct {
 	addr string
 	conn *transport.Conn
-	// isList: the first answer is a list; else the watch goes on.
+	// isList is true if the first response is a list, and false if the watch was resumed.
 	isList        bool
 	firstResponse *transport.Response
 	openedAt      time.Time
-	// hasReported: a report was sent on it.
+	// hasReported is set once a report was sent on the stream.
 	hasReported bool
 
-	// frames receives what the node sends, failure the error that ends the stream.
+	// frames receives the node's frames, and failure the error that ends the stream.
 	frames  chan *transport.Frame
 	failure chan error
-	// closed is closed by close, done when the goroutine that reads has ended.
+	// closed is closed by close, and done when the goroutine that reads frames has ended.
 	closed chan struct{}
 	done   chan struct{}
 }
 
-// newWatchStream starts to read a connection. The caller closes the stream.
-func newWatchStream(addr string, conn *transport.Conn, isList bool, answer *transport.Response) *watchStream {
+// newWatchStream starts reading frames from a connection. The caller must close the stream.
+func newWatchStream(addr string, conn *transport.Conn, isList bool, response *transport.Response) *watchStream {
 	s := &watchStream{
 		addr:          addr,
 		conn:          conn,
 		isList:        isList,
-		firstResponse: answer,
+		firstResponse: response,
 		openedAt:      time.Now(),
 		frames:        make(chan *transport.Frame),
 		failure:       make(chan error, 1),
@@ -58,14 +58,14 @@
 	return s
 }
 
-// close closes the stream and waits until nothing reads it.
+// close closes the stream and waits for the goroutine that reads it.
 func (s *watchStream) close() {
 	close(s.closed)
 	s.conn.Close()
 	<-s.done
 }
 
-// readFrames sends what it reads to frames until the stream fails or is closed.
+// readFrames reads frames and sends them to s.frames until the stream fails or is closed.
 func (s *watchStream) readFrames() {
 	defer close(s.done)
 	for {
@@ -82,26 +82,26 @@
 	}
 }
 
-// openStream asks a control-plane node for a list or for the watch to go on. The time
-// connectTimeout bounds the connecting alone.
+// openStream opens a stream by requesting a list or a watch from a control-plane node.
+// connectTimeout applies only to connecting.
 func (p *Proxy) openStream(ctx context.Context, addr string, request transport.Request, connectTimeout time.Duration) (*watchStream, error) {
 	hello := transport.Hello{Role: transport.RoleProxy, Node: p.settings.NodeName}
 	conn, err := transport.Dial(ctx, addr, connectTimeout, hello)
 	if err != nil {
 		return nil, err
 	}
-	conn.WriteTimeout = p.timeouts.streamSilence
+	conn.WriteTimeout = p.timeouts.maxStreamSilence
 	stopClosing := context.AfterFunc(ctx, conn.Close)
-	answer, err := p.requestStream(conn, &request)
+	response, err := p.requestStream(conn, &request)
 	if err != nil || !stopClosing() {
 		conn.Close()
 		return nil, errors.Join(err, ctx.Err())
 	}
-	return newWatchStream(addr, conn, request.List, answer), nil
+	return newWatchStream(addr, conn, request.List, response), nil
 }
 
-// requestStream sends a request and returns the answer that opens the stream. Where a
-// watch cannot go on, it asks for a list and changes the request to that.
+// requestStream sends a request and returns the response that opens the stream. If a watch cannot
+// be resumed, it requests a list instead and updates request accordingly.
 func (p *Proxy) requestStream(conn *transport.Conn, request *transport.Request) (*transport.Response, error) {
 	for {
 		if err := conn.Send(&transport.Frame{Ask: request}); err != nil {
@@ -111,24 +111,24 @@
 		if err != nil {
 			return nil, err
 		}
-		a := f.Answer
+		response := f.Answer
 		switch {
-		case a == nil && f.Bookmark != nil && len(f.Bookmark.Control) > 0:
+		case response == nil && f.Bookmark != nil && len(f.Bookmark.Control) > 0:
 			p.controlNodes.UpdateNodes(f.Bookmark.Control)
-			return nil, errReferred
-		case a == nil || a.Failed:
+			return nil, errReferredToCore
+		case response == nil || response.Failed:
 			return nil, errRejected
-		case a.Nearer != nil:
-			p.controlNodes.UpdateNodes(a.Nearer)
+		case response.Nearer != nil:
+			p.controlNodes.UpdateNodes(response.Nearer)
 			return nil, errNearerNode
-		case !a.Gone:
-			return a, nil
+		case !response.Gone:
+			return response, nil
 		}
 		*request = transport.Request{ID: request.ID + 1, Least: request.Least, List: true, Packs: true}
 	}
 }
 
-// startStream applies the answer with which a stream began, and follows the stream.
+// startStream applies the response that opened a stream, and makes its connection the current one.
 func (p *Proxy) startStream(s *watchStream) error {
 	if s.isList {
 		p.counters.lists.Inc()
@@ -143,15 +143,15 @@
 	} else {
 		p.counters.watches.Inc()
 	}
-	s.firstResponse = nil // which may be large
+	s.firstResponse = nil // releases a list, which may be large
 	p.log.Info("following", "from", s.addr, "revision", p.mirror.Revision())
 	p.controlConn.Store(s.conn)
 	return nil
 }
 
-// handleFrame applies one frame, and reports on the stream if that is due. lastReport is
-// when the last report was sent. It returns errNearerNode if a nearer node should be
-// sought; after any other error the stream is lost.
+// handleFrame applies one frame, and sends a report on the stream if one is due. lastReport is the
+// time of the last report. It returns errNearerNode if a nearer node should be searched for. After
+// any other error, the stream must be dropped.
 func (p *Proxy) handleFrame(s *watchStream, f *transport.Frame, lastReport *time.Time) error {
 	events, err := f.UnpackEvents()
 	if err != nil {
@@ -166,19 +166,19 @@
 	if f.Bookmark != nil {
 		p.applyBookmark(f.Bookmark)
 		if p.shouldMoveNearer(s) {
-			p.hasMovedNearer = true
+			p.hasSearchedNearer = true
 			return errNearerNode
 		}
 	}
 	p.counters.registryRevision.Set(int64(p.mirror.Revision()))
 	if f.Gone {
-		return errTooSlow
+		return errReadTooSlow
 	}
 	return p.reportIfDue(s, f.Bookmark != nil, lastReport)
 }
 
-// applyBookmark applies the revision that the stream has reached, and the totals, verdicts
-// and quota grants that the control plane computes from the reports of all proxies.
+// applyBookmark applies the revision that the stream has reached, and the totals, verdicts and
+// quota grants that the control plane computes from the reports of all proxies.
 func (p *Proxy) applyBookmark(b *transport.Bookmark) {
 	p.mirror.ApplyBookmark(b.Revision)
 	p.lastBookmarkAt.Store(int64(p.now()))
@@ -195,17 +195,18 @@
 	}
 }
 
-// shouldMoveNearer reports whether a nearer node should be sought. After the first time
-// that is not urgent: a nearer node may have been left because it was unhealthy.
+// shouldMoveNearer reports whether a nearer node should be searched for. After the first search, it
+// does so only once the stream has been open for some time, as a nearer node may have been left
+// because it was unhealthy.
 func (p *Proxy) shouldMoveNearer(s *watchStream) bool {
 	if !p.controlNodes.HasNearer(s.addr) {
 		return false
 	}
-	return !p.hasMovedNearer || time.Since(s.openedAt) > p.settings.Bounds.ContactWindow.Duration()
+	return !p.hasSearchedNearer || time.Since(s.openedAt) > p.settings.Bounds.ContactWindow.Duration()
 }
 
-// reportIfDue reports to the control plane: at each interval, and on a new stream with
-// its first bookmark.
+// reportIfDue sends a report to the control plane at regular intervals, and after the first
+// bookmark of a new stream.
 func (p *Proxy) reportIfDue(s *watchStream, isBookmark bool, lastReport *time.Time) error {
 	span := time.Since(*lastReport)
 	isFirst := !s.hasReported && isBookmark
