--- a/tests/soak/checks.go
+++ b/tests/soak/checks.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// maxViolations bounds what is kept; the first ones tell most.
+// maxViolations limits the recorded violations, as the first ones are the most informative.
 const maxViolations = 20
 
-// departureBound is how long an endpoint may work on a request that may be repeated after its
-// client has left. It is far above the proxies' own bound, as the machine may be busy.
-const departureBound = 6 * time.Second
+// disconnectionBound is how long an endpoint may work on an idempotent request after its client has
+// disconnected. It is far above the proxies' own limit, to allow for a busy machine.
+const disconnectionBound = 6 * time.Second
 
-// checks holds what the callers were told and what the endpoints did, and what is wrong with it.
-// All goroutines may use it.
+// checks records responses to clients and executions at endpoints, and collects the violations found.
+// Safe for concurrent use.
 type checks struct {
 	mu         sync.Mutex
 	violations []string
 
-	runs       map[string]int       // of requests that may run once, by id
-	promises   map[string]int       // of requests that are not to run, the status by id
-	departures map[string]departure // by id of the request
-	slowRuns   map[string]slowRun   // by id of the request
+	runs           map[string]int           // executions of non-idempotent requests, by request ID
+	notExecuted    map[string]int           // status of responses that rule out an execution, by request ID
+	disconnections map[string]disconnection // by request ID
+	slowRuns       map[string]slowRun       // by request ID
 
-	// signOffs is when the sign-off of an endpoint was acknowledged, by its ID. They are judged from
-	// judgedFrom on, which is zero while faults are under way.
-	signOffs   map[string]time.Time
-	judgedFrom time.Time
+	// deregistrations holds when the deregistration of an endpoint was acknowledged, by endpoint ID. They
+	// are checked from undisturbedSince on, which is zero while faults are injected.
+	deregistrations  map[string]time.Time
+	undisturbedSince time.Time
 
-	ackedVersion int
-	numbers      rising
-	fences       rising // of new holders of the lock
-	locks        *lockHistory
+	ackedVersion  int
+	numbers       monotonicValue
+	fencingTokens monotonicValue // of the lock that acquireAndReleaseLock uses
+	locks         *lockHistory
 
-	served, unserved, left, acknowledged int
+	served, unserved, disconnected, acknowledged int
 }
 
-// departure is a client that left while its request was in progress.
-type departure struct {
+// disconnection is a client that disconnected while its request was in progress.
+type disconnection struct {
 	proxy string
 	at    time.Time
 }
 
-// slowRun is a run of a request whose client leaves. ended is zero while it lasts.
+// slowRun is the execution of a slow request. ended is zero while it is in progress.
 type slowRun struct {
 	began, ended time.Time
 }
 
 func newChecks() *checks {
 	c := &checks{
-		runs:       map[string]int{},
-		promises:   map[string]int{},
-		departures: map[string]departure{},
-		slowRuns:   map[string]slowRun{},
-		signOffs:   map[string]time.Time{},
-		numbers:    rising{name: "number"},
-		fences:     rising{name: "fence"},
+		runs:            map[string]int{},
+		notExecuted:     map[string]int{},
+		disconnections:  map[string]disconnection{},
+		slowRuns:        map[string]slowRun{},
+		deregistrations: map[string]time.Time{},
+		numbers:         monotonicValue{name: "number"},
+		fencingTokens:   monotonicValue{name: "fencing token"},
 	}
 	c.locks = newLockHistory(c.fail)
 	return c
@@ -69,48 +69,48 @@
 	c.failLocked(format, args...)
 }
 
-// failLocked is fail for a caller that holds the lock.
+// failLocked is like fail. The caller holds c.mu.
 func (c *checks) failLocked(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// recordRun records that an endpoint runs a request that may run once: it may neither run twice nor
-// after a promise that it does not run.
+// recordRun records that an endpoint executes a non-idempotent request, which must not execute twice nor
+// after a response that ruled out an execution.
 func (c *checks) recordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[id]++
 	if c.runs[id] > 1 {
-		c.failLocked("request %s ran %d times", id, c.runs[id])
+		c.failLocked("request %s was executed %d times", id, c.runs[id])
 	}
-	if status := c.promises[id]; status != 0 {
-		c.failLocked("request %s ran after status %d had promised that it does not", id, status)
+	if status := c.notExecuted[id]; status != 0 {
+		c.failLocked("request %s was executed after status %d had ruled that out", id, status)
 	}
 }
 
-// recordPromise records an answer which promises that a request has not run and never will.
-func (c *checks) recordPromise(id string, status int) {
+// recordNotExecuted records a response which guarantees that a request was not and will not be executed.
+func (c *checks) recordNotExecuted(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.promises[id] = status
+	c.notExecuted[id] = status
 	if c.runs[id] > 0 {
-		c.failLocked("request %s was answered %d, though it had run", id, status)
+		c.failLocked("request %s got status %d, which rules out an execution, but it was executed", id, status)
 	}
 }
 
-// recordCutOff records that the connection of a request which may run once ended without an answer,
-// while nothing but planned work was done to the proxy: no endpoint may have run it.
-func (c *checks) recordCutOff(id, proxy string) {
+// recordUnanswered records that the connection of a non-idempotent request ended without a response and
+// without an unplanned outage of the proxy: no endpoint may have executed it.
+func (c *checks) recordUnanswered(id, proxy string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.runs[id] > 0 {
-		c.failLocked("request %s ran, but %s ended its connection without an answer", id, proxy)
+		c.failLocked("request %s was executed, but %s closed its connection without a response", id, proxy)
 	}
 }
 
-// recordOutcome counts whether a request was served.
+// recordOutcome counts a request as served or not served.
 func (c *checks) recordOutcome(isServed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,15 +121,15 @@
 	}
 }
 
-// recordDeparture records that a client has left.
-func (c *checks) recordDeparture(id, proxy string) {
+// recordDisconnection records that a client disconnected before the response.
+func (c *checks) recordDisconnection(id, proxy string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left++
-	c.departures[id] = departure{proxy: proxy, at: time.Now()}
+	c.disconnected++
+	c.disconnections[id] = disconnection{proxy: proxy, at: time.Now()}
 }
 
-// beginSlowRun and endSlowRun record the work on a request whose client leaves.
+// beginSlowRun and endSlowRun record the start and end of the execution of a slow request.
 func (c *checks) beginSlowRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,67 +144,68 @@
 	c.slowRuns[id] = run
 }
 
-// checkDepartures checks that no endpoint began or went on to work long after the client had left.
-// Proxies that did not run at the time are left out; wasDisturbed reports that.
-func (c *checks) checkDepartures(wasDisturbed func(proxy string, from, to time.Time) bool) {
+// checkDisconnections checks that no endpoint started or continued work on a request more than
+// disconnectionBound after its client disconnected. Requests through proxies for which hadOutage is true
+// at that time are skipped.
+func (c *checks) checkDisconnections(hadOutage func(proxy string, from, to time.Time) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, d := range c.departures {
+	for id, d := range c.disconnections {
 		run, hasRun := c.slowRuns[id]
-		until := d.at.Add(departureBound)
-		if !hasRun || until.After(time.Now()) || wasDisturbed(d.proxy, d.at.Add(-time.Second), until) {
+		until := d.at.Add(disconnectionBound)
+		if !hasRun || until.After(time.Now()) || hadOutage(d.proxy, d.at.Add(-time.Second), until) {
 			continue
 		}
 		if run.began.After(until) {
-			c.failLocked("request %s at %s began %v after its client had left", id, d.proxy, run.began.Sub(d.at))
+			c.failLocked("request %s through %s started %v after its client disconnected", id, d.proxy, run.began.Sub(d.at))
 		}
 		if run.ended.IsZero() {
 			run.ended = time.Now()
 		}
 		if run.ended.After(until) {
-			c.failLocked("the work on request %s at %s went on for %v after its client had left", id, d.proxy, run.ended.Sub(d.at))
+			c.failLocked("request %s through %s was in progress %v after its client disconnected", id, d.proxy, run.ended.Sub(d.at))
 		}
 	}
 }
 
-// recordSignOff records that the sign-off of an endpoint was acknowledged.
-func (c *checks) recordSignOff(endpoint string) {
+// recordDeregistration records that the deregistration of an endpoint was acknowledged.
+func (c *checks) recordDeregistration(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.acknowledged++
-	c.signOffs[endpoint] = time.Now()
+	c.deregistrations[endpoint] = time.Now()
 }
 
-// judgeSignOffsFrom says that nothing is disturbed from a time on.
-func (c *checks) judgeSignOffsFrom(from time.Time) {
+// setUndisturbedSince marks the time from which no faults are injected.
+func (c *checks) setUndisturbedSince(from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.judgedFrom = from
+	c.undisturbedSince = from
 }
 
-// recordArrival records that a request reaches an endpoint: none may once its sign-off has had the time
-// to reach all proxies, with nothing disturbed.
+// recordArrival records that a request reached an endpoint. None may arrive later than
+// deregistrationBound after both its acknowledged deregistration and undisturbedSince.
 func (c *checks) recordArrival(endpoint, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	signedOffAt, hasSignedOff := c.signOffs[endpoint]
-	if !hasSignedOff || c.judgedFrom.IsZero() {
+	deregisteredAt, isDeregistered := c.deregistrations[endpoint]
+	if !isDeregistered || c.undisturbedSince.IsZero() {
 		return
 	}
 	now := time.Now()
-	if now.Sub(signedOffAt) > signOffBound && now.Sub(c.judgedFrom) > signOffBound {
-		c.failLocked("request %s reached %s %v after its acknowledged sign-off", id, endpoint, now.Sub(signedOffAt))
+	if now.Sub(deregisteredAt) > deregistrationBound && now.Sub(c.undisturbedSince) > deregistrationBound {
+		c.failLocked("request %s reached %s %v after its acknowledged deregistration", id, endpoint, now.Sub(deregisteredAt))
 	}
 }
 
-// acknowledgedVersion is the newest configuration that was acknowledged.
+// acknowledgedVersion returns the highest acknowledged configuration version.
 func (c *checks) acknowledgedVersion() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ackedVersion
 }
 
-// recordVersion records that a configuration was acknowledged.
+// recordVersion records that a configuration version was acknowledged.
 func (c *checks) recordVersion(version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,51 +213,51 @@
 	c.ackedVersion = max(c.ackedVersion, version)
 }
 
-// checkVersion checks a configuration that was read, against what had been acknowledged before the
-// read was sent.
+// checkVersion checks that a read configuration is not older than the one that was acknowledged before
+// the read was sent.
 func (c *checks) checkVersion(node string, version, acknowledgedBefore int) {
 	if version < acknowledgedBefore {
-		c.fail("%s answers configuration %d, though %d had been acknowledged", node, version, acknowledgedBefore)
+		c.fail("%s returned configuration %d after %d had been acknowledged", node, version, acknowledgedBefore)
 	}
 }
 
-// rising is a value of which each one that is given has to exceed those given before the call was
-// sent.
-type rising struct {
+// monotonicValue is a series of issued values, each of which must exceed those issued before its call
+// was sent.
+type monotonicValue struct {
 	name   string
 	newest uint64
 }
 
-// newest returns the highest value that was given.
-func (c *checks) newest(r *rising) uint64 {
+// newest returns the highest issued value.
+func (c *checks) newest(r *monotonicValue) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return r.newest
 }
 
-// recordRising checks a value that was given, against those given before the call was sent.
-func (c *checks) recordRising(r *rising, value, before uint64) {
+// recordMonotonic checks an issued value against the highest one issued before the call was sent.
+func (c *checks) recordMonotonic(r *monotonicValue, value, before uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.acknowledged++
 	if value <= before {
-		c.failLocked("%s %d was given, though %d had been given before", r.name, value, before)
+		c.failLocked("%s %d was issued after %d", r.name, value, before)
 	}
 	r.newest = max(r.newest, value)
 }
 
-// result returns the violations.
+// result returns the recorded violations.
 func (c *checks) result() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.violations
 }
 
-// summary describes in a line what was done.
+// summary describes the work done during the run in one line.
 func (c *checks) summary() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	acquired, reacquired, released := c.locks.counts()
-	return fmt.Sprintf("%d requests served, %d not, %d clients left, %d calls acknowledged, locks acquired %d times, %d of them again, and released %d times",
-		c.served, c.unserved, c.left, c.acknowledged, acquired, reacquired, released)
+	return fmt.Sprintf("%d requests served, %d not served, %d clients disconnected, %d calls acknowledged, %d locks acquired, %d of them reacquired, %d released",
+		c.served, c.unserved, c.disconnected, c.acknowledged, acquired, reacquired, released)
 }
--- a/tests/soak/checks_test.go
+++ b/tests/soak/checks_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// TestCutOffRequest checks that a request whose connection ended without an answer counts only if an
-// endpoint ran it.
-func TestCutOffRequest(t *testing.T) {
+// TestUnansweredRequest checks that a request whose connection ended without a response counts as a
+// violation only if an endpoint executed it.
+func TestUnansweredRequest(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		hasRun bool
 		want   int
 	}{
-		{"one that an endpoint ran", true, 1},
-		{"one that crossed the end of its connection", false, 0},
+		{"executed by an endpoint", true, 1},
+		{"sent while the connection was being closed", false, 0},
 	} {
 		c := newChecks()
 		if test.hasRun {
 			c.recordRun("r")
 		}
-		if c.recordCutOff("r", "proxy"); len(c.result()) != test.want {
-			t.Errorf("%s: %q", test.name, c.result())
+		if c.recordUnanswered("r", "proxy"); len(c.result()) != test.want {
+			t.Errorf("%s: violations = %q", test.name, c.result())
 		}
 	}
 }
--- a/tests/soak/cluster.go
+++ b/tests/soak/cluster.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// The ports of the nodes. They lie below the range from which the system draws ports, and no other
-// test uses these addresses.
+// Ports of the nodes. They lie below the ephemeral port range of the system, and no other test uses
+// these addresses.
 const (
 	controlPort   = 8466
 	internalPort  = 8420
@@ -23,14 +23,14 @@
 	readinessPort = 8467
 )
 
-// outage is a time in which a node did not run or was paused.
+// outage is a period in which a node was down or paused.
 type outage struct {
 	from, to time.Time
-	// isPlanned says that it began with SIGTERM.
+	// isPlanned is true if the outage began with SIGTERM.
 	isPlanned bool
 }
 
-// cluster is the processes. Its methods may be called by any goroutine.
+// cluster manages the processes of the deployment. Its methods are safe for concurrent use.
 type cluster struct {
 	directory  string
 	programs   string
@@ -42,21 +42,21 @@
 	seeds        []string // API addresses
 	isFirstStart bool
 	running      map[string]*process
-	ending       map[string]*process // those that were told to end, by SIGTERM
+	terminating  map[string]*process // processes that were sent SIGTERM
 	outages      map[string][]outage
 	logs         map[string]*bytes.Buffer
-	// logLengths are the lengths of the logs at the last start.
+	// logLengths holds the length of each log when the process was last started.
 	logLengths map[string]int
 }
 
-// process is one running program.
+// process is a running program.
 type process struct {
-	command  *exec.Cmd
-	isKilled bool // guarded by cluster.mu
-	ended    chan struct{}
+	command        *exec.Cmd
+	isExitExpected bool // guarded by cluster.mu
+	exited         chan struct{}
 }
 
-// newCluster prepares the forwarders. The directory holds settings and data, programs the binaries.
+// newCluster starts the forwarders. directory holds settings and data, programs the binaries.
 func newCluster(directory, programs string, d deployment, c *checks) (*cluster, error) {
 	k := &cluster{
 		directory:    directory,
@@ -67,7 +67,7 @@
 		network:      newNetwork(),
 		isFirstStart: true,
 		running:      map[string]*process{},
-		ending:       map[string]*process{},
+		terminating:  map[string]*process{},
 		outages:      map[string][]outage{},
 		logs:         map[string]*bytes.Buffer{},
 		logLengths:   map[string]int{},
@@ -86,7 +86,7 @@
 	return k, nil
 }
 
-// start starts a node, unless it runs.
+// start starts a node unless it is already running.
 func (k *cluster) start(n node) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,7 +101,7 @@
 		k.logs[n.name] = &bytes.Buffer{}
 	}
 	k.logLengths[n.name] = k.logs[n.name].Len()
-	p := &process{command: exec.Command(filepath.Join(k.programs, n.program), "--config", path), ended: make(chan struct{})}
+	p := &process{command: exec.Command(filepath.Join(k.programs, n.program), "--config", path), exited: make(chan struct{})}
 	log := &lockedWriter{mu: &k.mu, buffer: k.logs[n.name]}
 	p.command.Stdout, p.command.Stderr = log, log
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -110,11 +110,11 @@
 	}
 	k.running[n.name] = p
 	k.endOutageLocked(n.name)
-	go k.await(n.name, p)
+	go k.waitForExit(n.name, p)
 	return nil
 }
 
-// lockedWriter writes to a buffer under a lock.
+// lockedWriter writes to a buffer while holding a mutex.
 type lockedWriter struct {
 	mu     *sync.Mutex
 	buffer *bytes.Buffer
@@ -127,35 +127,35 @@
 	return w.buffer.Write(b)
 }
 
-// await waits for the end of a process. One that was not killed must not end.
-func (k *cluster) await(name string, p *process) {
+// waitForExit waits for a process to exit, and records a violation if the test did not cause the exit.
+func (k *cluster) waitForExit(name string, p *process) {
 	err := p.command.Wait()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !p.isKilled {
-		k.checks.fail("%s ended by itself: %v", name, err)
+	if !p.isExitExpected {
+		k.checks.fail("%s exited unexpectedly: %v", name, err)
 		delete(k.running, name)
 	}
-	close(p.ended)
+	close(p.exited)
 }
 
-// kill ends a node's process at once, if it runs, and waits until it has ended.
+// kill kills a node's process if it runs, and waits for it to exit.
 func (k *cluster) kill(n node) {
 	k.mu.Lock()
 	p := k.running[n.name]
 	if p != nil {
-		p.isKilled = true
+		p.isExitExpected = true
 		delete(k.running, n.name)
 		k.beginOutageLocked(n.name)
-		_ = p.command.Process.Kill() // it may have ended
+		_ = p.command.Process.Kill() // the process may have exited already
 	}
 	k.mu.Unlock()
 	if p != nil {
-		<-p.ended
+		<-p.exited
 	}
 }
 
-// signal sends a signal to a node's process, if it runs.
+// signal sends a signal to a node's process if it runs.
 func (k *cluster) signal(n node, s syscall.Signal) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -163,7 +163,7 @@
 	if p == nil {
 		return
 	}
-	_ = p.command.Process.Signal(s) // it may have ended
+	_ = p.command.Process.Signal(s) // the process may have exited already
 	switch s {
 	case syscall.SIGSTOP:
 		k.beginOutageLocked(n.name)
@@ -176,7 +176,7 @@
 	k.outages[name] = append(k.outages[name], outage{from: time.Now()})
 }
 
-// endOutageLocked ends all outages of a node that last.
+// endOutageLocked ends all outages of a node that are still open.
 func (k *cluster) endOutageLocked(name string) {
 	for i := range k.outages[name] {
 		if k.outages[name][i].to.IsZero() {
@@ -185,33 +185,33 @@
 	}
 }
 
-// wasDisturbed reports whether a node did not run at some moment of a time, or was ending.
-func (k *cluster) wasDisturbed(name string, from, to time.Time) bool {
-	return k.hadOutage(name, from, to, func(outage) bool { return true })
+// hadOutage reports whether a node was down, paused or shutting down at any time between from and to.
+func (k *cluster) hadOutage(name string, from, to time.Time) bool {
+	return k.hasMatchingOutage(name, from, to, func(outage) bool { return true })
 }
 
-// wasDisturbedUnplanned is wasDisturbed for outages that did not begin with SIGTERM.
-func (k *cluster) wasDisturbedUnplanned(name string, from, to time.Time) bool {
-	return k.hadOutage(name, from, to, func(o outage) bool { return !o.isPlanned })
+// hadUnplannedOutage is like hadOutage, but ignores outages that began with SIGTERM.
+func (k *cluster) hadUnplannedOutage(name string, from, to time.Time) bool {
+	return k.hasMatchingOutage(name, from, to, func(o outage) bool { return !o.isPlanned })
 }
 
-func (k *cluster) hadOutage(name string, from, to time.Time, counts func(outage) bool) bool {
+func (k *cluster) hasMatchingOutage(name string, from, to time.Time, matches func(outage) bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.ContainsFunc(k.outages[name], func(o outage) bool {
-		return counts(o) && o.from.Before(to) && (o.to.IsZero() || o.to.After(from))
+		return matches(o) && o.from.Before(to) && (o.to.IsZero() || o.to.After(from))
 	})
 }
 
-// wipe kills a node and empties its disk.
+// wipe kills a node and deletes its data directory.
 func (k *cluster) wipe(n node) error {
 	k.kill(n)
 	return os.RemoveAll(k.dataDirectory(n))
 }
 
-// setSeeds replaces the seed nodes in the settings of all nodes, and tells some of them by SIGHUP.
-// The others notice by themselves, or when they start again.
-func (k *cluster) setSeeds(seeds []string, hangUp []node) error {
+// setSeeds replaces the seed nodes in the settings of all nodes and sends SIGHUP to those in notified.
+// The others detect the change by themselves, or read it at their next start.
+func (k *cluster) setSeeds(seeds []string, notified []node) error {
 	k.mu.Lock()
 	k.seeds = seeds
 	k.isFirstStart = false
@@ -221,7 +221,7 @@
 		errs = append(errs, err)
 	}
 	k.mu.Unlock()
-	for _, n := range hangUp {
+	for _, n := range notified {
 		if k.hasStarted(n) {
 			k.signal(n, syscall.SIGHUP)
 		}
@@ -229,8 +229,8 @@
 	return errors.Join(errs...)
 }
 
-// hasStarted reports whether the process of a node has written its first line: before its runtime
-// has started, no program can catch SIGHUP, whose default action is to end it.
+// hasStarted reports whether the process of a node has written its first log line. Before its Go runtime
+// has started, a program cannot catch SIGHUP, whose default action is to terminate it.
 func (k *cluster) hasStarted(n node) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -238,7 +238,7 @@
 	return log != nil && log.Len() > k.logLengths[n.name]
 }
 
-// stop ends everything.
+// stop kills all processes and stops the forwarders.
 func (k *cluster) stop() {
 	for _, n := range allNodes() {
 		k.kill(n)
@@ -246,7 +246,7 @@
 	k.network.shutdown()
 }
 
-// logTails returns the last lines that each node wrote.
+// logTails returns the last log lines of each node.
 func (k *cluster) logTails(lines int) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -260,10 +260,10 @@
 	return out.String()
 }
 
-// dataDirectory is where a node with a disk keeps its data.
+// dataDirectory returns the data directory of a node with a disk.
 func (k *cluster) dataDirectory(n node) string { return filepath.Join(k.directory, "data-"+n.name) }
 
-// writeSettings writes a node's settings file and returns its path. The caller has the lock.
+// writeSettings writes a node's settings file and returns its path. The caller holds k.mu.
 func (k *cluster) writeSettings(n node) (string, error) {
 	data, listen, serves := "", "", `"control"`
 	if n.hasDisk {
@@ -283,14 +283,14 @@
 	text := fmt.Sprintf(settingsTemplate, n.name, serves, n.name, n.bindIP, zone, internalPort, internalPort,
 		strings.Join(k.seeds, `","`), k.isFirstStart, n.hasDisk, data, k.deployment.zonesTable(), listen,
 		k.deployment.optionalBounds())
-	// The file is replaced at once: a node may read it at any moment.
+	// Replaces the file atomically, as a node may read it at any time.
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return "", err
 	}
 	return path, os.Rename(path+".new", path)
 }
 
-// settingsTemplate has the bounds of a small deployment.
+// settingsTemplate contains bounds for a small deployment.
 const settingsTemplate = `node_name = "%s"
 serves = [%s]
 ip_address = "%s"
@@ -331,5 +331,5 @@
 recovery_s = 15
 %s`
 
-// isRoutine reports whether a line of a log comes with each configuration.
+// isRoutine reports whether a log line is written for every configuration.
 func isRoutine(line string) bool { return strings.Contains(line, "configuration ") }
--- a/tests/soak/delayed_release_test.go
+++ b/tests/soak/delayed_release_test.go
@@ -13,9 +13,10 @@
 	"time"
 )
 
-// TestDelayedReleaseKeepsLock has a holder send its release to a node that is paused, give it up,
-// and acquire the lock again at another node. The paused node goes on: nobody else may get the lock
-// until the holder has released it once more, under the token that it was given last.
+// TestDelayedReleaseKeepsLock guards against a delayed release that frees a lock which its holder has
+// acquired again: the holder sends its release to a paused node, does not wait for the response, and
+// acquires the lock again through another node. When the paused node resumes, no other client may get
+// the lock until the holder releases it with its latest fencing token.
 func TestDelayedReleaseKeepsLock(t *testing.T) {
 	w := startDeployment(t)
 	const lock = "delayed"
@@ -27,15 +28,15 @@
 		connection.send(t, "POST", "/api/rpc?call=locks.finish&of="+lock, fmt.Sprintf(`{"holder":"holder","fence":%d}`, first))
 		again := mustAcquire(t, w, at, lock, "holder")
 		w.cluster.signal(paused, syscall.SIGCONT)
-		connection.receive(t) // the release is done with: a node that has lost its leader rejects it
-		if status, _ := acquireClearly(t, w, at, lock, "other"); status != http.StatusConflict {
-			t.Fatalf("%s was paused: another caller's acquisition is answered %d", paused.name, status)
+		connection.receive(t) // the release has been handled: a node that has lost its leader rejects it
+		if status, _ := acquireUntilAnswered(t, w, at, lock, "other"); status != http.StatusConflict {
+			t.Fatalf("after the pause of %s, another holder's acquisition returned status %d", paused.name, status)
 		}
 		handOver(t, w, at, lock, again)
 	}
 }
 
-// startDeployment starts all nodes and waits until they work.
+// startDeployment starts all nodes and waits until they serve calls.
 func startDeployment(t *testing.T) *workload {
 	t.Helper()
 	programs := t.TempDir()
@@ -59,23 +60,24 @@
 			return w
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the deployment did not start: %v, %s answers %d", err, relayNodes[0].name, status)
+			t.Fatalf("the deployment did not start: %v, %s returned status %d", err, relayNodes[0].name, status)
 		}
 	}
 }
 
-// acquire makes one attempt to acquire a lock for a minute.
+// acquire makes one attempt to acquire a lock with a lease of one minute.
 func acquire(ctx context.Context, w *workload, n node, lock, holder string) (status int, fence uint64) {
 	status, body := w.callOnce(ctx, n, "locks.begin&of="+lock, map[string]any{"holder": holder, "hold_s": 60})
-	var answer lockAnswer
+	var answer lockResponse
 	if status == http.StatusOK && json.Unmarshal(body, &answer) != nil {
 		return 0, 0
 	}
 	return status, answer.FencingToken
 }
 
-// acquireClearly is acquire until the answer is clear, as the core may elect another leader.
-func acquireClearly(t *testing.T, w *workload, n node, lock, holder string) (status int, fence uint64) {
+// acquireUntilAnswered repeats acquire until the response is definite, as calls fail while the core
+// elects another leader.
+func acquireUntilAnswered(t *testing.T, w *workload, n node, lock, holder string) (status int, fence uint64) {
 	t.Helper()
 	for end := time.Now().Add(recoveryBound); ; pause(t.Context(), workerPause) {
 		status, fence = acquire(t.Context(), w, n, lock, holder)
@@ -83,46 +85,46 @@
 			return status, fence
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s answers %d to the acquisition of %s", n.name, status, holder)
+			t.Fatalf("%s returned status %d to the acquisition by %s", n.name, status, holder)
 		}
 	}
 }
 
-// mustAcquire acquires a lock that nobody else has.
+// mustAcquire acquires a lock that no other holder has.
 func mustAcquire(t *testing.T, w *workload, n node, lock, holder string) (fence uint64) {
 	t.Helper()
-	status, fence := acquireClearly(t, w, n, lock, holder)
+	status, fence := acquireUntilAnswered(t, w, n, lock, holder)
 	if status != http.StatusOK {
-		t.Fatalf("%s answers %d to the acquisition of %s", n.name, status, holder)
+		t.Fatalf("%s returned status %d to the acquisition by %s", n.name, status, holder)
 	}
 	return fence
 }
 
-// maxWithheldReleases is how many releases may be withheld: one by each leader that the core has had
-// since the lock was acquired again.
+// maxWithheldReleases limits how many releases may be withheld: one by each leader of the core since the
+// lock was acquired again.
 const maxWithheldReleases = 3
 
-// handOver has the holder of a lock release it, and acquire it again if that was withheld, until
-// another caller gets it. The tokens rise.
+// handOver releases the lock as its holder, and acquires it again if the release was withheld, until
+// another holder gets it. The fencing tokens must not decrease.
 func handOver(t *testing.T, w *workload, n node, lock string, fence uint64) {
 	t.Helper()
 	for range maxWithheldReleases {
 		release(t, w, n, lock, "holder", fence)
-		status, other := acquireClearly(t, w, n, lock, "other")
+		status, other := acquireUntilAnswered(t, w, n, lock, "other")
 		if status == http.StatusOK {
 			release(t, w, n, lock, "other", other)
 			return
 		}
 		newest := mustAcquire(t, w, n, lock, "holder")
 		if newest < fence {
-			t.Fatalf("the token %d follows on %d", newest, fence)
+			t.Fatalf("received fencing token %d after %d", newest, fence)
 		}
 		fence = newest
 	}
-	t.Fatalf("another caller does not get the lock after %d releases", maxWithheldReleases)
+	t.Fatalf("another holder did not get the lock after %d releases", maxWithheldReleases)
 }
 
-// release releases a lock, as often as it takes for an answer.
+// release releases a lock and retries until it succeeds.
 func release(t *testing.T, w *workload, n node, lock, holder string, fence uint64) {
 	t.Helper()
 	for end := time.Now().Add(recoveryBound); ; pause(t.Context(), workerPause) {
@@ -131,7 +133,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s answers %d to the release of %s", n.name, status, holder)
+			t.Fatalf("%s returned status %d to the release by %s", n.name, status, holder)
 		}
 	}
 }
@@ -142,7 +144,7 @@
 	reader *bufio.Reader
 }
 
-// openConnection opens a connection and makes one call on it, so that the node has accepted it.
+// openConnection opens a connection and makes one call on it, which ensures that the node has accepted it.
 func openConnection(t *testing.T, n node) *apiConnection {
 	t.Helper()
 	conn, err := net.Dial("tcp4", n.address(controlPort))
@@ -167,7 +169,7 @@
 	}
 }
 
-// receive receives a response.
+// receive reads and discards a response.
 func (c *apiConnection) receive(t *testing.T) {
 	t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
--- a/tests/soak/deployment.go
+++ b/tests/soak/deployment.go
@@ -7,43 +7,43 @@
 	"strings"
 )
 
-// seedCountOfSettings is how many seed nodes the settings name.
-const seedCountOfSettings = 3
+// configuredSeedCount is the number of seed nodes in the settings.
+const configuredSeedCount = 3
 
-// deployment is what a run draws of the deployment itself. Its zero value has core nodes for seeds, one
-// zone and settings that name all bounds.
+// deployment holds the randomized properties of the deployment. Its zero value has only core nodes as
+// seed nodes, a single zone, and settings that include all bounds.
 type deployment struct {
-	// disklessSeeds is how many of the first seeds are nodes without a disk.
+	// disklessSeeds is how many of the initial seed nodes have no disk.
 	disklessSeeds int
-	// extraZones is how many zones there are besides the first.
+	// extraZones is the number of zones besides the first.
 	extraZones int
-	// omitsOptionalBounds leaves out the bounds that settings need not name.
+	// omitsOptionalBounds leaves the optional bounds out of the settings.
 	omitsOptionalBounds bool
-	// endsWithFirstVersion kills everything when the first configuration is acknowledged.
-	endsWithFirstVersion bool
+	// killsAllAtFirstVersion kills all processes when the first configuration is acknowledged.
+	killsAllAtFirstVersion bool
 }
 
-// drawDeployment draws a deployment from a seed.
-func drawDeployment(seed int64) deployment {
+// randomDeployment generates a deployment from a seed.
+func randomDeployment(seed int64) deployment {
 	random := rand.New(rand.NewSource(seed))
 	return deployment{
-		disklessSeeds:        random.Intn(min(seedCountOfSettings, len(relayNodes)) + 1),
-		extraZones:           random.Intn(3),
-		omitsOptionalBounds:  random.Intn(2) == 0,
-		endsWithFirstVersion: random.Intn(2) == 0,
+		disklessSeeds:          random.Intn(min(configuredSeedCount, len(relayNodes)) + 1),
+		extraZones:             random.Intn(3),
+		omitsOptionalBounds:    random.Intn(2) == 0,
+		killsAllAtFirstVersion: random.Intn(2) == 0,
 	}
 }
 
-// String describes the deployment in messages.
+// String describes the deployment in test output.
 func (d deployment) String() string {
-	return fmt.Sprintf("%d of the first seeds without a disk, %d zones, all bounds %v, killed at the first version %v",
-		d.disklessSeeds, 1+d.extraZones, !d.omitsOptionalBounds, d.endsWithFirstVersion)
+	return fmt.Sprintf("%d diskless seed nodes, %d zones, all bounds set: %v, all killed at the first version: %v",
+		d.disklessSeeds, 1+d.extraZones, !d.omitsOptionalBounds, d.killsAllAtFirstVersion)
 }
 
-// firstSeeds returns the API addresses of the first seeds.
+// firstSeeds returns the API addresses of the initial seed nodes.
 func (d deployment) firstSeeds() (addresses []string) {
 	seeds := append(slices.Clone(relayNodes[:d.disklessSeeds]), coreNodes...)
-	for _, n := range seeds[:seedCountOfSettings] {
+	for _, n := range seeds[:configuredSeedCount] {
 		addresses = append(addresses, n.address(controlPort))
 	}
 	return addresses
@@ -52,7 +52,7 @@
 // zoneOf returns the zone of the i-th node or endpoint.
 func (d deployment) zoneOf(i int) string { return fmt.Sprint("zone-", i%(1+d.extraZones)) }
 
-// zonesTable returns the zones as the settings list them. All are in one region.
+// zonesTable returns the [zones] table of the settings. All zones are in one region.
 func (d deployment) zonesTable() string {
 	var table strings.Builder
 	for i := range 1 + d.extraZones {
@@ -61,7 +61,7 @@
 	return table.String()
 }
 
-// optionalBounds returns the bounds that settings need not name.
+// optionalBounds returns the settings lines of the optional bounds.
 func (d deployment) optionalBounds() string {
 	if d.omitsOptionalBounds {
 		return ""
--- a/tests/soak/doc.go
+++ b/tests/soak/doc.go
@@ -1,23 +1,24 @@
-// Package soak runs the programs as processes on the loopback under faults that are drawn from a
-// seed: kills, pauses, restarts and hang-ups in series, partitions, lost answers, emptied disks and
-// changes of the seed nodes, two or three of them at a time, while clients, endpoints, an operator
-// and applications are at work. Some endpoints sign off, and a heartbeat from before comes late. Clients and holders of locks keep their connections open until
+// Package soak runs the built programs as processes on the loopback and injects overlapping faults
+// generated from a seed: kills, pauses, rolling restarts and repeated SIGHUPs, network partitions,
+// dropped responses, wiped disks and seed node changes, up to three at a time. Meanwhile clients,
+// endpoints, an operator and applications generate load. Some endpoints deregister, and one of their
+// earlier heartbeats is delivered after that. Clients and lock holders keep their connections open until
 // the process is gone.
 //
 // The deployment is a core of three control-plane nodes with disks, three relays and two proxy
-// nodes. Drawn are how many of its first seeds have no disk, how many zones it has, whether its
-// settings name the optional bounds, and whether everything is killed at the first acknowledged
-// configuration. A forwarder of this package stands before each control-plane node (setting bind_ip), so
-// that a node can be cut off from the others while its process runs.
+// nodes. The seed also determines how many of the initial seed nodes have no disk, the number of zones,
+// whether the settings include the optional bounds, and whether all processes are killed at the first
+// acknowledged configuration. A TCP forwarder in this package listens in front of each control-plane
+// node (setting bind_ip), so that a node can be partitioned from the others while its process runs.
 //
-// What holds at any time is checked all the while: see the methods of checks. Once all faults are
-// over, everything has to work again within recoveryBound, and no process may have counted a
-// violation of one of its own invariants.
+// Safety properties are checked throughout the run: see the methods of checks. After the last fault,
+// the deployment must recover fully within recoveryBound, and no process may have reported an
+// invariant violation.
 //
-// The test runs a few short seeds. Longer runs:
+// By default the test runs a few short seeds. Longer runs:
 //
 //	go test ./tests/soak -count=1 -timeout 2h -soak.first 100 -soak.seeds 50 -soak.duration 30s
 //
-// Several runs on one machine need a -soak.subnet each. -soak.proxies and -soak.relays make the
-// deployment as large as the machine bears.
+// Concurrent runs on one machine each need a different -soak.subnet. -soak.proxies and -soak.relays
+// set the size of the deployment.
 package soak
--- a/tests/soak/endpoints.go
+++ b/tests/soak/endpoints.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// maxHeartbeatDelay is how late the late heartbeats come, at the most.
+	// maxHeartbeatDelay is the upper bound of the delay of a late heartbeat.
 	maxHeartbeatDelay = 6 * time.Second
-	// signOffBound is how long after its acknowledged sign-off an endpoint may get requests while nothing
-	// is disturbed. It is far above drain_s of the settings, as the machine may be busy.
-	signOffBound = 6 * time.Second
+	// deregistrationBound is how long an endpoint may still receive requests after its acknowledged
+	// deregistration while no faults are injected. It is far above drain_s of the settings, to allow for a
+	// busy machine.
+	deregistrationBound = 6 * time.Second
 )
 
-// endpoint is one endpoint of the service.
+// endpoint is an endpoint of the service.
 type endpoint struct {
 	id       string
 	address  string
@@ -31,7 +32,7 @@
 	sequence int
 }
 
-// listen starts an endpoint. It sends no heartbeats yet.
+// listen starts the server of an endpoint, without heartbeats.
 func (w *workload) listen(id, zone string) (*endpoint, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -39,14 +40,14 @@
 	}
 	e := &endpoint{id: id, address: listener.Addr().String(), zone: zone, workload: w}
 	e.server = &http.Server{Handler: e}
-	go func() { _ = e.server.Serve(listener) }() // ends with wait
+	go func() { _ = e.server.Serve(listener) }() // returns when wait closes the server
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endpoints = append(w.endpoints, e)
 	return e, nil
 }
 
-// startEndpoint starts an endpoint and its heartbeats.
+// startEndpoint starts an endpoint that sends heartbeats.
 func (w *workload) startEndpoint(ctx context.Context, id, zone string) error {
 	e, err := w.listen(id, zone)
 	if err != nil {
@@ -55,14 +56,14 @@
 	random := rand.New(rand.NewSource(1))
 	w.workers.Go(func() {
 		for ctx.Err() == nil {
-			e.sendHeartbeat(ctx, random, e.nextHeartbeat()) // if it fails the next one goes to another node
+			e.sendHeartbeat(ctx, random, e.nextHeartbeat()) // if it fails, the next one goes to another node
 			pause(ctx, heartbeatPause)
 		}
 	})
 	return nil
 }
 
-// nextHeartbeat returns the next heartbeat, which says ready. Each has a sequence of its own.
+// nextHeartbeat returns a heartbeat with state ready and the next sequence number.
 func (e *endpoint) nextHeartbeat() map[string]any {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,14 +75,14 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to one node.
+// sendHeartbeat sends a heartbeat to a random control-plane node.
 func (e *endpoint) sendHeartbeat(ctx context.Context, random *rand.Rand, heartbeat map[string]any) {
-	_, _ = e.workload.callOnce(ctx, pick(random, controlNodes()), "instances.heartbeat&of="+e.id, heartbeat)
+	_, _ = e.workload.callOnce(ctx, randomNode(random, controlNodes()), "instances.heartbeat&of="+e.id, heartbeat)
 }
 
-// signOffWithLateHeartbeat starts an endpoint, which signs off soon and serves on. One of its
-// heartbeats from before comes late, at some node. It must not bring the endpoint back into use.
-func (w *workload) signOffWithLateHeartbeat(ctx context.Context, random *rand.Rand) {
+// deregisterWithDelayedHeartbeat starts an endpoint that soon deregisters but keeps serving. One of its
+// earlier heartbeats is delivered late, to a random node, and must not bring the endpoint back into use.
+func (w *workload) deregisterWithDelayedHeartbeat(ctx context.Context, random *rand.Rand) {
 	id := fmt.Sprint("leaving-", w.requests.Add(1))
 	e, err := w.listen(id, w.cluster.deployment.zoneOf(random.Intn(3)))
 	if err != nil {
@@ -92,21 +93,21 @@
 		e.sendHeartbeat(ctx, random, e.nextHeartbeat())
 		pause(ctx, heartbeatPause)
 	}
-	late := e.nextHeartbeat()
+	delayed := e.nextHeartbeat()
 	e.sendHeartbeat(ctx, random, e.nextHeartbeat())
 	if status, _ := w.call(ctx, random, "instances.deregister&of="+id, struct{}{}); status != http.StatusOK {
-		return // the end of the run
+		return // the run is over
 	}
-	w.checks.recordSignOff(id)
+	w.checks.recordDeregistration(id)
 	delay := time.Duration(random.Int63n(int64(maxHeartbeatDelay)))
-	node := pick(random, controlNodes())
+	node := randomNode(random, controlNodes())
 	w.workers.Go(func() {
 		pause(ctx, delay)
-		_, _ = w.callOnce(ctx, node, "instances.heartbeat&of="+id, late)
+		_, _ = w.callOnce(ctx, node, "instances.heartbeat&of="+id, delayed)
 	})
 }
 
-// ServeHTTP runs a request, and records the run.
+// ServeHTTP handles a request and records its execution.
 func (e *endpoint) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if target := r.Header.Get("X-Target-Instance"); target != "" && target != e.id {
 		out.Header().Set("X-Not-Executed", "1")
@@ -122,10 +123,10 @@
 		e.workload.checks.recordRun(id)
 	case strings.HasPrefix(r.URL.Path, "/slow/"):
 		e.workload.checks.beginSlowRun(id)
-		pause(r.Context(), slowWork) // which ends when the connection does
+		pause(r.Context(), slowRequestDuration) // returns early if the connection is closed
 		e.workload.checks.endSlowRun(id)
 	}
-	if e.workload.loseAnswers.Load() && rand.Intn(4) == 0 {
+	if e.workload.dropsResponses.Load() && rand.Intn(4) == 0 {
 		panic(http.ErrAbortHandler)
 	}
 	out.Header().Set("X-Attempt-Id", id)
--- a/tests/soak/faults.go
+++ b/tests/soak/faults.go
@@ -11,98 +11,98 @@
 )
 
 const (
-	// faultsAtOnce is how many faults are under way at a time, at the most.
-	faultsAtOnce = 3
-	// maxFault is the longest fault.
-	maxFault = 3 * time.Second
-	// restartDelay is how long a killed process is down, at the least.
+	// maxConcurrentFaults is the number of workers that inject faults concurrently.
+	maxConcurrentFaults = 3
+	// maxFaultDuration limits the random part of a fault's duration, which is added to restartDelay.
+	maxFaultDuration = 3 * time.Second
+	// restartDelay is the shortest downtime of a killed process.
 	restartDelay = 300 * time.Millisecond
 )
 
-// injector draws faults from a seed and brings them about.
+// injector generates faults from a seed and injects them.
 type injector struct {
 	cluster  *cluster
 	workload *workload
 	report   func(format string, args ...any)
 
 	mu sync.Mutex
-	// disturbed has the nodes that a fault is under way at; no other one begins there.
-	disturbed map[string]bool
+	// claimed holds the nodes that a fault is in progress at. Other faults that claim nodes do not start there.
+	claimed map[string]bool
 }
 
-// fault is a kind of fault. It returns when it is over.
+// fault is a kind of fault. inject returns when the fault is over.
 type fault struct {
-	name string
-	do   func(*injector, context.Context, *rand.Rand, time.Duration)
+	name   string
+	inject func(*injector, context.Context, *rand.Rand, time.Duration)
 }
 
-// faults are all kinds.
+// faults lists all kinds of faults.
 var faults = []fault{
 	{"kill", (*injector).killOne},
-	{"kill of several", (*injector).killSeveral},
-	{"kill of all", (*injector).killAll},
+	{"kill of several nodes", (*injector).killSeveral},
+	{"kill of all nodes", (*injector).killAll},
 	{"kill of all relays", (*injector).killRelays},
 	{"pause", (*injector).pauseOne},
-	{"partition", (*injector).cutOne},
-	{"connections reset", (*injector).resetOne},
-	{"answers lost", (*injector).loseAnswers},
-	{"restart of proxies in turn", (*injector).restartProxies},
-	{"restart of control-plane nodes in turn", (*injector).restartControl},
-	{"restart of all in turn", (*injector).restartAll},
-	{"SIGTERM in a pause", (*injector).terminatePaused},
-	{"SIGHUP in series", (*injector).hangUpInSeries},
-	{"pause of several", (*injector).pauseSeveral},
-	{"seeds changed", (*injector).changeSeeds},
-	{"seeds changed to relays", (*injector).changeSeedsToRelays},
-	{"disk lost", (*injector).loseDisk},
-	{"disk lost in a kill of all", (*injector).loseDiskInKillOfAll},
+	{"partition", (*injector).partitionOne},
+	{"connection reset", (*injector).resetOne},
+	{"dropped responses", (*injector).dropResponses},
+	{"rolling restart of proxies", (*injector).restartProxies},
+	{"rolling restart of control-plane nodes", (*injector).restartControlPlane},
+	{"rolling restart of all nodes", (*injector).restartAll},
+	{"SIGTERM during a pause", (*injector).terminatePaused},
+	{"repeated SIGHUP", (*injector).sendSIGHUPRepeatedly},
+	{"pause of several nodes", (*injector).pauseSeveral},
+	{"change of the seed nodes", (*injector).changeSeeds},
+	{"change of the seed nodes to relays", (*injector).changeSeedsToRelays},
+	{"wiped disk", (*injector).wipeDisk},
+	{"wiped disk during a kill of all nodes", (*injector).wipeDiskDuringKillAll},
 }
 
-// run brings about faults for a time, and returns when all are over.
+// run injects faults for a duration and returns when all are over.
 func (f *injector) run(ctx context.Context, seed int64, duration time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
-	var lanes sync.WaitGroup
-	for lane := range faultsAtOnce {
-		random := rand.New(rand.NewSource(seed*faultsAtOnce + int64(lane)))
-		lanes.Go(func() {
+	var workers sync.WaitGroup
+	for worker := range maxConcurrentFaults {
+		random := rand.New(rand.NewSource(seed*maxConcurrentFaults + int64(worker)))
+		workers.Go(func() {
 			for ctx.Err() == nil {
-				pause(ctx, time.Duration(random.Int63n(int64(maxFault/2))))
+				pause(ctx, time.Duration(random.Int63n(int64(maxFaultDuration/2))))
 				kind := faults[random.Intn(len(faults))]
-				length := restartDelay + time.Duration(random.Int63n(int64(maxFault)))
+				length := restartDelay + time.Duration(random.Int63n(int64(maxFaultDuration)))
 				f.report("%s for %v", kind.name, length.Round(time.Millisecond))
-				kind.do(f, ctx, random, length)
+				kind.inject(f, ctx, random, length)
 			}
 		})
 	}
-	lanes.Wait()
+	workers.Wait()
 }
 
-// claim takes nodes for a fault; false if one of them is disturbed already.
+// claim reserves nodes for a fault. It returns false if one of them is already claimed.
 func (f *injector) claim(nodes ...node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range nodes {
-		if f.disturbed[n.name] {
+		if f.claimed[n.name] {
 			return false
 		}
 	}
 	for _, n := range nodes {
-		f.disturbed[n.name] = true
+		f.claimed[n.name] = true
 	}
 	return true
 }
 
-// release gives the nodes back.
+// release ends the claim on nodes.
 func (f *injector) release(nodes ...node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range nodes {
-		delete(f.disturbed, n.name)
+		delete(f.claimed, n.name)
 	}
 }
 
-// kill kills nodes at once and starts them again after a time.
+// kill kills nodes and starts them again after a delay.
 func (f *injector) kill(ctx context.Context, length time.Duration, nodes ...node) {
 	if !f.claim(nodes...) {
 		return
@@ -113,7 +113,7 @@
 	f.start(nodes...)
 }
 
-// killAtOnce kills nodes, all before the first is waited for.
+// killAtOnce kills nodes concurrently and waits for them to exit.
 func (f *injector) killAtOnce(nodes ...node) {
 	var kills sync.WaitGroup
 	for _, n := range nodes {
@@ -122,7 +122,7 @@
 	kills.Wait()
 }
 
-// start starts nodes.
+// start starts nodes and records a violation for each that fails.
 func (f *injector) start(nodes ...node) {
 	for _, n := range nodes {
 		if err := f.cluster.start(n); err != nil {
@@ -132,7 +132,7 @@
 }
 
 func (f *injector) killOne(ctx context.Context, random *rand.Rand, length time.Duration) {
-	f.kill(ctx, length, pick(random, allNodes()))
+	f.kill(ctx, length, randomNode(random, allNodes()))
 }
 
 func (f *injector) killSeveral(ctx context.Context, random *rand.Rand, length time.Duration) {
@@ -150,7 +150,7 @@
 }
 
 func (f *injector) pauseOne(ctx context.Context, random *rand.Rand, length time.Duration) {
-	f.pause(ctx, length, pick(random, allNodes()))
+	f.pause(ctx, length, randomNode(random, allNodes()))
 }
 
 func (f *injector) pauseSeveral(ctx context.Context, random *rand.Rand, length time.Duration) {
@@ -159,7 +159,7 @@
 	f.pause(ctx, length, nodes[:2+random.Intn(len(nodes)-2)]...)
 }
 
-// pause stops the processes of nodes for a time.
+// pause suspends the processes of nodes for a duration.
 func (f *injector) pause(ctx context.Context, length time.Duration, nodes ...node) {
 	if !f.claim(nodes...) {
 		return
@@ -174,27 +174,27 @@
 	}
 }
 
-func (f *injector) cutOne(ctx context.Context, random *rand.Rand, length time.Duration) {
-	n := pick(random, controlNodes())
+func (f *injector) partitionOne(ctx context.Context, random *rand.Rand, length time.Duration) {
+	n := randomNode(random, controlNodes())
 	d := direction(1 + random.Intn(int(bothWays)))
 	if !f.claim(n) {
 		return
 	}
 	defer f.release(n)
-	f.cluster.network.cut(n.name, d)
+	f.cluster.network.block(n.name, d)
 	pause(ctx, length)
-	f.cluster.network.mend(n.name)
+	f.cluster.network.unblock(n.name)
 }
 
 func (f *injector) resetOne(_ context.Context, random *rand.Rand, _ time.Duration) {
-	f.cluster.network.reset(pick(random, allNodes()).name)
+	f.cluster.network.reset(randomNode(random, allNodes()).name)
 }
 
-func (f *injector) loseAnswers(ctx context.Context, _ *rand.Rand, length time.Duration) {
-	f.workload.loseAnswers.Store(true)
+func (f *injector) dropResponses(ctx context.Context, _ *rand.Rand, length time.Duration) {
+	f.workload.dropsResponses.Store(true)
 	pause(ctx, length)
-	f.workload.answersLostUntil.Store(time.Now().UnixNano())
-	f.workload.loseAnswers.Store(false)
+	f.workload.responsesDroppedUntil.Store(time.Now().UnixNano())
+	f.workload.dropsResponses.Store(false)
 }
 
 func (f *injector) changeSeeds(_ context.Context, random *rand.Rand, _ time.Duration) {
@@ -213,60 +213,60 @@
 		seeds = append(seeds, n.address(controlPort))
 		names = append(names, n.name)
 	}
-	var hangUp []node
+	var notified []node
 	for _, n := range allNodes() {
 		if random.Intn(2) == 0 {
-			hangUp = append(hangUp, n)
+			notified = append(notified, n)
 		}
 	}
-	f.report("seeds: %s", strings.Join(names, " "))
-	if err := f.cluster.setSeeds(seeds, hangUp); err != nil {
-		f.cluster.checks.fail("settings: %v", err)
+	f.report("seed nodes: %s", strings.Join(names, " "))
+	if err := f.cluster.setSeeds(seeds, notified); err != nil {
+		f.cluster.checks.fail("write settings: %v", err)
 	}
 }
 
-// loseDisk kills a core node and empties its disk.
-func (f *injector) loseDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
-	n := pick(random, coreNodes)
+// wipeDisk kills a core node and wipes its disk.
+func (f *injector) wipeDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
+	n := randomNode(random, coreNodes)
 	if f.claim(coreNodes...) {
-		f.loseDiskAndKill(ctx, length, n, []node{n}, coreNodes)
+		f.killAndWipeDisk(ctx, length, n, []node{n}, coreNodes)
 	}
 }
 
-// loseDiskInKillOfAll kills everything, and one core node comes back with an empty disk.
-func (f *injector) loseDiskInKillOfAll(ctx context.Context, random *rand.Rand, length time.Duration) {
+// wipeDiskDuringKillAll kills all nodes and wipes the disk of one core node.
+func (f *injector) wipeDiskDuringKillAll(ctx context.Context, random *rand.Rand, length time.Duration) {
 	if f.claim(allNodes()...) {
-		f.loseDiskAndKill(ctx, length, pick(random, coreNodes), allNodes(), allNodes())
+		f.killAndWipeDisk(ctx, length, randomNode(random, coreNodes), allNodes(), allNodes())
 	}
 }
 
-// loseDiskAndKill kills nodes and empties the disk of n, which is one of them. It does so only while
-// all of the core counts, as one lost disk is what the deployment bears. The claimed nodes stay
-// undisturbed until n has caught up, and are released then.
-func (f *injector) loseDiskAndKill(ctx context.Context, length time.Duration, n node, killed, claimed []node) {
+// killAndWipeDisk kills nodes and wipes the disk of n, which is one of them. It does nothing unless all
+// core nodes are up-to-date voters, as the deployment tolerates only one lost disk at a time. The
+// claimed nodes stay claimed until n has caught up.
+func (f *injector) killAndWipeDisk(ctx context.Context, length time.Duration, n node, killed, claimed []node) {
 	defer f.release(claimed...)
 	probe, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if err := f.workload.checkCore(probe); err != nil {
-		return // not all of the core counts now
+		return // not all core nodes are up-to-date voters
 	}
 	f.killAtOnce(killed...)
 	if err := f.cluster.wipe(n); err != nil {
-		f.cluster.checks.fail("disk of %s: %v", n.name, err)
+		f.cluster.checks.fail("wipe the disk of %s: %v", n.name, err)
 	}
 	pause(ctx, length)
 	f.start(killed...)
 	end := time.Now().Add(recoveryBound)
 	for f.workload.checkCore(context.WithoutCancel(ctx)) != nil {
 		if time.Now().After(end) {
-			f.cluster.checks.fail("%s with an emptied disk did not catch up", n.name)
+			f.cluster.checks.fail("%s did not catch up after its disk was wiped", n.name)
 			return
 		}
 		time.Sleep(workerPause)
 	}
 }
 
-// describe is how a run is named in messages.
-func describe(seed int64, duration time.Duration) string {
+// describeRun describes a run in test output.
+func describeRun(seed int64, duration time.Duration) string {
 	return fmt.Sprintf("seed %d, faults for %v", seed, duration)
 }
--- a/tests/soak/lock_holders.go
+++ b/tests/soak/lock_holders.go
@@ -11,20 +11,20 @@
 
 const (
 	lockCount = 6
-	// holdersPerLock callers want each lock.
+	// holdersPerLock is the number of clients that compete for each lock.
 	holdersPerLock = 3
 	lockLease      = 4 * time.Second
 	lockPollPause  = 80 * time.Millisecond
-	// maxReleaseAttempts is after how many calls without a clear answer a holder gives up its
-	// release, at the most.
+	// maxReleaseAttempts is the maximum number of calls after which a holder abandons its release if none
+	// succeeded.
 	maxReleaseAttempts = 3
-	// maxImpatience is how long a holder that does not wait for the answer to its release stays.
-	maxImpatience = 100 * time.Millisecond
+	// maxReleaseWait limits how long a holder that exits during its release waits for the response.
+	maxReleaseWait = 100 * time.Millisecond
 )
 
-// lockHolder is a caller that takes one lock again and again, always under the same name, as an
-// application does that comes back after an end or a failed call. It stays at one node, on an open
-// connection, until a call fails there.
+// lockHolder is a client that repeatedly acquires one lock, always under the same holder name, like an
+// application that restarts or retries a failed call. It uses one node over a persistent connection
+// until a call there fails.
 type lockHolder struct {
 	workload *workload
 	name     string
@@ -33,7 +33,7 @@
 	node     node
 }
 
-// lockHolders returns the steps of the holders.
+// lockHolders returns the step functions of all lock holders.
 func (w *workload) lockHolders() (steps []func(context.Context, *rand.Rand)) {
 	for lock := range lockCount {
 		for i := range holdersPerLock {
@@ -49,15 +49,15 @@
 	return steps
 }
 
-// lockAnswer is the answer to an acquisition.
-type lockAnswer struct {
+// lockResponse is the response to an acquisition.
+type lockResponse struct {
 	FencingToken uint64 `json:"fence"`
 }
 
-// step acquires the lock, uses it and mostly gives it back.
+// step acquires the lock, uses it and in most cases releases it.
 func (h *lockHolder) step(ctx context.Context, random *rand.Rand) {
 	if h.node.name == "" {
-		h.node = pick(random, controlNodes())
+		h.node = randomNode(random, controlNodes())
 	}
 	fence, ok := h.acquire(ctx, random)
 	if !ok {
@@ -65,24 +65,24 @@
 		return
 	}
 	switch random.Intn(8) {
-	case 0, 1, 2: // a moment
+	case 0, 1, 2: // holds it for a fraction of the lease
 		pause(ctx, time.Duration(random.Int63n(int64(lockLease/8))))
-	case 3, 4: // some leases
+	case 3, 4: // renews it several times
 		for range 1 + random.Intn(4) {
 			pause(ctx, lockLease/4)
 			if !h.renew(ctx, random, fence) {
 				return
 			}
 		}
-	case 5: // it dies, and comes back some time later
+	case 5: // crashes without a release, and restarts later
 		pause(ctx, time.Duration(random.Int63n(int64(lockLease))))
 		return
-	case 6: // it ends while its release is on its way
-		ctx, cancel := context.WithTimeout(ctx, time.Duration(random.Int63n(int64(maxImpatience))))
+	case 6: // exits while its release is in flight
+		ctx, cancel := context.WithTimeout(ctx, time.Duration(random.Int63n(int64(maxReleaseWait))))
 		defer cancel()
 		h.release(ctx, random, fence)
 		return
-	case 7: // it sleeps past its time
+	case 7: // sleeps past the lease
 		pause(ctx, lockLease+lockLease/8)
 		if !h.renew(ctx, random, fence) {
 			return
@@ -94,10 +94,10 @@
 // acquire makes one attempt to acquire the lock.
 func (h *lockHolder) acquire(ctx context.Context, random *rand.Rand) (fence uint64, ok bool) {
 	history := h.workload.checks.locks
-	before := history.newestFence(h.lock)
+	before := history.newestToken(h.lock)
 	sentAt := time.Now()
 	status, body := h.call(ctx, random, "locks.begin", map[string]any{"holder": h.name, "hold_s": lockLease.Seconds()})
-	var answer lockAnswer
+	var answer lockResponse
 	if status != http.StatusOK || json.Unmarshal(body, &answer) != nil {
 		return 0, false
 	}
@@ -105,7 +105,7 @@
 	return answer.FencingToken, true
 }
 
-// renew prolongs the lease, and reports whether the holder may go on.
+// renew extends the lease and reports whether the client still holds the lock.
 func (h *lockHolder) renew(ctx context.Context, random *rand.Rand, fence uint64) bool {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
@@ -122,7 +122,7 @@
 	return false
 }
 
-// release gives the lock back, and gives that up after some attempts.
+// release releases the lock, and gives up after a random number of attempts.
 func (h *lockHolder) release(ctx context.Context, random *rand.Rand, fence uint64) {
 	h.workload.checks.locks.recordReleased(h.lock, h.name)
 	for range 1 + random.Intn(maxReleaseAttempts) {
@@ -134,11 +134,11 @@
 	}
 }
 
-// call makes a call at the holder's node, and turns to another one if it fails.
+// call sends a call to the holder's current node and switches to a random node if it fails.
 func (h *lockHolder) call(ctx context.Context, random *rand.Rand, call string, body any) (status int, answer []byte) {
 	status, answer = h.workload.callWith(ctx, h.client, h.node, call+"&of="+h.lock, body)
 	if status != http.StatusOK && status != http.StatusConflict {
-		h.node = pick(random, controlNodes())
+		h.node = randomNode(random, controlNodes())
 	}
 	return status, answer
 }
--- a/tests/soak/network.go
+++ b/tests/soak/network.go
@@ -13,7 +13,7 @@
 	"lichentray/internal/transport"
 )
 
-// direction is a way in which bytes of a node may be held back.
+// direction is a set of traffic directions of a node that can be blocked.
 type direction int
 
 // The directions.
@@ -23,36 +23,36 @@
 	bothWays = inbound | outbound
 )
 
-// maxHelloBytes bounds the first frame of a connection between nodes.
+// maxHelloBytes limits the first frame of a connection between nodes.
 const maxHelloBytes = 1 << 16
 
-// network is the forwarders before the control-plane nodes. While a node is cut off, the bytes of
-// its connections are held back, as in a partition, and go on when it is over.
+// network manages the forwarders in front of the control-plane nodes. While a node is partitioned, the
+// bytes of its connections are held back, and they are delivered when the partition heals.
 type network struct {
 	mu      sync.Mutex
 	changed *sync.Cond
-	cuts    map[string]direction // by node
+	blocked map[string]direction // by node
 	links   map[*link]struct{}
 	closed  bool
 
 	listeners []net.Listener
 }
 
-// link is one forwarded connection.
+// link is a forwarded connection.
 type link struct {
-	from, to       string // nodes; from is empty if it is not known
+	from, to       string // nodes; from is empty if unknown
 	caller, callee net.Conn
 	isClosed       bool // guarded by network.mu
 }
 
 func newNetwork() *network {
-	n := &network{cuts: map[string]direction{}, links: map[*link]struct{}{}}
+	n := &network{blocked: map[string]direction{}, links: map[*link]struct{}{}}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// forward listens on an address in place of a node and forwards to where the node listens. On the
-// addresses between nodes the first frame tells who calls.
+// forward listens on the address of a node and forwards connections to target, where the node listens.
+// On internal addresses the first frame identifies the calling node.
 func (n *network) forward(node, address, target string, isInternal bool) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -98,8 +98,8 @@
 	copies.Wait()
 }
 
-// readHello reads the first frame and returns its bytes and the node that sent it. Bytes that are
-// no frame are returned as they are.
+// readHello reads the first frame and returns its bytes and the node that sent it. Data that is not a
+// valid frame is returned unchanged.
 func readHello(conn net.Conn) (raw []byte, node string, err error) {
 	header := make([]byte, 4)
 	if n, err := io.ReadFull(conn, header); err != nil {
@@ -107,7 +107,7 @@
 	}
 	length := binary.BigEndian.Uint32(header)
 	if length > maxHelloBytes {
-		return header, "", errors.New("no hello")
+		return header, "", errors.New("first frame exceeds maxHelloBytes")
 	}
 	body := make([]byte, length)
 	if n, err := io.ReadFull(conn, body); err != nil {
@@ -120,14 +120,14 @@
 	return append(header, body...), node, nil
 }
 
-// resetOnClose makes a connection end with a reset, as at a port where nobody listens.
+// resetOnClose makes closing a connection send a reset, as a port without a listener does.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // otherwise it ends in order
+		_ = tcp.SetLinger(0) // otherwise Close ends it gracefully
 	}
 }
 
-// open adds a link; false once the network is closed.
+// open registers a link. It returns false if the network is shut down.
 func (n *network) open(l *link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,7 +137,7 @@
 	return !n.closed
 }
 
-// close ends a link.
+// close closes a link.
 func (n *network) close(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -152,13 +152,13 @@
 	n.changed.Broadcast()
 }
 
-// copy forwards one direction of a link until it ends, and then ends the link.
+// copy forwards one direction of a link until it ends, and then closes the link.
 func (n *network) copy(l *link, to io.Writer, from io.Reader, sender, receiver string) {
 	defer n.close(l)
 	buffer := make([]byte, 32<<10)
 	for {
 		size, err := from.Read(buffer)
-		if !n.await(l, sender, receiver) {
+		if !n.waitUntilUnblocked(l, sender, receiver) {
 			return
 		}
 		if _, writeErr := to.Write(buffer[:size]); err != nil || writeErr != nil {
@@ -167,32 +167,32 @@
 	}
 }
 
-// await waits until bytes may pass; false if the link has ended.
-func (n *network) await(l *link, sender, receiver string) bool {
+// waitUntilUnblocked waits until data may pass. It returns false if the link is closed.
+func (n *network) waitUntilUnblocked(l *link, sender, receiver string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !l.isClosed && (n.cuts[sender]&outbound != 0 || n.cuts[receiver]&inbound != 0) {
+	for !l.isClosed && (n.blocked[sender]&outbound != 0 || n.blocked[receiver]&inbound != 0) {
 		n.changed.Wait()
 	}
 	return !l.isClosed
 }
 
-// cut holds back what a node sends or receives, until mend.
-func (n *network) cut(node string, d direction) {
+// block holds back what a node sends or receives until unblock is called.
+func (n *network) block(node string, d direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[node] |= d
+	n.blocked[node] |= d
 }
 
-// mend ends the cuts of a node.
-func (n *network) mend(node string) {
+// unblock ends the partition of a node.
+func (n *network) unblock(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cuts, node)
+	delete(n.blocked, node)
 	n.changed.Broadcast()
 }
 
-// reset breaks all connections of a node.
+// reset resets all connections of a node.
 func (n *network) reset(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -205,7 +205,7 @@
 	}
 }
 
-// shutdown ends all forwarding.
+// shutdown closes all listeners and connections.
 func (n *network) shutdown() {
 	for _, listener := range n.listeners {
 		listener.Close()
--- a/tests/soak/nodes.go
+++ b/tests/soak/nodes.go
@@ -9,26 +9,26 @@
 var (
 	relayCount = flag.Int("soak.relays", 3, "number of relays")
 	proxyCount = flag.Int("soak.proxies", 2, "number of proxy nodes")
-	subnet     = flag.Int("soak.subnet", 0, "second byte of the loopback addresses, so that several runs do not meet")
+	subnet     = flag.Int("soak.subnet", 0, "second byte of the loopback addresses; concurrent runs need different values")
 )
 
-// coreCount is the number of core nodes. The deployment bears the loss of one.
+// coreCount is the number of core nodes. The deployment tolerates the loss of one.
 const coreCount = 3
 
-// node is one node of the deployment.
+// node is a node of the deployment.
 type node struct {
-	name    string // its IP address, at which the others reach it
-	bindIP  string // where it listens; empty for a proxy
+	name    string // its IP address, at which other nodes reach it
+	bindIP  string // address it listens on; empty for a proxy
 	program string
 	hasDisk bool
 }
 
-// coreNodes, relayNodes and proxyNodes are the deployment.
+// coreNodes, relayNodes and proxyNodes are the nodes of the deployment.
 var coreNodes, relayNodes, proxyNodes []node
 
-// layOut lays out the deployment as the flags say.
-func layOut() {
-	const core, relays, proxies = 81, 84, 1 // the last bytes of the first addresses
+// initNodes sets up the nodes according to the flags.
+func initNodes() {
+	const core, relays, proxies = 81, 84, 1 // last byte of the first address of each role
 	coreNodes = controlNodesFrom(core, coreCount, true)
 	relayNodes = controlNodesFrom(relays, *relayCount, false)
 	for i := range *proxyCount {
@@ -49,16 +49,16 @@
 	return nodes
 }
 
-// controlNodes are those that serve calls.
+// controlNodes returns the control-plane nodes: core nodes and relays.
 func controlNodes() []node { return slices.Concat(coreNodes, relayNodes) }
 
-// allNodes are all nodes.
+// allNodes returns all nodes.
 func allNodes() []node { return slices.Concat(coreNodes, relayNodes, proxyNodes) }
 
-// address returns an address of a node.
+// address returns the node's address with the given port.
 func (n node) address(port int) string { return fmt.Sprintf("%s:%d", n.name, port) }
 
-// metricsAddress is where the node tells its counters.
+// metricsAddress returns the address at which the node serves its metrics.
 func (n node) metricsAddress() string {
 	if n.bindIP == "" {
 		return n.address(readinessPort)
--- a/tests/soak/recovery.go
+++ b/tests/soak/recovery.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// recoveryBound is how long after the last fault everything may take to work again. It is far above
-// recovery_s of the settings, as the machine may be busy.
+// recoveryBound is the longest time for full recovery after the last fault. It is far above recovery_s
+// of the settings, to allow for a busy machine.
 const recoveryBound = 60 * time.Second
 
-// get reads a page of a node.
+// get sends a GET request to a node and returns the status and body.
 func (w *workload) get(ctx context.Context, address, path string) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -34,8 +34,8 @@
 	return response.StatusCode, body, err
 }
 
-// checkCore returns an error unless all of the core votes, under the identities that the nodes have
-// now, and is up to date. Only then does the deployment bear another lost disk.
+// checkCore returns an error unless every core node is a voter under its current ID and is up to
+// date. Only then does the deployment tolerate the loss of another disk.
 func (w *workload) checkCore(ctx context.Context) error {
 	for _, n := range coreNodes {
 		status, body, err := w.get(ctx, n.address(controlPort), "/api/status")
@@ -61,39 +61,40 @@
 			}
 		}
 		if !state.IsUpToDate || !isVoter || voters != len(coreNodes) {
-			return fmt.Errorf("%s: up to date %v, votes %v, %d voters", n.name, state.IsUpToDate, isVoter, voters)
+			return fmt.Errorf("%s: up to date %v, is a voter %v, %d voters", n.name, state.IsUpToDate, isVoter, voters)
 		}
 	}
 	return nil
 }
 
-// checkService returns an error unless every control-plane node answers calls with the newest
-// configuration, and every proxy serves requests.
+// checkService returns an error unless every control-plane node answers calls and every proxy is ready
+// and serves requests.
 func (w *workload) checkService(ctx context.Context) error {
 	for _, n := range controlNodes() {
 		if status, _ := w.callOnce(ctx, n, "evacuations.read", struct{}{}); status != http.StatusOK {
-			return fmt.Errorf("%s answers calls with status %d", n.name, status)
+			return fmt.Errorf("call to %s returned status %d", n.name, status)
 		}
 	}
 	for _, n := range proxyNodes {
 		status, _, err := w.get(ctx, n.address(readinessPort), "/api/readiness")
 		if err != nil || status != http.StatusOK {
-			return fmt.Errorf("%s: readiness %d, %w", n.name, status, err)
+			return fmt.Errorf("%s: readiness status %d, %w", n.name, status, err)
 		}
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		r, id := w.newRequest(ctx, n, http.MethodGet, "safe", requestTimeout)
 		status = w.send(http.DefaultClient, r, id)
 		cancel()
 		if status != http.StatusOK {
-			return fmt.Errorf("%s answers requests with status %d", n.name, status)
+			return fmt.Errorf("request to %s returned status %d", n.name, status)
 		}
 	}
 	return nil
 }
 
-// awaitFirstVersion waits until a configuration is acknowledged, and returns at once then: what
-// follows has to find it nowhere but where it was kept for the acknowledgement.
-func (w *workload) awaitFirstVersion() {
+// waitForFirstVersion waits until a configuration is acknowledged, and returns without further delay, so
+// that a kill right after it comes before the configuration is stored anywhere but where the
+// acknowledgement required it.
+func (w *workload) waitForFirstVersion() {
 	for began := time.Now(); w.checks.acknowledgedVersion() == 0; time.Sleep(time.Millisecond) {
 		if time.Since(began) > recoveryBound {
 			w.checks.fail("no configuration was acknowledged within %v", recoveryBound)
@@ -102,8 +103,9 @@
 	}
 }
 
-// awaitRecovery waits until everything works, and returns the last error if it does not in time.
-func (w *workload) awaitRecovery(ctx context.Context) (took time.Duration, err error) {
+// waitForRecovery waits until the core and the service work, and returns the last error if they do not
+// within recoveryBound.
+func (w *workload) waitForRecovery(ctx context.Context) (took time.Duration, err error) {
 	began := time.Now()
 	for {
 		if err = errors.Join(w.checkCore(ctx), w.checkService(ctx)); err == nil {
@@ -116,21 +118,21 @@
 	}
 }
 
-// readBack checks that every control-plane node holds what was acknowledged. It gives up after
-// recoveryBound: where the service has not recovered, nobody answers.
-func (w *workload) readBack(ctx context.Context) {
+// checkAcknowledgedState checks that randomly chosen control-plane nodes return the acknowledged state.
+// It gives up after recoveryBound, as calls get no response if the service has not recovered.
+func (w *workload) checkAcknowledgedState(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryBound)
 	defer cancel()
 	random := rand.New(rand.NewSource(1))
 	for range len(controlNodes()) * 4 {
 		w.readConfiguration(ctx, random)
 	}
-	w.drawNumber(ctx, random)
-	w.passLock(ctx, random)
+	w.takeNumber(ctx, random)
+	w.acquireAndReleaseLock(ctx, random)
 }
 
-// checkInvariants records every violation of an invariant that a process has counted since its
-// start. A process that does not answer is skipped: it may be down.
+// checkInvariants records each nonzero invariant violation counter of a process. The counters start at
+// zero with each process. A process that does not answer is skipped, as it may be down.
 func (w *workload) checkInvariants(ctx context.Context) {
 	for _, n := range allNodes() {
 		_, body, err := w.get(ctx, n.metricsAddress(), "/metrics")
@@ -140,7 +142,7 @@
 		for scanner := bufio.NewScanner(strings.NewReader(string(body))); scanner.Scan(); {
 			line := scanner.Text()
 			if strings.HasPrefix(line, "lichentray_invariant_violations_total") && !strings.HasSuffix(line, " 0") {
-				w.checks.fail("%s counts %s", n.name, line)
+				w.checks.fail("%s reports %s", n.name, line)
 			}
 		}
 	}
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -14,21 +14,21 @@
 var (
 	firstSeed = flag.Int64("soak.first", 1, "first seed")
 	seedCount = flag.Int64("soak.seeds", 2, "number of seeds")
-	duration  = flag.Duration("soak.duration", 8*time.Second, "how long faults are brought about in each run")
+	duration  = flag.Duration("soak.duration", 8*time.Second, "how long faults are injected in each run")
 )
 
-// invariantCheckInterval is how often the processes' own invariants are looked at during a run: what
-// a process has counted ends with it.
+// invariantCheckInterval is how often the invariant metrics of the processes are read during a run, as
+// the counters of a process are lost when it exits.
 const invariantCheckInterval = 300 * time.Millisecond
 
-// TestMain lays out the deployment before the tests.
+// TestMain sets up the nodes before the tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	layOut()
+	initNodes()
 	os.Exit(m.Run())
 }
 
-// TestSoak runs the programs under faults, see the package comment.
+// TestSoak runs the programs under injected faults; see the package comment.
 func TestSoak(t *testing.T) {
 	programs := t.TempDir()
 	buildPrograms(t, programs)
@@ -46,7 +46,7 @@
 	}
 }
 
-// runSeed plays one seed.
+// runSeed runs the deployment, the workload and the faults of one seed.
 func runSeed(t *testing.T, programs string, seed int64) {
 	checks := newChecks()
 	directory, err := os.MkdirTemp("", "soak")
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(directory)
-	cluster, err := newCluster(directory, programs, drawDeployment(seed), checks)
+	cluster, err := newCluster(directory, programs, randomDeployment(seed), checks)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,24 +63,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	var journal []string
+	var faultLog []string
 	began := time.Now()
-	faultInjector := &injector{cluster: cluster, workload: w, disturbed: map[string]bool{}}
+	faultInjector := &injector{cluster: cluster, workload: w, claimed: map[string]bool{}}
 	faultInjector.report = func(format string, args ...any) {
 		faultInjector.mu.Lock()
 		defer faultInjector.mu.Unlock()
-		journal = append(journal, fmt.Sprintf("%6.2f s  ", time.Since(began).Seconds())+fmt.Sprintf(format, args...))
+		faultLog = append(faultLog, fmt.Sprintf("%6.2f s  ", time.Since(began).Seconds())+fmt.Sprintf(format, args...))
 	}
 	faultInjector.start(allNodes()...)
 	if err := w.start(ctx, seed); err != nil {
 		t.Fatal(err)
 	}
-	if cluster.deployment.endsWithFirstVersion {
-		w.awaitFirstVersion()
+	if cluster.deployment.killsAllAtFirstVersion {
+		w.waitForFirstVersion()
 		endFirstStart(t, cluster)
 		faultInjector.killAll(ctx, nil, restartDelay)
 	}
-	if took, err := w.awaitRecovery(ctx); err != nil {
+	if took, err := w.waitForRecovery(ctx); err != nil {
 		checks.fail("the deployment did not start within %v: %v", took, err)
 	}
 	endFirstStart(t, cluster)
@@ -92,25 +92,25 @@
 	})
 	began = time.Now()
 	faultInjector.run(ctx, seed, *duration)
-	took, err := w.awaitRecovery(ctx)
+	took, err := w.waitForRecovery(ctx)
 	if err != nil {
-		checks.fail("%v after the last fault: %v", took, err)
+		checks.fail("no recovery %v after the last fault: %v", took, err)
 	}
-	checks.judgeSignOffsFrom(time.Now())
+	checks.setUndisturbedSince(time.Now())
 	w.checkInvariants(ctx)
-	w.readBack(ctx)
-	pause(ctx, max(departureBound, signOffBound+maxHeartbeatDelay)) // for the last clients and endpoints that left
+	w.checkAcknowledgedState(ctx)
+	pause(ctx, max(disconnectionBound, deregistrationBound+maxHeartbeatDelay)) // for the last disconnected clients and deregistered endpoints
 	cancel()
 	w.workers.Wait()
-	checks.checkDepartures(cluster.wasDisturbed)
+	checks.checkDisconnections(cluster.hadOutage)
 	w.wait()
-	t.Logf("%s, %v: %s; recovered in %v", describe(seed, *duration), cluster.deployment, checks.summary(), took.Round(time.Millisecond))
+	t.Logf("%s, %v: %s; recovered in %v", describeRun(seed, *duration), cluster.deployment, checks.summary(), took.Round(time.Millisecond))
 	if violations := checks.result(); len(violations) > 0 {
-		t.Errorf("%s\nfaults:\n%s\nlogs:\n%s", strings.Join(violations, "\n"), strings.Join(journal, "\n"), cluster.logTails(25))
+		t.Errorf("%s\nfaults:\n%s\nlogs:\n%s", strings.Join(violations, "\n"), strings.Join(faultLog, "\n"), cluster.logTails(25))
 	}
 }
 
-// endFirstStart changes the settings so that no later start is the first one.
+// endFirstStart rewrites the settings so that later starts are not first starts.
 func endFirstStart(t *testing.T, k *cluster) {
 	t.Helper()
 	if err := k.setSeeds(k.seeds, nil); err != nil {
