--- a/tests/loopback/account_test.go
+++ b/tests/loopback/account_test.go
@@ -11,9 +11,10 @@
 	"lichentray/audit"
 )
 
-// Failures of each kind are caused on purpose at two proxy nodes, for three tenants, with
-// each attempt of a non-idempotent request at another node. One proxy shuts down and the
-// other is killed. The account then lists every failure once, under the right tenant and
+// TestAccountListsEveryFailureOnceAndKilledProxyAsGap guards against audit records that are missing,
+// duplicated or attributed to the wrong tenant. It causes failures of each kind at two proxy nodes, for
+// three tenants, including non-idempotent requests whose attempts go to different nodes. One proxy then
+// shuts down and the other is killed. The account must list each failure once, with its tenant and
 // request, and the killed incarnation as a gap.
 func TestAccountListsEveryFailureOnceAndKilledProxyAsGap(t *testing.T) {
 	s := newTestbed(t)
@@ -29,7 +30,7 @@
 	})
 	heartbeat := fmt.Sprintf(`{"address":%q,"info":{"backend_service":"s","zone":"a","capacity":64},"status":{"state":"ready","sequence":1}}`, startEndpoint(t))
 	s.waitFor("an endpoint", func() bool { return s.post("instances.heartbeat&of=i-1", heartbeat) == 200 })
-	s.waitFor("both proxies are ready, so their incarnations are in the audit log", func() bool { return s.isReady("127.0.0.32") && s.isReady("127.0.0.33") })
+	s.waitFor("both proxies to be ready, which implies that their incarnations are in the audit log", func() bool { return s.isReady("127.0.0.32") && s.isReady("127.0.0.33") })
 	send := func(proxy, method, host, path, tenant, request string) {
 		t.Helper()
 		r, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", proxy, s.frontendPort, path), nil)
@@ -45,15 +46,15 @@
 		}
 		c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		if resp, err := c.Do(r); err == nil {
-			_, _ = io.Copy(io.Discard, resp.Body) // it may break off
+			_, _ = io.Copy(io.Discard, resp.Body) // the response may be truncated
 			resp.Body.Close()
 		}
 	}
-	// An endpoint that fails is ejected for a moment. A request that finds none would be
-	// another failure than the one that is meant.
+	// A failing endpoint is temporarily ejected. A request sent in that time finds no endpoint, which is
+	// a different failure from the one under test.
 	waitUntilHealthy := func(proxy string) {
 		t.Helper()
-		s.waitFor("the endpoint is used again", func() bool {
+		s.waitFor("the endpoint to receive requests again", func() bool {
 			r, err := http.NewRequest("GET", fmt.Sprintf("http://%s:%d/sheet/fine", proxy, s.frontendPort), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -102,32 +103,32 @@
 				continue
 			}
 			key := f.Tenant + " " + f.Request
-			if _, there := out[key]; there {
-				t.Errorf("%s is there twice", key)
+			if _, isDuplicate := out[key]; isDuplicate {
+				t.Errorf("%s is listed twice", key)
 			}
 			out[key] = f.Kind
 		}
 		return out
 	}
-	s.waitFor("the account holds what was caused", func() bool { return reflect.DeepEqual(got(), want) || t.Failed() })
+	s.waitFor("the account to list the failures that were caused", func() bool { return reflect.DeepEqual(got(), want) || t.Failed() })
 	if sum := s.queryAccount("--tenant", "museum", "--kind", "doubled").Counts; !reflect.DeepEqual(sum, map[string]map[audit.Kind]int{"museum": {audit.Duplicated: 3}}) {
-		t.Errorf("sums of one kind: %v", sum)
+		t.Errorf("counts of one kind = %v", sum)
 	}
-	// One ends in order, after a last failure; the other is killed and starts again.
+	// One proxy shuts down after another failure; the other one is killed and restarted.
 	send(firstProxy, "GET", "museum.example", "/search/late", "", "last")
 	want["museum last"] = audit.MissedLatencyTarget
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	_ = first.Wait() // its status is not asked about
+	_ = first.Wait() // the exit status does not matter
 	if err := second.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	_ = second.Wait()
 	s.start("lichentray-proxy", secondProxy)
-	s.waitFor("the new incarnation is in the audit log", func() bool { return s.isReady(secondProxy) })
+	s.waitFor("the new incarnation in the audit log", func() bool { return s.isReady(secondProxy) })
 	if g := got(); !reflect.DeepEqual(g, want) {
-		t.Errorf("after the ends: %v, want %v", g, want)
+		t.Errorf("after the proxies ended: failures = %v, want %v", g, want)
 	}
 	gaps := s.queryAccount().Gaps
 	for id, g := range gaps {
@@ -136,6 +137,6 @@
 		}
 	}
 	if len(gaps) != 1 {
-		t.Errorf("%d gaps, want the killed incarnation alone: %v", len(gaps), gaps)
+		t.Errorf("%d gaps, want only the killed incarnation: %v", len(gaps), gaps)
 	}
 }
--- a/tests/loopback/testbed_test.go
+++ b/tests/loopback/testbed_test.go
@@ -1,4 +1,4 @@
-// Package loopback tests the programs themselves, as processes on the loopback.
+// Package loopback runs the built programs as processes on the loopback and tests them.
 package loopback
 
 import (
@@ -21,23 +21,22 @@
 	"lichentray/internal/controlplanetest"
 )
 
-// testbed is one control-plane node, relays and proxy nodes as processes.
+// testbed runs a control-plane node, relays and proxy nodes as processes.
 type testbed struct {
 	t                *testing.T
-	directory        string // of settings and data
+	directory        string // settings and data
 	programDirectory string
 	controlPort      int
 	internalPort     int
 	frontendPort     int
 	readinessPort    int
-	// seeds are the IP addresses that the settings of a program name as its seed nodes when it
-	// is started.
+	// seeds are the IP addresses of the seed nodes in the settings of programs started from now on.
 	seeds []string
-	// isFirstStart says that the deployment starts for the first time, on empty disks.
+	// isFirstStart is true if the deployment starts for the first time, with empty disks.
 	isFirstStart bool
 }
 
-// The machines. The core is one control-plane node with a disk; those of the relays have none.
+// Node addresses. The core is one control-plane node with a disk; the relays have none.
 const (
 	coreIP        = "127.0.0.31"
 	firstProxyIP  = "127.0.0.32"
@@ -46,7 +45,7 @@
 	secondRelayIP = "127.0.0.35"
 )
 
-// newTestbed builds the programs and finds free ports. It starts nothing.
+// newTestbed builds the programs and selects free ports. It starts no program.
 func newTestbed(t *testing.T) *testbed {
 	s := &testbed{t: t, directory: t.TempDir(), seeds: []string{coreIP}, isFirstStart: true}
 	s.programDirectory = filepath.Join(s.directory, "bin")
@@ -71,7 +70,7 @@
 	return s
 }
 
-// start starts a program at an address, and kills it at the end of the test.
+// start starts a program at an address and registers a cleanup that kills it.
 func (s *testbed) start(program, ip string) *exec.Cmd {
 	s.t.Helper()
 	data := ""
@@ -105,7 +104,7 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() {
-		_ = c.Process.Kill() // it may have ended
+		_ = c.Process.Kill() // the process may have exited already
 		_ = c.Wait()
 		if s.t.Failed() {
 			s.t.Logf("%s %s:\n%s", program, ip, log.String())
@@ -114,7 +113,7 @@
 	return c
 }
 
-// killAll ends processes at once, without a chance to do anything.
+// killAll kills processes and waits for them to exit.
 func (s *testbed) killAll(processes ...*exec.Cmd) {
 	s.t.Helper()
 	for _, c := range processes {
@@ -123,37 +122,37 @@
 		}
 	}
 	for _, c := range processes {
-		_ = c.Wait() // a killed process has no other status
+		_ = c.Wait() // the exit status is that of a killed process
 	}
 }
 
-// waitFor waits until a condition holds, and ends the test if it does not.
+// waitFor polls until a condition holds, and fails the test after a minute.
 func (s *testbed) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatal("never came: " + what)
+			s.t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// post sends a call to the control plane and returns the status, or 0 without an answer.
+// post sends a call to the core node and returns the status, or 0 if there is no response.
 func (s *testbed) post(call, body string) int {
 	return s.postTo(coreIP, call, body)
 }
 
-// postTo sends a call to one control-plane node and returns the status, or 0 without an answer.
+// postTo sends a call to one control-plane node and returns the status, or 0 if there is no response.
 func (s *testbed) postTo(ip, call, body string) int {
 	r, err := http.Post(fmt.Sprintf("http://%s:%d/api/rpc?call=%s", ip, s.controlPort, call), "application/json", strings.NewReader(body))
 	if err != nil {
 		return 0
 	}
 	defer r.Body.Close()
-	_, _ = io.Copy(io.Discard, r.Body) // only the status counts
+	_, _ = io.Copy(io.Discard, r.Body) // only the status matters
 	return r.StatusCode
 }
 
-// isReady reports whether a proxy node is ready, by its own account.
+// isReady reports whether the readiness check of a proxy node succeeds.
 func (s *testbed) isReady(ip string) bool {
 	r, err := http.Get(fmt.Sprintf("http://%s:%d/api/readiness", ip, s.readinessPort))
 	if err != nil {
@@ -163,7 +162,7 @@
 	return r.StatusCode == 200
 }
 
-// queryAccount returns what lichentrayctl prints for the command "account".
+// queryAccount runs "lichentrayctl account" and returns its decoded output.
 func (s *testbed) queryAccount(flags ...string) (a audit.QueryResult) {
 	s.t.Helper()
 	args := append([]string{"account", "--output", "json", "--nodes", fmt.Sprintf("127.0.0.31:%d", s.controlPort)}, flags...)
@@ -177,8 +176,8 @@
 	return a
 }
 
-// startEndpoint starts an endpoint that does to each request what its path says, and
-// returns its address.
+// startEndpoint starts an endpoint whose behavior depends on the request path, and returns its
+// address.
 func startEndpoint(t *testing.T) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -193,18 +192,18 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.Copy(io.Discard, r.Body) // it is short
+			_, _ = io.Copy(io.Discard, r.Body) // the body is short
 			head := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Signature: s\r\nContent-Length: %%d\r\n\r\n", r.Header.Get("X-Attempt-Id"))
 			body := "fine"
 			switch {
 			case strings.HasSuffix(r.URL.Path, "/late"):
-				time.Sleep(1200 * time.Millisecond) // over the latency target of the route, a second
+				time.Sleep(1200 * time.Millisecond) // exceeds the route's latency target of one second
 			case strings.HasSuffix(r.URL.Path, "/broken"):
 				fmt.Fprintf(c, head, 200000)
 				fmt.Fprint(c, strings.Repeat("x", 100000))
 				return
 			case strings.HasSuffix(r.URL.Path, "/silent"):
-				return // it may have run, and there is no answer
+				return // the outcome is unknown to the client
 			}
 			fmt.Fprintf(c, head, len(body))
 			fmt.Fprint(c, body)
