--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// clearRollouts clears the roll-out of services that have none in the registry.
+// clearRollouts clears the rollout of services that have none in the registry.
 func (p *Proxy) clearRollouts(objects map[string]registry.Object) {
 	for name, s := range p.services {
 		if _, ok := objects[registry.RolloutPrefix+name]; !ok && s.rollout.Base != "" {
@@ -207,8 +207,8 @@
 	return snapshot
 }
 
-// setProxyCount sets the number of proxy nodes, which share the slack of the retry budgets
-// and the connections. It ignores counts below 1.
+// setProxyCount sets the number of proxy nodes, which share the slack of the retry budgets and the
+// connection limits of endpoints. It ignores counts below 1.
 func (p *Proxy) setProxyCount(n int) {
 	if n < 1 || p.proxyCount.Swap(int64(n)) == int64(n) {
 		return
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -13,7 +13,7 @@
 // streamed: on a slow link, receiving the whole body before sending it would double the latency.
 const maxBufferedResponseBytes = 32 << 10
 
-// errDeadlineExceeded means that the deadline expired before any byte of the request was sent.
+// errDeadlineExceeded means that the deadline passed before any byte of the request was sent.
 var errDeadlineExceeded = errors.New("proxy: deadline exceeded")
 
 // attemptTarget is the endpoint that an attempt uses, with its connection pool and recorder.
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -128,21 +128,21 @@
 func TestRequestWithoutIDUsesNewConnection(t *testing.T) {
 	e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 	p, addr := startProxy(t, e)
-	ask := func(raw string) {
+	sendOK := func(raw string) {
 		if s := statusOf(sendRaw(t, addr, raw, 1)); s != 200 {
 			t.Errorf("status = %d, want 200", s)
 		}
 	}
 	idle := func() int { return p.services["s"].connPools[p.services["s"].pool.Endpoints()[0]].countIdle() }
-	ask(getRequest("/safe/a"))
+	sendOK(getRequest("/safe/a"))
 	if idle() != 1 {
 		t.Fatal("the connection was not returned to the pool")
 	}
-	ask(strings.Replace(getRequest("/safe/b"), "X-Attempt-Id: a1\r\n", "", 1))
+	sendOK(strings.Replace(getRequest("/safe/b"), "X-Attempt-Id: a1\r\n", "", 1))
 	if idle() != 2 {
 		t.Errorf("%d idle connections after a request without an id, want 2", idle())
 	}
-	ask(getRequest("/safe/c"))
+	sendOK(getRequest("/safe/c"))
 	if idle() != 2 {
 		t.Errorf("%d idle connections after a request with an id, want 2", idle())
 	}
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -44,8 +44,9 @@
 	buffer            *audit.Recorder
 	lastSentAt        time.Time
 	requestsSinceSent int64
-	requestsPerSecond float64
-	inFlight          int
+	// peakRequestsPerSecond is the highest recent request rate; it decays with each batch.
+	peakRequestsPerSecond float64
+	inflight              int
 	// isClosed is set once the control plane has acknowledged every record and the end of this
 	// incarnation.
 	isClosed bool
@@ -82,7 +83,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requestsSinceSent++
-	a.inFlight++
+	a.inflight++
 }
 
 // requestFinished counts a request as no longer in flight.
@@ -92,10 +93,11 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.inFlight--
+	a.inflight--
 }
 
-// record appends a record of a client's attempt. route is empty if no route was matched.
+// record appends a record of one attempt of a client, which is one request that the client sent,
+// identified by its X-Attempt-Id. route is empty if no route was matched.
 func (a *auditRecorder) record(h *fasthttp.RequestHeader, route string, kind audit.Kind, status int, startedAt time.Time) {
 	if a == nil {
 		return
@@ -161,13 +163,13 @@
 func (a *auditRecorder) nextBatch(now time.Time, isClosing bool) *audit.Batch {
 	if elapsed := now.Sub(a.lastSentAt); elapsed > time.Millisecond {
 		rate := float64(a.requestsSinceSent) / max(minRatePeriodSeconds, elapsed.Seconds())
-		a.requestsPerSecond = max(a.requestsPerSecond*requestRateDecayFactor, rate)
+		a.peakRequestsPerSecond = max(a.peakRequestsPerSecond*requestRateDecayFactor, rate)
 	}
 	a.lastSentAt = now
 	a.requestsSinceSent = 0
 	b := a.buffer.NextBatch(now.UnixMilli(), maxAuditBatchRecords)
-	b.PerS = a.requestsPerSecond
-	b.Out = a.inFlight
+	b.PerS = a.peakRequestsPerSecond
+	b.Out = a.inflight
 	b.Closed = isClosing && a.buffer.Pending() == len(b.Records)
 	a.recordsPending.Set(int64(a.buffer.Pending()))
 	a.recordsDropped.Set(int64(a.buffer.Dropped()))
--- a/internal/proxy/bench_request_test.go
+++ b/internal/proxy/bench_request_test.go
@@ -104,7 +104,7 @@
 
 // serveBenchmarkEndpoint responds to every read with the same response.
 func serveBenchmarkEndpoint(ln net.Listener) {
-	answer := []byte(strings.Replace(okResponse("x"), "ID", "a2", 1))
+	response := []byte(strings.Replace(okResponse("x"), "ID", "a2", 1))
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -117,7 +117,7 @@
 				if _, err := c.Read(in); err != nil {
 					return
 				}
-				if _, err := c.Write(answer); err != nil {
+				if _, err := c.Write(response); err != nil {
 					return
 				}
 			}
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -71,8 +71,8 @@
 // close closes the connection.
 func (c *upstreamConn) close() { c.tcp.Close() }
 
-// isConnectionClosed reports whether err means that the peer closed or reset the connection,
-// as opposed to a time-out.
+// isConnectionClosed reports whether err means that the peer closed or reset the connection, as
+// opposed to a timeout.
 func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -106,10 +106,10 @@
 // progress in that case. The zero value is for a client that is not watched; it never reports a
 // disconnect.
 type clientWatch struct {
-	// client is the client's connection and probe checks its state; both are nil if the client is
+	// conn is the client's connection and probe checks its state; both are nil if the client is
 	// not watched.
-	client net.Conn
-	probe  *transport.PeerProbe
+	conn  net.Conn
+	probe *transport.PeerProbe
 	// watcher and index are managed by disconnectWatcher.
 	watcher *disconnectWatcher
 	index   int
@@ -177,7 +177,7 @@
 func (c *clientWatch) cancelAttempt() {
 	if c.upstream != nil && c.isCancelable {
 		c.upstream.close()
-		_ = c.client.SetWriteDeadline(pastDeadline) // fails only if the connection is closed
+		_ = c.conn.SetWriteDeadline(pastDeadline) // fails only if the connection is closed
 		c.watcher.canceledAttempts.Inc()
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -14,7 +14,7 @@
 	"lichentray/registry"
 )
 
-// longTimeoutConfig is testConfig with a time-out and a latency target that no test reaches, so that
+// longTimeoutConfig is testConfig with a timeout and a latency target that no test reaches, so that
 // requests in the tests below end only because their client disconnects.
 var longTimeoutConfig = strings.NewReplacer(`"timeout_s":5`, `"timeout_s":300`, `"target_latency_s":1,`, `"target_latency_s":300,`,
 	`"config_version":3`, `"config_version":4`).Replace(testConfig)
@@ -31,8 +31,8 @@
 	responsePrefix string
 	// started receives the path of each request, ended the path of each whose connection was closed.
 	started, ended chan string
-	// answer provides the rest of the response to any one of the waiting requests.
-	answer chan string
+	// responseRest provides the rest of the response to any one of the waiting requests.
+	responseRest chan string
 }
 
 func newManualEndpoint(t *testing.T, responsePrefix string) *manualEndpoint {
@@ -45,7 +45,7 @@
 		responsePrefix: responsePrefix,
 		started:        make(chan string, 100),
 		ended:          make(chan string, 100),
-		answer:         make(chan string),
+		responseRest:   make(chan string),
 	}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
@@ -81,8 +81,8 @@
 			_, _ = reader.Peek(1) // returns on the next request or the end of the connection
 		}()
 		select {
-		case answer := <-e.answer:
-			_, _ = io.WriteString(conn, strings.ReplaceAll(answer, "ID", request.Header.Get("X-Attempt-Id"))) // fails if the connection is closed
+		case rest := <-e.responseRest:
+			_, _ = io.WriteString(conn, strings.ReplaceAll(rest, "ID", request.Header.Get("X-Attempt-Id"))) // fails if the connection is closed
 			<-closed
 		case <-closed:
 		}
@@ -93,7 +93,8 @@
 	}
 }
 
-// startLongTimeoutProxy starts a proxy node with longTimeoutConfig and endpoints of the given capacity.
+// startLongTimeoutProxy starts a proxy node with longTimeoutConfig and with endpoints of the given
+// capacity.
 func startLongTimeoutProxy(t *testing.T, capacity int, endpoints ...*manualEndpoint) (*Proxy, *Frontend) {
 	p, f := startFrontend(t)
 	p.applyObject(registry.Object{Key: registry.ConfigKey, Value: append(make([]byte, 8), longTimeoutConfig...)}, false)
@@ -104,7 +105,8 @@
 	return p, f
 }
 
-// longDeadlineRequest returns a request with a deadline that no test reaches, on a persistent connection.
+// longDeadlineRequest returns a request with a deadline that no test reaches, on a persistent
+// connection.
 func longDeadlineRequest(method, path string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nX-Deadline: 250000\r\nContent-Length: 0\r\n\r\n"
 }
@@ -124,7 +126,8 @@
 	return conn
 }
 
-// receiveWithin receives a path from a channel of an endpoint, and fails the test after conditionTimeout.
+// receiveWithin receives a path from a channel of an endpoint, and fails the test after
+// conditionTimeout.
 func receiveWithin(t *testing.T, from <-chan string, what string) string {
 	t.Helper()
 	select {
@@ -237,9 +240,9 @@
 	}
 }
 
-// TestNonIdempotentAttemptCompletesAfterDisconnect checks that an attempt of a non-idempotent request is
-// not canceled when the client disconnects, and that no attempt is canceled while its client remains
-// connected, even if the client has already sent a pipelined request.
+// TestNonIdempotentAttemptCompletesAfterDisconnect checks that an attempt of a non-idempotent
+// request is not canceled when the client disconnects, and that no attempt is canceled while its
+// client remains connected, even if the client has already sent a pipelined request.
 func TestNonIdempotentAttemptCompletesAfterDisconnect(t *testing.T) {
 	endpoint := newManualEndpoint(t, "")
 	p, f := startLongTimeoutProxy(t, 4, endpoint)
@@ -257,10 +260,10 @@
 		t.Fatalf("attempt of %s was canceled", <-endpoint.ended)
 	}
 	for range 2 {
-		endpoint.answer <- okResponse("done")
+		endpoint.responseRest <- okResponse("done")
 	}
 	receiveWithin(t, endpoint.started, "third request, after the response to the second")
-	endpoint.answer <- okResponse("done")
+	endpoint.responseRest <- okResponse("done")
 	reader := bufio.NewReader(remaining)
 	for range 2 {
 		response, err := http.ReadResponse(reader, nil)
@@ -292,7 +295,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newDisconnectWatcher(metrics.NewRegistry())
 			client, server := newConnectionPair(t)
-			d := &clientWatch{client: server, probe: newClientConn(server).probe}
+			d := &clientWatch{conn: server, probe: newClientConn(server).probe}
 			w.watch(d)
 			c.start(d)
 			client.Close()
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -17,7 +17,7 @@
 // (finder.go), lists the registry once and then watches it (watchstream.go). Each change
 // is applied to the services, or compiled into the next routing snapshot (apply.go,
 // snapshot.go). In the other direction, the node reports its load and its observations of
-// endpoints and roll-outs, and applies the totals, verdicts and quota grants that the control
+// endpoints and rollouts, and applies the totals, verdicts and quota grants that the control
 // plane computes from the reports of all proxies (report.go).
 //
 // # Concurrency
--- a/internal/proxy/endpointfault_test.go
+++ b/internal/proxy/endpointfault_test.go
@@ -111,7 +111,7 @@
 			e.model.executions[id]++
 		}
 		e.model.mu.Unlock()
-		end := func() {
+		maybeReset := func() {
 			if rng.Intn(2) == 0 {
 				_ = c.SetLinger(0) // Close resets the connection
 			}
@@ -121,39 +121,39 @@
 		if behavior == "long" {
 			body += strings.Repeat(".", maxBufferedResponseBytes)
 		}
-		a := rawResponse(200, id, body, false)
+		response := rawResponse(200, id, body, false)
 		switch behavior {
 		case "chunked":
 			at := 1 + rng.Intn(len(body)-1)
-			a = strings.Replace(rawResponse(200, id, "", false), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
-			a += fmt.Sprintf("%x;x=y\r\n%s\r\n%x\r\n%s\r\n0\r\nX-T: v\r\n\r\n", at, body[:at], len(body)-at, body[at:])
+			response = strings.Replace(rawResponse(200, id, "", false), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
+			response += fmt.Sprintf("%x;x=y\r\n%s\r\n%x\r\n%s\r\n0\r\nX-T: v\r\n\r\n", at, body[:at], len(body)-at, body[at:])
 		case "not executed", "not executed early":
-			a = rawResponse([]int{503, 429, 421, 400}[rng.Intn(4)], id, "", true)
+			response = rawResponse([]int{503, 429, 421, 400}[rng.Intn(4)], id, "", true)
 		case "server error":
-			a = rawResponse([]int{500, 502, 503, 429, 408, 504}[rng.Intn(6)], id, "f", false)
+			response = rawResponse([]int{500, 502, 503, 429, 408, 504}[rng.Intn(6)], id, "f", false)
 		case "other id":
 			if other == "" || other == id {
 				other = "nobody"
 			}
-			a = rawResponse(200, other, expectedBody(other, endpoint), false)
+			response = rawResponse(200, other, expectedBody(other, endpoint), false)
 		case "no id":
-			a = rawResponse(200, "", body, false)
+			response = rawResponse(200, "", body, false)
 		case "late": // the response to the previous request precedes this one
-			a = rawResponse(200, []string{prev, ""}[rng.Intn(2)], expectedBody(prev, endpoint), false) + a
+			response = rawResponse(200, []string{prev, ""}[rng.Intn(2)], expectedBody(prev, endpoint), false) + response
 		case "late not executed":
-			a = rawResponse(503, []string{prev, ""}[rng.Intn(2)], "", true) + a
+			response = rawResponse(503, []string{prev, ""}[rng.Intn(2)], "", true) + response
 		case "interim":
-			a = strings.Repeat("HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n", rng.Intn(4)) + "HTTP/1.1 100 Continue\r\n\r\n" + a
+			response = strings.Repeat("HTTP/1.1 103 Early\r\nX-A: b\r\n\r\n", rng.Intn(4)) + "HTTP/1.1 100 Continue\r\n\r\n" + response
 		case "duplicate":
-			a += rawResponse([]int{200, 503}[rng.Intn(2)], []string{id, "", "next"}[rng.Intn(3)], expectedBody(id, endpoint), rng.Intn(2) == 0)
+			response += rawResponse([]int{200, 503}[rng.Intn(2)], []string{id, "", "next"}[rng.Intn(3)], expectedBody(id, endpoint), rng.Intn(2) == 0)
 		}
 		if strings.HasSuffix(behavior, "early") { // before the body and possibly the rest of the head is read
-			end()
-			_, _ = io.WriteString(c, a)
+			maybeReset()
+			_, _ = io.WriteString(c, response)
 			return
 		}
 		if behavior == "close" && rng.Intn(2) == 0 {
-			end()
+			maybeReset()
 			return
 		}
 		if !discardRequest(br) {
@@ -161,21 +161,21 @@
 		}
 		switch behavior {
 		case "close":
-			end()
+			maybeReset()
 			return
 		case "no response":
 			_, _ = io.Copy(io.Discard, br)
 			return
 		case "truncated":
-			a = a[:rng.Intn(len(a))]
-			end()
+			response = response[:rng.Intn(len(response))]
+			maybeReset()
 		}
-		for len(a) > 0 { // in pieces split at random positions
-			n := min(len(a), 1+rng.Intn(max(1, 2*len(a)/3)))
-			if _, err := io.WriteString(c, a[:n]); err != nil {
+		for len(response) > 0 { // in pieces split at random positions
+			n := min(len(response), 1+rng.Intn(max(1, 2*len(response)/3)))
+			if _, err := io.WriteString(c, response[:n]); err != nil {
 				return
 			}
-			a = a[n:]
+			response = response[n:]
 		}
 		switch behavior {
 		case "truncated":
@@ -344,8 +344,8 @@
 				for _, s := range model.statuses {
 					statuses[s]++
 				}
-				for a, n := range model.behaviorCounts {
-					behaviorTotals[a] += n
+				for behavior, n := range model.behaviorCounts {
+					behaviorTotals[behavior] += n
 				}
 			})
 		}
--- a/internal/proxy/finder.go
+++ b/internal/proxy/finder.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// newStreamFinder returns a finder for a request. The connect time-out is short for a list:
+// newStreamFinder returns a finder for a request. The connect timeout is short for a list:
 // after a power failure most nodes are still down, and an attempt to connect to one of them
 // hangs. It is long for a watch, because the link to the nodes may be saturated.
 func newStreamFinder(p *Proxy, request transport.Request) *streamFinder {
@@ -144,8 +144,8 @@
 	}
 }
 
-// await waits for the result of one attempt to open a stream. It returns nil and nil on a
-// time-out.
+// await waits for the result of one attempt to open a stream. It returns nil and nil if the timeout
+// expires or the context ends.
 func (f *streamFinder) await(ctx context.Context, timeout time.Duration) (*watchStream, error) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// findNearerStream tries each node that is nearer than the given one once. It returns nil if
-// none opens a stream.
+// findNearerStream tries, once each, the nodes that are nearer than the node at the address than.
+// It returns nil if none opens a stream.
 func (p *Proxy) findNearerStream(ctx context.Context, than string, request transport.Request) *watchStream {
 	for _, addr := range p.controlNodes.NodesNearerThan(than) {
 		if s, _ := p.openStream(ctx, addr, request, p.timeouts.openStream); s != nil {
--- a/internal/proxy/forwarding.go
+++ b/internal/proxy/forwarding.go
@@ -38,7 +38,8 @@
 	mayHaveArrived bool
 	// decision is the decision after the last attempt.
 	decision decision
-	// reason is why the last attempt failed; it becomes the detail of the error.
+	// reason is why the last attempt failed. It becomes the detail of the error, which is not sent to
+	// the client.
 	reason string
 }
 
@@ -65,7 +66,7 @@
 // earlier attempt may have reached an endpoint. If there is no endpoint or no budget, pick sets
 // the decision with which the request fails, and returns a zero attemptTarget.
 func (f *forwarding) pick() attemptTarget {
-	t := f.reserveEndpoint()
+	t := f.acquireEndpoint()
 	if t.endpoint == nil {
 		f.setDecision(phaseQueued)
 		return attemptTarget{}
@@ -85,9 +86,9 @@
 	return t
 }
 
-// reserveEndpoint reserves an endpoint. It waits for one for at most a fraction of the request's
+// acquireEndpoint reserves an endpoint. It waits for one for at most a fraction of the request's
 // remaining time and of the route's latency target.
-func (f *forwarding) reserveEndpoint() attemptTarget {
+func (f *forwarding) acquireEndpoint() attemptTarget {
 	remaining := time.Until(f.request.deadline)
 	if remaining <= 0 {
 		return attemptTarget{}
@@ -153,8 +154,8 @@
 		f.service.recordStaleConnection(p.now(), o.idleFor, p.timeouts.ejectionMax)
 		t.conns.closeIdle()
 	}
-	isEndpointNotAtFault := o.isStale || errors.Is(o.err, errDeadlineExceeded) || isClientAborted
-	f.service.releaseEndpoint(p, t.endpoint, isEndpointNotAtFault, 0)
+	hasOtherCause := o.isStale || errors.Is(o.err, errDeadlineExceeded) || isClientAborted
+	f.service.releaseEndpoint(p, t.endpoint, hasOtherCause, 0)
 	if errors.Is(o.err, errInvalidResponse) {
 		p.counters.invalidResponses.Inc()
 	}
@@ -164,7 +165,7 @@
 // recordUnprocessed records a response stating that the request was not processed.
 func (f *forwarding) recordUnprocessed(o *outcome, t attemptTarget) {
 	f.reason = "endpoints rejected the request"
-	f.service.recordRejection(f.proxy, t.endpoint, o.response.status)
+	f.service.recordUnprocessed(f.proxy, t.endpoint, o.response.status)
 	t.recorder.stop()
 	f.group = f.service.retryVersionGroup(f.group, true)
 }
@@ -187,7 +188,8 @@
 	f.group = f.service.retryVersionGroup(f.group, true)
 }
 
-// statusClientClosedRequest is recorded for a request whose client has disconnected. It is never sent.
+// statusClientClosedRequest is recorded for a request whose client has disconnected. It is never
+// sent.
 const statusClientClosedRequest = 499
 
 // abandon ends a request whose client has disconnected, without a response. A non-idempotent
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -22,10 +22,10 @@
 	minReadBufferBytes     = 4 << 10
 	maxReadBufferBytes     = 256 << 10
 	readBufferReserveBytes = 1 << 10
-	// bodyTimeoutFactor is the time-out for reading a body, in multiples of that for a head.
+	// bodyTimeoutFactor is the timeout for reading a body, as a multiple of that for a head.
 	bodyTimeoutFactor = 4
-	// idleTimeoutFactor is the default idle time-out of client connections in contact windows,
-	// used if the configuration sets none.
+	// idleTimeoutFactor is the idle timeout of client connections if the configuration sets none,
+	// as a multiple of the contact window.
 	idleTimeoutFactor = 5
 	// metricsContentType is the content type of the Prometheus text format.
 	metricsContentType = "text/plain; version=0.0.4"
@@ -143,7 +143,7 @@
 	f.mu.Unlock()
 }
 
-// trackState tracks whether a connection has an active request.
+// trackState records whether a connection has an active request.
 func (f *Frontend) trackState(conn net.Conn, state fasthttp.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/handle.go
+++ b/internal/proxy/handle.go
@@ -56,7 +56,7 @@
 	if !ok || conn.probe == nil {
 		return
 	}
-	q.client.client, q.client.probe = conn, conn.probe
+	q.client.conn, q.client.probe = conn, conn.probe
 	p.disconnectWatcher.watch(&q.client)
 }
 
@@ -110,8 +110,8 @@
 		return s
 	}
 	wait, divisor := p.timeouts.dial, time.Duration(configWaitDeadlineDivisor)
-	if untilHedge := p.timeouts.openHedgeDelay - p.now(); untilHedge > wait {
-		wait, divisor = untilHedge, startupConfigWaitDeadlineDivisor
+	if startupRemaining := p.timeouts.openHedgeDelay - p.now(); startupRemaining > wait {
+		wait, divisor = startupRemaining, startupConfigWaitDeadlineDivisor
 	}
 	if ms, err := strconv.Atoi(string(ctx.Request.Header.Peek("X-Deadline"))); err == nil {
 		wait = min(wait, time.Duration(ms)*time.Millisecond/divisor)
--- a/internal/proxy/handle_test.go
+++ b/internal/proxy/handle_test.go
@@ -19,13 +19,13 @@
 	e := newStubEndpoint(t, func(int, string) string { return okResponse("x") })
 	set := controlplanetest.Settings(t, "127.0.0.1", "", 1, 2, []string{"127.0.0.1"}, false)
 	set.Bounds.ContactWindow, set.Bounds.ConfigPropagation, set.Bounds.DrainPropagation = 6, 40, 40 // the first configuration is expected within 10 s of the start
-	open := func(uptime time.Duration) (*Proxy, string) {
+	start := func(uptime time.Duration) (*Proxy, string) {
 		p := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics.NewRegistry())
 		p.startedAt = p.startedAt.Add(-uptime)
 		return p, serveFrontend(t, p).listener.Addr().String()
 	}
-	p, addr := open(0)
-	_, longRunningAddr := open(time.Hour)
+	p, addr := start(0)
+	_, longRunningAddr := start(time.Hour)
 
 	get := "GET /safe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nX-Deadline: %d\r\n\r\n"
 	got := make(chan int, 1)
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -22,7 +22,8 @@
 	idleFor time.Duration
 	// took is the duration of the attempt.
 	took time.Duration
-	// latencyRatio is took divided by the route's typical latency; 0 without a response.
+	// latencyRatio is took divided by the route's typical latency; 0 unless there is a valid response
+	// with a status below 500.
 	latencyRatio float64
 }
 
@@ -44,7 +45,7 @@
 func (f *forwarding) classify(resp *response, isConnReused bool) (phase, error) {
 	switch {
 	case !resp.belongsTo(f.request.attemptID, isConnReused):
-		return phaseInvalid, fmt.Errorf("%w: of another request", errInvalidResponse)
+		return phaseInvalid, fmt.Errorf("%w: belongs to another request", errInvalidResponse)
 	case resp.isUnsignedSuccess():
 		return phaseInvalid, fmt.Errorf("%w: success without a signature", errInvalidResponse)
 	case resp.isUnprocessed():
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -15,8 +15,8 @@
 	// requestsPerRank is the number of requests between two reports that make one step in rank,
 	// so that clients with similar request rates have the same rank.
 	requestsPerRank = 4
-	// minQueueInflightLimit is the minimum inflight limit used to bound the queue: a request is
-	// queued only if at most half of the limit is ahead of it.
+	// minQueueInflightLimit is the minimum of the limit on requests in flight by which the queue is
+	// bounded: a request is queued only if at most half as many requests are ahead of it.
 	minQueueInflightLimit = 8
 )
 
--- a/internal/proxy/reflector.go
+++ b/internal/proxy/reflector.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if r.current != nil {
-		reason := errStreamTimeout
+		reason := errSilentStream
 		if wasNearerOnly {
 			reason = errNearerNode
 		}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -13,7 +13,7 @@
 func zoneLoadKey(service, zone string) string { return service + "\x00" + zone }
 
 // buildReport returns a report to the control plane: this node's load on each service, also by zone
-// if there are several regions; its observations of endpoints and roll-outs; and the audit records
+// if there are several regions; its observations of endpoints and rollouts; and the audit records
 // that are due. span is the time since the last report.
 func (p *Proxy) buildReport(span time.Duration) *transport.ProxyReport {
 	loads := map[string]loadbalance.Load{}
@@ -67,7 +67,7 @@
 	now := p.now()
 	p.reportSentAt[p.reportSeq] = now
 	for seq, at := range p.reportSentAt {
-		if now-at > p.timeouts.slowStartGrant {
+		if now-at > p.timeouts.quotaGrantLifetime {
 			delete(p.reportSentAt, seq)
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // registration returns this node's entry in the directory. It is nil if clients do not find proxies
-// by the directory, or if this node is not ready, unless it is draining.
+// by the directory, or if this node is not ready for another reason than draining.
 func (p *Proxy) registration() *registry.Proxy {
 	if p.settings.EntryType != settings.EntryTypeDirectory {
 		return nil
@@ -92,7 +92,8 @@
 	}
 }
 
-// announceShutdown reports immediately that this node no longer accepts new connections.
+// announceShutdown makes this node not ready. If clients find proxies by the directory, it reports
+// immediately that this node is leaving.
 func (p *Proxy) announceShutdown() {
 	p.isDraining.Store(true)
 	conn, self := p.controlConn.Load(), p.registration()
@@ -114,7 +115,7 @@
 	for _, g := range r.Grants {
 		for _, s := range p.services {
 			s.mu.Lock()
-			s.pool.ApplyGrant(now, g, sentAt+p.timeouts.slowStartGrant)
+			s.pool.ApplyGrant(now, g, sentAt+p.timeouts.quotaGrantLifetime)
 			s.mu.Unlock()
 		}
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -67,14 +67,14 @@
 // the start of the next request is unknown.
 func (q *request) read(snapshot *routingSnapshot, head []byte) error {
 	limits := &snapshot.table.Limits
-	framing, err := q.readHead(limits, head)
+	headers, err := q.readHead(limits, head)
 	if err != nil {
 		return err
 	}
-	if q.route = snapshot.table.Match(framing.host, q.path()); q.route == nil {
+	if q.route = snapshot.table.Match(headers.host, q.path()); q.route == nil {
 		return apierror.New(apierror.NoRoute, "")
 	}
-	if err := q.setDeadline(framing.deadline); err != nil {
+	if err := q.setDeadline(headers.deadline); err != nil {
 		return err
 	}
 	return q.readBody(limits.MaxBodyBytes)
@@ -87,36 +87,36 @@
 }
 
 // readHead validates the head and sets the head to forward.
-func (q *request) readHead(limits *config.Limits, head []byte) (framing requestFraming, err error) {
+func (q *request) readHead(limits *config.Limits, head []byte) (headers interpretedHeaders, err error) {
 	h := &q.ctx.Request.Header
 	raw := h.RawHeaders()
 	target := h.RequestURI()
 	if size := len(raw) + len(target); limits.MaxHeaderBytes > 0 && float64(size) > limits.MaxHeaderBytes {
-		return framing, apierror.New(apierror.HeaderTooLarge, "%d bytes", size)
+		return headers, apierror.New(apierror.HeaderTooLarge, "%d bytes", size)
 	}
 	if len(target) == 0 || target[0] != '/' || bytes.IndexByte(target, '#') >= 0 {
-		return framing, apierror.New(apierror.BadRequest, "request target")
+		return headers, apierror.New(apierror.BadRequest, "request target")
 	}
 	head = append(head, h.Method()...)
 	head = append(head, ' ')
 	head = append(head, target...)
 	head = append(head, " HTTP/1.1\r\n"...)
-	if head, err = framing.readHeaders(raw, head); err != nil {
-		return framing, err
+	if head, err = headers.readHeaders(raw, head); err != nil {
+		return headers, err
 	}
-	if !framing.isUnambiguous() {
-		return framing, apierror.New(apierror.BadRequest, "host, framing or id headers are missing or double")
+	if !headers.isUnambiguous() {
+		return headers, apierror.New(apierror.BadRequest, "host, framing or id headers are missing or double")
 	}
-	if len(framing.connection) > 0 {
-		head = removeConnectionHeaders(head, framing.connection)
+	if len(headers.connection) > 0 {
+		head = removeConnectionHeaders(head, headers.connection)
 	}
-	q.attemptID = framing.attemptID
+	q.attemptID = headers.attemptID
 	q.head = head
-	return framing, nil
+	return headers, nil
 }
 
-// requestFraming holds the headers that the proxy itself interprets.
-type requestFraming struct {
+// interpretedHeaders holds the headers that the proxy itself interprets.
+type interpretedHeaders struct {
 	host      []byte
 	deadline  []byte
 	attemptID []byte
@@ -128,12 +128,12 @@
 }
 
 // isUnambiguous reports whether all parsers determine the same host, body and attempt id.
-func (f *requestFraming) isUnambiguous() bool {
-	return f.hostCount == 1 && f.lengthCount+f.encodingCount <= 1 && f.attemptIDCount <= 1
+func (h *interpretedHeaders) isUnambiguous() bool {
+	return h.hostCount == 1 && h.lengthCount+h.encodingCount <= 1 && h.attemptIDCount <= 1
 }
 
 // readHeaders parses the header lines up to the empty one, and appends those to forward to head.
-func (f *requestFraming) readHeaders(raw, head []byte) ([]byte, error) {
+func (h *interpretedHeaders) readHeaders(raw, head []byte) ([]byte, error) {
 	for rest := raw; len(rest) > 0; {
 		line := rest
 		if i := bytes.IndexByte(rest, '\n'); i >= 0 {
@@ -145,7 +145,7 @@
 		if len(line) == 0 {
 			break
 		}
-		isForwarded, err := f.readHeader(line)
+		isForwarded, err := h.readHeader(line)
 		if err != nil {
 			return nil, err
 		}
@@ -158,7 +158,7 @@
 }
 
 // readHeader parses one header line and reports whether it is forwarded unchanged.
-func (f *requestFraming) readHeader(line []byte) (isForwarded bool, err error) {
+func (h *interpretedHeaders) readHeader(line []byte) (isForwarded bool, err error) {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) || bytes.ContainsAny(line, "\r\x00") {
 		return false, apierror.New(apierror.BadRequest, "header line")
@@ -166,31 +166,31 @@
 	name, value := line[:colon], bytes.Trim(line[colon+1:], " \t")
 	switch {
 	case equalFold(name, "host"):
-		f.host = value
-		f.hostCount++
+		h.host = value
+		h.hostCount++
 	case equalFold(name, "content-length"):
-		f.lengthCount++
+		h.lengthCount++
 		if len(value) == 0 || !isDigits(value) {
 			return false, apierror.New(apierror.BadRequest, "content-length")
 		}
 		return false, nil
 	case equalFold(name, "transfer-encoding"):
-		f.encodingCount++
+		h.encodingCount++
 		if !equalFold(value, "chunked") {
 			return false, apierror.New(apierror.BadRequest, "transfer-encoding")
 		}
 		return false, nil
 	case equalFold(name, "x-deadline"):
-		f.deadline = value
+		h.deadline = value
 		return false, nil
 	case equalFold(name, "connection"):
-		f.connection = append(append(f.connection, value...), ',')
+		h.connection = append(append(h.connection, value...), ',')
 		return false, nil
 	case isHopByHop(name):
 		return false, nil
 	case equalFold(name, "x-attempt-id"):
-		f.attemptID = value
-		f.attemptIDCount++
+		h.attemptID = value
+		h.attemptIDCount++
 	}
 	return true, nil
 }
@@ -292,12 +292,12 @@
 
 // appendHead appends the head that is sent to an endpoint, including the framing of the body.
 // remaining is the time until the deadline.
-func (q *request) appendHead(b []byte, endpoint string, remaining time.Duration) []byte {
+func (q *request) appendHead(b []byte, endpointID string, remaining time.Duration) []byte {
 	b = append(b, q.head...)
 	b = append(b, "X-Deadline: "...)
 	b = strconv.AppendInt(b, max(1, remaining.Milliseconds()), 10)
 	b = append(b, "\r\nX-Target-Instance: "...)
-	b = append(b, endpoint...)
+	b = append(b, endpointID...)
 	switch {
 	case q.bodyStream != nil && q.streamSize < 0:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -51,7 +51,8 @@
 	out.SetBodyRaw(body)
 }
 
-// recordAttempt records the result of the client's attempt in the audit log.
+// recordAttempt records the result of the client's attempt in the audit log; see
+// auditRecorder.record.
 func (p *Proxy) recordAttempt(q *request, kind audit.Kind, status int) {
 	p.audit.record(&q.ctx.Request.Header, q.route.Name, kind, status, q.startedAt)
 }
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -17,13 +17,13 @@
 	maxChunkedBodyBytes = 1 << 20
 	// maxChunkLineBytes is the maximum size of the lines before and after the data of a chunk.
 	maxChunkLineBytes = 1024
-	// statusLineLength is the length of the shortest status line, "HTTP/1.1 200".
-	statusLineLength = len("HTTP/1.1 200")
+	// minStatusLineLength is the length of the shortest status line, "HTTP/1.1 200".
+	minStatusLineLength = len("HTTP/1.1 200")
 )
 
 // errInvalidResponse means that an endpoint sent something other than a valid HTTP/1 response to
 // the request.
-var errInvalidResponse = errors.New("proxy: not a complete HTTP response")
+var errInvalidResponse = errors.New("proxy: invalid response")
 
 // header is one header line of a response.
 type header struct{ name, value []byte }
@@ -55,9 +55,9 @@
 }
 
 // belongsTo reports whether the response is to the request with the given attempt id, and not an
-// excess response to another request. On a reused connection, the response must contain the id.
-func (r *response) belongsTo(attemptID []byte, hasServedOther bool) bool {
-	isNamed := false
+// excess response to another request. On a reused connection, the response must contain an id.
+func (r *response) belongsTo(attemptID []byte, isConnReused bool) bool {
+	hasID := false
 	for _, h := range r.headers {
 		if !equalFold(h.name, "X-Attempt-Id") {
 			continue
@@ -65,9 +65,9 @@
 		if len(attemptID) > 0 && !bytes.Equal(h.value, attemptID) {
 			return false
 		}
-		isNamed = true
+		hasID = true
 	}
-	return isNamed || !hasServedOther
+	return hasID || !isConnReused
 }
 
 // isUnprocessed reports whether the response states that the endpoint has not processed the
@@ -194,14 +194,14 @@
 		minorAt  = len("HTTP/1.")
 		statusAt = len("HTTP/1.1 ")
 	)
-	if len(line) < statusLineLength || string(line[:minorAt]) != "HTTP/1." || line[statusAt-1] != ' ' {
+	if len(line) < minStatusLineLength || string(line[:minorAt]) != "HTTP/1." || line[statusAt-1] != ' ' {
 		return 0, 0, false
 	}
-	if len(line) > statusLineLength && line[statusLineLength] != ' ' {
+	if len(line) > minStatusLineLength && line[minStatusLineLength] != ' ' {
 		return 0, 0, false
 	}
 	minor = line[minorAt]
-	status, err := strconv.Atoi(string(line[statusAt:statusLineLength]))
+	status, err := strconv.Atoi(string(line[statusAt:minStatusLineLength]))
 	isValid := err == nil && status >= 100 && (minor == '0' || minor == '1')
 	return status, minor, isValid
 }
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -63,7 +63,7 @@
 	s.conn.close()
 	if s.endpointFailed {
 		s.proxy.recordAttempt(s.request, audit.Truncated, s.response.status)
-		s.request.service.recordBrokenStream(s.proxy, s.endpoint)
+		s.request.service.recordTruncatedStream(s.proxy, s.endpoint)
 	}
 	return nil
 }
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -132,7 +132,7 @@
 	bodyConsumed bool
 	// mayHaveExecuted is true if an endpoint may have executed the request in an earlier attempt.
 	mayHaveExecuted bool
-	// beforeDeadline is true if the request's deadline has not expired.
+	// beforeDeadline is true if the request's deadline has not passed.
 	beforeDeadline bool
 	// attemptsLeft is true if the limits on attempts permit another one.
 	attemptsLeft bool
--- a/internal/proxy/rollout.go
+++ b/internal/proxy/rollout.go
@@ -9,7 +9,7 @@
 	"lichentray/rollout"
 )
 
-// rolloutState is a service's roll-out as stored in the registry, and this node's evidence on its
+// rolloutState is a service's rollout as stored in the registry, and this node's evidence on its
 // versions since the last report.
 type rolloutState struct {
 	rollout.Rollout
@@ -18,25 +18,25 @@
 	strata rollout.StratifiedSplit
 }
 
-// applyRollout applies a service's roll-out from the registry.
+// applyRollout applies a service's rollout from the registry.
 func (p *Proxy) applyRollout(name string, o registry.Object) {
 	r, err := rollout.Decode(o.Value)
 	if err != nil {
-		p.log.Error("cannot decode roll-out; keeping the current one", "key", o.Key, "error", err)
+		p.log.Error("cannot decode rollout; keeping the current one", "key", o.Key, "error", err)
 		return
 	}
 	p.setRollout(p.ensureService(name), r)
 }
 
-// setRollout sets a service's roll-out and logs a change of its state.
+// setRollout sets a service's rollout and logs a change of its state.
 func (p *Proxy) setRollout(s *service, r rollout.Rollout) {
 	previous := s.setRollout(r)
 	if r.State != previous && r.State != "" {
-		p.log.Info("roll-out state changed", "service", s.name, "target", r.Target, "state", string(r.State))
+		p.log.Info("rollout state changed", "service", s.name, "target", r.Target, "state", string(r.State))
 	}
 }
 
-// setRollout sets the service's roll-out and returns the state of the previous one.
+// setRollout sets the service's rollout and returns the state of the previous one.
 func (s *service) setRollout(r rollout.Rollout) rollout.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return previous.State
 }
 
-// rolloutReports returns this node's reports on the roll-outs in progress, by service, since the
+// rolloutReports returns this node's reports on the rollouts in progress, by service, since the
 // last call. It returns nil if there are none.
 func (p *Proxy) rolloutReports() map[string]transport.RolloutReport {
 	if !p.settings.HasRollouts() {
@@ -107,7 +107,7 @@
 
 // drawVersionGroup randomly selects a request's version group, by the target version's share. A
 // node that has received no bookmark for longer than rolloutLease selects the base version, as the
-// roll-out may have ended.
+// rollout may have ended.
 func (s *service) drawVersionGroup(p *Proxy, route int) loadbalance.VersionGroup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 }
 
 // acquireForGroup reserves an endpoint of a version group for which skip returns false, as
-// acquireEndpoint does. Unless the roll-out is in its final stage, no request waits for the target
+// acquireEndpoint does. Unless the rollout is in its final stage, no request waits for the target
 // version, but falls back to the base version. So the returned attemptTarget may be of the other
 // group; it may also have no endpoint.
 func (s *service) acquireForGroup(p *Proxy, rank queueRank, wait queueWait, group loadbalance.VersionGroup, skip func(*loadbalance.Endpoint) bool) attemptTarget {
@@ -159,12 +159,12 @@
 	}
 	e, conns := s.acquireEndpoint(p, rank, wait, skipForGroup)
 	if e != nil && group == loadbalance.TargetVersion {
-		group = s.versionGroupOf(e) // the roll-out may have ended during the wait
+		group = s.versionGroupOf(e) // the rollout may have ended during the wait
 	}
 	return attemptTarget{endpoint: e, conns: conns, group: group}
 }
 
-// rolloutStage reports whether the roll-out is in its final stage, and whether it is in progress.
+// rolloutStage reports whether the rollout is in its final stage, and whether it is in progress.
 func (s *service) rolloutStage() (isFinal, isInProgress bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/rollout_test.go
+++ b/internal/proxy/rollout_test.go
@@ -12,7 +12,7 @@
 	"lichentray/rollout"
 )
 
-// applyTestRollout applies a roll-out of service s.
+// applyTestRollout applies a rollout of service s.
 func (p *Proxy) applyTestRollout(r rollout.Rollout) {
 	p.applyObject(registry.Object{Key: registry.RolloutPrefix + "s", Value: r.Encode()}, true)
 }
@@ -24,7 +24,7 @@
 }
 
 // TestRolloutDecidesVersion checks which version a proxy sends requests to in each state of a
-// roll-out: without a roll-out, after a rollback and without recent bookmarks, all to the base
+// rollout: without a rollout, after a rollback and without recent bookmarks, all to the base
 // version; in the canary stage, a small share to the target version; in the final stage, all. An
 // idempotent request that fails on the target version is retried on the base version. A request
 // still succeeds in the final stage if the base version was stopped and its removal is not known
@@ -64,7 +64,7 @@
 		maxTarget         int
 		wantFailures      bool // of non-idempotent requests
 	}{
-		{"no roll-out", rollout.Rollout{Base: "v1"}, true, 0, 0, false},
+		{"no rollout", rollout.Rollout{Base: "v1"}, true, 0, 0, false},
 		{"canary stage", inProgress(0), true, 1, n / 5, true},
 		{"canary stage without recent bookmark", inProgress(0), false, 0, 0, false},
 		{"final stage", inProgress(3), true, n, n, true},
@@ -98,8 +98,8 @@
 		if c.r.State == rollout.InProgress {
 			report := p.rolloutReports()["s"]
 			sum := rollout.Counts{}
-			for _, a := range report.Evidence {
-				sum = sum.Add(a.Target)
+			for _, counts := range report.Evidence {
+				sum = sum.Add(counts.Target)
 			}
 			if report.Order != 1 || sum.Failed != sum.Answers || (sum.Failed > 0) != (c.minTarget > 0) {
 				t.Errorf("%s: report = %+v", c.name, report)
--- a/internal/proxy/rolloutrecorder.go
+++ b/internal/proxy/rolloutrecorder.go
@@ -8,15 +8,15 @@
 	"lichentray/rollout"
 )
 
-// rolloutRecorder records the result of one attempt as evidence for a roll-out in progress.
+// rolloutRecorder records the result of one attempt as evidence for a rollout in progress.
 // The methods of a nil rolloutRecorder do nothing.
 type rolloutRecorder struct {
 	service *service
 	group   loadbalance.VersionGroup
-	// order is the roll-out's order number. Nothing is recorded for a later roll-out.
-	order    uint64
-	route    string
-	endpoint string
+	// orderNumber is the rollout's order number. Nothing is recorded for a later rollout.
+	orderNumber uint64
+	route       string
+	endpointID  string
 	// typicalLatency is the route's typical latency. It is 0 while that is not known, and if
 	// the endpoint is warming up: the attempt's duration is then no evidence about the version.
 	typicalLatency time.Duration
@@ -25,7 +25,7 @@
 	timer          *time.Timer
 }
 
-// newRolloutRecorder returns the recorder of an attempt, or nil if no roll-out is in progress.
+// newRolloutRecorder returns the recorder of an attempt, or nil if no rollout is in progress.
 // An attempt at the target version is recorded as slow as soon as it exceeds the limit, not
 // when it ends.
 func (s *service) newRolloutRecorder(p *Proxy, q *request, e *loadbalance.Endpoint, group loadbalance.VersionGroup) *rolloutRecorder {
@@ -36,11 +36,11 @@
 		return nil
 	}
 	r := &rolloutRecorder{
-		service:  s,
-		group:    group,
-		order:    current.OrderNumber,
-		route:    q.route.Name,
-		endpoint: e.ID,
+		service:     s,
+		group:       group,
+		orderNumber: current.OrderNumber,
+		route:       q.route.Name,
+		endpointID:  e.ID,
 	}
 	if !isWarmingUp {
 		r.typicalLatency = q.stats.typicalLatency()
@@ -93,12 +93,12 @@
 	r.record(counts)
 }
 
-// record adds counts to the evidence of the roll-out, if that is still in progress.
+// record adds counts to the evidence of the rollout, if that is still in progress.
 func (r *rolloutRecorder) record(counts rollout.Counts) {
 	r.service.mu.Lock()
 	defer r.service.mu.Unlock()
 	state := &r.service.rollout
-	if state.OrderNumber != r.order || state.State != rollout.InProgress {
+	if state.OrderNumber != r.orderNumber || state.State != rollout.InProgress {
 		return
 	}
 	if state.evidence == nil {
@@ -106,7 +106,7 @@
 	}
 	routeCounts := rollout.NewBaseCounts(counts)
 	if r.group == loadbalance.TargetVersion {
-		routeCounts = rollout.NewTargetCounts(r.endpoint, counts)
+		routeCounts = rollout.NewTargetCounts(r.endpointID, counts)
 	}
 	state.evidence.Add(rollout.Evidence{r.route: routeCounts})
 }
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -200,24 +200,25 @@
 	return s.pool.Pick(now, rand.Float64, skip), limit
 }
 
-// releaseEndpoint ends a request on an endpoint and wakes the first waiter in the queue.
-// latencyRatio is the request's latency divided by the route's typical latency; 0 if unknown.
-func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, isSuccess bool, latencyRatio float64) {
+// releaseEndpoint ends a request on an endpoint and wakes the first waiter in the queue. If ok is
+// false, the request failed through a fault of the endpoint, which is ejected. latencyRatio is the
+// request's latency divided by the route's typical latency; 0 if unknown.
+func (s *service) releaseEndpoint(p *Proxy, e *loadbalance.Endpoint, ok bool, latencyRatio float64) {
 	s.mu.Lock()
 	if conns := s.connPools[e]; conns != nil {
 		e.IdleConnections = conns.countIdle()
 	}
-	s.pool.Finish(p.now(), e, isSuccess, latencyRatio)
+	s.pool.Finish(p.now(), e, ok, latencyRatio)
 	s.queue.wakeFirst()
 	s.mu.Unlock()
-	if !isSuccess {
+	if !ok {
 		p.counters.ejections.Inc()
 	}
 }
 
-// recordRejection releases an endpoint whose response, with the given status, states that the
+// recordUnprocessed releases an endpoint whose response, with the given status, states that the
 // request was not processed. The endpoint is ejected if it does not serve the service.
-func (s *service) recordRejection(p *Proxy, e *loadbalance.Endpoint, status int) {
+func (s *service) recordUnprocessed(p *Proxy, e *loadbalance.Endpoint, status int) {
 	if status == statusMisdirected {
 		s.releaseEndpoint(p, e, false, 0)
 		return
@@ -235,9 +236,9 @@
 	s.pool.RecordServerError(e)
 }
 
-// recordBrokenStream records that an endpoint truncated a response that was streamed after the
-// endpoint was released.
-func (s *service) recordBrokenStream(p *Proxy, e *loadbalance.Endpoint) {
+// recordTruncatedStream records that an endpoint, which was already released, truncated a response
+// that was being streamed. The endpoint is ejected.
+func (s *service) recordTruncatedStream(p *Proxy, e *loadbalance.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.RecordFailure(p.now(), e)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -76,7 +76,7 @@
 }
 
 // recordLatency returns a response's latency divided by the route's typical latency, and updates
-// the typical latency. The first response sets it; later responses of a roll-out's target version,
+// the typical latency. The first response sets it; later responses of a rollout's target version,
 // for which isBaseVersion is false, do not change it.
 func (s *routeStats) recordLatency(seconds float64, isBaseVersion bool) float64 {
 	s.mu.Lock()
--- a/internal/proxy/timeouts.go
+++ b/internal/proxy/timeouts.go
@@ -9,7 +9,8 @@
 // timeouts holds the durations that this node uses. All of them are derived from the settings, by
 // deriveTimeouts.
 type timeouts struct {
-	// dial is the timeout for connecting to an endpoint.
+	// dial is the timeout for connecting to an endpoint. It is also the unit of retry intervals and
+	// other short waits.
 	dial time.Duration
 	// tcpUserTimeout is how long data sent to an endpoint may remain unacknowledged
 	// (TCP_USER_TIMEOUT).
@@ -21,9 +22,10 @@
 	// for.
 	maxStreamSilence time.Duration
 	// openHedgeDelay is how long a control-plane node may take to respond to a list request before
-	// another node is tried concurrently.
+	// another node is tried concurrently. For a watch request, it is half as long.
 	openHedgeDelay time.Duration
-	// openStream is the timeout for the response that opens a stream.
+	// openStream is the timeout for the response that opens a stream, and for connecting to the node
+	// if a watch is requested.
 	openStream time.Duration
 	// reportInterval is the interval between reports to the control plane.
 	reportInterval time.Duration
@@ -37,11 +39,11 @@
 	ejectionBase time.Duration
 	ejectionMax  time.Duration
 	// rolloutLease is how long this node sends requests to a target version without receiving a
-	// bookmark that confirms the roll-out.
+	// bookmark that confirms the rollout.
 	rolloutLease time.Duration
-	// slowStartGrant is how long a quota grant for an endpoint that is warming up is valid, from
+	// quotaGrantLifetime is how long a quota grant for an endpoint that is warming up is valid, from
 	// the report that the grant responds to.
-	slowStartGrant time.Duration
+	quotaGrantLifetime time.Duration
 }
 
 // deriveTimeouts derives the durations from the settings.
@@ -50,18 +52,18 @@
 	propagation := s.PropagationBound()
 	silence := propagation * 3 / 10
 	return timeouts{
-		dial:             contact / 20,
-		tcpUserTimeout:   contact / 6,
-		defaultKeepAlive: contact,
-		maxStreamSilence: silence,
-		openHedgeDelay:   propagation / 4,
-		openStream:       contact / 2,
-		reportInterval:   2 * silence / 3,
-		minRateSpan:      silence / 3,
-		feedbackValidity: 8 * silence / 3,
-		ejectionBase:     contact / 6,
-		ejectionMax:      contact,
-		rolloutLease:     s.RolloutLease(),
-		slowStartGrant:   s.QuotaGrantLifetime(),
+		dial:               contact / 20,
+		tcpUserTimeout:     contact / 6,
+		defaultKeepAlive:   contact,
+		maxStreamSilence:   silence,
+		openHedgeDelay:     propagation / 4,
+		openStream:         contact / 2,
+		reportInterval:     2 * silence / 3,
+		minRateSpan:        silence / 3,
+		feedbackValidity:   8 * silence / 3,
+		ejectionBase:       contact / 6,
+		ejectionMax:        contact,
+		rolloutLease:       s.RolloutLease(),
+		quotaGrantLifetime: s.QuotaGrantLifetime(),
 	}
 }
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -13,8 +13,8 @@
 	errNearerNode = errors.New("proxy: a nearer control-plane node is known")
 	// errReferredToCore means that a relay listed the core nodes instead of opening a stream.
 	errReferredToCore = errors.New("proxy: referred to the core by a relay")
-	// errStreamTimeout means that a stream was silent and another node opened one instead.
-	errStreamTimeout = errors.New("proxy: stream is silent and another control-plane node answered")
+	// errSilentStream means that a stream was silent and another node opened one instead.
+	errSilentStream = errors.New("proxy: stream is silent and another control-plane node answered")
 	// errRejected means that a control-plane node rejected the request for a stream.
 	errRejected = errors.New("proxy: rejected by the control-plane node")
 	// errReadTooSlow means that this proxy read its stream too slowly and events were dropped.
@@ -165,7 +165,7 @@
 	}
 	if f.Bookmark != nil {
 		p.applyBookmark(f.Bookmark)
-		if p.shouldMoveNearer(s) {
+		if p.shouldSearchNearer(s) {
 			p.hasSearchedNearer = true
 			return errNearerNode
 		}
@@ -195,10 +195,10 @@
 	}
 }
 
-// shouldMoveNearer reports whether a nearer node should be searched for. After the first search, it
-// does so only once the stream has been open for some time, as a nearer node may have been left
+// shouldSearchNearer reports whether a nearer node should be searched for. After the first search,
+// this is so only once the stream has been open for some time, as a nearer node may have been left
 // because it was unhealthy.
-func (p *Proxy) shouldMoveNearer(s *watchStream) bool {
+func (p *Proxy) shouldSearchNearer(s *watchStream) bool {
 	if !p.controlNodes.HasNearer(s.addr) {
 		return false
 	}
