--- a/tests/rolling/checks.go
+++ b/tests/rolling/checks.go
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// checkNodes asks every control-plane node by itself for all that was acknowledged.
+// checkNodes checks at each control-plane node that all acknowledged state is present.
 func (s *session) checkNodes(ctx context.Context, isFinal bool) error {
 	if err := s.waitForEndpoints(ctx); err != nil {
 		return err
@@ -25,26 +25,26 @@
 	return nil
 }
 
-// checkNode asks one control-plane node.
+// checkNode checks the acknowledged state at one control-plane node.
 func (s *session) checkNode(ctx context.Context, ip string, isFinal bool) error {
 	status, err := s.waitForNode(ctx, ip, 0)
 	if err != nil {
 		return err
 	}
-	if status.ConfigVersion != uint64(s.configuration) {
-		s.findings.addf("%s: status has configuration %d, want %d", ip, status.ConfigVersion, s.configuration)
+	if status.ConfigVersion != uint64(s.configVersion) {
+		s.findings.addf("%s: config_version in the status = %d, want %d", ip, status.ConfigVersion, s.configVersion)
 	}
 	c := newClient(controlAddress(ip))
 	if err := s.checkConfiguration(ctx, c); err != nil {
 		return err
 	}
-	for _, name := range cells {
+	for _, name := range cellNames {
 		if err := readCell(ctx, c, s.history, name); err != nil {
 			return err
 		}
 	}
 	upTo := s.history.highestRevision()
-	if err := resumeWatch(ctx, c, s.history, "watch resumed at "+ip, s.load.from, upTo, isFinal); err != nil {
+	if err := resumeWatch(ctx, c, s.history, "watch resumed at "+ip, s.load.startRevision, upTo, isFinal); err != nil {
 		return err
 	}
 	if err := s.checkEvacuation(ctx, c); err != nil {
@@ -56,7 +56,7 @@
 	return waitFor(ctx, func() error { return s.checkDirectory(ctx, ip) })
 }
 
-// checkConfiguration compares the configuration that reads with the one acknowledged.
+// checkConfiguration checks that the current configuration is the last acknowledged one.
 func (s *session) checkConfiguration(ctx context.Context, c *client) error {
 	var text json.RawMessage
 	status, err := c.rpc(ctx, "configuration.read", "", nil, &text)
@@ -64,12 +64,12 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("configuration: status %d", status)
+		return fmt.Errorf("configuration.read: status %d, want 200", status)
 	}
-	return compareJSON(text, []byte(configurationText(s.configuration)))
+	return compareJSON(text, []byte(configurationText(s.configVersion)))
 }
 
-// compareJSON returns an error if two texts do not mean the same.
+// compareJSON returns an error if two JSON texts encode different values.
 func compareJSON(got, want []byte) error {
 	var g, w any
 	if err := errors.Join(json.Unmarshal(got, &g), json.Unmarshal(want, &w)); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// checkEvacuation checks that the evacuated zone, and no other, is so.
+// checkEvacuation checks that evacuatedZone is the only evacuated zone.
 func (s *session) checkEvacuation(ctx context.Context, c *client) error {
 	var answer struct {
 		Zones map[string]string `json:"zones"`
@@ -91,12 +91,12 @@
 		return err
 	}
 	if want := map[string]string{evacuatedZone: "evacuated"}; status != http.StatusOK || !maps.Equal(answer.Zones, want) {
-		return fmt.Errorf("evacuations: status %d, %v, want %v", status, answer.Zones, want)
+		return fmt.Errorf("evacuations.read: status %d, zones %v, want %v", status, answer.Zones, want)
 	}
 	return nil
 }
 
-// checkDirectory checks that a node's directory names the proxy.
+// checkDirectory checks that a node's directory resolves helloHost to the proxy.
 func (s *session) checkDirectory(ctx context.Context, ip string) error {
 	url := "http://" + ip + ":" + directoryPort + "/api/resolve?zone=here&name=" + helloHost
 	status, text, err := s.client.attempt(ctx, http.MethodGet, url, nil)
@@ -110,16 +110,16 @@
 		return err
 	}
 	if want := []string{proxyIP + ":" + frontendPort}; status != http.StatusOK || !slices.Equal(answer.Addresses, want) {
-		return fmt.Errorf("directory: status %d, %s, want %v", status, text, want)
+		return fmt.Errorf("resolve of the proxy: status %d, %s, want %v", status, text, want)
 	}
 	return nil
 }
 
-// checkAtEnd reads back everything once nothing is under way.
-func (s *session) checkAtEnd(ctx context.Context) error {
-	fmt.Println("read back")
+// checkFinalState reads back all acknowledged state after the load has stopped.
+func (s *session) checkFinalState(ctx context.Context) error {
+	fmt.Println("final check")
 	if err := s.checkNodes(ctx, true); err != nil {
-		return fmt.Errorf("read back: %w", err)
+		return fmt.Errorf("final check: %w", err)
 	}
 	s.history.checkAll()
 	if err := s.checkHeldLock(ctx); err != nil {
@@ -128,7 +128,7 @@
 	for _, v := range []programs{s.cluster.first, s.cluster.second} {
 		text, err := s.cluster.runCommand(ctx, v, "config", "read")
 		if err == nil {
-			err = compareJSON(text, []byte(configurationText(s.configuration)))
+			err = compareJSON(text, []byte(configurationText(s.configVersion)))
 		}
 		if err == nil {
 			_, err = s.cluster.runCommand(ctx, v, "status")
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// checkHeldLock checks that the held lock has kept its fence, which a renewal names, and that the
-// next holder gets one above all others.
+// checkHeldLock checks that the held lock can be renewed with its fencing token, and that the next
+// holder gets a token higher than all earlier ones.
 func (s *session) checkHeldLock(ctx context.Context) error {
 	if err := s.load.renewHeldLock(ctx, 0); err != nil {
 		return err
@@ -155,38 +155,38 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("lock that was given back: status %d", status)
+		return fmt.Errorf("acquiring a released lock: status %d, want 200", status)
 	}
 	s.history.addFence(before, fence)
 	return nil
 }
 
-// releaseHeldLock gives the held lock back. A leader that has not led for long withholds a release, as
-// it may be older than an acquisition that it does not know of (docs/notes/locks.md): the holder
-// keeps the lock, its next acquisition must give it a new fence, and the release under that one must
-// free the lock.
+// releaseHeldLock releases the held lock. A recently elected leader withholds a release, as it may be
+// older than an acquisition that the leader does not know of (docs/notes/locks.md). The holder then
+// keeps the lock: its next acquisition must return a new fencing token, and a release with that token
+// must free the lock.
 func (s *session) releaseHeldLock(ctx context.Context) error {
 	release := func() error {
-		_, err := s.client.rpc(ctx, "locks.finish", heldLock, map[string]any{"holder": heldLockBy, "fence": s.load.held}, nil)
+		_, err := s.client.rpc(ctx, "locks.finish", heldLock, map[string]any{"holder": heldLockHolder, "fence": s.load.heldFence}, nil)
 		return err
 	}
 	if err := release(); err != nil {
 		return err
 	}
 	before := s.history.highestFence()
-	status, fence, err := s.load.acquire(ctx, heldLock, heldLockBy, heldLease)
+	status, fence, err := s.load.acquire(ctx, heldLock, heldLockHolder, heldLease)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("lock that its holder acquires after a release: status %d", status)
+		return fmt.Errorf("acquiring a lock again after its release by the same holder: status %d, want 200", status)
 	}
 	s.history.addFence(before, fence)
-	s.load.held = fence
+	s.load.heldFence = fence
 	return release()
 }
 
-// checkAudit checks that the audit log holds each late request once.
+// checkAudit checks that the audit log has exactly one failure of kind late for each late request.
 func (s *session) checkAudit(ctx context.Context, c *client) error {
 	var answer struct {
 		Failures []struct {
@@ -201,7 +201,7 @@
 			return err
 		}
 		if status != http.StatusOK || len(answer.Failures) != 1 || answer.Failures[0].Kind != "late" || answer.Failures[0].Tenant != "tenant" {
-			return fmt.Errorf("audit log of request %s: status %d, %+v; want one late answer", request, status, answer.Failures)
+			return fmt.Errorf("audit log of request %s: status %d, %+v; want one failure of kind late", request, status, answer.Failures)
 		}
 	}
 	return nil
--- a/tests/rolling/client.go
+++ b/tests/rolling/client.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// callTimeout is how long a caller waits for one node.
-	callTimeout = 3 * time.Second
-	// retryPause stands between two attempts of a call.
-	retryPause = 50 * time.Millisecond
+	// attemptTimeout limits one attempt of a call at one node.
+	attemptTimeout = 3 * time.Second
+	// retryDelay is the delay between two attempts of a call.
+	retryDelay = 50 * time.Millisecond
 )
 
-// client calls the control plane as an application does: it goes on to another node
-// until the answer is clear. All goroutines may use it.
+// client calls the control plane as an application does: it retries a call at the next
+// node until the response is conclusive. It is safe for concurrent use.
 type client struct {
-	http    *http.Client
-	nodes   []string
-	next    atomic.Int64
-	longest atomic.Int64 // nanoseconds of the longest call, with its attempts
-	calls   atomic.Int64
-	retries atomic.Int64
+	http        *http.Client
+	nodes       []string
+	nextNode    atomic.Int64
+	longestCall atomic.Int64 // nanoseconds, all attempts of the call included
+	calls       atomic.Int64
+	retries     atomic.Int64
 }
 
-// newClient returns a client that picks among the given addresses.
+// newClient returns a client that uses the nodes at the given addresses in turn.
 func newClient(nodes ...string) *client {
 	return &client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20}}, nodes: nodes}
 }
 
-// isClear reports whether a status is a clear answer: it says how the call ended, or
-// refuses it for a reason that holds at every node.
-func isClear(status int) bool {
+// isConclusive reports whether a status tells the outcome of the call, or rejects the
+// call for a reason that is the same at every node.
+func isConclusive(status int) bool {
 	return slices.Contains([]int{200, 400, 404, 409, 410, 412, 413, 422}, status)
 }
 
-// rpc makes a call of /api/rpc and reads the answer into answer, if that is not nil.
+// rpc makes a call of /api/rpc and decodes the response body into answer unless that is nil.
 func (c *client) rpc(ctx context.Context, call, of string, body, answer any) (int, error) {
 	path := "/api/rpc?call=" + call
 	if of != "" {
@@ -50,24 +50,24 @@
 	return c.do(ctx, http.MethodPost, path, body, answer)
 }
 
-// do makes a call and repeats it at another node until the answer is clear, ctx
-// ends or upBound has passed. Without a clear answer it returns an error. Whatever
-// is called through it has to bear a repetition.
+// do makes a call and retries it at the next node until the response is conclusive, ctx
+// is done, or operationTimeout has passed. Without a conclusive response it returns an
+// error. The call has to be idempotent.
 func (c *client) do(ctx context.Context, method, path string, body, answer any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, upBound)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	c.calls.Add(1)
 	began := time.Now()
 	defer func() {
 		if ctx.Err() == nil {
-			c.longest.Store(max(c.longest.Load(), int64(time.Since(began)))) // a race loses one figure
+			c.longestCall.Store(max(c.longestCall.Load(), int64(time.Since(began)))) // a concurrent store may overwrite a higher value; the figure is only printed
 		}
 	}()
 	var last error
 	for {
-		node := c.nodes[int(c.next.Add(1))%len(c.nodes)]
+		node := c.nodes[int(c.nextNode.Add(1))%len(c.nodes)]
 		status, text, err := c.attempt(ctx, method, "http://"+node+path, body)
-		if err == nil && isClear(status) {
+		if err == nil && isConclusive(status) {
 			if answer != nil && (status == 200 || status == 412) {
 				err = json.Unmarshal(text, answer)
 			}
@@ -78,17 +78,17 @@
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("%s %s: no clear answer: %w, at last: %w", method, path, ctx.Err(), last)
-		case <-time.After(retryPause):
+			return 0, fmt.Errorf("%s %s: no conclusive response: %w; last error: %w", method, path, ctx.Err(), last)
+		case <-time.After(retryDelay):
 			c.retries.Add(1)
 		}
 	}
 }
 
-// attempt makes one call at one node. A long poll names its own time in the path,
-// which is below callTimeout.
+// attempt makes one call at one node. A long poll sets its own wait in the path,
+// which has to be shorter than attemptTimeout.
 func (c *client) attempt(ctx context.Context, method, url string, body any) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	var reader io.Reader
 	if method == http.MethodPost {
--- a/tests/rolling/cluster.go
+++ b/tests/rolling/cluster.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// The addresses of the machines; the tests under tests/loopback use others. The
-// ports lie below the range from which the system draws ports.
+// The nodes' addresses, which differ from those of the tests under tests/loopback. The
+// ports are below the system's ephemeral port range.
 const (
 	proxyIP       = "127.0.0.64"
 	counterIP     = "127.0.0.67"
@@ -32,10 +32,10 @@
 	endpointIPs = []string{"127.0.0.65", "127.0.0.66"}
 )
 
-// controlAddress returns the address at which a control-plane node serves callers.
+// controlAddress returns the address of a control-plane node's API.
 func controlAddress(ip string) string { return ip + ":" + controlPort }
 
-// controlAddresses returns those of all control-plane nodes.
+// controlAddresses returns the API addresses of all control-plane nodes.
 func controlAddresses() []string {
 	var all []string
 	for _, ip := range coreIPs {
@@ -44,13 +44,13 @@
 	return all
 }
 
-// programs are the paths of one version's programs.
+// programs holds the paths of one version's executables.
 type programs struct {
 	label                                  string // "first" or "second"
 	controlPlane, proxy, command, endpoint string
 }
 
-// findPrograms finds a version's programs by their present or their former names.
+// findPrograms finds a version's executables by their current or their former names.
 func findPrograms(label, directory string) (programs, error) {
 	p := programs{label: label}
 	for _, program := range []struct {
@@ -70,7 +70,7 @@
 			}
 		}
 		if *program.path == "" {
-			return p, fmt.Errorf("%s: none of %s", directory, strings.Join(program.names, ", "))
+			return p, fmt.Errorf("%s: no executable named %s", directory, strings.Join(program.names, " or "))
 		}
 	}
 	return p, nil
@@ -78,25 +78,25 @@
 
 // process is one running program.
 type process struct {
-	name       string
-	command    *exec.Cmd
-	logPath    string
-	mayEnd     atomic.Bool   // it was told to end
-	ended      chan struct{} // closed once it has been waited for
-	exitStatus error         // valid after ended
+	name         string
+	command      *exec.Cmd
+	logPath      string
+	exitExpected atomic.Bool   // set before the process is signaled
+	exited       chan struct{} // closed once Wait has returned
+	exitErr      error         // result of Wait; valid after exited is closed
 }
 
-// cluster is the deployment: its processes, and the directory that holds their
-// settings, data and logs. Only the main goroutine uses it.
+// cluster is the deployment: its processes, and the directory with their settings,
+// data and logs. Only the main goroutine uses it.
 type cluster struct {
 	directory     string
 	first, second programs
 	findings      *findings
 	running       map[string]*process // by node name
-	starts        int
+	startCount    int
 }
 
-// newCluster prepares a deployment with nothing running.
+// newCluster returns a deployment without running processes.
 func newCluster(first, second string, f *findings) (*cluster, error) {
 	c := &cluster{findings: f, running: map[string]*process{}}
 	var err error
@@ -112,8 +112,8 @@
 
 // start starts a program under a node's name.
 func (c *cluster) start(name, program string, args ...string) error {
-	c.starts++
-	p := &process{name: name, logPath: filepath.Join(c.directory, fmt.Sprintf("%02d-%s.log", c.starts, name)), ended: make(chan struct{})}
+	c.startCount++
+	p := &process{name: name, logPath: filepath.Join(c.directory, fmt.Sprintf("%02d-%s.log", c.startCount, name)), exited: make(chan struct{})}
 	log, err := os.Create(p.logPath)
 	if err != nil {
 		return err
@@ -127,55 +127,55 @@
 	}
 	c.running[name] = p
 	go func() {
-		p.exitStatus = p.command.Wait()
-		if !p.mayEnd.Load() {
-			c.findings.addf("%s ended by itself: %v", p.name, p.exitStatus)
+		p.exitErr = p.command.Wait()
+		if !p.exitExpected.Load() {
+			c.findings.addf("%s exited unexpectedly: %v", p.name, p.exitErr)
 		}
-		close(p.ended)
+		close(p.exited)
 	}()
 	return nil
 }
 
-// stop asks a process to end and waits for it. An end that takes longer than upBound
-// or has another status than 0 is a finding; the grace period itself is no bound
-// here, as the machine may be busy.
+// stop sends SIGTERM to a process and waits until it exits. An exit after more than
+// operationTimeout or with a status other than 0 is a finding. The configured grace
+// period is not checked, as a busy machine may exceed it.
 func (c *cluster) stop(name string) {
 	p := c.running[name]
 	delete(c.running, name)
-	p.mayEnd.Store(true)
+	p.exitExpected.Store(true)
 	began := time.Now()
-	_ = p.command.Process.Signal(syscall.SIGTERM) // fails only if it has ended
+	_ = p.command.Process.Signal(syscall.SIGTERM) // fails only if it has exited
 	select {
-	case <-p.ended:
-		if p.exitStatus != nil {
-			c.findings.addf("%s after SIGTERM: %v", name, p.exitStatus)
+	case <-p.exited:
+		if p.exitErr != nil {
+			c.findings.addf("%s after SIGTERM: %v", name, p.exitErr)
 		}
-	case <-time.After(upBound):
-		c.findings.addf("%s did not end within %v after SIGTERM", name, upBound)
-		_ = p.command.Process.Kill() // fails only if it has ended
-		<-p.ended
+	case <-time.After(operationTimeout):
+		c.findings.addf("%s did not exit within %v after SIGTERM", name, operationTimeout)
+		_ = p.command.Process.Kill() // fails only if it has exited
+		<-p.exited
 	}
-	fmt.Printf("  %s ended after %.1f s\n", name, time.Since(began).Seconds())
+	fmt.Printf("  %s exited after %.1f s\n", name, time.Since(began).Seconds())
 }
 
-// kill ends processes with SIGKILL, all before the first is waited for.
+// kill sends SIGKILL to all named processes and then waits for each.
 func (c *cluster) kill(names ...string) {
 	for _, name := range names {
 		p := c.running[name]
-		p.mayEnd.Store(true)
-		_ = p.command.Process.Kill() // fails only if it has ended
+		p.exitExpected.Store(true)
+		_ = p.command.Process.Kill() // fails only if it has exited
 	}
 	for _, name := range names {
-		<-c.running[name].ended
+		<-c.running[name].exited
 		delete(c.running, name)
 	}
 }
 
-// killAll ends all running processes.
+// killAll kills all running processes.
 func (c *cluster) killAll() { c.kill(slices.Collect(maps.Keys(c.running))...) }
 
-// startControlPlane starts a control-plane node; bootstrap holds for the first start
-// of all, on empty data directories.
+// startControlPlane starts a control-plane node. bootstrap is true only for the first
+// start of the deployment, with empty data directories.
 func (c *cluster) startControlPlane(v programs, ip string, bootstrap bool) error {
 	data := filepath.Join(c.directory, "data-"+ip)
 	if err := os.MkdirAll(data, 0o700); err != nil {
@@ -199,16 +199,16 @@
 	return c.start(proxyIP, v.proxy, "--config", path)
 }
 
-// startEndpoint starts a stand-in endpoint; each start is another instance.
+// startEndpoint starts a process of examples/endpoint as the instance id.
 func (c *cluster) startEndpoint(v programs, ip, id string) error {
 	return c.start(ip, v.endpoint, "--id", id, "--service", helloService, "--listen", ip+":0",
 		"--control", strings.Join(controlAddresses(), ","))
 }
 
 // writeSettings writes a node's settings file and returns its path. The bounds are
-// wide, so that a loaded machine does not look like a failing one. The disk is small,
-// so that a node compacts its log after some hundred entries: each start reads a
-// snapshot, and a node that was down for downTime may be sent one by the leader.
+// wide, so that a busy machine is not taken for a failed one. The disk limit is low, so
+// that a node compacts its log after some hundred entries: each start then reads a
+// snapshot, and the leader may have to send one to a node that was down for downTime.
 func (c *cluster) writeSettings(ip, serves, listen, data string, bootstrap bool) (string, error) {
 	path := filepath.Join(c.directory, ip+".toml")
 	text := fmt.Sprintf(settingsTemplate, ip, serves, ip, strings.Join(controlAddresses(), `","`), bootstrap, data != "", data,
@@ -267,9 +267,9 @@
 request_header = "X-Request-Id"
 `
 
-// runCommand runs a version's command line against all control-plane nodes.
+// runCommand runs a version's lichentrayctl with the addresses of all control-plane nodes.
 func (c *cluster) runCommand(ctx context.Context, v programs, args ...string) ([]byte, error) {
-	args = append(args, "--timeout", upBound.String(), "--nodes", strings.Join(controlAddresses(), ","))
+	args = append(args, "--timeout", operationTimeout.String(), "--nodes", strings.Join(controlAddresses(), ","))
 	output, err := exec.CommandContext(ctx, v.command, args...).Output()
 	if err != nil {
 		var exit *exec.ExitError
@@ -284,9 +284,9 @@
 // logTail is how many lines of each log are printed after a failure.
 const logTail = 8
 
-// countInLogs counts the lines of all logs that contain a text.
+// countInLogs returns how often a text occurs in the logs of all processes.
 func (c *cluster) countInLogs(text string) int {
-	paths, _ := filepath.Glob(filepath.Join(c.directory, "*.log")) // fails only on a bad pattern
+	paths, _ := filepath.Glob(filepath.Join(c.directory, "*.log")) // fails only on a malformed pattern
 	count := 0
 	for _, path := range paths {
 		log, err := os.ReadFile(path)
@@ -300,7 +300,7 @@
 
 // printLogs prints the last lines of every process's log.
 func (c *cluster) printLogs() {
-	paths, _ := filepath.Glob(filepath.Join(c.directory, "*.log")) // fails only on a bad pattern
+	paths, _ := filepath.Glob(filepath.Join(c.directory, "*.log")) // fails only on a malformed pattern
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
--- a/tests/rolling/findings.go
+++ b/tests/rolling/findings.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// maxFindings bounds what is kept; the first ones tell most.
+// maxFindings limits the findings that are kept; the first ones are closest to the cause.
 const maxFindings = 20
 
-// errFindings ends a run after a step in which something was found to be wrong.
-var errFindings = errors.New("the run ends here because of what was found")
+// errFindings ends a run after a step with findings.
+var errFindings = errors.New("run aborted because of findings")
 
-// findings collects what was found to be wrong. Its zero value is empty, and all
-// goroutines may use it.
+// findings collects the violations found in a run. Its zero value is empty and ready
+// for use. It is safe for concurrent use.
 type findings struct {
 	mu    sync.Mutex
 	count int
@@ -37,5 +37,5 @@
 	if f.count == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d findings, the first ones:\n%w", f.count, errors.Join(f.errs...))
+	return fmt.Errorf("%d findings, the first of them:\n%w", f.count, errors.Join(f.errs...))
 }
--- a/tests/rolling/history.go
+++ b/tests/rolling/history.go
@@ -10,150 +10,150 @@
 // put is one acknowledged put of a cell.
 type put struct{ name, value string }
 
-// event is a put as a watch shows it.
+// event is a put as a watch reports it.
 type event struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// read is what a read of a cell gave.
+// read is the result of reading a cell.
 type read struct {
 	put
 	revision uint64
 }
 
-// history is what the control plane has acknowledged, and tells from it whether an
-// answer is possible. All goroutines may use it.
+// history records what the control plane has acknowledged, and reports each response
+// that contradicts it as a finding. It is safe for concurrent use.
 type history struct {
 	mu       sync.Mutex
 	findings *findings
 
-	numbers map[uint64]bool
-	number  uint64 // the highest drawn
-	fences  map[uint64]bool
-	fence   uint64            // the highest granted
-	puts    map[uint64]put    // by revision; all puts of one group
-	newest  map[string]uint64 // the highest revision acknowledged, by cell
-	group   uint64            // the highest revision acknowledged in the group
-	refused map[string]bool   // values that no put may have left
-	reads   map[read]bool
+	numbers       map[uint64]bool
+	maxNumber     uint64 // the highest allocated
+	fences        map[uint64]bool
+	maxFence      uint64            // the highest granted
+	puts          map[uint64]put    // by revision; all puts of one group
+	cellRevisions map[string]uint64 // the highest acknowledged revision, by cell
+	maxRevision   uint64            // the highest acknowledged revision in the group
+	rejected      map[string]bool   // values of rejected puts, which no cell may have
+	reads         map[read]bool
 }
 
 // newHistory returns an empty history.
 func newHistory(f *findings) *history {
 	return &history{
-		findings: f,
-		numbers:  map[uint64]bool{},
-		fences:   map[uint64]bool{},
-		puts:     map[uint64]put{},
-		newest:   map[string]uint64{},
-		refused:  map[string]bool{},
-		reads:    map[read]bool{},
+		findings:      f,
+		numbers:       map[uint64]bool{},
+		fences:        map[uint64]bool{},
+		puts:          map[uint64]put{},
+		cellRevisions: map[string]uint64{},
+		rejected:      map[string]bool{},
+		reads:         map[read]bool{},
 	}
 }
 
-// highestNumber returns the highest number drawn so far.
+// highestNumber returns the highest number allocated so far.
 func (h *history) highestNumber() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.number
+	return h.maxNumber
 }
 
-// addNumber takes a number whose call was sent when before was the highest.
+// addNumber records an allocated number; before was the highest when the call was sent.
 func (h *history) addNumber(before, value uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if value <= before {
-		h.findings.addf("number %d is not above %d, which was given before the call", value, before)
+		h.findings.addf("number %d is not above %d, which was allocated before the call", value, before)
 	}
 	if h.numbers[value] {
-		h.findings.addf("number %d was given twice", value)
+		h.findings.addf("number %d was allocated twice", value)
 	}
 	h.numbers[value] = true
-	h.number = max(h.number, value)
+	h.maxNumber = max(h.maxNumber, value)
 }
 
-// highestFence returns the highest fence granted so far.
+// highestFence returns the highest fencing token granted so far.
 func (h *history) highestFence() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fence
+	return h.maxFence
 }
 
-// addFence takes the fence of a new holder whose call was sent when before was the
-// highest.
+// addFence records the fencing token of a new lock holder; before was the highest when
+// the call was sent.
 func (h *history) addFence(before, fence uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if fence <= before {
-		h.findings.addf("fence %d is not above %d, which was granted before the call", fence, before)
+		h.findings.addf("fencing token %d is not above %d, which was granted before the call", fence, before)
 	}
 	if h.fences[fence] {
-		h.findings.addf("fence %d was granted twice", fence)
+		h.findings.addf("fencing token %d was granted twice", fence)
 	}
 	h.fences[fence] = true
-	h.fence = max(h.fence, fence)
+	h.maxFence = max(h.maxFence, fence)
 }
 
 // highestRevision returns the highest revision of the group so far.
 func (h *history) highestRevision() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.group
+	return h.maxRevision
 }
 
-// addPut takes an acknowledged put whose call was sent when before was the group's
-// highest revision.
+// addPut records an acknowledged put; before was the group's highest revision when the
+// call was sent.
 func (h *history) addPut(before, revision uint64, p put) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if revision <= before {
-		h.findings.addf("put of %v: revision %d is not above %d, which was given before the call", p, revision, before)
+		h.findings.addf("put of %v: revision %d is not above %d, which was assigned before the call", p, revision, before)
 	}
 	if other, taken := h.puts[revision]; taken {
-		h.findings.addf("revision %d was given to %v and to %v", revision, other, p)
+		h.findings.addf("revision %d was assigned to %v and to %v", revision, other, p)
 	}
 	h.puts[revision] = p
-	h.newest[p.name] = max(h.newest[p.name], revision)
-	h.group = max(h.group, revision)
+	h.cellRevisions[p.name] = max(h.cellRevisions[p.name], revision)
+	h.maxRevision = max(h.maxRevision, revision)
 }
 
-// addRefused takes the value of a put that was turned away.
-func (h *history) addRefused(value string) {
+// addRejected records the value of a put that is expected to be rejected.
+func (h *history) addRejected(value string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.refused[value] = true
+	h.rejected[value] = true
 }
 
-// newestOf returns the highest acknowledged revision of a cell.
-func (h *history) newestOf(name string) uint64 {
+// latestRevision returns the highest acknowledged revision of a cell.
+func (h *history) latestRevision(name string) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.newest[name]
+	return h.cellRevisions[name]
 }
 
-// addRead takes what a read gave that was sent when before was the cell's highest
-// revision. The value is compared at the end, when all puts are known.
+// addRead records the result of a read; before was the cell's highest revision when the
+// call was sent. checkAll compares the value, once all puts are known.
 func (h *history) addRead(before uint64, r read) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r.revision < before {
-		h.findings.addf("cell %s reads at revision %d, below the acknowledged %d", r.name, r.revision, before)
+		h.findings.addf("read of cell %s returned revision %d, below the acknowledged %d", r.name, r.revision, before)
 	}
 	h.reads[r] = true
 }
 
-// checkEvents checks the events of a watch that began after a revision: they follow
-// each other without a gap and are the acknowledged puts. While isFinal is false, a
-// put that is not acknowledged yet is left to checkAll.
+// checkEvents checks the events of a watch that started after a revision: their
+// revisions are consecutive and they are the acknowledged puts. While isFinal is false,
+// the check of a put that is not acknowledged yet is left to checkAll.
 func (h *history) checkEvents(who string, after uint64, events []event, isFinal bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, e := range events {
 		want := after + uint64(i) + 1
 		if e.Revision != want {
-			h.findings.addf("%s: event %v where revision %d was due", who, e, want)
+			h.findings.addf("%s: got event %v, want revision %d", who, e, want)
 			return
 		}
 		if err := h.checkPut(put{e.Name, e.Value}, e.Revision, isFinal); err != nil {
@@ -163,18 +163,18 @@
 			h.reads[read{put{e.Name, e.Value}, e.Revision}] = true
 		}
 	}
-	if last := after + uint64(len(events)); isFinal && last != h.group {
-		h.findings.addf("%s: the events end at revision %d, the acknowledged puts at %d", who, last, h.group)
+	if last := after + uint64(len(events)); isFinal && last != h.maxRevision {
+		h.findings.addf("%s: last event has revision %d, last acknowledged put %d", who, last, h.maxRevision)
 	}
 }
 
-// checkPut tells whether a value under a revision is as acknowledged. The caller
-// holds the lock.
+// checkPut returns an error if a value at a revision contradicts the acknowledged puts.
+// The caller holds mu.
 func (h *history) checkPut(p put, revision uint64, isFinal bool) error {
 	known, acknowledged := h.puts[revision]
 	switch {
-	case h.refused[p.value]:
-		return fmt.Errorf("%v at revision %d was refused", p, revision)
+	case h.rejected[p.value]:
+		return fmt.Errorf("%v at revision %d is of a rejected put", p, revision)
 	case !acknowledged && isFinal:
 		return fmt.Errorf("%v at revision %d was never put", p, revision)
 	case acknowledged && known != p:
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// checkAll checks, once no call is under way, that the revisions of the group have
-// no gap and that every read gave what was put.
+// checkAll checks that the revisions of the group have no gap and that every read
+// returned an acknowledged put. It is called after the last call has returned.
 func (h *history) checkAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/tests/rolling/history_test.go
+++ b/tests/rolling/history_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newTestHistory returns a history with three puts, a number and a fence.
+// newTestHistory returns a history with three puts, a number and a fencing token.
 func newTestHistory() (*history, *findings) {
 	f := &findings{}
 	h := newHistory(f)
@@ -16,50 +16,50 @@
 	h.addPut(0, 1, put{"g.a", "a1"})
 	h.addPut(1, 2, put{"g.b", "b1"})
 	h.addPut(2, 3, put{"g.a", "a2"})
-	h.addRefused("bad")
+	h.addRejected("bad")
 	return h, f
 }
 
-func TestHistoryFindsWhatCannotBe(t *testing.T) {
+func TestHistoryFindsViolations(t *testing.T) {
 	whole := []event{{"g.a", "a1", 1}, {"g.b", "b1", 2}, {"g.a", "a2", 3}}
 	for _, test := range []struct {
 		name string
 		add  func(*history)
-		want string // a part of the only finding; "" if there must be none
+		want string // substring of the only finding; "" if none is expected
 	}{
-		{"number above", func(h *history) { h.addNumber(5, 7) }, ""},
-		{"number below one drawn while it was under way", func(h *history) { h.addNumber(4, 5+1); h.addNumber(5, 9) }, ""},
-		{"number backwards", func(h *history) { h.addNumber(5, 4) }, "number 4 is not above 5"},
-		{"number twice", func(h *history) { h.addNumber(4, 5) }, "number 5 was given twice"},
-		{"fence above", func(h *history) { h.addFence(6, 8) }, ""},
-		{"fence backwards", func(h *history) { h.addFence(6, 3) }, "fence 3 is not above 6"},
-		{"fence twice", func(h *history) { h.addFence(5, 6) }, "fence 6 was granted twice"},
-		{"revision backwards", func(h *history) { h.addPut(9, 4, put{"g.a", "a3"}) }, "revision 4 is not above 9"},
-		{"revision twice", func(h *history) { h.addPut(2, 3, put{"g.b", "b2"}) }, "revision 3 was given to"},
-		{"revision left out", func(h *history) { h.addPut(3, 5, put{"g.b", "b2"}); h.checkAll() }, "put 4 of the group has revision 5"},
-		{"read of the newest", func(h *history) { h.addRead(3, read{put{"g.a", "a2"}, 3}); h.checkAll() }, ""},
-		{"read of an old revision", func(h *history) { h.addRead(3, read{put{"g.a", "a1"}, 1}); h.checkAll() }, "cell g.a reads at revision 1, below the acknowledged 3"},
+		{"higher number", func(h *history) { h.addNumber(5, 7) }, ""},
+		{"number below one allocated by a concurrent call", func(h *history) { h.addNumber(4, 5+1); h.addNumber(5, 9) }, ""},
+		{"lower number", func(h *history) { h.addNumber(5, 4) }, "number 4 is not above 5"},
+		{"duplicate number", func(h *history) { h.addNumber(4, 5) }, "number 5 was allocated twice"},
+		{"higher fencing token", func(h *history) { h.addFence(6, 8) }, ""},
+		{"lower fencing token", func(h *history) { h.addFence(6, 3) }, "fencing token 3 is not above 6"},
+		{"duplicate fencing token", func(h *history) { h.addFence(5, 6) }, "fencing token 6 was granted twice"},
+		{"lower revision", func(h *history) { h.addPut(9, 4, put{"g.a", "a3"}) }, "revision 4 is not above 9"},
+		{"duplicate revision", func(h *history) { h.addPut(2, 3, put{"g.b", "b2"}) }, "revision 3 was assigned to"},
+		{"missing revision", func(h *history) { h.addPut(3, 5, put{"g.b", "b2"}); h.checkAll() }, "put 4 of the group has revision 5"},
+		{"read of the latest revision", func(h *history) { h.addRead(3, read{put{"g.a", "a2"}, 3}); h.checkAll() }, ""},
+		{"read of an old revision", func(h *history) { h.addRead(3, read{put{"g.a", "a1"}, 1}); h.checkAll() }, "read of cell g.a returned revision 1, below the acknowledged 3"},
 		{"read of another value", func(h *history) { h.addRead(3, read{put{"g.a", "a1"}, 3}); h.checkAll() }, "but {g.a a2} was put"},
 		{"read of another cell's value", func(h *history) { h.addRead(2, read{put{"g.b", "a1"}, 2}); h.checkAll() }, "but {g.b b1} was put"},
-		{"read of a refused value", func(h *history) { h.addRead(3, read{put{"g.a", "bad"}, 4}); h.checkAll() }, "was refused"},
+		{"read of a rejected value", func(h *history) { h.addRead(3, read{put{"g.a", "bad"}, 4}); h.checkAll() }, "is of a rejected put"},
 		{"read of an unknown value", func(h *history) { h.addRead(3, read{put{"g.a", "a9"}, 4}); h.checkAll() }, "was never put"},
 		{"watch", func(h *history) { h.checkEvents("w", 0, whole, true) }, ""},
 		{"watch resumed", func(h *history) { h.checkEvents("w", 1, whole[1:], true) }, ""},
-		{"watch of a put under way", func(h *history) {
+		{"watch of a put in progress", func(h *history) {
 			h.checkEvents("w", 3, []event{{"g.b", "b2", 4}}, false)
 			h.addPut(3, 4, put{"g.b", "b2"})
 			h.checkAll()
 		}, ""},
-		{"watch of a put under way with another value", func(h *history) {
+		{"watch of a put in progress with another value", func(h *history) {
 			h.checkEvents("w", 3, []event{{"g.b", "b9", 4}}, false)
 			h.addPut(3, 4, put{"g.b", "b2"})
 			h.checkAll()
 		}, "but {g.b b2} was put"},
-		{"watch with an event left out", func(h *history) { h.checkEvents("w", 0, []event{whole[0], whole[2]}, true) }, "where revision 2 was due"},
-		{"watch with an event twice", func(h *history) { h.checkEvents("w", 0, []event{whole[0], whole[0]}, false) }, "where revision 2 was due"},
-		{"watch that ends early", func(h *history) { h.checkEvents("w", 0, whole[:2], true) }, "the events end at revision 2, the acknowledged puts at 3"},
+		{"watch with a missing event", func(h *history) { h.checkEvents("w", 0, []event{whole[0], whole[2]}, true) }, ", want revision 2"},
+		{"watch with a duplicate event", func(h *history) { h.checkEvents("w", 0, []event{whole[0], whole[0]}, false) }, ", want revision 2"},
+		{"watch that ends early", func(h *history) { h.checkEvents("w", 0, whole[:2], true) }, "last event has revision 2, last acknowledged put 3"},
 		{"watch with another value", func(h *history) { h.checkEvents("w", 2, []event{{"g.a", "a1", 3}}, true) }, "but {g.a a2} was put"},
-		{"watch with a refused value", func(h *history) { h.checkEvents("w", 3, []event{{"g.a", "bad", 4}}, false) }, "was refused"},
+		{"watch with a rejected value", func(h *history) { h.checkEvents("w", 3, []event{{"g.a", "bad", 4}}, false) }, "is of a rejected put"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h, f := newTestHistory()
@@ -69,7 +69,7 @@
 			case test.want == "" && err != nil:
 				t.Error(err)
 			case test.want != "" && (err == nil || f.count != 1 || !strings.Contains(err.Error(), test.want)):
-				t.Errorf("got %v, want one finding with %q", err, test.want)
+				t.Errorf("findings = %v, want one that contains %q", err, test.want)
 			}
 		})
 	}
@@ -81,10 +81,10 @@
 		t.Error(err)
 	}
 	if err := compareJSON([]byte(configurationText(2)), []byte(text)); err == nil {
-		t.Error("two versions are found equal")
+		t.Error("compareJSON of two versions = nil, want an error")
 	}
 	if err := compareJSON([]byte(text[:len(text)-1]), []byte(text)); err == nil {
-		t.Error("a text that is cut is found equal")
+		t.Error("compareJSON of a truncated text = nil, want an error")
 	}
 }
 
@@ -105,14 +105,14 @@
 		}
 		for i, path := range []string{p.controlPlane, p.proxy, p.command, p.endpoint} {
 			if filepath.Base(path) != names[i] {
-				t.Errorf("found %s, want %s", path, names[i])
+				t.Errorf("findPrograms found %s, want %s", path, names[i])
 			}
 		}
 		if err := os.Remove(filepath.Join(directory, names[1])); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := findPrograms("first", directory); err == nil {
-			t.Error("no error without a proxy")
+			t.Error("findPrograms without a proxy = nil, want an error")
 		}
 	}
 }
--- a/tests/rolling/session.go
+++ b/tests/rolling/session.go
@@ -11,66 +11,66 @@
 	"time"
 )
 
-// evacuatedZone is emptied before the first step and has to stay so.
+// evacuatedZone is evacuated before the first step and has to stay evacuated.
 const evacuatedZone = "there"
 
-// session is one run: the deployment, the load on it, and what it has acknowledged.
+// session is one run: the deployment, the load on it, and the state it has acknowledged.
 type session struct {
 	cluster  *cluster
 	findings *findings
 	client   *client
 	history  *history
 	traffic  *traffic
-	counter  *counter
+	counter  *countingEndpoint
 	load     *load
 
-	versions      map[string]string // label of the programs that run, by node name
-	endpoints     map[string]string // instances that run, by address
-	memberIDs     []string          // identities of the core's members
-	configuration int               // the newest acknowledged version
-	lateRequests  []string          // requests that the audit log has to hold
+	nodeVersions  map[string]string // label of the running version, by node name
+	endpointIDs   map[string]string // identifiers of the running endpoints, by IP address
+	memberIDs     []string          // of the core, sorted
+	configVersion int               // the last acknowledged one
+	lateRequests  []string          // identifiers of requests that the audit log has to contain
 }
 
-// newSession prepares a run.
+// newSession returns a run whose deployment has not been started.
 func newSession(c *cluster, f *findings) *session {
 	return &session{
-		cluster:   c,
-		findings:  f,
-		client:    newClient(controlAddresses()...),
-		history:   newHistory(f),
-		traffic:   newTraffic(f),
-		versions:  map[string]string{},
-		endpoints: map[string]string{counterIP: countService},
+		cluster:      c,
+		findings:     f,
+		client:       newClient(controlAddresses()...),
+		history:      newHistory(f),
+		traffic:      newTraffic(f),
+		nodeVersions: map[string]string{},
+		endpointIDs:  map[string]string{counterIP: counterService},
 	}
 }
 
-// play makes all steps. An error ends the run early; what is wrong and lets the run
+// run makes all steps. An error ends the run at once; a violation after which the run can
 // go on is a finding.
-func (s *session) play(ctx context.Context, leaderFirst bool) error {
-	if err := s.startFirst(ctx); err != nil {
+func (s *session) run(ctx context.Context, leaderFirst bool) error {
+	if err := s.startFirstVersion(ctx); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	defer s.counter.close()
 	if err := s.startLoad(ctx); err != nil {
 		return fmt.Errorf("load: %w", err)
 	}
-	err := s.changeAll(ctx, leaderFirst)
-	s.load.wait()
+	err := s.updateAll(ctx, leaderFirst)
+	s.load.stopAndWait()
 	if err != nil {
 		return err
 	}
-	return s.checkAtEnd(ctx)
+	return s.checkFinalState(ctx)
 }
 
-// startFirst starts everything on the first version.
-func (s *session) startFirst(ctx context.Context) error {
+// startFirstVersion starts the deployment on the first version.
+func (s *session) startFirstVersion(ctx context.Context) error {
 	c := s.cluster
 	fmt.Printf("first version: %s, second version: %s\n", filepath.Base(c.first.controlPlane), filepath.Base(c.second.controlPlane))
 	for _, ip := range coreIPs {
 		if err := c.startControlPlane(c.first, ip, true); err != nil {
 			return err
 		}
-		s.versions[ip] = c.first.label
+		s.nodeVersions[ip] = c.first.label
 	}
 	if err := c.startProxy(c.first, true); err != nil {
 		return err
@@ -87,23 +87,23 @@
 	if _, err := c.runCommand(ctx, c.first, "config", "replace", path); err != nil {
 		return err
 	}
-	s.configuration = 1
+	s.configVersion = 1
 	for _, ip := range endpointIPs {
 		if err := s.startEndpoint(c.first, ip); err != nil {
 			return err
 		}
 	}
 	var err error
-	if s.counter, err = newCounter(s.client, s.findings); err != nil {
+	if s.counter, err = newCountingEndpoint(s.client, s.findings); err != nil {
 		return err
 	}
-	return s.counter.beat(ctx, 0)
+	return s.counter.heartbeat(ctx, 0)
 }
 
-// startLoad brings about what has to last and starts the load.
+// startLoad creates the state that has to persist and starts the load.
 func (s *session) startLoad(ctx context.Context) error {
 	if status, err := s.client.rpc(ctx, "evacuations.begin", evacuatedZone, nil, nil); err != nil || status != http.StatusOK {
-		return fmt.Errorf("evacuation: status %d: %w", status, err)
+		return fmt.Errorf("evacuations.begin: status %d: %w", status, err)
 	}
 	var err error
 	if s.load, err = newLoad(ctx, s.client, s.history, s.findings); err != nil {
@@ -114,34 +114,34 @@
 	}
 	s.traffic.beginStep("before")
 	s.load.start(ctx)
-	s.load.run(ctx, "counting endpoint", s.counter.beat)
+	s.load.runWorker(ctx, "counting endpoint", s.counter.heartbeat)
 	for i := range 3 {
-		s.load.run(ctx, "client", paced(s.traffic.read(i)))
+		s.load.runWorker(ctx, "client", paced(s.traffic.sendIdempotent(i)))
 	}
-	s.load.run(ctx, "client", paced(s.traffic.commit))
-	s.load.run(ctx, "client", paced(s.traffic.askVersion))
+	s.load.runWorker(ctx, "client", paced(s.traffic.sendNonIdempotent))
+	s.load.runWorker(ctx, "client", paced(s.traffic.checkVersionRoute))
 	return nil
 }
 
-// paced makes room between two requests of one client.
+// paced returns a step that waits for requestInterval before each request.
 func paced(step func(context.Context, int) error) func(context.Context, int) error {
 	return func(ctx context.Context, n int) error {
-		time.Sleep(requestPause)
+		time.Sleep(requestInterval)
 		return step(ctx, n)
 	}
 }
 
-// changeAll makes the steps from the first version to the second.
-func (s *session) changeAll(ctx context.Context, leaderFirst bool) error {
+// updateAll makes the steps of the update from the first version to the second.
+func (s *session) updateAll(ctx context.Context, leaderFirst bool) error {
 	if err := s.endStep(ctx, true); err != nil {
 		return err
 	}
-	order, err := s.orderOfChange(ctx, leaderFirst)
+	order, err := s.updateOrder(ctx, leaderFirst)
 	if err != nil {
 		return err
 	}
 	for _, ip := range order {
-		if err := s.step(ctx, "control-plane node "+ip, true, func() error { return s.changeControlPlane(ctx, ip) }); err != nil {
+		if err := s.runStep(ctx, "control-plane node "+ip, true, func() error { return s.updateControlPlane(ctx, ip) }); err != nil {
 			return err
 		}
 	}
@@ -150,20 +150,20 @@
 		proxyStaysUp bool
 		do           func(context.Context) error
 	}{
-		{"proxy", false, s.changeProxy},
-		{"kill of all", false, s.killAndStartAll},
-		{"endpoints", true, s.changeEndpoints},
+		{"proxy", false, s.updateProxy},
+		{"kill and restart of all nodes", false, s.killAndRestartAll},
+		{"endpoints", true, s.updateEndpoints},
 	} {
-		if err := s.step(ctx, step.name, step.proxyStaysUp, func() error { return step.do(ctx) }); err != nil {
+		if err := s.runStep(ctx, step.name, step.proxyStaysUp, func() error { return step.do(ctx) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// orderOfChange returns the control-plane nodes in the order in which they change:
-// the leader comes first or second.
-func (s *session) orderOfChange(ctx context.Context, leaderFirst bool) ([]string, error) {
+// updateOrder returns the control-plane nodes in the order in which they are updated:
+// the leader is first or second.
+func (s *session) updateOrder(ctx context.Context, leaderFirst bool) ([]string, error) {
 	var leader string
 	var followers []string
 	for _, ip := range coreIPs {
@@ -178,7 +178,7 @@
 		}
 	}
 	if leader == "" || len(followers) != 2 {
-		return nil, fmt.Errorf("leader %q and followers %v", leader, followers)
+		return nil, fmt.Errorf("leader %q and followers %v, want one leader and two followers", leader, followers)
 	}
 	if leaderFirst {
 		return []string{leader, followers[0], followers[1]}, nil
@@ -186,8 +186,8 @@
 	return []string{followers[0], leader, followers[1]}, nil
 }
 
-// step changes something under load and looks at the outcome.
-func (s *session) step(ctx context.Context, name string, proxyStaysUp bool, do func() error) error {
+// runStep makes one step under load and checks its outcome.
+func (s *session) runStep(ctx context.Context, name string, proxyStaysUp bool, do func() error) error {
 	fmt.Printf("%s\n", name)
 	if err := s.replaceConfiguration(ctx); err != nil {
 		return fmt.Errorf("before %s: %w", name, err)
@@ -202,31 +202,31 @@
 	return s.endStep(ctx, proxyStaysUp)
 }
 
-// endStep lets the load run on for a while, and then looks at every node and at what
-// became of the requests.
+// endStep lets the load run for observationTime, and then checks every node and the
+// outcomes of the step's requests.
 func (s *session) endStep(ctx context.Context, proxyStaysUp bool) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(dwell):
+	case <-time.After(observationTime):
 	}
 	if err := s.checkNodes(ctx, false); err != nil {
 		return err
 	}
 	step, instances := s.traffic.endStep()
-	share := float64(step.unserved) / float64(max(1, step.served+step.unserved))
-	fmt.Printf("  %d requests served, %d not (%.3f%%), longest time without one %.2f s\n",
-		step.served, step.unserved, 100*share, step.longestGap.Seconds())
+	share := float64(step.failed) / float64(max(1, step.succeeded+step.failed))
+	fmt.Printf("  %d requests succeeded, %d failed (%.3f%%), longest time without a success %.2f s\n",
+		step.succeeded, step.failed, 100*share, step.longestGap.Seconds())
 	if step.lastFailure != "" {
-		fmt.Println("  the last one not served:", step.lastFailure)
+		fmt.Println("  last failure:", step.lastFailure)
 	}
-	if proxyStaysUp && share > maxUnservedShare {
-		s.findings.addf("%s: %d of %d requests were not served", step.name, step.unserved, step.served+step.unserved)
+	if proxyStaysUp && share > maxFailedRatio {
+		s.findings.addf("%s: %d of %d requests failed", step.name, step.failed, step.succeeded+step.failed)
 	}
-	if step.longestGap > upBound || step.served == 0 {
-		s.findings.addf("%s: no request was served for %v", step.name, step.longestGap)
+	if step.longestGap > operationTimeout || step.succeeded == 0 {
+		s.findings.addf("%s: no request succeeded for %v", step.name, step.longestGap)
 	}
-	for _, id := range s.endpoints {
+	for _, id := range s.endpointIDs {
 		if instances[id] == 0 {
 			s.findings.addf("%s: endpoint %s served no request: %v", step.name, id, instances)
 		}
@@ -237,56 +237,56 @@
 	return nil
 }
 
-// replaceConfiguration puts the next version in force and waits until the proxy
-// shows it.
+// replaceConfiguration puts the next configuration version in force and waits until the
+// proxy serves it.
 func (s *session) replaceConfiguration(ctx context.Context) error {
-	next := s.configuration + 1
-	s.traffic.showsVersion(0)
+	next := s.configVersion + 1
+	s.traffic.setServedVersion(0)
 	status, err := s.client.rpc(ctx, "configuration.replace", "", json.RawMessage(configurationText(next)), nil)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("configuration %d: status %d", next, status)
+		return fmt.Errorf("replacing the configuration by version %d: status %d, want 200", next, status)
 	}
-	s.configuration = next
+	s.configVersion = next
 	return s.waitForProxy(ctx)
 }
 
-// waitForProxy waits until the proxy is ready and serves the newest configuration.
+// waitForProxy waits until the proxy is ready and serves the latest configuration.
 func (s *session) waitForProxy(ctx context.Context) error {
 	began := time.Now()
 	err := waitFor(ctx, func() error {
 		status, _, err := s.client.attempt(ctx, http.MethodGet, "http://"+proxyIP+":"+readinessPort+"/api/readiness", nil)
 		if err == nil && status != http.StatusOK {
-			err = fmt.Errorf("readiness: status %d", status)
+			err = fmt.Errorf("readiness: status %d, want 200", status)
 		}
 		if err == nil {
-			_, _, err = s.traffic.send(ctx, s.traffic.single, http.MethodGet, versionPath(s.configuration)+"shown", "")
+			_, _, err = s.traffic.send(ctx, s.traffic.noKeepAlive, http.MethodGet, versionPath(s.configVersion)+"shown", "")
 		}
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("the proxy does not serve configuration %d: %w", s.configuration, err)
+		return fmt.Errorf("the proxy does not serve configuration version %d: %w", s.configVersion, err)
 	}
-	s.traffic.showsVersion(s.configuration)
-	fmt.Printf("  proxy serves configuration %d after %.2f s\n", s.configuration, time.Since(began).Seconds())
+	s.traffic.setServedVersion(s.configVersion)
+	fmt.Printf("  proxy serves configuration version %d after %.2f s\n", s.configVersion, time.Since(began).Seconds())
 	return nil
 }
 
-// sendLateRequest sends a request that misses its latency target, and waits until
-// the audit log holds it.
+// sendLateRequest sends a request that misses its latency target, and waits until the
+// audit log contains it.
 func (s *session) sendLateRequest(ctx context.Context) error {
 	request := fmt.Sprint("late-", len(s.lateRequests))
-	if _, _, err := s.traffic.send(ctx, s.traffic.single, http.MethodGet, "/late/"+request, request); err != nil {
+	if _, _, err := s.traffic.send(ctx, s.traffic.noKeepAlive, http.MethodGet, "/late/"+request, request); err != nil {
 		return err
 	}
 	s.lateRequests = append(s.lateRequests, request)
 	return waitFor(ctx, func() error { return s.checkAudit(ctx, s.client) })
 }
 
-// changeControlPlane changes one control-plane node to the second version.
-func (s *session) changeControlPlane(ctx context.Context, ip string) error {
+// updateControlPlane restarts one control-plane node on the second version.
+func (s *session) updateControlPlane(ctx context.Context, ip string) error {
 	before, err := s.nodeStatus(ctx, ip)
 	if err != nil {
 		return err
@@ -301,7 +301,7 @@
 	if err := s.cluster.startControlPlane(s.cluster.second, ip, false); err != nil {
 		return err
 	}
-	s.versions[ip] = s.cluster.second.label
+	s.nodeVersions[ip] = s.cluster.second.label
 	after, err := s.waitForNode(ctx, ip, before.Revision)
 	if err != nil {
 		return err
@@ -310,9 +310,9 @@
 	return nil
 }
 
-// changeProxy changes the proxy to the second version. Until it is up, no request is
-// served, as it is the only one.
-func (s *session) changeProxy(ctx context.Context) error {
+// updateProxy restarts the proxy on the second version. Until it is up, all requests
+// fail, as it is the only proxy.
+func (s *session) updateProxy(ctx context.Context) error {
 	s.cluster.stop(proxyIP)
 	if err := s.cluster.startProxy(s.cluster.second, false); err != nil {
 		return err
@@ -320,8 +320,8 @@
 	return s.waitForProxy(ctx)
 }
 
-// killAndStartAll kills all nodes at once and starts them on the second version.
-func (s *session) killAndStartAll(ctx context.Context) error {
+// killAndRestartAll kills all nodes at once and restarts them on the second version.
+func (s *session) killAndRestartAll(ctx context.Context) error {
 	var revision uint64
 	for _, ip := range coreIPs {
 		status, err := s.nodeStatus(ctx, ip)
@@ -349,9 +349,9 @@
 	return s.waitForProxy(ctx)
 }
 
-// changeEndpoints replaces the stand-in endpoints by those of the second version, which
-// are other instances, one after the other.
-func (s *session) changeEndpoints(ctx context.Context) error {
+// updateEndpoints replaces the example endpoints one after the other by those of the
+// second version, which register as new instances.
+func (s *session) updateEndpoints(ctx context.Context) error {
 	c := s.cluster
 	for _, ip := range endpointIPs {
 		c.stop(ip)
@@ -365,21 +365,21 @@
 	return nil
 }
 
-// startEndpoint starts a stand-in endpoint in place of the one that ran there.
+// startEndpoint starts an example endpoint at an address and records its identifier.
 func (s *session) startEndpoint(v programs, ip string) error {
-	s.endpoints[ip] = v.label + "-" + ip
-	return s.cluster.startEndpoint(v, ip, s.endpoints[ip])
+	s.endpointIDs[ip] = v.label + "-" + ip
+	return s.cluster.startEndpoint(v, ip, s.endpointIDs[ip])
 }
 
-// printFigures prints what the run did.
-func (s *session) printFigures() {
+// printSummary prints the counts of calls, results and installed snapshots.
+func (s *session) printSummary() {
 	h := s.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	fmt.Printf("calls to the control plane: %d, further attempts: %d, longest until a clear answer: %.2f s\n",
-		s.client.calls.Load(), s.client.retries.Load(), time.Duration(s.client.longest.Load()).Seconds())
-	fmt.Printf("numbers drawn: %d, highest %d; fences: %d, highest %d; puts: %d, highest revision %d; refused: %d; different reads: %d\n",
-		len(h.numbers), h.number, len(h.fences), h.fence, len(h.puts), h.group, len(h.refused), len(h.reads))
+	fmt.Printf("calls to the control plane: %d, retries: %d, longest until a conclusive response: %.2f s\n",
+		s.client.calls.Load(), s.client.retries.Load(), time.Duration(s.client.longestCall.Load()).Seconds())
+	fmt.Printf("numbers allocated: %d, highest %d; fencing tokens: %d, highest %d; puts: %d, highest revision %d; rejected: %d; distinct reads: %d\n",
+		len(h.numbers), h.maxNumber, len(h.fences), h.maxFence, len(h.puts), h.maxRevision, len(h.rejected), len(h.reads))
 	fmt.Printf("configurations: %d, audit records: %d, lines \"snapshot installed\" in the logs: %d\n",
-		s.configuration, len(s.lateRequests), s.cluster.countInLogs("snapshot installed"))
+		s.configVersion, len(s.lateRequests), s.cluster.countInLogs("snapshot installed"))
 }
--- a/tests/rolling/status.go
+++ b/tests/rolling/status.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// pollInterval stands between two looks at something that is waited for.
+// pollInterval is the interval between two checks of a condition that is waited for.
 const pollInterval = 50 * time.Millisecond
 
-// waitFor waits until a look is without error, for upBound at the most; then it
-// returns the last error.
-func waitFor(ctx context.Context, look func() error) error {
-	end := time.Now().Add(upBound)
+// waitFor repeats check until it returns nil. After operationTimeout it returns the last
+// error.
+func waitFor(ctx context.Context, check func() error) error {
+	end := time.Now().Add(operationTimeout)
 	for {
-		err := look()
+		err := check()
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %w", upBound, err)
+			return fmt.Errorf("timed out after %v: %w", operationTimeout, err)
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w, at last: %w", ctx.Err(), err)
+			return fmt.Errorf("%w; last error: %w", ctx.Err(), err)
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// nodeStatus is what a control-plane node says of itself.
+// nodeStatus is the part of a control-plane node's status that the checks use.
 type nodeStatus struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
@@ -49,20 +49,20 @@
 	} `json:"members"`
 }
 
-// nodeStatus asks one node.
+// nodeStatus returns the status of one control-plane node.
 func (s *session) nodeStatus(ctx context.Context, ip string) (*nodeStatus, error) {
 	status, text, err := s.client.attempt(ctx, http.MethodGet, "http://"+controlAddress(ip)+"/api/status", nil)
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, fmt.Errorf("status of %s: status %d", ip, status)
+		return nil, fmt.Errorf("status of %s: status %d, want 200", ip, status)
 	}
 	n := &nodeStatus{}
 	return n, json.Unmarshal(text, n)
 }
 
-// describeLeader says which node leads, and on which version it runs.
+// describeLeader returns a text with the leader's address and version.
 func (s *session) describeLeader(n *nodeStatus) string {
 	for _, m := range n.Members {
 		if m.ID != n.Leader {
@@ -70,15 +70,15 @@
 		}
 		for _, ip := range coreIPs {
 			if m.API == controlAddress(ip) {
-				return fmt.Sprintf("leader %s on the %s version", ip, s.versions[ip])
+				return fmt.Sprintf("leader %s on the %s version", ip, s.nodeVersions[ip])
 			}
 		}
 	}
 	return "no leader"
 }
 
-// waitForNode waits until a control-plane node is a full member again and has
-// reached a revision.
+// waitForNode waits until a control-plane node is up to date as a member of the core and
+// has reached a revision.
 func (s *session) waitForNode(ctx context.Context, ip string, revision uint64) (n *nodeStatus, err error) {
 	began := time.Now()
 	err = waitFor(ctx, func() error {
@@ -96,9 +96,9 @@
 	return n, nil
 }
 
-// checkMember checks that a node is in touch and that the members are the same three
-// as at the start, all voting: a node that could not read its store would come back
-// under another identity.
+// checkMember checks that a node is up to date, has reached a revision, and has the same
+// three members as at the start, all of them voters: a node that cannot read its data
+// directory would rejoin with another identity.
 func (s *session) checkMember(n *nodeStatus, revision uint64) error {
 	var ids []string
 	for _, m := range n.Members {
@@ -109,20 +109,20 @@
 	slices.Sort(ids)
 	switch {
 	case !n.IsUpToDate:
-		return fmt.Errorf("not in touch: %+v", *n)
+		return fmt.Errorf("not up to date: %+v", *n)
 	case len(ids) != len(coreIPs) || len(n.Members) != len(coreIPs):
-		return fmt.Errorf("members: %+v", n.Members)
+		return fmt.Errorf("members %+v, want three voters", n.Members)
 	case n.Revision < revision:
-		return fmt.Errorf("revision %d, was at %d", n.Revision, revision)
+		return fmt.Errorf("revision %d, want at least %d", n.Revision, revision)
 	case s.memberIDs == nil:
 		s.memberIDs = ids
 	case !slices.Equal(ids, s.memberIDs):
-		return fmt.Errorf("members %v, were %v", ids, s.memberIDs)
+		return fmt.Errorf("members %v, want %v", ids, s.memberIDs)
 	}
 	return nil
 }
 
-// waitForEndpoints waits until every control-plane node knows as many endpoints as run.
+// waitForEndpoints waits until every control-plane node reports the number of running endpoints.
 func (s *session) waitForEndpoints(ctx context.Context) error {
 	return waitFor(ctx, func() error {
 		for _, ip := range coreIPs {
@@ -130,8 +130,8 @@
 			if err != nil {
 				return err
 			}
-			if n.Endpoints != len(s.endpoints) {
-				return fmt.Errorf("%s knows %d endpoints, want %d", ip, n.Endpoints, len(s.endpoints))
+			if n.Endpoints != len(s.endpointIDs) {
+				return fmt.Errorf("%s: status has %d endpoints, want %d", ip, n.Endpoints, len(s.endpointIDs))
 			}
 		}
 		return nil
