--- a/tests/rolling/load.go
+++ b/tests/rolling/load.go
@@ -41,7 +41,7 @@
 	l := &load{client: c, history: h, findings: f, stop: make(chan struct{})}
 	status, fence, err := l.acquire(ctx, heldLock, heldLockHolder, heldLease)
 	if err != nil || status != http.StatusOK {
-		return nil, fmt.Errorf("acquiring %s: status %d: %w", heldLock, status, err)
+		return nil, fmt.Errorf("acquiring the held lock: status %d: %w", status, err)
 	}
 	l.heldFence = fence
 	h.addFence(0, fence)
@@ -161,7 +161,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("number %s: status %d, want 200", numberName, status)
+		return fmt.Errorf("allocating a number: status %d, want 200", status)
 	}
 	l.history.addNumber(before, answer.Value)
 	return nil
