--- a/tools/lintcheck/exceptions.go
+++ b/tools/lintcheck/exceptions.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// listHeader stands at the top of a list that formatExceptions writes.
-const listHeader = `# Findings of the linters that may stand until the code is revised. One line
-# for each finding: linter and rule, directory of the package, declaration.
-# tools/lint fails on a finding that is not listed here and on an entry that
-# nothing needs any more. Entries are removed from this file and never added.
+// listHeader is the comment at the top of a list written by formatExceptions.
+const listHeader = `# Linter findings that are accepted until the code is revised. One line per
+# finding: linter and rule, directory of the package, declaration. tools/lint
+# fails on a finding that is not listed here and on an entry without a
+# finding. Entries are removed from this file and never added.
 `
 
-// A findingKey names a finding by the declaration it is in, so that it stays the
-// same when lines move.
+// A findingKey identifies a finding by its declaration instead of its line, so
+// that it stays the same when lines move.
 type findingKey struct {
 	rule        string // linter and rule, such as "staticcheck/ST1003"
-	packageDir  string // relative to the repository, "." for its top
+	packageDir  string // relative to the repository root, "." for the root
 	declaration string // "Func", "Type.Method", a type, constant or variable, or "package"
 }
 
@@ -27,16 +27,16 @@
 	return k.rule + " " + k.packageDir + " " + k.declaration
 }
 
-// A finding is one report of a linter.
+// A finding is one report of a linter with its key.
 type finding struct {
 	key     findingKey
-	path    string // relative to the repository
+	path    string // relative to the repository root
 	line    int
 	message string
 }
 
-// parseExceptions reads a list of exceptions. A key may stand on several lines:
-// each allows one finding.
+// parseExceptions parses a list of exceptions. A key may be listed several times:
+// each entry allows one finding.
 func parseExceptions(text string) ([]findingKey, error) {
 	var keys []findingKey
 	for i, line := range strings.Split(text, "\n") {
@@ -53,8 +53,8 @@
 	return keys, nil
 }
 
-// formatExceptions returns the list that allows exactly these findings, grouped
-// by package.
+// formatExceptions returns the list that allows exactly the given findings,
+// grouped by package.
 func formatExceptions(findings []finding) string {
 	keys := make([]findingKey, 0, len(findings))
 	for _, f := range findings {
@@ -79,9 +79,9 @@
 	return text.String()
 }
 
-// compare returns the findings that no entry allows and the entries that no
-// finding needs. An entry allows one finding with its key.
-func compare(findings []finding, exceptions []findingKey) (unlisted []finding, unused []findingKey) {
+// compareWithExceptions returns the findings that no entry allows and the entries without a
+// finding. An entry allows one finding with its key.
+func compareWithExceptions(findings []finding, exceptions []findingKey) (unlisted []finding, unused []findingKey) {
 	allowed := make(map[findingKey]int)
 	for _, key := range exceptions {
 		allowed[key]++
--- a/tools/lintcheck/exceptions_test.go
+++ b/tools/lintcheck/exceptions_test.go
@@ -10,7 +10,7 @@
 	return findingKey{rule: "revive/function-length", packageDir: "raft", declaration: declaration}
 }
 
-func TestCompare(t *testing.T) {
+func TestCompareWithExceptions(t *testing.T) {
 	one := finding{key: keyOf("Node.Step"), path: "raft/node.go", line: 3}
 	two := finding{key: keyOf("Node.Step"), path: "raft/node.go", line: 9}
 	other := finding{key: keyOf("Node.Tick"), path: "raft/node.go", line: 20}
@@ -21,14 +21,14 @@
 		unlisted   []finding
 		unused     []findingKey
 	}{
-		{name: "nothing found and nothing listed"},
+		{name: "no findings and no entries"},
 		{
-			name:       "each finding is listed",
+			name:       "every finding is listed",
 			findings:   []finding{one, other},
 			exceptions: []findingKey{keyOf("Node.Tick"), keyOf("Node.Step")},
 		},
 		{
-			name:       "a finding is not listed",
+			name:       "unlisted finding",
 			findings:   []finding{one, other},
 			exceptions: []findingKey{keyOf("Node.Step")},
 			unlisted:   []finding{other},
@@ -40,13 +40,13 @@
 			unlisted:   []finding{two},
 		},
 		{
-			name:       "an entry that nothing needs",
+			name:       "entry without a finding",
 			findings:   []finding{one},
 			exceptions: []findingKey{keyOf("Node.Step"), keyOf("Node.Step"), keyOf("Node.Tick")},
 			unused:     []findingKey{keyOf("Node.Step"), keyOf("Node.Tick")},
 		},
 		{
-			name:       "the same declaration under another rule or in another package",
+			name:       "same declaration with another rule or in another package",
 			findings:   []finding{one},
 			exceptions: []findingKey{{"revive/exported", "raft", "Node.Step"}, {"revive/function-length", "audit", "Node.Step"}},
 			unlisted:   []finding{one},
@@ -55,18 +55,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			unlisted, unused := compare(test.findings, test.exceptions)
+			unlisted, unused := compareWithExceptions(test.findings, test.exceptions)
 			if !slices.Equal(unlisted, test.unlisted) {
-				t.Errorf("findings that are not listed: %v, want %v", unlisted, test.unlisted)
+				t.Errorf("compareWithExceptions: unlisted findings = %v, want %v", unlisted, test.unlisted)
 			}
 			if !slices.Equal(unused, test.unused) {
-				t.Errorf("entries that nothing needs: %v, want %v", unused, test.unused)
+				t.Errorf("compareWithExceptions: unused entries = %v, want %v", unused, test.unused)
 			}
 		})
 	}
 }
 
-func TestWrittenListAllowsItsFindings(t *testing.T) {
+func TestFormattedListAllowsItsFindings(t *testing.T) {
 	findings := []finding{
 		{key: findingKey{"staticcheck/ST1000", "registry", "package"}},
 		{key: keyOf("Node.Step")},
@@ -79,21 +79,21 @@
 		t.Fatal(err)
 	}
 	if len(exceptions) != len(findings) {
-		t.Errorf("%d entries, want %d", len(exceptions), len(findings))
+		t.Errorf("parseExceptions returned %d entries, want %d", len(exceptions), len(findings))
 	}
-	unlisted, unused := compare(findings, exceptions)
+	unlisted, unused := compareWithExceptions(findings, exceptions)
 	if len(unlisted) != 0 || len(unused) != 0 {
-		t.Errorf("not listed: %v, not needed: %v, want none", unlisted, unused)
+		t.Errorf("compareWithExceptions: unlisted = %v, unused = %v, want none", unlisted, unused)
 	}
 	if again := formatExceptions(slices.Concat(findings[2:], findings[:2])); again != text {
-		t.Errorf("the list depends on the order of the findings:\n%s\n%s", text, again)
+		t.Errorf("formatExceptions depends on the order of the findings:\n%s\n%s", text, again)
 	}
 }
 
 func TestParseExceptionsRejectsOtherLines(t *testing.T) {
 	for _, text := range []string{"revive/exported raft\n", "# comment\nrevive/exported raft Node 3\n"} {
 		if keys, err := parseExceptions(text); err == nil {
-			t.Errorf("%q was read as %v, want an error", strings.TrimSpace(text), keys)
+			t.Errorf("parseExceptions(%q) = %v, want an error", strings.TrimSpace(text), keys)
 		}
 	}
 }
--- a/tools/lintcheck/filled.go
+++ b/tools/lintcheck/filled.go
@@ -12,13 +12,13 @@
 	"strings"
 )
 
-// lengthRule is a rule of revive that leaves out a whole file if a function in
-// it has an empty body.
+// lengthRule is a rule of revive that skips a whole file if a function in it has
+// an empty body.
 const lengthRule = "revive/function-length"
 
-// lintFilledCopies applies the length rule to the files below root that it
-// leaves out. It lints copies in which an empty statement stands in each empty
-// body; that moves no line.
+// lintFilledCopies applies lengthRule to the files below root that the rule
+// skips. It lints copies with an empty statement in each empty body, which keeps
+// all line numbers.
 func lintFilledCopies(root string) ([]report, error) {
 	scratch, err := os.MkdirTemp("", "lintcheck")
 	if err != nil {
@@ -43,10 +43,10 @@
 	return reports, nil
 }
 
-// copyFilled writes a filled copy of each file below root that has a function
-// with an empty body, each to a directory of its own in scratch. It returns the
-// paths of the originals by those of the copies. Test files are left out, as the
-// rule does not apply to them.
+// copyFilled writes a copy with filled bodies of each file below root that has a
+// function with an empty body, each to its own directory in scratch. It returns
+// the paths of the originals by those of the copies. Test files are skipped, as
+// the rule does not apply to them.
 func copyFilled(root, scratch string) (map[string]string, error) {
 	originals := make(map[string]string)
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -86,8 +86,8 @@
 	return name == "testdata" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
 }
 
-// fillEmptyBodies returns the source of a Go file with an empty statement in the
-// body of each function that has none.
+// fillEmptyBodies returns the source of a Go file with an empty statement added to
+// each function body without statements.
 func fillEmptyBodies(text []byte) ([]byte, error) {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, "", text, parser.SkipObjectResolution)
--- a/tools/lintcheck/filled_test.go
+++ b/tools/lintcheck/filled_test.go
@@ -18,12 +18,12 @@
 			want:   "package p\n\nfunc f() { g() }\n",
 		},
 		{
-			name:   "an empty function and an empty method",
+			name:   "empty function and empty method",
 			source: "package p\n\nfunc f() {}\n\nfunc (t) g() {\n\t// Nothing to do.\n}\n",
 			want:   "package p\n\nfunc f() {;}\n\nfunc (t) g() {;\n\t// Nothing to do.\n}\n",
 		},
 		{
-			name:   "a declaration without a body",
+			name:   "declaration without a body",
 			source: "package p\n\nfunc f()\n",
 			want:   "package p\n\nfunc f()\n",
 		},
@@ -35,12 +35,12 @@
 				t.Fatal(err)
 			}
 			if string(filled) != test.want {
-				t.Errorf("got %q, want %q", filled, test.want)
+				t.Errorf("fillEmptyBodies = %q, want %q", filled, test.want)
 			}
 		})
 	}
 	if filled, err := fillEmptyBodies([]byte("func")); err == nil {
-		t.Errorf("source that is not Go was read as %q, want an error", filled)
+		t.Errorf("fillEmptyBodies of invalid source = %q, want an error", filled)
 	}
 }
 
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 		if want := "package p\n\nfunc f() {;}\n"; string(text) != want {
-			t.Errorf("copy of %s is %q, want %q", original, text, want)
+			t.Errorf("copy of %s = %q, want %q", original, text, want)
 		}
 	}
 	for _, name := range []string{"a/empty.go", "b/empty.go"} {
--- a/tools/lintcheck/linters.go
+++ b/tools/lintcheck/linters.go
@@ -13,17 +13,17 @@
 // modules are the directories of the repository's Go modules.
 var modules = []string{".", "tools"}
 
-// A report is what a linter says of one line of a file.
+// A report is a linter's message about one line of a file.
 type report struct {
 	rule    string // linter and rule
-	path    string // absolute, or relative to the directory the linter ran in
+	path    string // absolute, or relative to the linter's working directory
 	line    int
 	message string
 }
 
 // collectFindings runs all checks on each module of the repository at root. It
-// returns what the linters report. What gofmt or go vet reports, and a linter
-// that could not do its work, is an error: no exception can be listed for it.
+// returns the reports of the linters. Output of gofmt or go vet and a linter that
+// fails are errors, for which no exception can be listed.
 func collectFindings(root string) ([]finding, error) {
 	root, err := filepath.Abs(root)
 	if err != nil {
@@ -44,11 +44,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return findingsOf(root, append(reports, more...))
+	return locateReports(root, append(reports, more...))
 }
 
-// findingsOf returns the reports with the keys of the declarations they are in.
-func findingsOf(root string, reports []report) ([]finding, error) {
+// locateReports returns the reports with the keys of the declarations they are in.
+func locateReports(root string, reports []report) ([]finding, error) {
 	l := newLocator(root)
 	var findings []finding
 	for _, r := range reports {
@@ -61,24 +61,24 @@
 	return findings, nil
 }
 
-// checkFormat fails if gofmt -s would change a file.
+// checkFormat returns an error if gofmt -s would change a file.
 func checkFormat(root string) error {
-	output, err := command(root, "gofmt", "-s", "-l", ".")
+	output, err := runCommand(root, "gofmt", "-s", "-l", ".")
 	if err != nil {
 		return err
 	}
 	if len(output) > 0 {
-		return fmt.Errorf("gofmt -s would change:\n%s", output)
+		return fmt.Errorf("files not formatted with gofmt -s:\n%s", output)
 	}
 	return nil
 }
 
 // lintModule runs go vet and both linters on all packages of the module in dir.
 func lintModule(root, dir string) ([]report, error) {
-	if _, err := command(dir, "go", "vet", "./..."); err != nil {
+	if _, err := runCommand(dir, "go", "vet", "./..."); err != nil {
 		return nil, err
 	}
-	output, err := command(dir, "go", "tool", modfileFlag(root), "staticcheck", "-f", "json", "./...")
+	output, err := runCommand(dir, "go", "tool", modfileFlag(root), "staticcheck", "-f", "json", "./...")
 	if err != nil {
 		return nil, err
 	}
@@ -93,10 +93,10 @@
 	return append(reports, more...), nil
 }
 
-// runRevive runs revive in dir, which belongs to a module, on the packages that
-// a pattern names.
+// runRevive runs revive in dir, a directory of a module, on the packages that
+// match a pattern.
 func runRevive(root, dir, pattern string) ([]report, error) {
-	output, err := command(dir, "go", "tool", modfileFlag(root), "revive",
+	output, err := runCommand(dir, "go", "tool", modfileFlag(root), "revive",
 		"-config", filepath.Join(root, "revive.toml"), "-formatter", "json", pattern)
 	if err != nil {
 		return nil, err
@@ -105,19 +105,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return absolute(dir, reports), nil
+	return withAbsolutePaths(dir, reports), nil
 }
 
-// modfileFlag returns the flag of the go command that names the module file of
+// modfileFlag returns the flag that makes the go command use the module file of
 // the tools.
 func modfileFlag(root string) string {
 	return "-modfile=" + filepath.Join(root, "tools", "go.mod")
 }
 
-// command runs a program in dir and returns its standard output. The linters end
-// with 1 when they have something to report, so that is no error as long as the
-// program wrote nothing to standard error.
-func command(dir, name string, args ...string) ([]byte, error) {
+// runCommand runs a program in dir and returns its standard output. The linters exit
+// with 1 if they have findings, so that is an error only if the program printed
+// nothing or wrote to standard error.
+func runCommand(dir, name string, args ...string) ([]byte, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
 	var stdout, stderr bytes.Buffer
@@ -129,7 +129,7 @@
 		err = nil
 	}
 	if err == nil && stderr.Len() > 0 {
-		err = errors.New("unexpected output")
+		err = errors.New("unexpected output on standard error")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w\n%s%s", cmd, err, stdout.Bytes(), stderr.Bytes())
@@ -137,7 +137,7 @@
 	return stdout.Bytes(), nil
 }
 
-// parseStaticcheck reads the output of staticcheck -f json: one object a line.
+// parseStaticcheck parses the output of staticcheck -f json: one object per line.
 func parseStaticcheck(output []byte) ([]report, error) {
 	var reports []report
 	decoder := json.NewDecoder(bytes.NewReader(output))
@@ -155,7 +155,7 @@
 			return reports, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("output of staticcheck: %w", err)
+			return nil, fmt.Errorf("decoding the output of staticcheck: %w", err)
 		}
 		if item.Code == "compile" || item.Code == "config" {
 			return nil, fmt.Errorf("staticcheck: %s: %s", item.Location.File, item.Message)
@@ -169,7 +169,7 @@
 	}
 }
 
-// parseRevive reads the output of revive -formatter json: one array, or null.
+// parseRevive parses the output of revive -formatter json: one array, or null.
 func parseRevive(output []byte) ([]report, error) {
 	var items []struct {
 		RuleName string
@@ -182,7 +182,7 @@
 		}
 	}
 	if err := json.Unmarshal(output, &items); err != nil {
-		return nil, fmt.Errorf("output of revive: %w", err)
+		return nil, fmt.Errorf("decoding the output of revive: %w", err)
 	}
 	var reports []report
 	for _, item := range items {
@@ -196,9 +196,8 @@
 	return reports, nil
 }
 
-// absolute returns the reports with their paths joined to dir where they are
-// relative.
-func absolute(dir string, reports []report) []report {
+// withAbsolutePaths returns the reports with relative paths joined to dir.
+func withAbsolutePaths(dir string, reports []report) []report {
 	for i := range reports {
 		if !filepath.IsAbs(reports[i].path) {
 			reports[i].path = filepath.Join(dir, reports[i].path)
--- a/tools/lintcheck/linters_test.go
+++ b/tools/lintcheck/linters_test.go
@@ -21,18 +21,18 @@
 		{"staticcheck/SA4018", "/r/config/read.go", 256, "self-assignment"},
 	}
 	if !slices.Equal(reports, want) {
-		t.Errorf("read %v, want %v", reports, want)
+		t.Errorf("reports = %v, want %v", reports, want)
 	}
 }
 
-func TestParseStaticcheckFailsOnWhatIsNoFinding(t *testing.T) {
+func TestParseStaticcheckFailsOnOtherOutput(t *testing.T) {
 	for name, output := range map[string]string{
 		"package that does not compile": `{"code":"compile","location":{"file":"/r/a.go","line":1},"message":"undefined: x"}`,
 		"unreadable configuration":      `{"code":"config","location":{"file":"/r/staticcheck.conf","line":1},"message":"bad"}`,
-		"text":                          `matched no packages`,
+		"other text":                    `matched no packages`,
 	} {
 		if reports, err := parseStaticcheck([]byte(output)); err == nil {
-			t.Errorf("%s: read as %v, want an error", name, reports)
+			t.Errorf("parseStaticcheck of %s = %v, want an error", name, reports)
 		}
 	}
 }
@@ -45,25 +45,25 @@
 	}
 	want := []report{{"revive/function-length", "raft/node.go", 7, "too long"}}
 	if !slices.Equal(reports, want) {
-		t.Errorf("read %v, want %v", reports, want)
+		t.Errorf("reports = %v, want %v", reports, want)
 	}
 	if reports, err := parseRevive([]byte("null")); err != nil || len(reports) != 0 {
-		t.Errorf("null was read as %v, %v, want no reports", reports, err)
+		t.Errorf("parseRevive(null) = %v, %v, want no reports", reports, err)
 	}
 	if reports, err := parseRevive([]byte("cannot read the config file")); err == nil {
-		t.Errorf("text was read as %v, want an error", reports)
+		t.Errorf("parseRevive of other text = %v, want an error", reports)
 	}
 }
 
-func TestAbsolute(t *testing.T) {
-	got := absolute("/r/tools", []report{{path: "lintcheck/main.go"}, {path: "/r/raft/node.go"}})
+func TestWithAbsolutePaths(t *testing.T) {
+	got := withAbsolutePaths("/r/tools", []report{{path: "lintcheck/main.go"}, {path: "/r/raft/node.go"}})
 	want := []report{{path: "/r/tools/lintcheck/main.go"}, {path: "/r/raft/node.go"}}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("withAbsolutePaths = %v, want %v", got, want)
 	}
 }
 
-func TestCommand(t *testing.T) {
+func TestRunCommand(t *testing.T) {
 	tests := []struct {
 		name   string
 		script string
@@ -71,17 +71,17 @@
 		fails  bool
 	}{
 		{name: "success", script: "echo fine", output: "fine\n"},
-		{name: "a linter that reports findings", script: "echo '[]'; exit 1", output: "[]\n"},
-		{name: "failure without findings", script: "exit 1", fails: true},
+		{name: "linter with findings", script: "echo '[]'; exit 1", output: "[]\n"},
+		{name: "failure without output", script: "exit 1", fails: true},
 		{name: "another exit code", script: "echo '[]'; exit 2", fails: true},
-		{name: "findings beside an error message", script: "echo '[]'; echo broken >&2; exit 1", fails: true},
-		{name: "a message alone", script: "echo broken >&2", fails: true},
+		{name: "findings and an error message", script: "echo '[]'; echo broken >&2; exit 1", fails: true},
+		{name: "error message only", script: "echo broken >&2", fails: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			output, err := command(t.TempDir(), "bash", "-c", test.script)
+			output, err := runCommand(t.TempDir(), "bash", "-c", test.script)
 			if (err != nil) != test.fails || string(output) != test.output {
-				t.Errorf("got %q, %v, want %q, error: %v", output, err, test.output, test.fails)
+				t.Errorf("runCommand = %q, %v, want %q, error: %v", output, err, test.output, test.fails)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 				t.Fatal(err)
 			}
 			if err := checkFormat(dir); (err != nil) != test.fails {
-				t.Errorf("got %v, want an error: %v", err, test.fails)
+				t.Errorf("checkFormat = %v, want an error: %v", err, test.fails)
 			}
 		})
 	}
--- a/tools/lintcheck/locate.go
+++ b/tools/lintcheck/locate.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// packageLevel is the declaration of a finding that is in none.
+// packageLevel is the declaration of a finding outside all declarations.
 const packageLevel = "package"
 
-// A locator turns reports into findings. It parses each file once.
+// A locator converts reports into findings. It parses each file once.
 type locator struct {
 	root  string
 	fset  *token.FileSet
@@ -22,7 +22,7 @@
 	return &locator{root: root, fset: token.NewFileSet(), files: make(map[string]*ast.File)}
 }
 
-// finding returns the report with the key of the declaration it is in.
+// finding returns the report as a finding, with the key of its declaration.
 func (l *locator) finding(r report) (finding, error) {
 	path, err := filepath.Rel(l.root, r.path)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return finding{key: key, path: path, line: r.line, message: r.message}, nil
 }
 
-// declarationAt returns the name of the declaration that covers a line, its
-// documentation included.
+// declarationAt returns the name of the declaration that contains a line. Its doc
+// comment is a part of it.
 func declarationAt(fset *token.FileSet, file *ast.File, line int) string {
 	for _, decl := range file.Decls {
 		switch d := decl.(type) {
@@ -62,7 +62,7 @@
 	return packageLevel
 }
 
-// covers reports whether a line is in the node or in its documentation.
+// covers reports whether a line is in the node or in its doc comment.
 func covers(fset *token.FileSet, node ast.Node, doc *ast.CommentGroup, line int) bool {
 	start := node.Pos()
 	if doc != nil {
@@ -79,8 +79,8 @@
 	return typeName(d.Recv.List[0].Type) + "." + d.Name.Name
 }
 
-// typeName returns the name of a receiver's type without pointer and type
-// parameters.
+// typeName returns the name of a receiver's type without a pointer and without
+// type parameters.
 func typeName(expr ast.Expr) string {
 	switch e := expr.(type) {
 	case *ast.StarExpr:
@@ -96,8 +96,8 @@
 	}
 }
 
-// specNameAt returns the first name that the specification on a line declares.
-// A line that is in none of them counts to the first one.
+// specNameAt returns the first name declared by the specification that contains a
+// line. A line outside all of them belongs to the first specification.
 func specNameAt(fset *token.FileSet, d *ast.GenDecl, line int) string {
 	if len(d.Specs) == 0 {
 		return packageLevel
--- a/tools/lintcheck/locate_test.go
+++ b/tools/lintcheck/locate_test.go
@@ -83,7 +83,7 @@
 		}
 		want := findingKey{rule: "revive/exported", packageDir: "internal/sample", declaration: test.want}
 		if f.key != want {
-			t.Errorf("line %d: %s, want %s", test.line, f.key, want)
+			t.Errorf("finding at line %d: key = %s, want %s", test.line, f.key, want)
 		}
 	}
 }
@@ -91,6 +91,6 @@
 func TestFindingFailsWithoutItsFile(t *testing.T) {
 	root := t.TempDir()
 	if f, err := newLocator(root).finding(report{path: filepath.Join(root, "gone.go"), line: 1}); err == nil {
-		t.Errorf("got %v, want an error", f)
+		t.Errorf("finding in a missing file = %v, want an error", f)
 	}
 }
--- a/tools/lintcheck/main.go
+++ b/tools/lintcheck/main.go
@@ -1,7 +1,7 @@
-// Command lintcheck runs gofmt -s, go vet, staticcheck and revive over the
-// repository and compares what the two linters find with the list of named
-// exceptions. It fails on a finding that the list does not name, and on an entry
-// that no finding needs any more, so the list can only become shorter.
+// Command lintcheck runs gofmt -s, go vet, staticcheck and revive on the
+// repository and compares the findings of the two linters with the list of
+// exceptions. It fails on a finding that is not listed and on an entry without a
+// finding, so that fixed findings are removed from the list.
 package main
 
 import (
@@ -13,15 +13,15 @@
 	"path/filepath"
 )
 
-// exceptionsPath is the list of named exceptions, relative to the repository.
+// exceptionsPath is the path of the list of exceptions, relative to the repository root.
 const exceptionsPath = "tools/exceptions.txt"
 
-// errFindings reports that the checks ran and did not pass.
-var errFindings = errors.New("the checks did not pass")
+// errFindings reports that findings and the list of exceptions differ.
+var errFindings = errors.New("the findings differ from the list of exceptions")
 
 func main() {
-	root := flag.String("root", "..", "top directory of the repository")
-	list := flag.Bool("list", false, "print the present findings in the form of "+exceptionsPath)
+	root := flag.String("root", "..", "root directory of the repository")
+	list := flag.Bool("list", false, "print the current findings in the format of "+exceptionsPath)
 	flag.Parse()
 	if err := run(*root, *list, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "lint:", err)
@@ -29,8 +29,8 @@
 	}
 }
 
-// run checks the repository at root. With list set, it writes the findings to
-// out in the form of the list of exceptions instead of comparing them with it.
+// run checks the repository at root. If list is set, it writes the findings to
+// out in the format of the list of exceptions instead of comparing them with it.
 func run(root string, list bool, out io.Writer) error {
 	findings, err := collectFindings(root)
 	if err != nil {
@@ -48,14 +48,14 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", exceptionsPath, err)
 	}
-	unlisted, unused := compare(findings, exceptions)
+	unlisted, unused := compareWithExceptions(findings, exceptions)
 	for _, f := range unlisted {
 		fmt.Fprintf(out, "%s:%d: %s: %s\n", f.path, f.line, f.key, f.message)
 	}
 	for _, key := range unused {
-		fmt.Fprintf(out, "%s: nothing is found for this entry any more, remove it: %s\n", exceptionsPath, key)
+		fmt.Fprintf(out, "%s: no finding for this entry, remove it: %s\n", exceptionsPath, key)
 	}
-	fmt.Fprintf(out, "%d named exceptions, %d findings beside them, %d entries to remove\n",
+	fmt.Fprintf(out, "%d exceptions, %d unlisted findings, %d entries to remove\n",
 		len(exceptions), len(unlisted), len(unused))
 	if len(unlisted) > 0 || len(unused) > 0 {
 		return errFindings
