--- a/audit/golden_test.go
+++ b/audit/golden_test.go
@@ -54,9 +54,9 @@
 		if err := json.Unmarshal([]byte(line), got.Interface()); err != nil {
 			t.Error(err)
 		}
-		goldentest.Same(t, line, got.Elem().Interface(), want[i])
+		goldentest.CheckEqual(t, line, got.Elem().Interface(), want[i])
 	}
 	// Incarnation.At is not part of the JSON; the registry stores it in its snapshots.
 	complete := append([]any{audit.Incarnation{At: 22}}, want...)
-	goldentest.Complete(t, complete...)
+	goldentest.CheckComplete(t, complete...)
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -38,6 +38,6 @@
 	if err := json.Unmarshal(golden, &got); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Same(t, "status", got, want)
-	goldentest.Complete(t, want)
+	goldentest.CheckEqual(t, "status", got, want)
+	goldentest.CheckComplete(t, want)
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,5 @@
-// Package goldentest helps tests that compare what the programs store and send
-// with files of an earlier version (golden files). It is imported by tests alone.
+// Package goldentest provides helpers for tests that compare stored and transmitted
+// data with files written by an earlier version (golden files). Only tests import it.
 package goldentest
 
 import (
@@ -13,12 +13,13 @@
 	"testing"
 )
 
-// WriteVariable is the environment variable that lets File write a file that is
-// missing. A file that exists is never written over.
+// WriteVariable is the environment variable that makes File create a missing file.
+// An existing file is never overwritten.
 const WriteVariable = "LICHENTRAY_WRITE_GOLDEN"
 
-// File returns the content of a golden file. If the file does not exist, the test
-// fails, unless WriteVariable is set: then the file is made from write first.
+// File returns the content of a golden file. If the file does not exist and
+// WriteVariable is set, File first creates it with the result of write. Without
+// WriteVariable, a missing file fails the test.
 func File(t testing.TB, path string, write func() []byte) []byte {
 	t.Helper()
 	content, err := os.ReadFile(path)
@@ -34,17 +35,17 @@
 	return content
 }
 
-// Same reports every exported field in which got differs from want. Fields that
-// are not exported are not compared, as no encoding carries them.
-func Same(t testing.TB, what string, got, want any) {
+// CheckEqual reports every exported field in which got differs from want. Unexported
+// fields are not compared, as they are not encoded.
+func CheckEqual(t testing.TB, what string, got, want any) {
 	t.Helper()
 	for _, d := range differences(what, reflect.ValueOf(got), reflect.ValueOf(want)) {
 		t.Error(d)
 	}
 }
 
-// differences lists what differs between two values. A difference is named by the path
-// that leads to it from the top.
+// differences describes the differences between two values. Each starts with the path
+// of the field or element, which begins with the argument path.
 func differences(path string, got, want reflect.Value) []string {
 	if !got.IsValid() || !want.IsValid() || got.Type() != want.Type() {
 		return []string{fmt.Sprintf("%s: got %v, want %v", path, got, want)}
@@ -110,19 +111,19 @@
 	return found
 }
 
-// Complete reports every exported field, of all struct types that can be reached
-// from the types of values, that is zero wherever it appears in values. A field
-// that was added and is in no golden value is found by it.
-func Complete(t testing.TB, values ...any) {
+// CheckComplete reports every exported field, of all struct types reachable from the
+// types of values, that is zero in all values. It finds fields that were added to a
+// type and not to its golden values.
+func CheckComplete(t testing.TB, values ...any) {
 	t.Helper()
 	for _, name := range unsetFields(values) {
 		t.Errorf("%s is zero in every golden value", name)
 	}
 }
 
-// unsetFields lists the exported fields that are zero in all values.
+// unsetFields returns the exported fields that are zero in all values.
 func unsetFields(values []any) []string {
-	fields := map[string]bool{} // by type and name; true if set somewhere
+	fields := map[string]bool{} // by type and name; true if any value sets it
 	for _, v := range values {
 		collectFields(reflect.TypeOf(v), fields, map[reflect.Type]bool{})
 	}
@@ -139,7 +140,7 @@
 	return out
 }
 
-// collectFields adds the exported fields of all struct types that can be reached from typ.
+// collectFields adds the exported fields of all struct types reachable from typ.
 func collectFields(typ reflect.Type, fields map[string]bool, seen map[reflect.Type]bool) {
 	if seen[typ] {
 		return
@@ -161,7 +162,7 @@
 	}
 }
 
-// markSetFields marks the fields that are not zero in v or in what v reaches.
+// markSetFields marks the non-zero exported fields of v and of all values reachable from v.
 func markSetFields(v reflect.Value, fields map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -200,9 +200,9 @@
 	if id != (Identity{ID: goldenIdentity}) {
 		t.Errorf("Open() identity = %+v, want the golden identity", id)
 	}
-	goldentest.Same(t, "hard state", saved.HardState, goldenHardStateValue())
-	goldentest.Same(t, "snapshot", saved.Snapshot, raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: goldenState(t)})
-	goldentest.Complete(t, saved, membersWithStorage())
+	goldentest.CheckEqual(t, "hard state", saved.HardState, goldenHardStateValue())
+	goldentest.CheckEqual(t, "snapshot", saved.Snapshot, raft.Snapshot{Index: 40, Term: 4, Members: goldenMembers(), Data: goldenState(t)})
+	goldentest.CheckComplete(t, saved, membersWithStorage())
 	if len(saved.Entries) != 4 {
 		t.Fatalf("Open() returned %d log entries, want 4", len(saved.Entries))
 	}
@@ -210,9 +210,9 @@
 	if err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "membership in the log", members, goldenLogMembers())
+	goldentest.CheckEqual(t, "membership in the log", members, goldenLogMembers())
 	saved.Entries[3].Data = nil
-	goldentest.Same(t, "entries", saved.Entries, []raft.Entry{
+	goldentest.CheckEqual(t, "entries", saved.Entries, []raft.Entry{
 		{Index: 41, Term: 5, Data: []byte(goldenLogData[0])},
 		{Index: 42, Term: 5, Data: []byte(goldenLogData[1])},
 		{Index: 43, Term: 5, Data: []byte(goldenLogData[2])},
@@ -222,7 +222,7 @@
 	if err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "entry 42", command, registry.Command{Txn: &registry.Txn{
+	goldentest.CheckEqual(t, "entry 42", command, registry.Command{Txn: &registry.Txn{
 		If:   []registry.Compare{{Key: "endpoints/e1", ModRevision: 3}},
 		Then: []registry.Write{{Key: "endpoints/e1", Value: []byte("value")}},
 	}})
@@ -245,14 +245,14 @@
 			objects[o.Key] = ""
 		}
 	}
-	goldentest.Same(t, "objects", objects, goldenStateObjects)
+	goldentest.CheckEqual(t, "objects", objects, goldenStateObjects)
 	if restored.Revision() != 21 {
 		t.Errorf("Revision() = %d, want 21", restored.Revision())
 	}
-	goldentest.Same(t, "locks", restored.Coordination().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
-	goldentest.Same(t, "cells", restored.Coordination().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
+	goldentest.CheckEqual(t, "locks", restored.Coordination().Locks, map[string]coordination.Lock{"press": {Holder: "holder-1", Fence: 9, Grant: 10, HoldMS: 4000}})
+	goldentest.CheckEqual(t, "cells", restored.Coordination().Cells, map[string]coordination.Cell{"g.a": {Value: "3", Revision: 3}, "g.b": {Value: "2", Revision: 2}, "single": {Value: "4", Revision: 1}})
 	events, revision, ok := restored.Coordination().EventsSince("g.", 1)
-	goldentest.Same(t, "events", events, []coordination.Event{{Name: "g.b", Value: "2", Revision: 2, At: 15}, {Name: "g.a", Value: "3", Revision: 3, At: 16}})
+	goldentest.CheckEqual(t, "events", events, []coordination.Event{{Name: "g.b", Value: "2", Revision: 2, At: 15}, {Name: "g.a", Value: "3", Revision: 3, At: 16}})
 	if revision != 3 || !ok {
 		t.Errorf(`EventsSince("g.", 1) = revision %d, %t; want 3, true`, revision, ok)
 	}
@@ -260,7 +260,7 @@
 		t.Error(`EventsSince("g.", 0) succeeded although earlier events were trimmed`)
 	}
 	auditResult := restored.AuditLog().Query(audit.Filter{})
-	goldentest.Same(t, "audit log", auditResult, audit.QueryResult{
+	goldentest.CheckEqual(t, "audit log", auditResult, audit.QueryResult{
 		Failures: []audit.Failure{
 			{Tenant: "tenant-2", Request: "request-2", Kind: audit.Indeterminate, AtMS: 1700000000002, Attempts: []audit.Attempt{{Node: "p1", Record: audit.Record{Seq: 2, AtMS: 1700000000002, Tenant: "tenant-2", Route: "pay", Request: "request-2", Attempt: "attempt-2", Kind: audit.MaybeExecuted, Status: 502, TookMS: 32}}}},
 			{Tenant: "tenant-3", Request: "request-3", Kind: audit.Failed, AtMS: 1700000000003, Attempts: []audit.Attempt{{Node: "p1", Record: audit.Record{Seq: 3, AtMS: 1700000000003, Tenant: "tenant-3", Route: "pay", Request: "request-3", Attempt: "attempt-3", Kind: audit.Failed, Status: 503, TookMS: 33}}}},
@@ -313,12 +313,12 @@
 	if err := gob.NewDecoder(bytes.NewReader(meta["hard"])).Decode(&hardState); err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "hard", hardState, goldenHardState{Term: 5, Vote: 12})
+	goldentest.CheckEqual(t, "hard", hardState, goldenHardState{Term: 5, Vote: 12})
 	var snapshot goldenSnapshot
 	if err := gob.NewDecoder(bytes.NewReader(meta["snapshot"])).Decode(&snapshot); err != nil {
 		t.Error(err)
 	}
-	goldentest.Same(t, "snapshot", snapshot, goldenSnapshot{Index: 40, Term: 4, Members: goldenTypedMembers()})
+	goldentest.CheckEqual(t, "snapshot", snapshot, goldenSnapshot{Index: 40, Term: 4, Members: goldenTypedMembers()})
 	if !bytes.Equal(meta["state"], goldenState(t)) {
 		t.Error("snapshot data differs from the golden state")
 	}
@@ -348,7 +348,7 @@
 			if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&members); err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, "membership in the log", members, goldenTypedLogMembers())
+			goldentest.CheckEqual(t, "membership in the log", members, goldenTypedLogMembers())
 			data = nil
 		}
 		r.data = string(data)
@@ -395,5 +395,5 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	goldentest.Same(t, "members", saved.Snapshot.Members, membersWithStorage())
+	goldentest.CheckEqual(t, "members", saved.Snapshot.Members, membersWithStorage())
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -543,16 +543,16 @@
 		if f.Answer != nil && f.Answer.Packed != nil {
 			var objects []goldenObject
 			unpackTyped(f.Answer.Packed, &objects)
-			goldentest.Same(t, what+", packed objects, read with the golden types", objects, goldenTypedPackedObjects())
+			goldentest.CheckEqual(t, what+", packed objects, read with the golden types", objects, goldenTypedPackedObjects())
 			f.Answer.Packed = []byte("packed")
 		}
 		if f.PackedEvents != nil {
 			var events []goldenEvent
 			unpackTyped(f.PackedEvents, &events)
-			goldentest.Same(t, what+", packed events, read with the golden types", events, goldenTypedPackedEvents())
+			goldentest.CheckEqual(t, what+", packed events, read with the golden types", events, goldenTypedPackedEvents())
 			f.PackedEvents = []byte("packed")
 		}
-		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read with the golden types", what, i), f, want[i])
+		goldentest.CheckEqual(t, fmt.Sprintf("%s, frame %d, read with the golden types", what, i), f, want[i])
 	}
 	if len(data) != 0 {
 		t.Errorf("%s: %d bytes after the last frame", what, len(data))
@@ -573,7 +573,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, what+", packed objects, read with the current code", objects, goldenPackedObjects())
+			goldentest.CheckEqual(t, what+", packed objects, read with the current code", objects, goldenPackedObjects())
 			f.Answer.Packed = []byte("packed")
 		}
 		if f.PackedEvents != nil {
@@ -581,10 +581,10 @@
 			if err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, what+", packed events, read with the current code", events, goldenPackedEvents())
+			goldentest.CheckEqual(t, what+", packed events, read with the current code", events, goldenPackedEvents())
 			f.PackedEvents = []byte("packed")
 		}
-		goldentest.Same(t, fmt.Sprintf("%s, frame %d, read with the current code", what, i), *f, want)
+		goldentest.CheckEqual(t, fmt.Sprintf("%s, frame %d, read with the current code", what, i), *f, want)
 	}
 	if _, err := c.Receive(time.Second); !errors.Is(err, io.EOF) {
 		t.Errorf("%s: Receive() after the last frame = %v, want io.EOF", what, err)
@@ -602,8 +602,8 @@
 		}
 		readFramesWithCurrentCode(t, what, data)
 	}
-	goldentest.Complete(t, goldenFrames(), goldenJoin())
-	goldentest.Complete(t, goldenTypedFrames())
+	goldentest.CheckComplete(t, goldenFrames(), goldenJoin())
+	goldentest.CheckComplete(t, goldenTypedFrames())
 	if Version != 3 {
 		t.Errorf("Version = %d, want 3", Version)
 	}
@@ -633,11 +633,11 @@
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		goldentest.Same(t, what+", read with the current code", *got, want)
+		goldentest.CheckEqual(t, what+", read with the current code", *got, want)
 		var typed goldenFrame
 		if err := gob.NewDecoder(bytes.NewReader(data[4:])).Decode(&typed); err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		goldentest.Same(t, what+", read with the golden types", typed, wantTyped)
+		goldentest.CheckEqual(t, what+", read with the golden types", typed, wantTyped)
 	}
 }
--- a/raft/golden_test.go
+++ b/raft/golden_test.go
@@ -50,7 +50,7 @@
 	want.Learners[0].Storage = raft.StorageMemory
 	golden = goldentest.File(t, "testdata/golden/membership-storage.gob", want.Encode)
 	compareGoldenMembership(t, golden, want, wantOld)
-	goldentest.Complete(t, want, wantOld)
+	goldentest.CheckComplete(t, want, wantOld)
 }
 
 // compareGoldenMembership decodes a golden file with the current code, and the golden file
@@ -61,12 +61,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Same(t, "golden file, decoded by the current code", got, want)
+	goldentest.CheckEqual(t, "golden file, decoded by the current code", got, want)
 	for what, data := range map[string][]byte{"golden file": golden, "current encoding": want.Encode()} {
 		var old goldenMembership
 		if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&old); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
-		goldentest.Same(t, what+", decoded by the golden types", old, wantOld)
+		goldentest.CheckEqual(t, what+", decoded by the golden types", old, wantOld)
 	}
 }
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -318,7 +318,7 @@
 // decode the golden file, and the golden types must decode what the current code writes.
 func TestGoldenImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image.gob", func() []byte { return goldenSnapshot(t, goldenStore(t)) })
-	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenStoreImage())
+	goldentest.CheckEqual(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenStoreImage())
 
 	restored := NewStore()
 	if err := restored.Restore(golden); err != nil {
@@ -330,25 +330,25 @@
 		"restored and written by this code":    goldenSnapshot(t, restored),
 		"encoded from the values of this code": goldenEncode(t, goldenStoreImage()),
 	} {
-		goldentest.Same(t, what+", read as before", goldenDecode[goldenImage](t, data), goldenStoreImageForm())
+		goldentest.CheckEqual(t, what+", read as before", goldenDecode[goldenImage](t, data), goldenStoreImageForm())
 	}
-	goldentest.Complete(t, goldenStoreImage(), goldenLegacyGroupsImage())
-	goldentest.Complete(t, goldenStoreImageForm(), goldenLegacyGroupsImageForm())
+	goldentest.CheckComplete(t, goldenStoreImage(), goldenLegacyGroupsImage())
+	goldentest.CheckComplete(t, goldenStoreImageForm(), goldenLegacyGroupsImageForm())
 }
 
 // TestGoldenLegacyGroupsImage guards against snapshots of versions without the event log
 // that can no longer be restored. The current code only reads that format.
 func TestGoldenLegacyGroupsImage(t *testing.T) {
 	golden := goldentest.File(t, "testdata/golden/image-groups.gob", func() []byte { return goldenEncode(t, goldenLegacyGroupsImage()) })
-	goldentest.Same(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenLegacyGroupsImage())
-	goldentest.Same(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenLegacyGroupsImageForm())
+	goldentest.CheckEqual(t, "golden file, read by this code", goldenDecode[snapshotImage](t, golden), goldenLegacyGroupsImage())
+	goldentest.CheckEqual(t, "golden file, read as before", goldenDecode[goldenImage](t, golden), goldenLegacyGroupsImageForm())
 	s := NewStore()
 	if err := s.Restore(golden); err != nil {
 		t.Fatal(err)
 	}
 	events, revision, ok := s.Coordination().EventsSince("h.", 5)
 	want := []coordination.Event{{Name: "h.b", Value: "5", Revision: 6, At: 26}, {Name: "h.a", Value: "6", Revision: 7, At: 27}}
-	if goldentest.Same(t, "events", events, want); revision != 7 || !ok {
+	if goldentest.CheckEqual(t, "events", events, want); revision != 7 || !ok {
 		t.Errorf("EventsSince returned revision %d and ok %t, want 7 and true", revision, ok)
 	}
 }
@@ -406,9 +406,9 @@
 		if err != nil {
 			t.Error(err)
 		}
-		goldentest.Same(t, fmt.Sprint("command ", i), got, want[i])
+		goldentest.CheckEqual(t, fmt.Sprint("command ", i), got, want[i])
 	}
-	goldentest.Complete(t, want)
+	goldentest.CheckComplete(t, want)
 }
 
 // TestGoldenDelta guards against changes of the delta encoding, which the log stores: a
@@ -485,22 +485,22 @@
 			if err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, o.Key, got, endpoints[i])
+			goldentest.CheckEqual(t, o.Key, got, endpoints[i])
 		case i < 4:
 			got, err := DecodeProxy(o)
 			if err != nil {
 				t.Error(err)
 			}
-			goldentest.Same(t, o.Key, got, proxies[i-2])
+			goldentest.CheckEqual(t, o.Key, got, proxies[i-2])
 		case i < 7:
-			goldentest.Same(t, o.Key, DecodeEvacuation(o), evacuations[i-4])
+			goldentest.CheckEqual(t, o.Key, DecodeEvacuation(o), evacuations[i-4])
 		case i == 7:
 			if version, text, ok := DecodeConfig(o); version != 0x0102030405060708 || string(text) != goldenConfigText || !ok {
 				t.Errorf("DecodeConfig = %x, %s, %t; want the golden configuration", version, text, ok)
 			}
 		}
 	}
-	goldentest.Complete(t, endpoints, proxies, evacuations, goldenDrainingEndpoint, goldenDeparture)
+	goldentest.CheckComplete(t, endpoints, proxies, evacuations, goldenDrainingEndpoint, goldenDeparture)
 
 	// Earlier versions wrote only the state of a zone.
 	for value, want := range map[string]Evacuation{
@@ -509,7 +509,7 @@
 		"returning":    {BeginCount: 1, FinishCount: 1, BeginAcknowledged: true, FinishAcknowledged: true},
 		"unreadable {": {BeginCount: 1, BeginAcknowledged: true},
 	} {
-		goldentest.Same(t, value, DecodeEvacuation(Object{Value: []byte(value)}), want)
+		goldentest.CheckEqual(t, value, DecodeEvacuation(Object{Value: []byte(value)}), want)
 	}
 	// The values in the golden image must equal what the current code writes.
 	for text, got := range map[string][]byte{
@@ -548,12 +548,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Same(t, "endpoint", got, goldenDrainingEndpoint)
+	goldentest.CheckEqual(t, "endpoint", got, goldenDrainingEndpoint)
 	const departureText = `{"registered":31}`
 	if got := string(goldenDeparture.Encode()); got != departureText {
 		t.Errorf("departure is encoded as %s, want departureText", got)
 	}
 	for text, want := range map[string]Departure{departureText: goldenDeparture, "{}": {}, "": {}} {
-		goldentest.Same(t, "departure "+text, DecodeDeparture(Object{Value: []byte(text)}), want)
+		goldentest.CheckEqual(t, "departure "+text, DecodeDeparture(Object{Value: []byte(text)}), want)
 	}
 }
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		goldentest.Same(t, line, got, want[i])
+		goldentest.CheckEqual(t, line, got, want[i])
 	}
-	goldentest.Complete(t, want)
+	goldentest.CheckComplete(t, want)
 }
