--- a/internal/layering/docs_test.go
+++ b/internal/layering/docs_test.go
@@ -14,23 +14,23 @@
 	"testing"
 )
 
-// checkedPages are the pages that describe the present code. Records of what once was
-// (rounds, incidents, former names) are not among them.
+// checkedPages are the pages that describe the current code. Records of earlier states
+// (rounds, incidents, former names) are excluded.
 var checkedPages = []string{"docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/notes/*.md"}
 
-// glossaryTerms delimits the table of docs/glossary.md that is checked as well, without
-// its first column, which holds the users' words.
+// glossaryTerms is the heading of the table in glossaryPage that is checked as well,
+// without its first column, which contains the users' words.
 const (
 	glossaryPage  = "docs/glossary.md"
 	glossaryTerms = "## Terms"
 )
 
-// fileExtensions tell the name of a file from that of a declaration.
+// fileExtensions are the extensions by which a file name is recognized.
 var fileExtensions = []string{"db", "go", "json", "md", "toml", "txt"}
 
-// notGoNames are words in backticks that have the form of a Go name and are none.
+// notGoNames are texts in code spans that look like Go names and have another meaning.
 var notGoNames = map[string]string{
-	"chest.db.bad":       "the file that a damaged store is renamed to",
+	"chest.db.bad":       "the file that a corrupt store is renamed to",
 	"configuration.read": "a call of the HTTP API",
 }
 
@@ -42,16 +42,17 @@
 	testName   = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9]*$`)
 )
 
-// declarations are the names that the code declares.
+// declarations holds the names that the code declares.
 type declarations struct {
-	// names has every declared name: of packages' members, methods and fields.
+	// names has all declared names: of package members, methods and fields.
 	names map[string]bool
-	// members has the names in a package ("raft") and of a type, which is named with its
-	// package ("raft.Node") and without ("Node": of all packages together).
+	// members has the names that a package ("raft") or a type contains. A type is listed
+	// with its package ("raft.Node") and without ("Node", for all packages together).
 	members map[string]map[string]bool
-	// embedded has the types that a type embeds, without their packages.
+	// embedded has the types that each type embeds, without their packages.
 	embedded map[string][]string
-	// packages are the names of the project's packages, imports those of others.
+	// packages has the names of the project's packages, imports those of other modules
+	// and of the standard library.
 	packages, imports map[string]bool
 }
 
@@ -79,7 +80,7 @@
 	d.add(pkg+"."+owner, name)
 }
 
-// addFile adds what a file declares outside functions, and its imports.
+// addFile adds the package-level declarations of a file, and its imports.
 func (d *declarations) addFile(file *ast.File) {
 	pkg := strings.TrimSuffix(file.Name.Name, "_test")
 	d.packages[pkg] = true
@@ -135,7 +136,7 @@
 	}
 }
 
-// typeName is the name of a type without its package, pointer and type arguments.
+// typeName returns the name of a type without package, pointer and type arguments.
 func typeName(expr ast.Expr) string {
 	switch t := expr.(type) {
 	case *ast.Ident:
@@ -153,7 +154,7 @@
 	}
 }
 
-// has reports whether a package or a type, or what the type embeds, has a member.
+// has reports whether a package or a type has a member. Members of embedded types count.
 func (d *declarations) has(owner, name string) bool {
 	if d.members[owner][name] {
 		return true
@@ -161,8 +162,8 @@
 	return slices.ContainsFunc(d.embedded[owner], func(e string) bool { return d.has(e, name) })
 }
 
-// declares reports whether the words of a code span are declared, if they have the form
-// of a Go name. What has another form counts as declared.
+// declares reports whether the text of a code span is declared. A text that does not look
+// like a Go name counts as declared.
 func (d *declarations) declares(span string) bool {
 	name := strings.TrimSuffix(span, "()")
 	if _, isListed := notGoNames[name]; isListed {
@@ -181,8 +182,8 @@
 	return d.has(owner, parts[len(parts)-1])
 }
 
-// undeclared returns the code spans of a page that look like Go names and are not
-// declared, each with its line.
+// undeclared returns a message with the line for each code span of a page that looks like
+// a Go name and is not declared.
 func (d *declarations) undeclared(page, text string) []string {
 	text = codeBlock.ReplaceAllStringFunc(text, func(block string) string {
 		return strings.Repeat("\n", strings.Count(block, "\n"))
@@ -192,14 +193,14 @@
 		span := text[at[2]:at[3]]
 		if !d.declares(span) {
 			line := 1 + strings.Count(text[:at[0]], "\n")
-			found = append(found, fmt.Sprintf("%s:%d: `%s` is declared nowhere", page, line, span))
+			found = append(found, fmt.Sprintf("%s:%d: `%s` is not declared", page, line, span))
 		}
 	}
 	return found
 }
 
-// termsOf returns the Terms table of the glossary without its first column. The lines
-// keep their numbers.
+// termsOf returns the Terms table of the glossary without its first column. All other
+// lines are empty, so that line numbers stay the same.
 func termsOf(glossary string) string {
 	isTerms := false
 	lines := strings.Split(glossary, "\n")
@@ -241,7 +242,8 @@
 	return d
 }
 
-// TestDocumentsNameWhatIsDeclared checks that Go names in the pages exist in the code.
+// TestDocumentsNameWhatIsDeclared guards against pages that name a declaration after it was
+// renamed or removed.
 func TestDocumentsNameWhatIsDeclared(t *testing.T) {
 	const root = "../.."
 	d := parseDeclarations(t, root)
@@ -256,7 +258,7 @@
 	for _, pattern := range checkedPages {
 		paths, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil || len(paths) == 0 {
-			t.Fatalf("%s: no page, error %v", pattern, err)
+			t.Fatalf("Glob(%s): no pages, error %v", pattern, err)
 		}
 		for _, path := range paths {
 			found = append(found, d.undeclared(strings.TrimPrefix(path, root+"/"), read(path))...)
@@ -264,7 +266,7 @@
 	}
 	terms := termsOf(read(filepath.Join(root, glossaryPage)))
 	if !codeSpan.MatchString(terms) {
-		t.Errorf("%s: no terms under %q", glossaryPage, glossaryTerms)
+		t.Errorf("%s: no code spans under %q", glossaryPage, glossaryTerms)
 	}
 	found = append(found, d.undeclared(glossaryPage, terms)...)
 	for _, problem := range found {
@@ -272,7 +274,7 @@
 	}
 }
 
-// TestUndeclaredNamesAreFound checks what counts as a dead name.
+// TestUndeclaredNamesAreFound checks which texts are reported as undeclared.
 func TestUndeclaredNamesAreFound(t *testing.T) {
 	const source = `package raft
 import "time"
@@ -315,14 +317,14 @@
 	} {
 		found := d.undeclared("page", "\n\nThe `"+test.span+"` is named.")
 		if len(found) == 0 != test.isDeclared {
-			t.Errorf("%s: %v", test.span, found)
+			t.Errorf("undeclared with span %s = %v", test.span, found)
 		}
 		if len(found) > 0 && !strings.HasPrefix(found[0], "page:3: ") {
-			t.Errorf("%s: line of %q", test.span, found[0])
+			t.Errorf("undeclared with span %s: message %q, want line 3", test.span, found[0])
 		}
 	}
 	glossary := "# G\n`oldA`\n## Terms\n| `oldB` | `newC` |\n## Types\n| `oldD` | `newE` |\n"
-	if got := d.undeclared("g", termsOf(glossary)); len(got) != 1 || got[0] != "g:4: `newC` is declared nowhere" {
-		t.Errorf("glossary: %v", got)
+	if got := d.undeclared("g", termsOf(glossary)); len(got) != 1 || got[0] != "g:4: `newC` is not declared" {
+		t.Errorf("undeclared of the glossary = %v, want newC only", got)
 	}
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -1,5 +1,6 @@
-// Package layering holds the test of the rules in docs/architecture.md: which
-// package may import which, and what the core packages may not use.
+// Package layering tests the rules in docs/architecture.md: which packages may import
+// which others, and what the core packages may not use. It also tests that the names
+// of declarations in the documents exist.
 package layering
 
 import (
@@ -18,8 +19,8 @@
 
 const module = "lichentray/"
 
-// layers lists the packages from the bottom up. A package may import packages of
-// lower layers only. A new package is added to the layer in which it belongs.
+// layers lists the packages from the lowest layer to the highest. A package may import
+// only packages of lower layers. A new package has to be added to a layer.
 var layers = [][]string{
 	{"audit", "config", "eventlog", "loadbalance", "raft", "rollout"},
 	{"coordination", "raft/modelcheck", "raft/rafttest", "routing"},
@@ -32,22 +33,22 @@
 	{"cmd/lichentray-controlplane", "cmd/lichentray-proxy", "cmd/lichentrayctl"},
 }
 
-// corePackages do no input or output, read no clock and start no goroutine: time,
-// messages and random numbers are arguments, effects are results.
+// corePackages do no input or output, read no clock and start no goroutines: time,
+// messages and random numbers are passed in as arguments, effects are returned.
 var corePackages = []string{
 	"audit", "coordination", "eventlog", "loadbalance", "raft", "raft/modelcheck",
 	"raft/rafttest", "registry", "rollout", "watchcache",
 }
 
-// testPackages hold fixtures. Only test files may import them.
+// testPackages contain test fixtures. Only test files may import them.
 var testPackages = []string{"internal/controlplanetest", "internal/goldentest"}
 
-// unlayered are the directories whose packages nothing may import: they use the
-// project as its users do.
+// unlayered are the directories whose packages no other package may import: programs
+// that use the project as its users do, and tests.
 var unlayered = []string{"examples/", "tests/", "internal/layering"}
 
-// forbiddenImports are the standard packages, with those below them, that reach
-// outside the process or read the clock for their caller.
+// forbiddenImports are the standard packages, including their subpackages, that access
+// the environment of the process or read the clock for their caller.
 var forbiddenImports = []string{
 	"context", "database/sql", "io/ioutil", "log", "net", "os", "plugin", "runtime/debug", "syscall",
 }
@@ -58,14 +59,14 @@
 	"After", "AfterFunc", "NewTicker", "NewTimer", "Now", "Since", "Sleep", "Tick", "Ticker", "Timer", "Until",
 }
 
-// layerOf returns the layer of a package, counted from 0 at the bottom, or -1 if
-// the package is in none.
+// layerOf returns the index of a package's layer, 0 for the lowest, or -1 if the package
+// is in no layer.
 func layerOf(pkg string) int {
 	return slices.IndexFunc(layers, func(layer []string) bool { return slices.Contains(layer, pkg) })
 }
 
-// checkImport returns what is wrong with an import in a file of package pkg that
-// is no test file, or an empty string.
+// checkImport returns the rule violation of an import in a non-test file of package pkg,
+// or an empty string.
 func checkImport(pkg, path string) string {
 	if slices.Contains(corePackages, pkg) {
 		for _, forbidden := range forbiddenImports {
@@ -93,7 +94,7 @@
 	return ""
 }
 
-// checkFile returns the violations in one file that is no test file.
+// checkFile returns the rule violations in one non-test file.
 func checkFile(pkg, name string, source any) ([]string, error) {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, name, source, parser.SkipObjectResolution)
@@ -124,7 +125,7 @@
 		return found, nil
 	}
 	if timeName == "." {
-		report(file.Pos(), "core package "+pkg+" imports time without its name")
+		report(file.Pos(), "core package "+pkg+" imports time with a dot import")
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
@@ -141,12 +142,13 @@
 	return found, nil
 }
 
-// isUnlayered reports whether nothing may import the package.
+// isUnlayered reports whether no other package may import the package.
 func isUnlayered(pkg string) bool {
 	return slices.ContainsFunc(unlayered, func(prefix string) bool { return strings.HasPrefix(pkg, prefix) })
 }
 
-// TestPackagesKeepTheirLayers checks every file of the module that is no test file.
+// TestPackagesKeepTheirLayers guards against imports of higher layers, and against input,
+// output, clocks and goroutines in the core packages, in all non-test files of the module.
 func TestPackagesKeepTheirLayers(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -177,7 +179,7 @@
 			return nil
 		}
 		if !seen[pkg] && layerOf(pkg) < 0 && !slices.Contains(testPackages, pkg) {
-			t.Errorf("%s: not in the list of layers", pkg)
+			t.Errorf("%s: package is in no layer", pkg)
 		}
 		seen[pkg] = true
 		found, err := checkFile(pkg, path, nil)
@@ -191,32 +193,32 @@
 	}
 	for _, pkg := range slices.Concat(slices.Concat(layers...), corePackages, testPackages) {
 		if !seen[pkg] {
-			t.Errorf("%s: listed, but there is no such package", pkg)
+			t.Errorf("%s: listed package does not exist", pkg)
 		}
 	}
 }
 
-// TestViolationsAreFound checks that each rule can fail.
+// TestViolationsAreFound checks that checkFile reports a violation of each rule.
 func TestViolationsAreFound(t *testing.T) {
 	tests := []struct {
 		name, pkg, source string
 		want              int
 	}{
-		{"nothing wrong", "registry", `import ("time"; "lichentray/audit"); var d = time.Second; var _ = audit.New`, 0},
+		{"no violation", "registry", `import ("time"; "lichentray/audit"); var d = time.Second; var _ = audit.New`, 0},
 		{"core imports internal", "raft", `import _ "lichentray/internal/metrics"`, 1},
 		{"core imports os", "audit", `import _ "os"`, 1},
 		{"core imports a package below net", "rollout", `import _ "net/http"`, 1},
 		{"core reads the clock", "raft", `import "time"; var t = time.Now()`, 1},
-		{"core reads the clock under another name", "raft", `import clock "time"; var t = clock.Now()`, 1},
-		{"core imports time without its name", "raft", `import . "time"; var t = Second`, 1},
+		{"core reads the clock with a renamed import", "raft", `import clock "time"; var t = clock.Now()`, 1},
+		{"core imports time with a dot import", "raft", `import . "time"; var t = Second`, 1},
 		{"core sleeps", "eventlog", `import "time"; func f() { time.Sleep(1) }`, 1},
 		{"core has a timer", "loadbalance", `import "time"; var t *time.Timer`, 1},
 		{"core starts a goroutine", "watchcache", `func f() { go f() }`, 1},
-		{"others may start goroutines", "internal/proxy", `import "time"; func f() { go f(); time.Sleep(1) }`, 0},
-		{"upward", "internal/transport", `import _ "lichentray/internal/proxy"`, 1},
-		{"same layer", "internal/proxy", `import _ "lichentray/internal/controlplane"`, 1},
-		{"fixtures outside tests", "internal/proxy", `import _ "lichentray/internal/controlplanetest"`, 1},
-		{"an example", "cmd/lichentrayctl", `import _ "lichentray/examples/scale"`, 1},
+		{"goroutine outside the core", "internal/proxy", `import "time"; func f() { go f(); time.Sleep(1) }`, 0},
+		{"import of a higher layer", "internal/transport", `import _ "lichentray/internal/proxy"`, 1},
+		{"import of the same layer", "internal/proxy", `import _ "lichentray/internal/controlplane"`, 1},
+		{"import of fixtures in a non-test file", "internal/proxy", `import _ "lichentray/internal/controlplanetest"`, 1},
+		{"import of an example", "cmd/lichentrayctl", `import _ "lichentray/examples/scale"`, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -225,7 +227,7 @@
 				t.Fatal(err)
 			}
 			if len(found) != test.want {
-				t.Errorf("%d violations found, want %d: %v", len(found), test.want, found)
+				t.Errorf("checkFile returned %d violations, want %d: %v", len(found), test.want, found)
 			}
 		})
 	}
