--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -42,9 +42,9 @@
 		}
 		switch {
 		case errors.Is(err, relay.ErrCoreDiskless):
-			log.Info("no machine of the core has a disk, joining it")
+			log.Info("no core machine has a disk; joining the core")
 		case errors.Is(err, errCoreHasDisks):
-			log.Info("machines of the core have disks, forwarding calls to them")
+			log.Info("core machines have disks; running as a relay")
 		default:
 			return err
 		}
--- a/internal/controlplane/log_writer.go
+++ b/internal/controlplane/log_writer.go
@@ -145,13 +145,13 @@
 		err := w.saveOnce(batch)
 		if err == nil {
 			if failures > 0 {
-				w.logger.Info("disk takes writes again")
+				w.logger.Info("disk writes succeed again")
 			}
 			return true
 		}
 		w.metrics.diskFailures.Inc()
 		if failures == 0 {
-			w.logger.Error("disk refuses writes, nothing is acknowledged until it takes them", "error", err)
+			w.logger.Error("disk write failed; nothing is acknowledged until writes succeed", "error", err)
 		}
 		select {
 		case <-w.ctx.Done():
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -219,7 +219,7 @@
 		if err := state.raft.ProposeConfChange(next); err != nil {
 			return apierror.New(apierror.Unavailable, "%v", err)
 		}
-		m.logger.Info("node joins or describes itself", "member", formatMemberID(member.ID),
+		m.logger.Info("proposed to add or update a member", "member", formatMemberID(member.ID),
 			"address", member.Addr, "storage", member.Storage.String(), "joins", !membership.IsMember(member.ID))
 		return nil
 	})
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -214,7 +214,7 @@
 		locks := n.state.onLoop(state).store.Coordination().Locks
 		if !state.leases.Update(now, entry.Index, c, result.Latch, locks) {
 			n.metrics.reacquiredLocksReleased.Inc()
-			n.logger.Error("a lock that its holder had acquired again was released", "lock", c.Name, "holder", c.Holder, "fence", c.FencingToken)
+			n.logger.Error("lock released although its holder had reacquired it", "lock", c.Name, "holder", c.Holder, "fence", c.FencingToken)
 		}
 		if c.Operation == coordination.AcquireLock && result.Latch.Fence != result.Latch.Grant {
 			n.metrics.lockReacquisitions.Inc()
--- a/internal/controlplane/snapshotter.go
+++ b/internal/controlplane/snapshotter.go
@@ -32,7 +32,7 @@
 func (s *snapshotter) restoreReceived(data []byte) error {
 	store := registry.NewStore()
 	if err := store.Restore(data); err != nil {
-		s.env.logger.Error("snapshot cannot be restored, this node keeps lagging", "error", err)
+		s.env.logger.Error("received snapshot cannot be restored; this node stays behind the leader", "error", err)
 		return err
 	}
 	s.received = store
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -108,7 +108,7 @@
 		return nil, fmt.Errorf("open store: %w", err)
 	}
 	if identity.DiscardReason != nil {
-		env.logger.Error("store set aside as unreadable, joining as a new member", "cause", identity.DiscardReason)
+		env.logger.Error("store is unreadable and was set aside; joining as a new member", "cause", identity.DiscardReason)
 	}
 	d.memberID = identity.ID
 	d.isNew = identity.IsNew
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -65,7 +65,7 @@
 	text, err := os.ReadFile(w.path)
 	if err != nil {
 		if isRequested {
-			w.log.Error("settings cannot be read, the old ones stay", "error", err)
+			w.log.Error("settings cannot be read; keeping the current ones", "error", err)
 		}
 		return
 	}
@@ -78,7 +78,7 @@
 	w.lastText = text
 	s, err := settings.Parse(text)
 	if err != nil {
-		w.log.Error("settings are invalid, the old ones stay", "error", err)
+		w.log.Error("settings are invalid; keeping the current ones", "error", err)
 		return
 	}
 	w.publish(s)
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -53,8 +53,8 @@
 	}
 	writeFile(strings.Replace(string(sample), "contact_s = 3", "contact_s = 0", 1))
 	hangup <- syscall.SIGHUP
-	if line := <-logLines; !strings.Contains(line, "contact_s") || !strings.Contains(line, "old ones stay") {
-		t.Errorf("log line = %q, want the invalid setting contact_s and that the old settings stay", line)
+	if line := <-logLines; !strings.Contains(line, "contact_s") || !strings.Contains(line, "keeping the current ones") {
+		t.Errorf("log line = %q, want the invalid setting contact_s and that the current settings are kept", line)
 	}
 	select {
 	case s := <-changed:
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -48,7 +48,7 @@
 func (r *relay) recordFailedSearch(candidates []string, isLogged bool) {
 	r.searchesFailed.Inc()
 	if !isLogged {
-		r.log.Info("no core node found, searching on", "candidates", candidates, "members_known", len(r.locator.Nodes()))
+		r.log.Info("no core node found; retrying", "candidates", candidates, "members_known", len(r.locator.Nodes()))
 	}
 }
 
