--- a/cmd/lichentrayctl/account.go
+++ b/cmd/lichentrayctl/account.go
@@ -39,11 +39,11 @@
 	}
 	switch {
 	case filter.Kind != "" && !slices.Contains(audit.FailureKinds(), filter.Kind):
-		return filter, exitErrorf(exitUsage, "--kind: %q is none of %v", filter.Kind, audit.FailureKinds())
+		return filter, exitErrorf(exitUsage, "--kind: %q is not one of %v", filter.Kind, audit.FailureKinds())
 	case filter.UntilMS > 0 && filter.UntilMS <= filter.SinceMS:
-		return filter, exitErrorf(exitUsage, "--until: not after --since")
+		return filter, exitErrorf(exitUsage, "--until must be after --since")
 	case filter.Limit < 0:
-		return filter, exitErrorf(exitUsage, "--most: below 0")
+		return filter, exitErrorf(exitUsage, "--most must not be negative")
 	}
 	return filter, nil
 }
@@ -59,7 +59,7 @@
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, exitErrorf(exitUsage, "--%s: %q is neither a time such as 2026-12-02T09:00:00Z nor a span such as 90m", flag, text)
+		return 0, exitErrorf(exitUsage, "--%s: %q is neither a time such as 2026-12-02T09:00:00Z nor a duration such as 90m", flag, text)
 	}
 	return at.UnixMilli(), nil
 }
--- a/cmd/lichentrayctl/cli.go
+++ b/cmd/lichentrayctl/cli.go
@@ -67,7 +67,7 @@
 		command = commands[c.commandName]
 	}
 	if command == nil {
-		return exitErrorf(exitUsage, "no command %q", strings.Join(args, " "))
+		return exitErrorf(exitUsage, "unknown command %q", strings.Join(args, " "))
 	}
 	if err := c.parseFlags(rest); err != nil {
 		return err
@@ -104,7 +104,7 @@
 	case "json":
 		c.jsonOutput = true
 	default:
-		return exitErrorf(exitUsage, "--output is text or json, not %q", *output)
+		return exitErrorf(exitUsage, "--output must be text or json, not %q", *output)
 	}
 	if *timeout <= 0 {
 		return exitErrorf(exitUsage, "--timeout must be above 0")
@@ -145,7 +145,7 @@
 	}
 	set, err := settings.Load(settings.ResolvePath(c.settingsPath))
 	if err != nil {
-		return nil, exitErrorf(exitUsage, "no --nodes given, and the settings do not help: %v", err)
+		return nil, exitErrorf(exitUsage, "--nodes is missing, and the settings cannot be loaded: %v", err)
 	}
 	return &client{nodes: set.SeedNodes, deadline: c.deadline}, nil
 }
@@ -166,7 +166,7 @@
 		return err
 	}
 	if err := json.Unmarshal(text, response); err != nil {
-		return exitErrorf(exitFailed, "the answer cannot be read: %v", err)
+		return exitErrorf(exitFailed, "the response cannot be decoded: %v", err)
 	}
 	return nil
 }
--- a/cmd/lichentrayctl/client.go
+++ b/cmd/lichentrayctl/client.go
@@ -63,15 +63,15 @@
 			case http.StatusOK:
 				return r.body, nil
 			case http.StatusNotFound:
-				return nil, exitErrorf(exitFailed, "%s has none: %s", node, r.body)
+				return nil, exitErrorf(exitFailed, "%s returned not found: %s", node, r.body)
 			case http.StatusBadRequest:
-				return nil, exitErrorf(exitUsage, "%s refused it: %s", node, r.body)
+				return nil, exitErrorf(exitUsage, "%s rejected the request: %s", node, r.body)
 			}
-			lastErr = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
+			lastErr = fmt.Errorf("%s returned status %d: %s", node, r.status, r.body)
 		}
 		time.Sleep(retryInterval)
 	}
-	return nil, exitErrorf(exitFailed, "no node answered %s: %v", call, lastErr)
+	return nil, exitErrorf(exitFailed, "no node returned a result for %s: %v", call, lastErr)
 }
 
 // submit sends a call to one node after another until one acknowledges it, and returns that node.
@@ -91,18 +91,18 @@
 			case r.status == http.StatusOK:
 				return node, nil
 			case isRejection(r.status):
-				return "", exitErrorf(exitInvalid, "%s refused it with %d: %s", node, r.status, r.body)
+				return "", exitErrorf(exitInvalid, "%s rejected the request with status %d: %s", node, r.status, r.body)
 			default:
 				mayHaveTakenEffect = mayHaveTakenEffect || !isUnprocessed(r.status)
-				lastErr = fmt.Errorf("%s answered %d: %s", node, r.status, r.body)
+				lastErr = fmt.Errorf("%s returned status %d: %s", node, r.status, r.body)
 			}
 		}
 		time.Sleep(retryInterval)
 	}
 	if mayHaveTakenEffect {
-		return "", exitErrorf(exitOutcomeUnknown, "no clear answer, the order may or may not be in force: %v", lastErr)
+		return "", exitErrorf(exitOutcomeUnknown, "outcome unknown, the request may or may not have taken effect: %v", lastErr)
 	}
-	return "", exitErrorf(exitFailed, "no node took the order: %v", lastErr)
+	return "", exitErrorf(exitFailed, "no node accepted the request: %v", lastErr)
 }
 
 // isRejection reports whether a status means that the call itself is invalid, so that no other node
@@ -126,7 +126,7 @@
 		location, err := url.Parse(r.location)
 		if err != nil || location.Host == "" {
 			return r, &callError{
-				err:            fmt.Errorf("%s sends on to %q, which is no address", node, r.location),
+				err:            fmt.Errorf("%s redirected to %q, which is not a URL with a host", node, r.location),
 				mayHaveArrived: true,
 			}
 		}
--- a/cmd/lichentrayctl/rollout.go
+++ b/cmd/lichentrayctl/rollout.go
@@ -10,12 +10,12 @@
 // beginRollout is the command "rollout begin".
 func (c *cli) beginRollout() error {
 	if len(c.args) != 3 {
-		return exitErrorf(exitUsage, "rollout begin takes a service, a version and a time")
+		return exitErrorf(exitUsage, "rollout begin takes a service, a version and a duration")
 	}
 	service, version := c.args[0], c.args[1]
 	deadline, err := time.ParseDuration(c.args[2])
 	if err != nil || deadline <= 0 {
-		return exitErrorf(exitUsage, "%q is no time above 0, such as 12s", c.args[2])
+		return exitErrorf(exitUsage, "%q is not a positive duration such as 12s", c.args[2])
 	}
 	body, err := json.Marshal(map[string]any{
 		"backend_service": service,
