--- a/internal/api/evacuations.go
+++ b/internal/api/evacuations.go
@@ -11,10 +11,10 @@
 // finishEvacuation returns a zone to normal use.
 func (h *Handler) finishEvacuation(c call) (any, error) { return nil, h.evacuateZone(c, false) }
 
-// evacuateZone begins or finishes the evacuation of a zone. An order carries no sequence number
-// that would identify a delayed one, for example one that remained unread in the socket of a
-// suspended process. Instead, an order counts as delayed if its caller has closed the connection,
-// because such a caller has moved on to another node.
+// evacuateZone begins or finishes the evacuation of a zone. A request carries no
+// sequence number that would identify a delayed one, for example one that remained unread in the
+// socket of a suspended process. Instead, a request counts as delayed if its caller has closed the
+// connection, because such a caller has moved on to another node.
 func (h *Handler) evacuateZone(c call, begin bool) error {
 	if err := requireName(c.name); err != nil {
 		return err
--- a/internal/api/handler.go
+++ b/internal/api/handler.go
@@ -37,9 +37,9 @@
 	// than after. It returns the writes in order and the revision up to which they are complete.
 	// It stops waiting once callerIsWaiting returns false.
 	Watch(group string, after uint64, wait time.Duration, callerIsWaiting func() bool) ([]coordination.Event, uint64, error)
-	// Evacuate begins or finishes the evacuation of a zone. It does not execute the order once
-	// callerIsWaiting returns false, because a caller that has disconnected retries the order
-	// at another node.
+	// Evacuate begins or finishes the evacuation of a zone. It does not execute the request
+	// once callerIsWaiting returns false, because a caller that has disconnected retries the
+	// request at another node.
 	Evacuate(zone string, begin bool, callerIsWaiting func() bool) error
 	// Evacuations returns the states of the zones that are not in normal use.
 	Evacuations() (map[string]string, error)
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -177,8 +177,8 @@
 }
 
 // TestEvacuationSeesCallerDisconnect checks that the node can detect while it executes an
-// evacuation order that the caller has closed its connection. Otherwise it would execute an order
-// that the caller has since repeated at another node.
+// evacuation request that the caller has closed its connection. Otherwise it would execute a
+// request that the caller has since repeated at another node.
 func TestEvacuationSeesCallerDisconnect(t *testing.T) {
 	node := &fakeNode{callerChecks: make(chan func() bool)}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -58,10 +58,10 @@
 	return n.groups.watch(group, after, timeout, callerIsWaiting)
 }
 
-// Evacuate orders the evacuation of a zone (begin) or its return to use. Nothing is proposed once
-// callerIsWaiting reports false; the error is then of kind Unavailable.
+// Evacuate begins or finishes the evacuation of a zone. Nothing is proposed once callerIsWaiting
+// reports false; the error is then of kind Unavailable.
 func (n *Node) Evacuate(zone string, begin bool, callerIsWaiting func() bool) error {
-	return n.evacuations.submitOrder(zone, begin, callerIsWaiting)
+	return n.evacuations.submitRequest(zone, begin, callerIsWaiting)
 }
 
 // Evacuations returns the state of each zone that is not in normal use.
--- a/internal/controlplane/decoded_objects.go
+++ b/internal/controlplane/decoded_objects.go
@@ -19,27 +19,28 @@
 	rollouts  map[string]*rolloutRecord
 
 	evacuations map[string]registry.Evacuation
-	// evacuationOrderedAt is the time at which this node applied the newest order of each kind.
-	evacuationOrderedAt map[evacuationOrder]time.Duration
+	// lastEvacuationRequestAt is the time at which this node applied the newest request of each
+	// kind.
+	lastEvacuationRequestAt map[evacuationRequest]time.Duration
 
 	// watchedRevision is the revision of the newest change to a watched object.
 	watchedRevision uint64
 }
 
-// evacuationOrder identifies a kind of order for a zone: the registry key of the zone's
-// evacuation, and whether the order begins or finishes it.
-type evacuationOrder struct {
+// evacuationRequest identifies a kind of request for a zone: the registry key of the zone's
+// evacuation, and whether the request begins or finishes it.
+type evacuationRequest struct {
 	key     string
 	isBegin bool
 }
 
 func newDecodedObjects() decodedObjects {
 	return decodedObjects{
-		endpoints:           map[string]registry.Endpoint{},
-		proxies:             map[string]loadbalance.ProxyNode{},
-		rollouts:            map[string]*rolloutRecord{},
-		evacuations:         map[string]registry.Evacuation{},
-		evacuationOrderedAt: map[evacuationOrder]time.Duration{},
+		endpoints:               map[string]registry.Endpoint{},
+		proxies:                 map[string]loadbalance.ProxyNode{},
+		rollouts:                map[string]*rolloutRecord{},
+		evacuations:             map[string]registry.Evacuation{},
+		lastEvacuationRequestAt: map[evacuationRequest]time.Duration{},
 	}
 }
 
@@ -131,10 +132,10 @@
 	current := registry.DecodeEvacuation(e.Object)
 	r.evacuations[key] = current
 	if current.BeginCount != previous.BeginCount {
-		r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: true}] = r.env.now()
+		r.lastEvacuationRequestAt[evacuationRequest{key: key, isBegin: true}] = r.env.now()
 	}
 	if current.FinishCount != previous.FinishCount {
-		r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: false}] = r.env.now()
+		r.lastEvacuationRequestAt[evacuationRequest{key: key, isBegin: false}] = r.env.now()
 	}
 }
 
--- a/internal/controlplane/node_test.go
+++ b/internal/controlplane/node_test.go
@@ -437,19 +437,19 @@
 	}
 	eventually(t, "the warm-up has ended", func() bool { return !marked() })
 
-	// Evacuations: rejected orders have no effect, acknowledged ones persist.
+	// Evacuations: rejected requests have no effect, acknowledged ones persist.
 	callerIsWaiting := func() bool { return true }
 	if err := nodes[1].Evacuate("b", true, func() bool { return false }); apierror.KindOf(err) != apierror.Unavailable {
 		t.Errorf("Evacuate after the caller disconnected = %v, want kind Unavailable", err)
 	}
 	if zones, err := nodes[1].Evacuations(); err != nil || len(zones) != 0 {
-		t.Errorf("Evacuations() after a rejected order = %v, %v", zones, err)
+		t.Errorf("Evacuations() after a rejected request = %v, %v", zones, err)
 	}
 	if err := nodes[0].Evacuate("nowhere", true, callerIsWaiting); apierror.KindOf(err) != apierror.BadRequest {
 		t.Errorf("Evacuate(unknown zone) = %v, want kind BadRequest", err)
 	}
 	for _, begin := range []bool{false, true, true} {
-		eventually(t, "the order is acknowledged", func() bool { return nodes[1].Evacuate("b", begin, callerIsWaiting) == nil })
+		eventually(t, "the request is acknowledged", func() bool { return nodes[1].Evacuate("b", begin, callerIsWaiting) == nil })
 	}
 	for i := range nodes {
 		nodes[i].Close()
@@ -461,22 +461,22 @@
 		got, err := nodes[2].Evacuations()
 		return err == nil && got["b"] == registry.Evacuated
 	})
-	// A second operator's order is counted once it can no longer be a repeat of the first, and
-	// the zone returns to use only when both orders are finished.
-	order := func(begin bool) (now registry.Evacuation) {
-		// An order with an unknown outcome is sent again, as an operator would do.
-		eventually(t, "an order is acknowledged", func() bool { return nodes[0].Evacuate("b", begin, callerIsWaiting) == nil })
+	// A second operator's request is counted once it can no longer be a repeat of the first, and
+	// the zone returns to use only when both evacuations are finished.
+	request := func(begin bool) (now registry.Evacuation) {
+		// A request with an unknown outcome is sent again, as an operator would do.
+		eventually(t, "a request is acknowledged", func() bool { return nodes[0].Evacuate("b", begin, callerIsWaiting) == nil })
 		eventually(t, "the read index is confirmed", func() bool { return nodes[0].ReadIndex() == nil })
 		return registry.DecodeEvacuation(storedObject(nodes[0], registry.EvacuationPrefix+"b"))
 	}
-	if now := order(true); now.BeginCount != 1 {
-		t.Errorf("repeated order after the restart: %+v, want BeginCount 1", now)
+	if now := request(true); now.BeginCount != 1 {
+		t.Errorf("repeated request after the restart: %+v, want BeginCount 1", now)
 	}
-	eventually(t, "the second order is counted", func() bool { return order(true).BeginCount == 2 })
-	if now := order(false); now.FinishCount != 1 || now.State() != registry.Evacuated {
+	eventually(t, "the second request is counted", func() bool { return request(true).BeginCount == 2 })
+	if now := request(false); now.FinishCount != 1 || now.State() != registry.Evacuated {
 		t.Errorf("after one of two finishes: %+v", now)
 	}
-	eventually(t, "the second finish is counted", func() bool { return order(false).FinishCount == 2 })
+	eventually(t, "the second finish is counted", func() bool { return request(false).FinishCount == 2 })
 	if got, err := nodes[1].Evacuations(); err != nil || got["b"] != registry.Returning {
 		t.Errorf("Evacuations() after both finishes = %v, %v", got, err)
 	}
--- a/internal/controlplane/zone_evacuator.go
+++ b/internal/controlplane/zone_evacuator.go
@@ -7,8 +7,8 @@
 	"lichentray/registry"
 )
 
-// zoneEvacuator handles the orders to evacuate a zone and to return it to use, and completes
-// returns while this node is the leader.
+// zoneEvacuator handles the requests to begin and to finish the evacuation of a zone, and
+// completes returns while this node is the leader.
 type zoneEvacuator struct {
 	*environment
 	state    *sharedState
@@ -25,12 +25,12 @@
 // becomeLeader discards the state of an earlier term of this node as leader.
 func (z *zoneEvacuator) becomeLeader(state *loopState) { state.zoneReturns = map[string]zoneReturn{} }
 
-// submitOrder handles an order for a zone, see Node.Evacuate.
-func (z *zoneEvacuator) submitOrder(zone string, begin bool, callerIsWaiting func() bool) error {
+// submitRequest handles a request for a zone, see Node.Evacuate.
+func (z *zoneEvacuator) submitRequest(zone string, begin bool, callerIsWaiting func() bool) error {
 	if _, isKnown := z.settings.RegionByZone[zone]; !isKnown {
 		return apierror.New(apierror.BadRequest, "of: zone %q is not known", zone)
 	}
-	// Whether the order changes anything must be decided on a state that reflects everything
+	// Whether the request changes anything must be decided on a state that reflects everything
 	// acknowledged before: a node that has just started knows of no evacuations.
 	if err := z.proposer.readIndex(z.timing.RequestTimeout); err != nil {
 		return err
@@ -41,11 +41,11 @@
 		if !callerIsWaiting() {
 			return nil, apierror.New(apierror.Unavailable, "the caller has gone on to another node")
 		}
-		next, txn = z.buildOrderTxn(r, key, begin)
+		next, txn = z.buildRequestTxn(r, key, begin)
 		return txn, nil
 	})
 	if wrote {
-		z.logger.Info("evacuation order acknowledged",
+		z.logger.Info("evacuation request acknowledged",
 			"zone", zone, "begin", begin, "state", next.State(), "open", next.BeginCount-next.FinishCount)
 	}
 	if err == nil && next != next.Acknowledge(begin) {
@@ -54,26 +54,27 @@
 	return err
 }
 
-// buildOrderTxn returns the state of a zone after an order and the transaction that writes it.
-// The transaction is nil if the order changes nothing.
-func (z *zoneEvacuator) buildOrderTxn(r *replicatedState, key string, begin bool) (next registry.Evacuation, txn *registry.Txn) {
+// buildRequestTxn returns the state of a zone after a request and the transaction that writes it.
+// The transaction is nil if the request changes nothing.
+func (z *zoneEvacuator) buildRequestTxn(r *replicatedState, key string, begin bool) (next registry.Evacuation, txn *registry.Txn) {
 	ackTimeout := z.settings.Bounds.AckTimeout.Duration()
 	window := registry.RepeatWindow{Acknowledged: ackTimeout / 5, Unacknowledged: ackTimeout}
 	object, _ := r.store.Get(key)
 	current := registry.DecodeEvacuation(object)
-	orderedAt := r.evacuationOrderedAt[evacuationOrder{key: key, isBegin: begin}]
-	next = current.ApplyRequest(begin, z.now()-orderedAt, window)
+	appliedAt := r.lastEvacuationRequestAt[evacuationRequest{key: key, isBegin: begin}]
+	next = current.ApplyRequest(begin, z.now()-appliedAt, window)
 	if next == current {
 		return next, nil
 	}
 	return next, putIfUnchanged(key, object.ModRevision, next.Encode())
 }
 
-// recordAcknowledged records, some time after this node acknowledged an order, that the node is
-// still running. The acknowledgement has then most likely arrived, so a further order of the same
-// kind is unlikely to be a repeat. The record is attempted only once: without it, orders count as
-// repeats for longer (registry.RepeatWindow).
-func (z *zoneEvacuator) recordAcknowledged(key string, begin bool, order registry.Evacuation) {
+// recordAcknowledged records, some time after this node acknowledged a request, that the node is
+// still running. The acknowledgement has then most likely arrived, so a further request of the
+// same kind is unlikely to be a repeat. acknowledged is the state of the zone after the request.
+// The record is attempted only once: without it, requests count as repeats for longer
+// (registry.RepeatWindow).
+func (z *zoneEvacuator) recordAcknowledged(key string, begin bool, acknowledged registry.Evacuation) {
 	select {
 	case <-time.After(z.timing.HeartbeatInterval):
 	case <-z.ctx.Done():
@@ -83,7 +84,7 @@
 		object, _ := r.store.Get(key)
 		current := registry.DecodeEvacuation(object)
 		next := current.Acknowledge(begin)
-		if current == next || current.BeginCount != order.BeginCount || current.FinishCount != order.FinishCount {
+		if current == next || current.BeginCount != acknowledged.BeginCount || current.FinishCount != acknowledged.FinishCount {
 			return nil, nil
 		}
 		return putIfUnchanged(key, object.ModRevision, next.Encode()), nil
