--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -78,7 +78,7 @@
 	return set.DataDirectory == "" && !set.QuorumMember && !isFirstCore
 }
 
-// runRelay runs a relay until sig.Stop is closed, a listener fails or no machine of the core has a
+// runRelay runs a relay until sig.Stop is closed, a listener fails or no core machine has a
 // disk.
 func runRelay(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
--- a/config/parse.go
+++ b/config/parse.go
@@ -10,7 +10,7 @@
 )
 
 // Parse decodes and validates a configuration. The error names the first invalid field.
-// Callers pass the text of the error on to clients as the detail of an answer.
+// Callers return the text of the error to clients as the detail of a response.
 func Parse(text []byte) (*Configuration, error) {
 	schema, err := compiledSchema()
 	if err != nil {
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -33,7 +33,7 @@
 	HeaderTimeout
 	// LockHeld is a call on a lock that another owner holds, or that the caller has lost.
 	LockHeld
-	// Conflict is an order that contradicts the stored state.
+	// Conflict is a request that contradicts the stored state.
 	Conflict
 	// RevisionExpired is a watch from a revision after which not all events are retained.
 	RevisionExpired
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -19,7 +19,7 @@
 //
 // If the leader does not respond or loses leadership, the command is sent once more to the next
 // leader, so it may be applied twice. Each kind of command is idempotent in effect: a transaction
-// compares revisions that it changes itself, a put is recognised by its value, and the
+// compares revisions that it changes itself, a put is recognized by its value, and the
 // acquisition and renewal of a lock by the holder. Releasing a lock twice has no further effect,
 // a number that is allocated twice leaves a gap, and audit records are numbered.
 func (n *Node) Propose(cmd registry.Command) (registry.Result, error) { return n.proposer.propose(cmd) }
@@ -50,7 +50,7 @@
 func (n *Node) Cell(name string) (coordination.Cell, error) { return n.groups.cell(name) }
 
 // Watch waits for puts in a group of cells with a revision above after. It returns them and the
-// group's newest revision, or no events when the time-out expires. With after 0 it returns the
+// group's newest revision, or no events when the timeout expires. With after 0 it returns the
 // newest revision immediately. The error is of kind RevisionExpired if the history no longer
 // reaches back to after, BadRequest if after is above the newest revision, Overloaded, or
 // Unavailable. A watch also ends with Unavailable when callerIsWaiting reports false.
@@ -68,13 +68,13 @@
 func (n *Node) Evacuations() (map[string]string, error) { return n.evacuations.list() }
 
 // BeginRollout orders that a service's traffic move to a version by a deadline. The error is of
-// kind Conflict if the order contradicts the service's current roll-out, and of kind NoRoute if
-// the deployment has no roll-outs.
+// kind Conflict if the order contradicts the service's current rollout, and of kind NoRoute if
+// the deployment has no rollouts.
 func (n *Node) BeginRollout(service, target string, deadline time.Duration) error {
 	return n.rollouts.begin(service, target, deadline)
 }
 
-// Rollout returns the newest roll-out of a service. The error is of kind NotFound if there has
+// Rollout returns the newest rollout of a service. The error is of kind NotFound if there has
 // been none yet.
 func (n *Node) Rollout(service string) (rollout.Rollout, error) { return n.rollouts.read(service) }
 
@@ -95,7 +95,7 @@
 
 // PrepareShutdown transfers leadership, if this node has it, and asks the leader to replace this
 // node as a voter if another node is available. It returns once the leader has approved the
-// departure, or after the time-out. Meanwhile streams and watches are closed. The caller calls
+// departure, or after the timeout. Meanwhile streams and watches are closed. The caller calls
 // Close afterwards.
 func (n *Node) PrepareShutdown(timeout time.Duration) {
 	n.isStopping.Store(true)
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -74,7 +74,7 @@
 	c.t.Fatal(err)
 }
 
-// isStillWaiting is the callerIsWaiting argument of a caller that waits until the time-out.
+// isStillWaiting is the callerIsWaiting argument of a caller that waits until the timeout.
 func isStillWaiting() bool { return true }
 
 // eventually waits until ok returns true. The limit is far longer than any condition needs.
--- a/internal/controlplane/connection_server.go
+++ b/internal/controlplane/connection_server.go
@@ -71,7 +71,7 @@
 }
 
 // recordRejectedPeer counts connections of peers that use a different protocol or version, and
-// logs the first one. Time-outs, broken connections and connections closed before the first byte
+// logs the first one. Timeouts, broken connections and connections closed before the first byte
 // are not counted.
 func (s *connectionServer) recordRejectedPeer(raw net.Conn, err error) {
 	var netErr net.Error
--- a/internal/controlplane/consensus_view.go
+++ b/internal/controlplane/consensus_view.go
@@ -38,7 +38,7 @@
 }
 
 // isUpToDate reports whether this node holds everything that any node had acknowledged two
-// election time-outs ago, so that clients may rely on its state. A node that has had no quorum
+// election timeouts ago, so that clients may rely on its state. A node that has had no quorum
 // contact since its start is not up to date, however recent the start is.
 func (v *consensusView) isUpToDate() bool {
 	lastContact := v.get().lastContact
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -4,7 +4,7 @@
 // A Node connects consensus (package raft), the replicated registry (package registry) with
 // its watch cache, the store on disk and the peer connections. Package api serves a node's
 // exported methods over HTTP; cmd/lichentray-controlplane starts and stops the node. This
-// package serves no HTTP itself, does not select endpoints or proxies, judge roll-outs or
+// package serves no HTTP itself, does not select endpoints or proxies, judge rollouts or
 // compile configuration (see loadbalance, rollout, config), and never reads the wall clock:
 // all instants are durations since the node's start on the monotonic clock.
 //
@@ -22,7 +22,7 @@
 //   - watchServer serves the lists and watches of proxies
 //   - healthMonitor tracks endpoint heartbeats and removes crashed endpoints
 //   - coordination.LeaseTimers tracks which coordination locks have expired
-//   - rolloutController advances roll-outs
+//   - rolloutController advances rollouts
 //   - quotaAllocator divides among proxies the load that endpoints may receive during warm-up
 //   - proxyDirectory, zoneEvacuator, configurationStore, groupWatchers and
 //     auditSink serve the remaining calls
--- a/internal/controlplane/environment.go
+++ b/internal/controlplane/environment.go
@@ -25,7 +25,7 @@
 	incarnation uint64
 	// self is this node as a member of the group.
 	self raft.Member
-	// ctx is cancelled when the node is closed.
+	// ctx is canceled when the node is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 	// isStopping is set once the process has been asked to stop. Streams are then closed, so
@@ -49,7 +49,7 @@
 	}
 }
 
-// start runs f in a goroutine that close waits for; f must return soon after ctx is cancelled.
+// start runs f in a goroutine that close waits for; f must return soon after ctx is canceled.
 // Once the node is closing, start does nothing and returns false.
 func (e *environment) start(f func()) bool {
 	e.startMu.Lock()
--- a/internal/controlplane/group_watchers.go
+++ b/internal/controlplane/group_watchers.go
@@ -112,7 +112,7 @@
 }
 
 // awaitEvents returns the events of a group above a revision as soon as there are any, or none
-// after the time-out. The wait ends early if the node loses contact, because it may not receive
+// after the timeout. The wait ends early if the node loses contact, because it may not receive
 // further puts, and if the caller has disconnected, because its watch would still count towards
 // the limit.
 func (g *groupWatchers) awaitEvents(group string, after uint64, timeout time.Duration, woken <-chan struct{}, callerIsWaiting func() bool) ([]coordination.Event, uint64, error) {
--- a/internal/controlplane/group_watchers_test.go
+++ b/internal/controlplane/group_watchers_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestWatchEndsWhenCallerLeaves guards against a watch that keeps counting towards the limit
-// until its time-out although its caller has disconnected.
+// until its timeout although its caller has disconnected.
 func TestWatchEndsWhenCallerLeaves(t *testing.T) {
 	cluster := newTestCluster(t, 1, nil)
 	node := cluster.nodes[0]
--- a/internal/controlplane/health_monitor.go
+++ b/internal/controlplane/health_monitor.go
@@ -51,7 +51,7 @@
 }
 
 // becomeLeader discards the state of an earlier term of this node as leader, so that every
-// endpoint gets its full time-out.
+// endpoint gets its full timeout.
 func (h *healthMonitor) becomeLeader(state *loopState) {
 	state.liveness.lastSeen = map[string]time.Duration{}
 	state.liveness.outliers = loadbalance.NewOutlierDetector(h.timing.DeadMemberTimeout / 2)
--- a/internal/controlplane/membership_manager.go
+++ b/internal/controlplane/membership_manager.go
@@ -13,7 +13,7 @@
 // membership.
 const membershipCheckHeartbeats = 4
 
-// transferRetryElectionTimeouts is the number of election time-outs between two attempts to
+// transferRetryElectionTimeouts is the number of election timeouts between two attempts to
 // transfer leadership.
 const transferRetryElectionTimeouts = 2
 
--- a/internal/controlplane/peer_connection.go
+++ b/internal/controlplane/peer_connection.go
@@ -74,7 +74,7 @@
 }
 
 // redialIfDown interrupts the wait before the next dial attempt, or the attempt in progress, so
-// that the peer is dialled immediately.
+// that the peer is dialed immediately.
 func (c *peerConnection) redialIfDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +156,7 @@
 }
 
 // run keeps the connection up until the peer is no longer a member or the node closes. Calls that
-// are pending at that point end with their time-outs, because the peer may still have responded.
+// are pending at that point end with their timeouts, because the peer may still have responded.
 func (c *peerConnection) run() {
 	minBackoff := c.pool.timing.HeartbeatInterval / 2
 	backoff := minBackoff
@@ -195,7 +195,7 @@
 	return time.Since(began) > c.pool.timing.ElectionTimeout
 }
 
-// dial makes one attempt. wasInterrupted reports whether it was cancelled because the peer has
+// dial makes one attempt. wasInterrupted reports whether it was canceled because the peer has
 // connected to this node in the meantime.
 func (c *peerConnection) dial() (conn *transport.Conn, wasInterrupted bool, err error) {
 	ctx, cancel := context.WithCancel(c.ctx)
--- a/internal/controlplane/peer_connection_test.go
+++ b/internal/controlplane/peer_connection_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestBackoffForPeerThatClosesConnections guards against redialling without a pause when the peer
-// accepts each connection and closes it. Such a peer must be dialled with the same backoff as one
+// TestBackoffForPeerThatClosesConnections guards against redialing without a pause when the peer
+// accepts each connection and closes it. Such a peer must be dialed with the same backoff as one
 // that rejects connections.
 func TestBackoffForPeerThatClosesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/controlplane/peer_pool.go
+++ b/internal/controlplane/peer_pool.go
@@ -217,13 +217,13 @@
 // Errors of peerPool.call.
 var (
 	errPeerNotConnected = errors.New("controlplane: peer is not connected")
-	errPeerTimeout      = errors.New("controlplane: time-out waiting for a response from the peer")
+	errPeerTimeout      = errors.New("controlplane: timeout waiting for a response from the peer")
 	errPeerDisconnected = errors.New("controlplane: connection to the peer was lost")
 	errLeaderChanged    = errors.New("controlplane: leader changed")
 )
 
 // call sends a request to a peer and waits for the response until the leader changes or the
-// time-out expires. With an error, mayHaveArrived reports whether the peer may have received the
+// timeout expires. With an error, mayHaveArrived reports whether the peer may have received the
 // request; if it is false, the peer never will.
 func (p *peerPool) call(target callTarget, request *transport.Request, timeout time.Duration) (response *transport.Response, mayHaveArrived bool, err error) {
 	request.ID = p.lastCallID.Add(1)
--- a/internal/controlplane/proposer.go
+++ b/internal/controlplane/proposer.go
@@ -100,7 +100,7 @@
 
 // awaitOutcome waits for the outcome of a request that this node started as the leader. If it
 // loses the leadership, the log of the next leader usually determines the outcome within an
-// election time-out.
+// election timeout.
 func (p *proposer) awaitOutcome(done <-chan outcome, leaderChanged <-chan struct{}, deadline time.Time) outcome {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
--- a/internal/controlplane/proposer_test.go
+++ b/internal/controlplane/proposer_test.go
@@ -93,7 +93,7 @@
 }
 
 // TestAwaitOutcomeOfDeposedLeader guards against a deposed leader that waits until the
-// deadline: it must wait only one election time-out longer for the next leader's log.
+// deadline: it must wait only one election timeout longer for the next leader's log.
 func TestAwaitOutcomeOfDeposedLeader(t *testing.T) {
 	p := newTestProposer(t)
 	leaderChanged := make(chan struct{})
--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -13,7 +13,7 @@
 )
 
 // rolloutController handles the orders to roll out a version and, on the leader, advances each
-// roll-out based on the evidence reported by all proxies. Every node sums the evidence from the
+// rollout based on the evidence reported by all proxies. Every node sums the evidence from the
 // proxies connected to it and reports the sum to the leader.
 type rolloutController struct {
 	*environment
@@ -34,7 +34,7 @@
 	}
 }
 
-// rolloutRecord is a service's roll-out as last applied.
+// rolloutRecord is a service's rollout as last applied.
 type rolloutRecord struct {
 	rollout.Rollout
 	revision uint64
@@ -42,7 +42,7 @@
 	appliedAt time.Duration
 }
 
-// elapsed returns the time since the order: the elapsed time stored with the roll-out plus the
+// elapsed returns the time since the order: the elapsed time stored with the rollout plus the
 // time since it was applied.
 func (r *rolloutRecord) elapsed(now time.Duration) time.Duration {
 	return now - r.appliedAt + time.Duration(r.ElapsedSeconds*float64(time.Second))
@@ -50,7 +50,7 @@
 
 func serviceOfRollout(key string) string { return strings.TrimPrefix(key, registry.RolloutPrefix) }
 
-// rolloutAnalysis is the state that the leader keeps for roll-outs, keyed by service, see
+// rolloutAnalysis is the state that the leader keeps for rollouts, keyed by service, see
 // loopState.
 type rolloutAnalysis struct {
 	inProgress map[string]*rolloutProgress
@@ -58,7 +58,7 @@
 	reported map[string]transport.RolloutReport
 }
 
-// rolloutProgress is the state that the leader keeps for a roll-out in progress.
+// rolloutProgress is the state that the leader keeps for a rollout in progress.
 type rolloutProgress struct {
 	order    uint64
 	analyzer *rollout.Analyzer
@@ -91,7 +91,7 @@
 	return total
 }
 
-// rolloutEvidence is the evidence that proxies reported for each roll-out, keyed by service.
+// rolloutEvidence is the evidence that proxies reported for each rollout, keyed by service.
 type rolloutEvidence map[string]transport.RolloutReport
 
 // add adds what one proxy observed since its last report. Evidence for an older order is
@@ -148,7 +148,7 @@
 	c.evidence.add(reports)
 }
 
-// discardEnded discards the evidence of the roll-outs that the events have ended.
+// discardEnded discards the evidence of the rollouts that the events have ended.
 func (c *rolloutController) discardEnded(state *loopState, events []registry.Event) {
 	rollouts := c.state.onLoop(state).rollouts
 	for _, e := range events {
@@ -158,7 +158,7 @@
 	}
 }
 
-// discardAllEnded discards the evidence of all ended roll-outs after the state was replaced by a
+// discardAllEnded discards the evidence of all ended rollouts after the state was replaced by a
 // snapshot.
 func (c *rolloutController) discardAllEnded(state *loopState) {
 	for key, record := range c.state.onLoop(state).rollouts {
@@ -215,7 +215,7 @@
 	}
 }
 
-// advance proposes the next step of each roll-out for which the evidence requires one. Each step
+// advance proposes the next step of each rollout for which the evidence requires one. Each step
 // is conditional on the revision that was read, so that of two leaders, or of two steps, only one
 // takes effect.
 func (c *rolloutController) advance(state *loopState, now time.Duration) {
@@ -258,7 +258,7 @@
 	return progress
 }
 
-// observe gathers the data that determines the next step of a roll-out.
+// observe gathers the data that determines the next step of a rollout.
 func (c *rolloutController) observe(state *loopState, service string, record *rolloutRecord, progress *rolloutProgress, now time.Duration) rollout.Observation {
 	evidence := progress.totalEvidence()
 	answers := evidence.TargetAnswers()
@@ -301,8 +301,8 @@
 	return targetEndpoints
 }
 
-// proposeStep proposes the next state of a roll-out if it changes. A proposal whose outcome is
-// still open is not repeated within an election time-out.
+// proposeStep proposes the next state of a rollout if it changes. A proposal whose outcome is
+// still open is not repeated within an election timeout.
 func (c *rolloutController) proposeStep(state *loopState, key string, record *rolloutRecord, progress *rolloutProgress, observation rollout.Observation, now time.Duration) {
 	next, hasChanged := record.Advance(observation)
 	if !hasChanged {
@@ -365,8 +365,8 @@
 	return err
 }
 
-// storedRollout returns a service's stored roll-out, or a zero value if there is none yet. It is
-// an error if the service is not configured and has no roll-out.
+// storedRollout returns a service's stored rollout, or a zero value if there is none yet. It is
+// an error if the service is not configured and has no rollout.
 func storedRollout(r *replicatedState, service string, object registry.Object) (rollout.Rollout, error) {
 	if object.ModRevision == 0 {
 		if _, isKnown := r.cluster(service); !isKnown {
@@ -381,7 +381,7 @@
 	return stored, nil
 }
 
-// read returns a service's newest roll-out, see Node.Rollout.
+// read returns a service's newest rollout, see Node.Rollout.
 func (c *rolloutController) read(service string) (rollout.Rollout, error) {
 	if !c.settings.HasRollouts() {
 		return rollout.Rollout{}, errRolloutsDisabled
--- a/internal/controlplane/rollout_test.go
+++ b/internal/controlplane/rollout_test.go
@@ -16,7 +16,7 @@
 )
 
 // reportAsProxy watches on one of the nodes and reports answers of the target version of a
-// roll-out, all of them failures while isTargetFailing is set.
+// rollout, all of them failures while isTargetFailing is set.
 func reportAsProxy(ctx context.Context, nodes []string, isTargetFailing *atomic.Bool) {
 	mirror := watchcache.NewMirror()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -111,7 +111,7 @@
 	}
 	go reportAsProxy(ctx, addrs, &isTargetFailing)
 	read := func(at *Node) (r rollout.Rollout) {
-		eventually(t, "roll-out read", func() bool {
+		eventually(t, "rollout read", func() bool {
 			var err error
 			r, err = at.Rollout("s")
 			return err == nil
@@ -124,12 +124,12 @@
 	begin(nodes[1], "v2", 14*time.Second)
 	begin(nodes[2], "v2", 14*time.Second) // the same order, sent to another node
 	if err := nodes[0].BeginRollout("s", "v3", time.Minute); apierror.KindOf(err) != apierror.Conflict {
-		t.Errorf("BeginRollout of another version during a roll-out: error %v, want kind Conflict", err)
+		t.Errorf("BeginRollout of another version during a rollout: error %v, want kind Conflict", err)
 	}
 	if r := read(nodes[0]); r.State != rollout.InProgress || r.Base != "v1" || r.OrderNumber != 1 {
-		t.Errorf("roll-out after the order = %+v, want order 1 in progress from v1", r)
+		t.Errorf("rollout after the order = %+v, want order 1 in progress from v1", r)
 	}
-	// The leader is closed and restarted. The next leader continues the roll-out.
+	// The leader is closed and restarted. The next leader continues the rollout.
 	leaderIndex := 0
 	eventually(t, "a leader is elected", func() bool {
 		for i := range nodes {
@@ -142,13 +142,13 @@
 	})
 	nodes[leaderIndex].Close()
 	cluster.start(leaderIndex, false)
-	eventually(t, "roll-out of the healthy version ended", func() bool { return read(nodes[(leaderIndex+1)%3]).State != rollout.InProgress })
+	eventually(t, "rollout of the healthy version ended", func() bool { return read(nodes[(leaderIndex+1)%3]).State != rollout.InProgress })
 	if r := read(nodes[leaderIndex]); r.State != rollout.Succeeded || r.Base != "v2" || r.OrderNumber != 1 {
-		t.Fatalf("ended roll-out = %+v, want order 1 succeeded with base v2", r)
+		t.Fatalf("ended rollout = %+v, want order 1 succeeded with base v2", r)
 	}
 	isTargetFailing.Store(true)
 	begin(nodes[0], "v3", time.Minute)
-	eventually(t, "roll-out of the failing version ended", func() bool { return read(nodes[1]).State != rollout.InProgress })
+	eventually(t, "rollout of the failing version ended", func() bool { return read(nodes[1]).State != rollout.InProgress })
 	for i := range nodes {
 		nodes[i].Close()
 	}
@@ -156,10 +156,10 @@
 		cluster.start(i, false)
 	}
 	if r := read(nodes[2]); r.State != rollout.RolledBack || r.Base != "v2" || r.Target != "v3" || r.OrderNumber != 2 || r.Reason == "" {
-		t.Errorf("roll-out after the restart = %+v, want order 2 rolled back from v3 to v2 with a reason", r)
+		t.Errorf("rollout after the restart = %+v, want order 2 rolled back from v3 to v2 with a reason", r)
 	}
 	if err := nodes[0].BeginRollout("s", "v3", time.Minute); err != nil || read(nodes[0]).State != rollout.RolledBack {
-		t.Errorf("repeated order after its roll-back: %v, %+v, want nil and the state rolled back", err, read(nodes[0]))
+		t.Errorf("repeated order after its rollback: %v, %+v, want nil and the state rolled back", err, read(nodes[0]))
 	}
 	if err := nodes[0].BeginRollout("s", "v3", time.Hour); apierror.KindOf(err) != apierror.Conflict {
 		t.Errorf("new order for a version that was rolled back: error %v, want kind Conflict", err)
--- a/internal/controlplane/snapshot_test.go
+++ b/internal/controlplane/snapshot_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestSnapshotOverNarrowLink guards against a new member that never catches up over a slow
-// link, because the transfer of the snapshot takes longer than the time-out of the connections,
+// link, because the transfer of the snapshot takes longer than the timeout of the connections,
 // or because it is sent again. Nothing else uses the link. Commands continue during the
 // transfer; the first one has a size of 1 MiB and follows the snapshot immediately. The member
 // runs only consensus; the leader and the transport are complete.
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -91,7 +91,7 @@
 }
 
 // maxOpenAttempts is the maximum number of attempts to open the store. They are half an
-// election time-out apart.
+// election timeout apart.
 const maxOpenAttempts = 21
 
 // openStore opens the store and restores its snapshot into state. At the first start of a
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -131,7 +131,7 @@
 	s.changed.wakeAll()
 }
 
-// waitApplied waits until the log is applied up to an index. After the time-out it returns an
+// waitApplied waits until the log is applied up to an index. After the timeout it returns an
 // error of kind Unavailable.
 func (s *sharedState) waitApplied(index uint64, timeout time.Duration) error {
 	applied := make(chan struct{}, 1)
--- a/internal/controlplane/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -58,11 +58,11 @@
 				incremental.endpoints, incremental.proxies, atOnce.endpoints, atOnce.proxies)
 		}
 		if len(atOnce.rollouts) != len(incremental.rollouts) {
-			t.Fatalf("seed %d: %d roll-outs, want %d", seed, len(incremental.rollouts), len(atOnce.rollouts))
+			t.Fatalf("seed %d: %d rollouts, want %d", seed, len(incremental.rollouts), len(atOnce.rollouts))
 		}
 		for key, record := range atOnce.rollouts {
 			if got := incremental.rollouts[key]; got == nil || got.Rollout != record.Rollout || got.revision != record.revision {
-				t.Fatalf("seed %d: roll-out %s = %+v, want %+v", seed, key, got, record)
+				t.Fatalf("seed %d: rollout %s = %+v, want %+v", seed, key, got, record)
 			}
 		}
 	}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -38,8 +38,8 @@
 	Unhealthy int `json:"sick"`
 	// Zones holds the state of each zone that is not in normal use.
 	Zones map[string]string `json:"zones"`
-	// Services holds the roll-out and the endpoints of each service in deployments with
-	// roll-outs.
+	// Services holds the rollout and the endpoints of each service in deployments with
+	// rollouts.
 	Services map[string]ServiceStatus `json:"services,omitempty"`
 	// Registered are the proxies in the directory.
 	Registered []registry.Proxy `json:"registered"`
@@ -65,7 +65,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// ServiceStatus holds a service's newest roll-out and the number of its endpoints by version.
+// ServiceStatus holds a service's newest rollout and the number of its endpoints by version.
 type ServiceStatus struct {
 	Rollout   rollout.Rollout `json:"rollout"`
 	Endpoints map[string]int  `json:"endpoints"`
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -6,14 +6,14 @@
 	"lichentray/internal/settings"
 )
 
-// Timing holds a node's time-outs and intervals. They derive from the settings alone, so that
+// Timing holds a node's timeouts and intervals. They derive from the settings alone, so that
 // every node of a deployment uses the same values.
 type Timing struct {
 	// TickInterval is the resolution of the event loop's clock.
 	TickInterval time.Duration
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the shortest election time-out (Raft, section 5.2).
+	// ElectionTimeout is the shortest election timeout (Raft, section 5.2).
 	ElectionTimeout time.Duration
 	// DeadMemberTimeout is how long no message may arrive from a member before it may be
 	// replaced.
@@ -34,13 +34,13 @@
 	ProxyLease time.Duration
 	// DirectoryTTL is how long a client may cache an answer of the directory.
 	DirectoryTTL time.Duration
-	// RolloutStagePause is how long a roll-out stage runs before its results are first
-	// analysed.
+	// RolloutStagePause is how long a rollout stage runs before its results are first
+	// analyzed.
 	RolloutStagePause time.Duration
 }
 
 // maxRequestTimeout is the upper limit of Timing.RequestTimeout for deployments with a long
-// acknowledgement time-out.
+// acknowledgement timeout.
 const maxRequestTimeout = 900 * time.Millisecond
 
 // DeriveTiming computes a node's timing from its settings.
@@ -63,7 +63,7 @@
 }
 
 // upToDateWindow is how long after its last quorum contact a node still counts as up to date:
-// two election time-outs.
+// two election timeouts.
 func (t Timing) upToDateWindow() time.Duration { return 2 * t.ElectionTimeout }
 
 // callRejectionDelay is how long a node must have been without quorum contact before it rejects
--- a/internal/controlplane/watch_server.go
+++ b/internal/controlplane/watch_server.go
@@ -199,7 +199,7 @@
 	if nodes := w.redirectToZone(request); nodes != nil {
 		return &transport.Response{ID: request.ID, Nearer: nodes}, 0
 	}
-	// The time-out is long because the proxy tries other nodes while it waits. After a power
+	// The timeout is long because the proxy tries other nodes while it waits. After a power
 	// failure a leader is elected soon, and a rejected proxy would not be served any earlier.
 	if err := w.proposer.readIndex(w.timing.DeadMemberTimeout); err != nil {
 		return errorResponse(request.ID, err), 0
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -24,9 +24,9 @@
 	"lichentray/internal/transport"
 )
 
-// ErrCoreDiskless is returned by Run when no machine of the core has a disk. The node should then
+// ErrCoreDiskless is returned by Run when no core machine has a disk. The node should then
 // join the core instead of running a relay.
-var ErrCoreDiskless = errors.New("no machine of the core has a disk")
+var ErrCoreDiskless = errors.New("no core machine has a disk")
 
 // maxRequestBodyBytes bounds the body of a call, in bytes.
 const maxRequestBodyBytes = 16 << 20
@@ -57,7 +57,7 @@
 	referralsUnavailable *metrics.Counter
 	// searchesFailed counts passes over all known nodes in which none could be followed.
 	searchesFailed *metrics.Counter
-	// watchesAbandoned counts watches that were cancelled as their callers had disconnected.
+	// watchesAbandoned counts watches that were canceled as their callers had disconnected.
 	watchesAbandoned *metrics.Counter
 	// announcements counts received announcements of the core.
 	announcements *metrics.Counter
@@ -116,7 +116,7 @@
 }
 
 // Run runs a relay until sig.Stop is closed or a listener fails. It returns ErrCoreDiskless if a
-// core node reports that no machine of the core has a disk.
+// core node reports that no core machine has a disk.
 func Run(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	r := newRelay(set, log)
 	var running sync.WaitGroup
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -38,7 +38,7 @@
 // TestRelayForwardsRedirectsAndYieldsToDisklessCore checks that calls and responses are forwarded
 // unchanged, that a call that may have reached the core is not reported as unprocessed, that large
 // calls are redirected, that other processes are referred to the core, and that Run returns
-// ErrCoreDiskless, so that the node can join the core, if no machine of the core has a disk.
+// ErrCoreDiskless, so that the node can join the core, if no core machine has a disk.
 func TestRelayForwardsRedirectsAndYieldsToDisklessCore(t *testing.T) {
 	ips := []string{"127.0.0.31", "127.0.0.32"}
 	control, internal := controlplanetest.FreePort(t, ips...), controlplanetest.FreePort(t, ips...)
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -19,7 +19,7 @@
 	maxIdleWatchConnections = 64
 )
 
-// errCallerDisconnected means that a watch was cancelled because its caller has disconnected.
+// errCallerDisconnected means that a watch was canceled because its caller has disconnected.
 var errCallerDisconnected = errors.New("caller disconnected")
 
 // coreTarget is the core node that calls are forwarded to.
@@ -28,7 +28,7 @@
 	// calls forwards all calls except watches.
 	calls *fasthttp.HostClient
 	// watches holds the connections for watches. Each watch has its own connection, so that it can
-	// be cancelled by closing that.
+	// be canceled by closing that.
 	watches watchPool
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,11 +101,11 @@
 	// by default.
 	MaxTTL Seconds `toml:"ttl_max_s"`
 	// ExposureRatio is the maximum fraction of requests that a faulty target version may get
-	// until the deadline of its roll-out.
+	// until the deadline of its rollout.
 	ExposureRatio float64 `toml:"exposure_ratio"`
 	// ExposureSlack is the number of requests that such a version may get in addition.
 	ExposureSlack float64 `toml:"exposure_slack"`
-	// RolloutRollback is the time within which a roll-out that shows a fault must be rolled back.
+	// RolloutRollback is the time within which a rollout that shows a fault must be rolled back.
 	RolloutRollback Seconds `toml:"rollback_s"`
 }
 
@@ -200,7 +200,7 @@
 }
 
 // HasRollouts reports whether requests are routed by endpoint version: to the base version, and to
-// another version only during its roll-out.
+// another version only during its rollout.
 func (s *Settings) HasRollouts() bool { return slices.Contains(s.Guarantees, guaranteeRollout) }
 
 // BindAddr returns the address (IP:port) on which to listen, given the address at which others
--- a/internal/storage/save.go
+++ b/internal/storage/save.go
@@ -18,7 +18,7 @@
 // snapshot replaces the complete log, and entries follow it.
 //
 // After an error nothing of the batch is in the store, and Save may be called again. Save cannot
-// be cancelled: Raft cannot proceed from an unknown outcome.
+// be canceled: Raft cannot proceed from an unknown outcome.
 func (s *Store) Save(hardState *raft.HardState, snapshot *raft.Snapshot, replaceLog bool, entries []raft.Entry) error {
 	return s.inTransaction(func() error {
 		if hardState != nil {
@@ -108,7 +108,7 @@
 }
 
 // execStatement executes a prepared statement with positional arguments. It takes no context, as
-// transactions are not cancelled.
+// transactions are not canceled.
 func execStatement(statement driver.Stmt, args ...driver.Value) error {
 	named := make([]driver.NamedValue, len(args))
 	for i, arg := range args {
--- a/loadbalance/admission_test.go
+++ b/loadbalance/admission_test.go
@@ -8,9 +8,9 @@
 	"lichentray/loadbalance"
 )
 
-// Under saturation, the limits of all nodes must add up to about the number of slots,
-// whatever their loads. Below saturation, or with an expired total load, there must be no
-// limit.
+// TestAdmissionLimitsAddUpToSlots checks that under saturation the limits of all nodes add up
+// to about the number of slots, whatever their loads, and that there is no limit below
+// saturation or with an expired total load.
 func TestAdmissionLimitsAddUpToSlots(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		r := rand.New(rand.NewSource(seed))
--- a/loadbalance/doc.go
+++ b/loadbalance/doc.go
@@ -2,7 +2,7 @@
 //
 // Each proxy node keeps one Pool of endpoints per service. Pool.Pick selects an endpoint by
 // locality, load, learned latency, outlier ejection, slow start and the traffic share of a
-// version under roll-out. RetryBudget and AdmissionLimiter enforce one node's share of
+// version under rollout. RetryBudget and AdmissionLimiter enforce one node's share of
 // limits that apply to all nodes together. QuotaAllocator and OutlierDetector run on the
 // control plane, and SelectProxies in its directory.
 //
--- a/loadbalance/locality_test.go
+++ b/loadbalance/locality_test.go
@@ -9,8 +9,9 @@
 	"lichentray/loadbalance"
 )
 
-// An evacuated zone must get no requests, not even while all other endpoints are ejected. A
-// returning zone must get only as many as are granted.
+// TestEvacuatedZoneGetsNoRequests checks that an evacuated zone gets no requests, not even
+// while all other endpoints are ejected, and that a returning zone gets only as many as are
+// granted.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
 	p.SetWarmupRate(5)
@@ -45,8 +46,9 @@
 	}
 }
 
-// Clients must be distributed over the nodes of their zone by weight, must get the same nodes
-// on every call, and must get nodes of other zones if their zone is underprovisioned.
+// TestSelectProxiesByZoneAndWeight checks that clients are distributed over the nodes of their
+// zone by weight, get the same nodes on every call, and get nodes of other zones if their zone
+// is underprovisioned.
 func TestSelectProxiesByZoneAndWeight(t *testing.T) {
 	region := func(zone string) string { return zone[:1] }
 	var all []loadbalance.ProxyNode
--- a/loadbalance/outlier_test.go
+++ b/loadbalance/outlier_test.go
@@ -8,8 +8,8 @@
 	"lichentray/loadbalance"
 )
 
-// After its ejection time, an endpoint must get one probe and no further requests until the
-// probe has succeeded.
+// TestEjectedEndpointReturnsByOneProbe checks that an endpoint gets one probe after its
+// ejection time, and no further requests until the probe has succeeded.
 func TestEjectedEndpointReturnsByOneProbe(t *testing.T) {
 	p := newTestPool(2)
 	rnd := func() float64 { return 0.1 }
@@ -33,9 +33,9 @@
 	}
 }
 
-// A slow endpoint, and one that fails requests of several nodes, must get a verdict. Failures
-// seen by a single node must not make an endpoint unhealthy, and at most a fifth of the
-// endpoints may be unhealthy.
+// TestOutlierDetectorVerdicts checks that a slow endpoint, and one that fails requests of
+// several nodes, get a verdict. Failures seen by a single node must not make an endpoint
+// unhealthy, and at most a fifth of the endpoints may be unhealthy.
 func TestOutlierDetectorVerdicts(t *testing.T) {
 	detector := loadbalance.NewOutlierDetector(time.Second)
 	ids := make([]string, 20)
--- a/loadbalance/picker_test.go
+++ b/loadbalance/picker_test.go
@@ -18,9 +18,10 @@
 	return p
 }
 
-// The reference model of Pool.Pick and Pool.Finish records which endpoints are draining and
-// until when each is ejected. Pick must never return an endpoint that is draining or was
-// already attempted, nor an ejected one while another is free.
+// TestPickMatchesReferenceModel checks that Pick never returns an endpoint that is draining or
+// was already attempted, nor an ejected one while another is free. The reference model of
+// Pool.Pick and Pool.Finish records which endpoints are draining and until when each is
+// ejected.
 func TestPickMatchesReferenceModel(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	p := newTestPool(8)
@@ -67,9 +68,9 @@
 	}
 }
 
-// With many nodes that each have few requests in flight, no endpoint may get far more
-// requests than the others, even if some are faster. It guards against nodes that all prefer
-// the same fast endpoints.
+// TestManyNodesDoNotOverloadFastEndpoints guards against nodes that all prefer the same fast
+// endpoints. With many nodes that each have few requests in flight, no endpoint may get far
+// more requests than the others, even if some are faster.
 func TestManyNodesDoNotOverloadFastEndpoints(t *testing.T) {
 	r := rand.New(rand.NewSource(5))
 	pools := make([]*loadbalance.Pool, 60)
@@ -100,7 +101,8 @@
 	}
 }
 
-// All nodes together must stay within the maximum number of connections of an endpoint.
+// TestPeersStayWithinMaxConnections checks that all nodes together stay within the maximum
+// number of connections of an endpoint.
 func TestPeersStayWithinMaxConnections(t *testing.T) {
 	p := newTestPool(1)
 	p.SetMaxConnections(12)
--- a/loadbalance/pool.go
+++ b/loadbalance/pool.go
@@ -29,7 +29,7 @@
 	// VersionGroup is the group of the endpoint's version; see Versions.
 	VersionGroup VersionGroup
 	// InRolloutSubset reports whether the endpoint belongs to the subset that serves the
-	// traffic share of a target version under roll-out.
+	// traffic share of a target version under rollout.
 	InRolloutSubset bool
 
 	// Pick reads the following fields of every endpoint. They are adjacent for cache locality.
--- a/loadbalance/quota_test.go
+++ b/loadbalance/quota_test.go
@@ -9,9 +9,10 @@
 	"lichentray/loadbalance"
 )
 
-// An endpoint that warms up must never get more requests in one second than its limit, while
-// nodes are partitioned, freeze or restart, the allocator is replaced, and grants arrive late.
-// The reference model of QuotaAllocator.Allocate and Pool.ApplyGrant is the list of arrivals.
+// TestQuotaBoundsRequestsToWarmingEndpoint checks that an endpoint that warms up never gets
+// more requests in one second than its limit, while nodes are partitioned, freeze or restart,
+// the allocator is replaced, and grants arrive late. The reference model of
+// QuotaAllocator.Allocate and Pool.ApplyGrant is the list of arrivals.
 func TestQuotaBoundsRequestsToWarmingEndpoint(t *testing.T) {
 	const leaseDuration = 4 * time.Second
 	for seed := int64(0); seed < 12; seed++ {
--- a/loadbalance/retrybudget_test.go
+++ b/loadbalance/retrybudget_test.go
@@ -8,9 +8,9 @@
 	"lichentray/loadbalance"
 )
 
-// Whatever the nodes do, their extra attempts within any window must not exceed ratio times
-// the requests plus the slack. The reference model of RetryBudget.TryWithdraw is the list of
-// arrivals.
+// TestRetryBudgetHoldsInEveryWindowOverAllNodes checks that the extra attempts of all nodes
+// within any window never exceed ratio times the requests plus the slack, whatever the nodes
+// do. The reference model of RetryBudget.TryWithdraw is the list of arrivals.
 func TestRetryBudgetHoldsInEveryWindowOverAllNodes(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 64.0
 	for seed := int64(0); seed < 12; seed++ {
--- a/loadbalance/versions.go
+++ b/loadbalance/versions.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// VersionGroup classifies the software version of an endpoint with regard to a roll-out.
+// VersionGroup classifies the software version of an endpoint with regard to a rollout.
 type VersionGroup uint8
 
 const (
 	// BaseVersion is the version in production use.
 	BaseVersion VersionGroup = iota
-	// TargetVersion is the version under roll-out.
+	// TargetVersion is the version under rollout.
 	TargetVersion
 	// ExcludedVersion is any other version; it must not receive requests.
 	ExcludedVersion
@@ -36,7 +36,7 @@
 type Versions struct {
 	Known  bool // false: every version counts as the base version
 	Base   string
-	Target string // under roll-out; ignored if TargetShare is 0
+	Target string // under rollout; ignored if TargetShare is 0
 	// TargetShare is the fraction of the requests that go to the target, from 0 to 1.
 	TargetShare float64
 }
@@ -53,11 +53,11 @@
 }
 
 // A small traffic share of the target is sent to a subset of its endpoints, so that each of
-// these carries the load that it will have after the roll-out. Faults that occur only under
+// these carries the load that it will have after the rollout. Faults that occur only under
 // load then show up early.
 const (
 	// subsetOverload is the load of an endpoint of the subset, relative to its load after the
-	// roll-out.
+	// rollout.
 	subsetOverload = 1.25
 	// minSubsetSize is the minimum size of the subset, because a single endpoint may be
 	// unhealthy for reasons unrelated to its version.
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -14,7 +14,7 @@
 	"lichentray/internal/goldentest"
 )
 
-// The golden types are the serialised types of a snapshot image at the time when the golden
+// The golden types are the serialized types of a snapshot image at the time when the golden
 // files were written. Gob writes their field names, so the names must not change.
 type (
 	goldenImage struct {
--- a/registry/retry_test.go
+++ b/registry/retry_test.go
@@ -26,7 +26,7 @@
 //     indistinguishable, as are a new acquisition and a delayed one that arrives after the
 //     release: it holds the lock until the lease expires.
 //   - Puts: all answers have the same revision. Of eight puts that expect an empty cell,
-//     exactly one succeeds. A retry is recognised as long as the history is retained.
+//     exactly one succeeds. A retry is recognized as long as the history is retained.
 func TestConcurrentRetriedRequests(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
--- a/registry/store.go
+++ b/registry/store.go
@@ -98,7 +98,7 @@
 	Account uint64
 }
 
-// Store is the state machine. It is not safe for concurrent use: its owner must serialise
+// Store is the state machine. It is not safe for concurrent use: its owner must serialize
 // all calls. Returned values share memory with the store and must not be modified.
 type Store struct {
 	revision     uint64
