--- a/cmd/lichentray-controlplane/main.go
+++ b/cmd/lichentray-controlplane/main.go
@@ -42,9 +42,9 @@
 		}
 		switch {
 		case errors.Is(err, relay.ErrCoreDiskless):
-			log.Info("no machine of the core has a disk, joining it")
+			log.Info("no core machine has a disk; joining the core")
 		case errors.Is(err, errCoreHasDisks):
-			log.Info("machines of the core have disks, forwarding calls to them")
+			log.Info("core machines have disks; running as a relay")
 		default:
 			return err
 		}
@@ -78,7 +78,7 @@
 	return set.DataDirectory == "" && !set.QuorumMember && !isFirstCore
 }
 
-// runRelay runs a relay until sig.Stop is closed, a listener fails or no machine of the core has a
+// runRelay runs a relay until sig.Stop is closed, a listener fails or no core machine has a
 // disk.
 func runRelay(set *settings.Settings, log *slog.Logger, sig *daemon.Signals) error {
 	runtime.GOMAXPROCS(1)
--- a/internal/api/handler_test.go
+++ b/internal/api/handler_test.go
@@ -139,15 +139,15 @@
 		{"evacuate without a zone", "POST", "/api/rpc?call=evacuations.begin", "", success, nil, 400, "of"},
 		{"finish evacuation", "POST", "/api/rpc?call=evacuations.finish&of=z", "", success, apierror.New(apierror.BadRequest, "zone"), 400, "zone"},
 		{"list evacuations", "POST", "/api/rpc?call=evacuations.read", "", success, nil, 200, `{"zones":{"z":"evacuated"}}`},
-		{"begin roll-out", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, success, nil, 200, "{}"},
-		{"roll-out without a service", "POST", "/api/rpc?call=rollouts.begin", `{"target_version":"v2","deadline_s":12}`, success, nil, 400, "backend_service"},
-		{"roll-out without a version", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"","deadline_s":12}`, success, nil, 400, "target_version"},
-		{"roll-out without a deadline", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2"}`, success, nil, 400, "deadline_s"},
-		{"roll-out with a deadline of 0", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":0}`, success, nil, 400, "deadline_s"},
-		{"roll-out with a deadline that is no number", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":"12"}`, success, nil, 400, "deadline_s"},
-		{"roll-out in conflict with another", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, success, apierror.New(apierror.Conflict, ""), 409, "conflict"},
-		{"read roll-out", "POST", "/api/rpc?call=rollouts.read&of=s", "", success, nil, 200, `"state":"rolled_back","target_version":"v2"`},
-		{"read a roll-out that does not exist", "POST", "/api/rpc?call=rollouts.read&of=s", "", success, apierror.New(apierror.NotFound, ""), 404, "no_key"},
+		{"begin rollout", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, success, nil, 200, "{}"},
+		{"rollout without a service", "POST", "/api/rpc?call=rollouts.begin", `{"target_version":"v2","deadline_s":12}`, success, nil, 400, "backend_service"},
+		{"rollout without a version", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"","deadline_s":12}`, success, nil, 400, "target_version"},
+		{"rollout without a deadline", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2"}`, success, nil, 400, "deadline_s"},
+		{"rollout with a deadline of 0", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":0}`, success, nil, 400, "deadline_s"},
+		{"rollout with a deadline that is no number", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":"12"}`, success, nil, 400, "deadline_s"},
+		{"rollout in conflict with another", "POST", "/api/rpc?call=rollouts.begin", `{"backend_service":"s","target_version":"v2","deadline_s":12}`, success, apierror.New(apierror.Conflict, ""), 409, "conflict"},
+		{"read rollout", "POST", "/api/rpc?call=rollouts.read&of=s", "", success, nil, 200, `"state":"rolled_back","target_version":"v2"`},
+		{"read a rollout that does not exist", "POST", "/api/rpc?call=rollouts.read&of=s", "", success, apierror.New(apierror.NotFound, ""), 404, "no_key"},
 		{"read audit of a tenant", "POST", "/api/rpc?call=accounts.read", `{"tenant":"museum"}`, success, nil, 200, `"tenant":"museum","request":"","kind":"late"`},
 		{"read complete audit", "POST", "/api/rpc?call=accounts.read", "", success, nil, 200, `"failures"`},
 		{"audit of an unknown kind", "POST", "/api/rpc?call=accounts.read", `{"kind":"slow"}`, success, nil, 400, "kind"},
@@ -177,8 +177,8 @@
 }
 
 // TestEvacuationSeesCallerDisconnect checks that the node can detect while it executes an
-// evacuation order that the caller has closed its connection. Otherwise it would execute an order
-// that the caller has since repeated at another node.
+// evacuation request that the caller has closed its connection. Otherwise it would execute a
+// request that the caller has since repeated at another node.
 func TestEvacuationSeesCallerDisconnect(t *testing.T) {
 	node := &fakeNode{callerChecks: make(chan func() bool)}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/controlplane/start.go
+++ b/internal/controlplane/start.go
@@ -91,7 +91,7 @@
 }
 
 // maxOpenAttempts is the maximum number of attempts to open the store. They are half an
-// election time-out apart.
+// election timeout apart.
 const maxOpenAttempts = 21
 
 // openStore opens the store and restores its snapshot into state. At the first start of a
@@ -108,7 +108,7 @@
 		return nil, fmt.Errorf("open store: %w", err)
 	}
 	if identity.DiscardReason != nil {
-		env.logger.Error("store set aside as unreadable, joining as a new member", "cause", identity.DiscardReason)
+		env.logger.Error("store is unreadable and was set aside; joining as a new member", "cause", identity.DiscardReason)
 	}
 	d.memberID = identity.ID
 	d.isNew = identity.IsNew
