--- a/config/configuration.go
+++ b/config/configuration.go
@@ -76,9 +76,9 @@
 	Name           string  `json:"name"`
 	HealthPath     string  `json:"health_check_path"`
 	MaxConnections float64 `json:"max_connections"`
-	// WarmupSeconds is how long an endpoint warms up after its start, and
-	// WarmupRatePerSecond how many requests per second it can serve during that time;
+	// WarmUpSeconds is how long an endpoint warms up after its start, and
+	// WarmUpRatePerSecond how many requests per second it can serve during that time;
 	// 0 means no limit.
-	WarmupSeconds       float64 `json:"cold_start_s"`
-	WarmupRatePerSecond float64 `json:"cold_rate_s"`
+	WarmUpSeconds       float64 `json:"cold_start_s"`
+	WarmUpRatePerSecond float64 `json:"cold_rate_s"`
 }
--- a/internal/controlplane/decoded_objects.go
+++ b/internal/controlplane/decoded_objects.go
@@ -147,7 +147,7 @@
 	}
 	decoded, err := rollout.Decode(e.Object.Value)
 	if err != nil {
-		r.env.logger.Error("roll-out cannot be decoded", "key", key, "error", err)
+		r.env.logger.Error("cannot decode rollout", "key", key, "error", err)
 		return
 	}
 	previous := r.rollouts[key]
@@ -159,7 +159,7 @@
 	if decoded.State == "" || (previous != nil && previous.Rollout == decoded) {
 		return
 	}
-	r.env.logger.Info("roll-out changed",
+	r.env.logger.Info("rollout changed",
 		"service", serviceOfRollout(key),
 		"target", decoded.Target,
 		"state", string(decoded.State),
--- a/internal/controlplane/endpoint_registrar.go
+++ b/internal/controlplane/endpoint_registrar.go
@@ -35,7 +35,7 @@
 	return err
 }
 
-// departedKey returns the key of the marker that is stored when an endpoint departs.
+// departedKey returns the key of an endpoint's departure marker, see registry.Departure.
 func departedKey(id string) string { return registry.DepartedPrefix + id }
 
 // registerEndpoint returns a transaction that registers an endpoint. departed is the marker of an
--- a/internal/controlplane/endpoint_registrar_test.go
+++ b/internal/controlplane/endpoint_registrar_test.go
@@ -65,9 +65,9 @@
 	})
 }
 
-// TestHeartbeatsAroundDeparture guards against late heartbeats that register an endpoint again
-// after it has announced its departure, and against endpoints that restart under the same ID and
-// are not registered.
+// TestHeartbeatsAroundDeparture guards against late heartbeats that register a deregistered
+// endpoint again or make a draining one ready, and against endpoints that restart under the same
+// ID and are not registered.
 func TestHeartbeatsAroundDeparture(t *testing.T) {
 	heartbeat := func(sequence uint64) func(*Node) error {
 		return func(n *Node) error { return n.Heartbeat(heartbeatOf(sequence, false)) }
--- a/internal/controlplane/history_compactor.go
+++ b/internal/controlplane/history_compactor.go
@@ -95,7 +95,7 @@
 	h.revisions = append(h.revisions[:0], h.revisions[superseded:]...)
 }
 
-// expiryTxn returns a transaction that deletes the markers of endpoints that departed at or
+// expiryTxn returns a transaction that deletes the departure markers that were written at or
 // before a revision, and all but the newest maxAcceptedDigests digests of accepted
 // configurations.
 func expiryTxn(store *registry.Store, before uint64) *registry.Txn {
--- a/internal/controlplane/quota_allocator.go
+++ b/internal/controlplane/quota_allocator.go
@@ -55,13 +55,13 @@
 			continue
 		}
 		cluster, isKnown := r.cluster(e.Service)
-		if !isKnown || cluster.WarmupRatePerSecond <= 0 {
+		if !isKnown || cluster.WarmUpRatePerSecond <= 0 {
 			continue
 		}
 		if proxies == nil {
 			proxies = q.groupProxies(r, reportSequences)
 		}
-		rate := cluster.WarmupRatePerSecond
+		rate := cluster.WarmUpRatePerSecond
 		warming = append(warming, loadbalance.WarmingEndpoint{
 			ID:           e.ID,
 			Rate:         rate,
--- a/internal/controlplane/rollout_controller.go
+++ b/internal/controlplane/rollout_controller.go
@@ -360,7 +360,7 @@
 		return putIfUnchanged(key, object.ModRevision, next.Encode()), nil
 	})
 	if wrote {
-		c.logger.Info("roll-out order acknowledged", "service", service, "target", target, "deadline", deadline.String())
+		c.logger.Info("rollout order acknowledged", "service", service, "target", target, "deadline", deadline.String())
 	}
 	return err
 }
--- a/internal/proxy/apply.go
+++ b/internal/proxy/apply.go
@@ -193,7 +193,7 @@
 	for _, cluster := range table.Services {
 		s := p.ensureService(cluster.Name)
 		p.applyProxyCount(s)
-		s.configure(int(cluster.MaxConnections), cluster.WarmupRatePerSecond)
+		s.configure(int(cluster.MaxConnections), cluster.WarmUpRatePerSecond)
 		snapshot.services = append(snapshot.services, s)
 	}
 	for _, route := range table.Routes {
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -79,11 +79,11 @@
 }
 
 // configure sets the service's limits from the configuration.
-func (s *service) configure(maxConnections int, warmupRatePerSecond float64) {
+func (s *service) configure(maxConnections int, warmUpRatePerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.SetMaxConnections(maxConnections)
-	s.pool.SetWarmupRate(warmupRatePerSecond)
+	s.pool.SetWarmUpRate(warmUpRatePerSecond)
 }
 
 // setTotalLoad sets the service's total load from all proxies.
--- a/internal/proxy/watchstream.go
+++ b/internal/proxy/watchstream.go
@@ -196,8 +196,8 @@
 }
 
 // shouldSearchNearer reports whether a nearer node should be searched for. After the first search,
-// this is so only once the stream has been open for some time, as a nearer node may have been left
-// because it was unhealthy.
+// this is so only once the stream has been open for some time, as the proxy may have disconnected
+// from a nearer node because it was unhealthy.
 func (p *Proxy) shouldSearchNearer(s *watchStream) bool {
 	if !p.controlNodes.HasNearer(s.addr) {
 		return false
--- a/loadbalance/locality_test.go
+++ b/loadbalance/locality_test.go
@@ -14,7 +14,7 @@
 // granted.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
-	p.SetWarmupRate(5)
+	p.SetWarmUpRate(5)
 	p.SetZoneState("a", loadbalance.ZoneEvacuated)
 	for i, zone := range []string{"a", "a", "b"} {
 		p.Upsert(0, loadbalance.EndpointSpec{ID: fmt.Sprint(i), Zone: zone, Capacity: 4, RegionIndex: 0}, 0)
--- a/loadbalance/pool.go
+++ b/loadbalance/pool.go
@@ -86,9 +86,9 @@
 	byID           map[string]*Endpoint
 	peerCount      int // number of nodes that share the endpoints, at least 1
 	maxConnections int // per endpoint, from all nodes together; 0: unlimited
-	// warmupRate is the number of requests per second that an endpoint can serve while it
+	// warmUpRate is the number of requests per second that an endpoint can serve while it
 	// warms up; 0: unlimited.
-	warmupRate float64
+	warmUpRate float64
 	zoneStates map[string]ZoneState
 	candidates [distanceCount]candidateSet // scratch space of Pick
 	// verdictsUntil is when the last verdicts expire.
@@ -139,9 +139,9 @@
 	return slots, inflight
 }
 
-// Upsert adds an endpoint, or updates the one with the same ID, and returns it. warmup is
+// Upsert adds an endpoint, or updates the one with the same ID, and returns it. warmUp is
 // the remaining duration of its slow start; 0 leaves the estimated end unchanged.
-func (p *Pool) Upsert(now time.Duration, spec EndpointSpec, warmup time.Duration) *Endpoint {
+func (p *Pool) Upsert(now time.Duration, spec EndpointSpec, warmUp time.Duration) *Endpoint {
 	spec.Capacity = max(1, spec.Capacity)
 	e := p.byID[spec.ID]
 	if e == nil {
@@ -157,8 +157,8 @@
 	e.distance = p.distanceTo(spec)
 	e.distanceCost = p.cfg.costOf(e.distance)
 	e.zoneState = p.zoneStates[spec.Zone]
-	if warmup > 0 {
-		e.warmingUntil = now + warmup
+	if warmUp > 0 {
+		e.warmingUntil = now + warmUp
 	}
 	return e
 }
--- a/loadbalance/quota_test.go
+++ b/loadbalance/quota_test.go
@@ -29,7 +29,7 @@
 		}
 		newNode := func(name string) *node {
 			p := loadbalance.NewPool(loadbalance.PoolConfig{Zone: "a", BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
-			p.SetWarmupRate(rate)
+			p.SetWarmUpRate(rate)
 			p.Upsert(0, loadbalance.EndpointSpec{ID: "e", Zone: "a", Capacity: 100, WarmingUp: true}, 0)
 			return &node{name: name, pool: p, reportedAt: map[int]time.Duration{}}
 		}
--- a/loadbalance/slowstart.go
+++ b/loadbalance/slowstart.go
@@ -5,10 +5,10 @@
 // slowStartLatencyFactor scales the expected latency of an endpoint while it warms up.
 const slowStartLatencyFactor = 2
 
-// SetWarmupRate sets how many requests per second an endpoint can serve, from all nodes
+// SetWarmUpRate sets how many requests per second an endpoint can serve, from all nodes
 // together, while it warms up. A node may then send to such an endpoint only under a Grant.
 // 0 means no limit.
-func (p *Pool) SetWarmupRate(requestsPerSecond float64) { p.warmupRate = requestsPerSecond }
+func (p *Pool) SetWarmUpRate(requestsPerSecond float64) { p.warmUpRate = requestsPerSecond }
 
 // IsWarmingUp reports whether the endpoint is in slow start.
 func (e *Endpoint) IsWarmingUp(now time.Duration) bool {
@@ -29,4 +29,4 @@
 }
 
 // needsQuota reports whether requests to the endpoint require a quota grant.
-func (p *Pool) needsQuota(e *Endpoint) bool { return p.warmupRate > 0 && e.isMarkedWarming() }
+func (p *Pool) needsQuota(e *Endpoint) bool { return p.warmUpRate > 0 && e.isMarkedWarming() }
